--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -322,7 +322,7 @@
     async def _give_lease_back(self) -> None:
         """Give the lease back once no call of a duty is under way."""
         async with self.duties.acting:
-            await self.keeper.give_back()
+            await self.keeper.release()
 
     # News between nodes
 
@@ -350,8 +350,8 @@
             power_of(node.cores, node.link_mbps),
             now - self.plans.reached_at,
             self.sharing.offset_s(),
-            self.keeper.news(),
-            lease_heard=self.keeper.lease_heard(now),
+            self.keeper.lease_update(),
+            lease_heard=self.keeper.lease_to_relay(now),
             requests_per_s=self._request_rate.per_s,
             speeds=self.book.speeds(now),
             age_s=now - self._began_at,
@@ -487,12 +487,12 @@
         for address in message.addresses:
             self.neighbours.addresses.hint(address, now)
         if state.lease is not None:
-            self.keeper.heard(state.id, state.lease, now)
+            self.keeper.on_renewal(state.id, state.lease, now)
         else:
-            self.keeper.gave_up(state.id, now)
+            self.keeper.on_lease_lost(state.id, now)
         if state.lease_heard is not None:
-            passed_on = state.lease_heard
-            self.keeper.heard(passed_on.holder, passed_on.news, now, passed_on=True)
+            relayed = state.lease_heard
+            self.keeper.on_renewal(relayed.holder, relayed.news, now, relayed=True)
         self.quarantine.heard_digest(state.peer, state.blocks)
         if state.era is not None:
             self._store.era.heard(state.era.number, state.era.age_s)
--- a/tests/test_gateway_lease.py
+++ b/tests/test_gateway_lease.py
@@ -10,7 +10,7 @@
 from moledale.clock import monotonic
 from moledale.core.leases import LeaseRow
 from moledale.gateway import lease_keeper
-from moledale.gateway.lease_keeper import LEASE_KEY, NOBODY, LeaseKeeper, StoreClock
+from moledale.gateway.lease_keeper import LEASE_KEY, NO_HOLDER, LeaseKeeper, StoreClock
 from moledale.gateway.outside import Reading, StateRow, Trouble, Written
 from moledale.gateway.peers import LeaseNews
 from moledale.gateway.settings import Bounds
@@ -95,9 +95,9 @@
             store = OneRow()
             one, two = keeper(store, "one"), keeper(store, "two")
             await one.step(0)
-            news = one.news()
+            news = one.lease_update()
             assert news is not None
-            two.heard("one", news, monotonic())
+            two.on_renewal("one", news, monotonic())
             for _ in range(5):
                 await two.step(0)
             self.assertEqual(store.reads, 1)
@@ -114,8 +114,8 @@
                 for number, each in enumerate(keepers):
                     serving = number < 6
                     await each.step(number if serving else 6, 1.0 if serving else 12.0)
-                    if (news := keepers[0].news()) is not None:
-                        each.heard("n0", news, monotonic())
+                    if (news := keepers[0].lease_update()) is not None:
+                        each.on_renewal("n0", news, monotonic())
             self.assertIsNotNone(keepers[0].grant())
             self.assertLessEqual(store.reads + store.writes, 13)
 
@@ -143,7 +143,7 @@
             await one.step(0)
             version = store.version
             now = monotonic()
-            two.heard("one", LeaseNews(1, version, 0.1), now)
+            two.on_renewal("one", LeaseNews(1, version, 0.1), now)
             two.lease.decide(now)
             self.assertEqual(two.lease.decide(now + TTL_S - 0.15).value, "read")
             self.assertEqual(two.lease.decide(now + TTL_S - 0.05).value, "take")
@@ -167,18 +167,18 @@
 
     def test_row_states_no_earlier_renewal_than_the_holder_counts_from(self) -> None:
         clock = StoreClock()
-        self.assertIsNone(clock.latest(0.0))
-        clock.answered(100.0, sent_at=50.0)
-        self.assertEqual(clock.latest(53.0), 103.0)
+        self.assertIsNone(clock.upper_bound(0.0))
+        clock.record_answer(100.0, sent_at=50.0)
+        self.assertEqual(clock.upper_bound(53.0), 103.0)
 
     def test_lease_given_back_is_free_at_once_with_a_higher_fence(self) -> None:
         async def work() -> None:
             store = OneRow()
             one, two = keeper(store, "one"), keeper(store, "two")
             await one.step(0)
-            await one.give_back()
+            await one.release()
             self.assertIsNone(one.grant())
-            self.assertEqual(store.holds().holder, NOBODY)
+            self.assertEqual(store.holds().holder, NO_HOLDER)
             await two.step(0)
             await two.step(0)
             grant = two.grant()
@@ -226,18 +226,18 @@
 
     async def _held(self) -> float:
         await self.holder.step(0)
-        news = self.holder.news()
+        news = self.holder.lease_update()
         assert news is not None
         now = monotonic()
-        self.serving.heard("holder", news, now)
+        self.serving.on_renewal("holder", news, now)
         return now
 
     def test_node_that_is_told_does_not_ask_the_store(self) -> None:
         async def scenario() -> None:
             now = await self._held()
-            passed_on = self.serving.lease_heard(now)
-            assert passed_on is not None
-            self.reserve.heard(passed_on.holder, passed_on.news, now, passed_on=True)
+            relayed = self.serving.lease_to_relay(now)
+            assert relayed is not None
+            self.reserve.on_renewal(relayed.holder, relayed.news, now, relayed=True)
             reads = self.store.reads
             await self.reserve.step(0)
             self.assertEqual(self.store.reads, reads)
@@ -248,22 +248,22 @@
     def test_what_was_passed_on_is_not_passed_on_again(self) -> None:
         async def scenario() -> None:
             now = await self._held()
-            passed_on = self.serving.lease_heard(now)
-            assert passed_on is not None
-            self.reserve.heard(passed_on.holder, passed_on.news, now, passed_on=True)
-            self.assertIsNone(self.reserve.lease_heard(now))
+            relayed = self.serving.lease_to_relay(now)
+            assert relayed is not None
+            self.reserve.on_renewal(relayed.holder, relayed.news, now, relayed=True)
+            self.assertIsNone(self.reserve.lease_to_relay(now))
 
         quietly(scenario())
 
     def test_lease_of_a_silent_holder_ends_though_it_is_passed_on(self) -> None:
         async def scenario() -> None:
             now = await self._held()
-            self.assertIsNone(self.serving.lease_heard(now + TTL_S))
-            late = self.serving.lease_heard(now + TTL_S / 2)
+            self.assertIsNone(self.serving.lease_to_relay(now + TTL_S))
+            late = self.serving.lease_to_relay(now + TTL_S / 2)
             assert late is not None
-            self.reserve.heard(late.holder, late.news, now + TTL_S / 2, passed_on=True)
-            self.serving.heard(late.holder, late.news, now + TTL_S / 2, passed_on=True)
-            self.assertIsNone(self.serving.lease_heard(now + TTL_S))
+            self.reserve.on_renewal(late.holder, late.news, now + TTL_S / 2, relayed=True)
+            self.serving.on_renewal(late.holder, late.news, now + TTL_S / 2, relayed=True)
+            self.assertIsNone(self.serving.lease_to_relay(now + TTL_S))
 
         quietly(scenario())
 
@@ -276,7 +276,7 @@
         self.store.era.heard(1)
         self.one, self.two = keeper(self.store, "one"), keeper(self.store, "two")
         # Times of the test are shorter than those of nodes.
-        short = mock.patch.object(lease_keeper, "RESTORED_WAIT_S", 0.02)
+        short = mock.patch.object(lease_keeper, "RESTORE_GRACE_S", 0.02)
         short.start()
         self.addCleanup(short.stop)
 
@@ -338,9 +338,9 @@
     def test_write_whose_condition_was_read_in_another_era_grants_nothing(self) -> None:
         async def work() -> None:
             await self.one.step(0)
-            news = self.one.news()
+            news = self.one.lease_update()
             assert news is not None
-            self.two.heard("one", news, monotonic())
+            self.two.on_renewal("one", news, monotonic())
             await asyncio.sleep(TTL_S)
             version = self.two.lease.version
             others = LeaseRow("other", 9, "other/1", self.store.clock(), era=2)
@@ -373,7 +373,7 @@
             self.store.restore(None, 3)
             self.store.down = True
             await self.one.step(0)
-            news = self.one.news()
+            news = self.one.lease_update()
             assert news is not None
             self.assertEqual((news.era, news.version), (1, version))
 
@@ -397,11 +397,11 @@
         async def work() -> None:
             await self.one.step(0)
             await self.two.step(0)
-            former = self.one.news()
+            former = self.one.lease_update()
             assert former is not None
             self.store.restore(None, 3)
             await self.two.step(0)
-            self.two.heard("one", former, monotonic())
+            self.two.on_renewal("one", former, monotonic())
             self.assertIsNone(self.two.lease.row)
 
         quietly(work())
--- a/tests/test_lease_over_restores.py
+++ b/tests/test_lease_over_restores.py
@@ -99,10 +99,10 @@
         keeper = keepers[number]
         while True:
             await keeper.step(number)
-            news = keeper.news()
+            news = keeper.lease_update()
             for other in keepers:
                 if news is not None and other is not keeper and self.chance.random() < 0.8:
-                    other.heard(str(number), news, monotonic())
+                    other.on_renewal(str(number), news, monotonic())
             await asyncio.sleep(STEP_S)
 
     async def disturb(self, store: ForgetfulStore, nodes: list[NodesStore]) -> None:
@@ -116,7 +116,7 @@
                 cut = nodes[self.held[-1][0]] if self.held else self.chance.choice(nodes)
                 cut.cut_until = monotonic() + 0.4 * self.chance.random()
 
-    @mock.patch.object(lease_keeper, "RESTORED_WAIT_S", 0.02)
+    @mock.patch.object(lease_keeper, "RESTORE_GRACE_S", 0.02)
     async def play(self, seed: int) -> None:
         self.chance.seed(seed)
         store = ForgetfulStore(self.chance)
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -94,7 +94,7 @@
 _finish = UpstreamConnection.finish
 _read_answer = PlatformHeaders.read_answer
 _data_received = UpstreamConnection.data_received
-_heard = LeaseKeeper.heard
+_heard = LeaseKeeper.on_renewal
 _note = WorkMeter.note
 
 
@@ -193,7 +193,7 @@
 
 
 def _heard_as_told(
-    self: LeaseKeeper, holder: str, news: LeaseNews, now: float, passed_on: bool = False
+    self: LeaseKeeper, holder: str, news: LeaseNews, now: float, relayed: bool = False
 ) -> None:
     """Take what was passed on for the holder's own word."""
     _heard(self, holder, news, now)
@@ -260,7 +260,7 @@
     ("a stop waits for requests", GatewayNode, "_leave", _stop_at_once, f"{NODES}.StopTest"),
     ("counts of former lives are kept", Membership, "all_states",
      lambda self: [each.state for each in self.members.values()], f"{STATE} {MEMBERSHIP}"),
-    ("a candidate waits for the time to live", lease_keeper, "TTL_X", 0.0, LEASE),
+    ("a candidate waits for the time to live", lease_keeper, "TTL_FACTOR", 0.0, LEASE),
     ("what was passed on is not passed on again", LeaseKeeper, "heard", _heard_as_told, LEASE),
     ("others hear of placements at once", ServerBook, "take_placed", lambda _: [],
      "tests.test_gateway_placements"),
@@ -325,10 +325,10 @@
     ("servers that had ended are not used again", EndedServers, "of", lambda *_: None,
      "tests.test_server_list"),
     ("fences are numbered by era", lease_keeper, "FENCES_PER_ERA", 0, LEASE),
-    ("a holder goes on over a return of the store", LeaseKeeper, "_stands_at", lambda *_: None,
+    ("a holder goes on over a return of the store", LeaseKeeper, "_schedule_renewal", lambda *_: None,
      LEASE),
-    ("a missing row is no free lease", LeaseKeeper, "_may_take_missing", lambda *_: True, LEASE),
-    ("what is known of a row ends with its era", LeaseKeeper, "_enter", lambda *_: None, LEASE),
+    ("a missing row is no free lease", LeaseKeeper, "_may_acquire_without_row", lambda *_: True, LEASE),
+    ("what is known of a row ends with its era", LeaseKeeper, "_enter_era", lambda *_: None, LEASE),
     ("windows whose counts may be lost aren't counted anew", Duties, "_is_first_to_report",
      lambda *_: True, "tests.test_usage_reports"),
     ("counts kept in a later era are taken back", Duties, "_void", _void_nothing,
