--- a/src/moledale/gateway/duties.py
+++ b/src/moledale/gateway/duties.py
@@ -20,7 +20,7 @@
 USAGE_ROWS = 16
 """Rows of reported windows that are kept; a window takes the row of one long past."""
 
-TICK_S = 0.2
+DUTY_POLL_INTERVAL_S = 0.2
 """Duties look this often what is due, as often as nodes tell each other their states."""
 
 CALL_TIMEOUT_S = 1.0
@@ -29,18 +29,18 @@
 SETTLE_S = 1.5
 """Counts of a window are complete this long after it ended."""
 
-HEARD_AFTER_S = 1.5
+NEW_HOLDER_DELAY_S = 1.5
 """A new holder reports once it has held the lease for this long. Nodes tell their counts to the
 holder only: they hear of it within a round or a second, and tell within a round; a report that is
 sooner freezes too few. Counts of nodes in reserve may come a little later still."""
 
-BACK_WINDOWS = 2
+BACKFILL_WINDOWS = 2
 """A new holder reports so many windows before the current one: 10 s, as long as reports may be
 late."""
 
 
-LOST = "the store came back from an older copy"
-SPOILT = "the row in its place can't be read"
+STORE_RESTORED_REASON = "the store came back from an older copy"
+ROW_UNREADABLE_REASON = "the row in its place can't be read"
 """Why the counts of a window can't be kept."""
 
 
@@ -65,7 +65,7 @@
         rollouts: RolloutDuty,
         now: Callable[[], float] = monotonic,
     ) -> None:
-        self.acting = asyncio.Lock()
+        self.step_lock = asyncio.Lock()
         self._node = node
         self._keeper = keeper
         self._store = store
@@ -74,7 +74,7 @@
         self._renting = renting
         self._rollouts = rollouts
         self._now = now
-        self._done: set[int] = set()
+        self._finished_windows: set[int] = set()
         self._frozen: dict[int, WindowRow] = {}
         self._first_window: int | None = None
         self._epoch = 0
@@ -82,16 +82,16 @@
 
     async def step(self) -> None:
         """Do what is due; demand is watched by all nodes, so that any of them may take over."""
-        self._renting.watch_demand()
+        self._renting.record_demand()
         grant = self._keeper.grant()
         if grant is None:
             return
         if grant.epoch != self._epoch:
             self._epoch = grant.epoch
             self._held_since = self._now()
-            self._renting.begin()
-            self._rollouts.begin()
-        async with self.acting:
+            self._renting.reset()
+            self._rollouts.reset()
+        async with self.step_lock:
             await asyncio.gather(
                 self._report_usage(),
                 self._renting.step(),
@@ -99,17 +99,17 @@
             )
 
     async def _report_usage(self) -> None:
-        if self._now() - self._held_since < HEARD_AFTER_S:
+        if self._now() - self._held_since < NEW_HOLDER_DELAY_S:
             return
         usage = self._sharing.usage
         current = usage.window_of(self._sharing.time() - SETTLE_S)
         if self._first_window is None:
             self._first_window = current
-        first = max(self._first_window - BACK_WINDOWS, current - BACK_WINDOWS - 1)
+        first = max(self._first_window - BACKFILL_WINDOWS, current - BACKFILL_WINDOWS - 1)
         for window in range(first, current):
-            if window not in self._done:
+            if window not in self._finished_windows:
                 await self._report_window(window)
-        self._done = {window for window in self._done if window >= first}
+        self._finished_windows = {window for window in self._finished_windows if window >= first}
         self._frozen = {window: row for window, row in self._frozen.items() if window >= first}
 
     async def _report_window(self, window: int) -> None:
@@ -119,11 +119,11 @@
         if window in self._frozen or self._is_first_to_report(window):
             frozen = await self._freeze(self._frozen.get(window, WindowRow(window, counts)))
         else:
-            frozen = await self._kept(window)
+            frozen = await self._read_stored(window)
         if frozen is None:
             return
         if not frozen.counts:
-            self._done.add(window)
+            self._finished_windows.add(window)
             return
         self._frozen[window] = frozen
         grant = self._keeper.grant()
@@ -131,7 +131,7 @@
             return
         trouble = await self._orders.report_usage(self._node, grant.epoch, window, frozen.counts)
         if trouble is None:
-            self._done.add(window)
+            self._finished_windows.add(window)
             emit(
                 Event.USAGE_REPORTED,
                 window=window,
@@ -151,7 +151,7 @@
         ended_at = self._now() - (self._sharing.time() - usage.end_of(window))
         return ended_at >= min(self._store.era.since, self._held_since)
 
-    async def _kept(self, window: int) -> WindowRow | None:
+    async def _read_stored(self, window: int) -> WindowRow | None:
         """Return what a holder kept of a window; one that the store lost is not reported."""
         outcome = await self._store.read(USAGE_TABLE, CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
@@ -160,7 +160,7 @@
             kept = read_row(USAGE_TABLE, row, WindowRow)
             if kept is not None and kept.window == window:
                 return kept
-        self._done.add(window)
+        self._finished_windows.add(window)
         emit(Event.USAGE_FAILED, window=window, why="the store may have lost what was reported")
         return None
 
@@ -179,7 +179,7 @@
             if written.committed and written.era == era:
                 return row
             if written.committed:
-                await self._void(row.window, written.version, LOST)
+                await self._void(row.window, written.version, STORE_RESTORED_REASON)
                 return None
             if written.standing is None:
                 return None
@@ -187,7 +187,7 @@
             standing = read_row(USAGE_TABLE, written.standing, WindowRow)
             if standing is None:
                 if row.window not in self._frozen:
-                    await self._void(row.window, expected, SPOILT)
+                    await self._void(row.window, expected, ROW_UNREADABLE_REASON)
                     return None
             elif standing.window >= row.window:
                 return standing if standing.window == row.window else None
@@ -195,7 +195,7 @@
 
     async def _void(self, window: int, version: int, why: str) -> None:
         """Keep that a window is not reported, since its counts may have been told before."""
-        self._done.add(window)
+        self._finished_windows.add(window)
         value = msgspec.json.encode(WindowRow(window, {}))
         key = str(window % USAGE_ROWS)
         await self._store.write(USAGE_TABLE, key, value, version, CALL_TIMEOUT_S)
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -12,7 +12,7 @@
 from moledale.gateway.cold_start import ColdStart
 from moledale.gateway.dialect import Dialect
 from moledale.gateway.directory import power_of
-from moledale.gateway.duties import TICK_S, Duties
+from moledale.gateway.duties import DUTY_POLL_INTERVAL_S, Duties
 from moledale.gateway.entry import EntryDialect
 from moledale.gateway.evacuation import Engines
 from moledale.gateway.fleet_watch import FleetWatch
@@ -321,7 +321,7 @@
 
     async def _give_lease_back(self) -> None:
         """Give the lease back once no call of a duty is under way."""
-        async with self.duties.acting:
+        async with self.duties.step_lock:
             await self.keeper.release()
 
     # News between nodes
@@ -594,7 +594,7 @@
                 rank = self.neighbours.rank(state, now, True)
                 await self.keeper.step(rank, self.neighbours.crowd(state))
                 await self.duties.step()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(DUTY_POLL_INTERVAL_S)
 
     async def _sweep_pool_forever(self) -> None:
         while True:
--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -48,7 +48,7 @@
         self._planned_at = -1e9
         self._watched_at = -1e9
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Start anew as the holder: another one may have ordered meanwhile."""
         self._planners.clear()
 
@@ -106,7 +106,7 @@
             self._planners[service] = planner
         return planner
 
-    def watch_demand(self) -> None:
+    def record_demand(self) -> None:
         """Watch the demand; all nodes do, so that any of them may take over."""
         now = self._now()
         index = self._index()
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -45,7 +45,7 @@
         self._written: dict[str, tuple[int, Phase]] = {}
         self._phase_since: dict[str, tuple[int, Phase, float]] = {}
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Start anew as the holder: another one may have written meanwhile."""
         self._forget_rows()
         self._phase_since.clear()
--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -53,7 +53,7 @@
         while rollouts.services["model"].phase is not Phase.COMPLETED:
             await duty.step(lambda: True)
             self.assertLessEqual(self.now, duration_s - TELLING_S)
-            self.now += duties.TICK_S + LATE_S
+            self.now += duties.DUTY_POLL_INTERVAL_S + LATE_S
             await asyncio.sleep(0)
 
     def note_answers(self, rollouts: Rollouts) -> None:
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -660,7 +660,7 @@
             ended = {"state": "rolled_back", "targetVersion": NEW}
             world.platform.put("status", f"rollout/{SERVICE}", ended)
             duty: RolloutDuty = node.duties._rollouts
-            duty.begin()
+            duty.reset()
             rollout = node.rollouts.services[SERVICE]
             await world.until(lambda: rollout.phase is Phase.ROLLED_BACK, 2.0)
             self.assertEqual(world.status, ended)
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -8,7 +8,7 @@
 
 from moledale.clock import monotonic
 from moledale.core.leases import Grant
-from moledale.gateway.duties import HEARD_AFTER_S, SETTLE_S, Duties
+from moledale.gateway.duties import NEW_HOLDER_DELAY_S, SETTLE_S, Duties
 from moledale.gateway.lease_keeper import LEASE_KEY
 from moledale.gateway.outside import StateRow, Trouble, Written
 from moledale.gateway.peers import Membership
@@ -49,10 +49,10 @@
 class NoRenting:
     """No service rents servers."""
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Forget nothing."""
 
-    def watch_demand(self) -> None:
+    def record_demand(self) -> None:
         """Watch nothing."""
 
     async def step(self) -> None:
@@ -62,7 +62,7 @@
 class NoRollouts:
     """No roll-out was ordered."""
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Forget nothing."""
 
     async def step(self, _: object) -> None:
@@ -254,7 +254,7 @@
             while not log.reported:
                 await duties.step()
                 await asyncio.sleep(0.02)
-            self.assertGreaterEqual(monotonic() - began, HEARD_AFTER_S)
+            self.assertGreaterEqual(monotonic() - began, NEW_HOLDER_DELAY_S)
             sharing.started("north")
             wall += 5.0
             await duties.step()
