--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -10,7 +10,7 @@
 from moledale.gateway.lease_keeper import LeaseKeeper
 from moledale.gateway.outside import Orders
 from moledale.gateway.plan import PlanIndex, Renting
-from moledale.gateway.renting import Demand, Load, Order, RentingPlanner, needed
+from moledale.gateway.renting import Demand, Load, Order, RentingPlanner, servers_for_load
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.work import OWN_LIFE, WorkMeter
 from moledale.log import Event, emit
@@ -85,7 +85,7 @@
             self._node, grant.epoch, order.service, order.hall, order.number, order.spot
         )
         accepted = isinstance(outcome, Ok) and outcome.ok_value
-        planner.ordered(order, accepted, self._now())
+        planner.record_outcome(order, accepted, self._now())
         emit(
             Event.SERVERS_ORDERED,
             hall=order.hall,
@@ -93,7 +93,7 @@
             number=order.number,
             accepted=accepted,
             need=planner.need(renting),
-            work_per_s=round(planner.demand.rate),
+            work_per_s=round(planner.demand.tokens_per_s),
             running=self._book.running(order.service),
             waiting=self._book.waiting(order.service),
             learnt=self._book.learner(order.service).speed(self._now()),
@@ -119,14 +119,16 @@
             if service.renting is None:
                 continue
             demand = self._demands.setdefault(service.name, Demand())
-            demand.note(self._work.total.get(service.name, 0), now)
+            demand.record_total(self._work.total.get(service.name, 0), now)
             if service.engine is not None:
                 load = Load(
-                    demand.rate,
+                    demand.tokens_per_s,
                     self._book.waiting(service.name),
                     self._book.running(service.name),
                 )
                 speed = self._book.learner(service.name).speed(now)
                 boot_s = service.renting.boot_s
-                need = needed(index, service.name, service.engine.slots, boot_s, load, speed)
-                demand.note_need(need, now)
+                need = servers_for_load(
+                    index, service.name, service.engine.slots, boot_s, load, speed
+                )
+                demand.record_need(need, now)
--- a/tests/test_gateway_renting.py
+++ b/tests/test_gateway_renting.py
@@ -6,13 +6,13 @@
 from moledale.gateway.messages import Server
 from moledale.gateway.plan import PlanIndex, Renting
 from moledale.gateway.renting import (
-    LATE_WORK_BOOTS,
+    BACKLOG_DRAIN_BOOTS,
     Demand,
     Load,
     Need,
     Order,
     RentingPlanner,
-    needed,
+    servers_for_load,
     shortest_target_s,
 )
 from moledale.gateway.server_model import Speed
@@ -57,8 +57,8 @@
             placed = 5_000_000 + step * 50_000 if step >= 2 else 0
             states = [state("n1", sequence=step + 1, work={"model": placed})] if placed else []
             meter.note_all(states)
-            demand.note(meter.total.get("model", 0), step * 0.5)
-        self.assertLess(demand.rate, 1.1 * 100_000)
+            demand.record_total(meter.total.get("model", 0), step * 0.5)
+        self.assertLess(demand.tokens_per_s, 1.1 * 100_000)
 
 
 class LateWorkTest(unittest.TestCase):
@@ -68,14 +68,14 @@
 
     def need(self, work_per_s: float, waiting: float) -> int:
         load = Load(work_per_s, waiting, 20)
-        return needed(PlanIndex(a_plan()), "model", 64, BOOT_S, load, self.speed)
+        return servers_for_load(PlanIndex(a_plan()), "model", 64, BOOT_S, load, self.speed)
 
     def test_work_that_is_in_time_changes_nothing(self) -> None:
         target_s = shortest_target_s(PlanIndex(a_plan()), "model")
         self.assertEqual(self.need(200_000.0, 200_000.0 * target_s), self.need(200_000.0, 0.0))
 
     def test_late_work_is_worked_off_besides(self) -> None:
-        late = 400_000.0 * LATE_WORK_BOOTS * BOOT_S
+        late = 400_000.0 * BACKLOG_DRAIN_BOOTS * BOOT_S
         target_s = shortest_target_s(PlanIndex(a_plan()), "model")
         waiting = 200_000.0 * target_s + late
         self.assertEqual(self.need(200_000.0, waiting), self.need(600_000.0, 0.0))
@@ -94,8 +94,8 @@
         planner = RentingPlanner("model", first_start)
         if need:
             for step in range(12):
-                planner.demand.note(step * 50_000.0, step / 2 - 6.0)
-                planner.demand.note_need(need, step / 2 - 6.0)
+                planner.demand.record_total(step * 50_000.0, step / 2 - 6.0)
+                planner.demand.record_need(need, step / 2 - 6.0)
         return planner
 
     def servers(self, spot: dict[str, int], firm: dict[str, int] | None = None) -> list[Server]:
@@ -110,7 +110,7 @@
     def carry_out(self, planner: RentingPlanner, servers: list[Server], now: float) -> list[Order]:
         orders = planner.orders(self.renting, servers, now)
         for order in orders:
-            planner.ordered(order, True, now)
+            planner.record_outcome(order, True, now)
         return orders
 
     def test_spot_is_spread_and_ordered_once(self) -> None:
@@ -139,7 +139,7 @@
         self.carry_out(planner, full, 0.0)
         two_left = self.servers({"a": 2, "b": 0, "c": 2, "d": 0})
         for hall in ("b", "d"):
-            planner.ordered(Order("model", hall, True, 2), False, 10.0)
+            planner.record_outcome(Order("model", hall, True, 2), False, 10.0)
         firm = [o for o in self.carry_out(planner, two_left, 10.0) if not o.spot]
         self.assertEqual([(order.hall, order.number) for order in firm], [("b", 1)])
 
@@ -148,7 +148,7 @@
         servers = self.servers({"a": 2, "b": 2, "c": 2})
         first = [o for o in planner.orders(self.renting, servers, 0.0) if o.hall == "d"]
         self.assertEqual(len(first), 1)
-        planner.ordered(first[0], False, 0.0)
+        planner.record_outcome(first[0], False, 0.0)
         self.assertEqual([o for o in planner.orders(self.renting, servers, 1.0) if o.spot], [])
         again = [o for o in planner.orders(self.renting, servers, 3.0) if o.spot]
         self.assertEqual([order.hall for order in again], ["d"])
@@ -172,19 +172,19 @@
     def test_demand_follows_its_peak(self) -> None:
         demand = Demand()
         for second in range(10):
-            demand.note(second * 100_000.0, float(second))
-            demand.note_need(4 if second == 5 else 3, float(second))
+            demand.record_total(second * 100_000.0, float(second))
+            demand.record_need(4 if second == 5 else 3, float(second))
         self.assertEqual(demand.need(2, BOOT_S), FOUR)
         for second in range(10, 40):
-            demand.note(1_000_000.0 + second, float(second))
-            demand.note_need(3, float(second))
+            demand.record_total(1_000_000.0 + second, float(second))
+            demand.record_need(3, float(second))
         self.assertEqual(demand.need(2, BOOT_S), THREE)
 
     def test_first_moments_of_demand_give_no_server_back(self) -> None:
         demand = Demand()
         for step in range(10):
-            demand.note(step * 1_000.0, step * 0.5)
-            demand.note_need(1, step * 0.5)
+            demand.record_total(step * 1_000.0, step * 0.5)
+            demand.record_need(1, step * 0.5)
             self.assertEqual(demand.need(4, BOOT_S), FOUR)
 
     def test_shortest_target_of_the_service_counts(self) -> None:
@@ -195,15 +195,15 @@
     def test_servers_on_demand_follow_a_peak_for_a_shorter_time(self) -> None:
         demand = Demand()
         for second in range(30):
-            demand.note(second * 100_000.0, float(second))
-            demand.note_need(9 if second == 12 else 3, float(second))
+            demand.record_total(second * 100_000.0, float(second))
+            demand.record_need(9 if second == 12 else 3, float(second))
         self.assertEqual(demand.need(2, BOOT_S), Need(spot=9, on_demand=3))
 
     def test_missing_spot_servers_are_made_up_for_whatever_the_reserve(self) -> None:
         planner = self.planner(4)
         self.carry_out(planner, self.servers(dict.fromkeys(HALLS, 2)), 0.0)
         for hall in HALLS:
-            planner.ordered(Order("model", hall, True, 2), False, 10.0)
+            planner.record_outcome(Order("model", hall, True, 2), False, 10.0)
         with mock.patch("moledale.gateway.renting.RESERVE_SHARE", 0.0):
             orders = self.carry_out(planner, self.servers({"a": 2}), 10.0)
         self.assertEqual(sum(order.number for order in orders if not order.spot), 2)
@@ -212,14 +212,14 @@
         planner = RentingPlanner("model", first_start=True)
         many = self.servers(dict.fromkeys(HALLS, 5), {"b": 3})
         for step in range(9):
-            planner.demand.note(5e6 + step * 50_000.0, step * 0.5)
+            planner.demand.record_total(5e6 + step * 50_000.0, step * 0.5)
             self.assertEqual(planner.orders(self.renting, many, step * 0.5), [])
 
     def test_restarted_holder_that_sees_no_demand_yet_gives_nothing_back(self) -> None:
         planner = RentingPlanner("model")
         many = self.servers(dict.fromkeys(HALLS, 5), {"b": 3})
         for step in range(9):
-            planner.demand.note(0.0, step * 0.5)
+            planner.demand.record_total(0.0, step * 0.5)
             self.assertEqual(planner.orders(self.renting, many, step * 0.5), [])
 
     def test_what_is_allowed_tells_what_to_begin_with(self) -> None:
--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -12,7 +12,7 @@
 from moledale.gateway.node import least_stop_s
 from moledale.gateway.peers import Membership
 from moledale.gateway.plan import TOKENS, Account, PlanIndex, Renting
-from moledale.gateway.renting import Demand, Load, needed, shortest_target_s
+from moledale.gateway.renting import Demand, Load, servers_for_load, shortest_target_s
 from moledale.gateway.retries import RetryBudget
 from moledale.gateway.server_model import Speed
 from moledale.gateway.settings import Bounds
@@ -115,7 +115,9 @@
         speed = Speed(50_000.0, 0.02, 0.5, 4_000.0, 100)
         waiting = 900_000.0
         needs = [
-            needed(PlanIndex(plan), "model", 64, boot_s, Load(200_000.0, waiting, 20), speed)
+            servers_for_load(
+                PlanIndex(plan), "model", 64, boot_s, Load(200_000.0, waiting, 20), speed
+            )
             for boot_s in (2.0, 4.0, 8.0)
         ]
         self.assertEqual(sorted(set(needs), reverse=True), needs)
@@ -123,8 +125,8 @@
         for boot_s, wanted in ((2.0, 2), (8.0, 6)):
             demand = Demand()
             for step in range(60):
-                demand.note(step * 1_000.0, step * 0.5)
-                demand.note_need(6 if step < 40 else 2, step * 0.5)
+                demand.record_total(step * 1_000.0, step * 0.5)
+                demand.record_need(6 if step < 40 else 2, step * 0.5)
             slower = msgspec.structs.replace(renting, boot_s=boot_s)
             self.assertEqual(demand.need(2, slower.boot_s).on_demand, wanted)
 
