--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -15,7 +15,7 @@
 from moledale.gateway.work import OWN_LIFE, WorkMeter
 from moledale.log import Event, emit
 
-PLAN_S = 0.5
+PLAN_INTERVAL_S = 0.5
 """Servers are planned this often: some times within the boot of a server."""
 
 
@@ -46,7 +46,7 @@
         self._work = WorkMeter()
         self._work.note(OWN_LIFE, {})
         self._planned_at = -1e9
-        self._watched_at = -1e9
+        self._demand_recorded_at = -1e9
 
     def reset(self) -> None:
         """Start anew as the holder: another one may have ordered meanwhile."""
@@ -56,7 +56,7 @@
         """Order and give back servers where it is due."""
         now = self._now()
         index = self._index()
-        if index is None or now - self._planned_at < PLAN_S:
+        if index is None or now - self._planned_at < PLAN_INTERVAL_S:
             return
         self._planned_at = now
         for service in index.services.values():
@@ -110,9 +110,9 @@
         """Watch the demand; all nodes do, so that any of them may take over."""
         now = self._now()
         index = self._index()
-        if index is None or now - self._watched_at < PLAN_S:
+        if index is None or now - self._demand_recorded_at < PLAN_INTERVAL_S:
             return
-        self._watched_at = now
+        self._demand_recorded_at = now
         self._work.note(OWN_LIFE, self._book.work)
         self._work.note_all(self._sharing.members.all_states())
         for service in index.services.values():
