--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -13,7 +13,7 @@
 CALL_TIMEOUT_S = 1.0
 """A call has this long: a third of the lease."""
 
-WRITES = 3
+MAX_WRITE_ATTEMPTS = 3
 """Writes of a status in one step: the first may find another one in its way, and the next the one
 that another holder wrote meanwhile."""
 
@@ -37,24 +37,24 @@
         self._store = store
         self._rollouts = rollouts
         self._book = book
-        self._local = local
+        self._local_time = local
         self._now = now
         self._era = store.era.number
         self._recovered = False
-        self._versions: dict[str, int] = {}
+        self._row_versions: dict[str, int] = {}
         self._written: dict[str, tuple[int, Phase]] = {}
         self._phase_since: dict[str, tuple[int, Phase, float]] = {}
 
     def reset(self) -> None:
         """Start anew as the holder: another one may have written meanwhile."""
-        self._forget_rows()
+        self._reset_rows()
         self._phase_since.clear()
 
-    def _forget_rows(self) -> None:
+    def _reset_rows(self) -> None:
         """Forget what stands in the store, so that it is read and told anew."""
         self._era = self._store.era.number
         self._recovered = False
-        self._versions.clear()
+        self._row_versions.clear()
         self._written.clear()
 
     async def step(self, held: Callable[[], bool]) -> None:
@@ -62,11 +62,11 @@
         if not self._rollouts.services:
             return
         if self._era != self._store.era.number:
-            self._forget_rows()
+            self._reset_rows()
         if not self._recovered and not await self._recover():
             return
         for service, rollout in list(self._rollouts.services.items()):
-            await self._carry_on(service, rollout, held)
+            await self._advance_service(service, rollout, held)
 
     async def _recover(self) -> bool:
         """Take over what former holders kept; say whether the store answered."""
@@ -78,7 +78,7 @@
         self._recovered = True
         return True
 
-    async def _carry_on(
+    async def _advance_service(
         self, service: str, rollout: ServiceRollout, held: Callable[[], bool]
     ) -> None:
         if not rollout.phase.ended:
@@ -106,7 +106,7 @@
     def _progress(self, service: str, rollout: ServiceRollout) -> Progress:
         """Return what is known of a roll-out now."""
         now = self._now()
-        ordered_at = self._local(rollout.order.ordered_s)
+        ordered_at = self._local_time(rollout.order.ordered_s)
         elapsed_s = 0.0 if ordered_at is None else now - ordered_at
         in_phase_s = self._in_phase_s(service, rollout)
         views = list(self._book.group(service).views.values())
@@ -122,7 +122,7 @@
             new_ready=sum(1 for view in new if not view.server.leaving),
             old_running=sum(view.all_running for view in old),
             tried=rollout.tried,
-            lacking=_lacking(rollout),
+            lacking=_count_lacking_routes(rollout),
         )
 
     def _in_phase_s(self, service: str, rollout: ServiceRollout) -> float:
@@ -136,14 +136,14 @@
     async def _write(self, rollout: ServiceRollout, phase: Phase, held: Callable[[], bool]) -> bool:
         """Tell the operator a phase unless that was done; say whether it stands in the store."""
         order = rollout.order
-        told = _as_told(phase)
+        told = _status_phase(phase)
         if self._written.get(order.service) == (order.revision, told):
             return True
         news = rollout.news_in(phase)
-        for _ in range(WRITES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             if not held():
                 return False
-            expected = self._versions.get(order.service, ABSENT)
+            expected = self._row_versions.get(order.service, ABSENT)
             outcome = await self._store.write_rollout(news, expected, CALL_TIMEOUT_S)
             if isinstance(outcome, Err):
                 emit(Event.ROLLOUT_FAILED, service=order.service, why=outcome.err_value.detail)
@@ -151,7 +151,7 @@
             written = outcome.ok_value
             if written.superseded:
                 return False
-            self._versions[order.service] = written.version
+            self._row_versions[order.service] = written.version
             if written.committed:
                 self._written[order.service] = (order.revision, told)
                 return True
@@ -163,21 +163,21 @@
         return False
 
 
-def _as_told(phase: Phase) -> Phase:
+def _status_phase(phase: Phase) -> Phase:
     """Return the phase that stands for one in what the operator is told."""
     return phase if phase.ended else Phase.TRIAL
 
 
-def _lacking(rollout: ServiceRollout) -> int:
+def _count_lacking_routes(rollout: ServiceRollout) -> int:
     """Return the routes with traffic that the new servers answered too seldom on."""
-    return sum(1 for route in _routes(rollout.seen.old) if not _tried_enough(rollout, route))
+    return sum(1 for route in _routes(rollout.seen.old) if not _has_enough_answers(rollout, route))
 
 
 def _routes(series: Iterable[str]) -> list[str]:
     return [name for name in series if not name.endswith(PACE)]
 
 
-def _tried_enough(rollout: ServiceRollout, route: str) -> bool:
+def _has_enough_answers(rollout: ServiceRollout, route: str) -> bool:
     old = rollout.seen.old[route].number
     new = rollout.seen.new.get(route)
     wanted = min(LEAST_PER_ROUTE, max(1, int(EVIDENCE_SHARE * old)))
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -100,7 +100,7 @@
         self._book = book
         self._members = members
         self._changed = changed
-        self._local = local
+        self._local_time = local
         self._serving = serving
         self._began_at = began_at
         self._exposure = exposure
@@ -229,7 +229,7 @@
 
         A life that began after the order has none: the one before it may have spent its part.
         """
-        ordered_at = self._local(rollout.order.ordered_s)
+        ordered_at = self._local_time(rollout.order.ordered_s)
         if ordered_at is None or ordered_at < self._began_at:
             return 0
         return self._serving()
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -29,7 +29,7 @@
 from moledale.gateway.messages import RequestFacts, Server
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.peers import Membership
-from moledale.gateway.rollout_duty import RolloutDuty, _tried_enough
+from moledale.gateway.rollout_duty import RolloutDuty, _has_enough_answers
 from moledale.gateway.rollouts import SCARCE, WRITTEN_AGAIN_S, Rollouts
 from moledale.gateway.server_group import UNORDERED_HELD_S
 from moledale.gateway.store_era import StoreEra
@@ -440,9 +440,11 @@
             for _ in range(old):
                 seen.note(Arm.OLD, "r", False, 0.01)
             for number in range(1, wanted + 1):
-                self.assertFalse(_tried_enough(rollouts.services[SERVICE], "r"), (old, number))
+                self.assertFalse(
+                    _has_enough_answers(rollouts.services[SERVICE], "r"), (old, number)
+                )
                 seen.note(Arm.NEW, "r", False, 0.01)
-            self.assertTrue(_tried_enough(rollouts.services[SERVICE], "r"), old)
+            self.assertTrue(_has_enough_answers(rollouts.services[SERVICE], "r"), old)
 
     def rollouts(self, old: int, new: int, serving: int = 1) -> tuple[Rollouts, ServerBook]:
         """Return the roll-outs of a node, one of those that serve, with an order that just came."""
