--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -27,15 +27,15 @@
 from moledale.gateway.store_era import StoreEra
 from moledale.log import Event, emit
 
-SCARCE = 3
+MIN_TRIALS_PER_ROUTE = 3
 """Requests of a route that a node sends to a new version sooner than others: routes with few
 requests would keep a good version waiting for evidence until the end of its time."""
 
-WRITTEN_AGAIN_S = 5.0
+REWRITE_WINDOW_S = 5.0
 """After a return of the store from an older copy, operators write again for so long what it lost.
 An order that asks for the same is no new one then."""
 
-KEPT_SHARE = 0.5
+RESERVED_SHARE = 0.5
 """Part of the free requests that is kept for such routes: the others would use them up before."""
 
 
@@ -69,9 +69,9 @@
         self.own.tried += 1
         self._tried_here[route] += 1
 
-    def is_scarce(self, route: str) -> bool:
+    def is_undertested(self, route: str) -> bool:
         """Say whether this node has hardly tried the new version on a route."""
-        return self._tried_here[route] < SCARCE
+        return self._tried_here[route] < MIN_TRIALS_PER_ROUTE
 
     def arm_of(self, version: str) -> Arm:
         """Return which side of the comparison a server's version is on."""
@@ -121,7 +121,7 @@
 
     def _after(self, known: RolloutNews, order: RolloutOrder, phase: Phase) -> RolloutNews:
         """Return the news of a later order, or of the known one that was written again."""
-        lately = self._era.restored_within(WRITTEN_AGAIN_S)
+        lately = self._era.restored_within(REWRITE_WINDOW_S)
         if lately and order.asks_the_same(known.order):
             return known.written_again(order)
         return msgspec.structs.replace(known.followed_by(order), phase=phase)
@@ -216,10 +216,10 @@
         usual = min(most, part.share)
         if not part.free:
             return usual if self._random.random() < usual else 0.0
-        scarce = rollout.is_scarce(route)
+        scarce = rollout.is_undertested(route)
         if self._random.random() >= (FREE_SHARE if scarce else most):
             return 0.0
-        kept = 0.0 if scarce else KEPT_SHARE * part.free
+        kept = 0.0 if scarce else RESERVED_SHARE * part.free
         if not part.allows(own.requests, own.tried + kept):
             return 0.0
         return usual if part.within_share(own.requests, own.tried) else most
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -30,7 +30,7 @@
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.peers import Membership
 from moledale.gateway.rollout_duty import RolloutDuty, _has_enough_answers
-from moledale.gateway.rollouts import SCARCE, WRITTEN_AGAIN_S, Rollouts
+from moledale.gateway.rollouts import MIN_TRIALS_PER_ROUTE, REWRITE_WINDOW_S, Rollouts
 from moledale.gateway.server_group import UNORDERED_HELD_S
 from moledale.gateway.store_era import StoreEra
 from standins.rows import Mood
@@ -258,7 +258,7 @@
     def test_order_for_the_same_version_that_comes_later_is_a_new_one(self) -> None:
         self.era.heard(2)
         self.rollouts.ordered(self.order(70, era=2))
-        self.now += WRITTEN_AGAIN_S + 0.1
+        self.now += REWRITE_WINDOW_S + 0.1
         self.rollouts.ordered(self.order(95, era=2))
         self.assertIs(self.rollouts.services[SERVICE].phase, Phase.TRIAL)
 
@@ -414,7 +414,7 @@
             for _ in range(200):
                 rollouts.trial_share(SERVICE, "check", True)
             seldom = [rollouts.trial_share(SERVICE, "seldom", True) > 0 for _ in range(10)]
-            self.assertGreaterEqual(sum(seldom), SCARCE)
+            self.assertGreaterEqual(sum(seldom), MIN_TRIALS_PER_ROUTE)
 
     def test_servers_on_trial_are_as_many_as_bear_the_share_that_is_sent(self) -> None:
         for new in (1, 4, 36):
