--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -139,7 +139,7 @@
         told = _status_phase(phase)
         if self._written.get(order.service) == (order.revision, told):
             return True
-        news = rollout.news_in(phase)
+        news = rollout.update_in_phase(phase)
         for _ in range(MAX_WRITE_ATTEMPTS):
             if not held():
                 return False
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -60,7 +60,7 @@
         """Return how far it is."""
         return self.news.phase
 
-    def news_in(self, phase: Phase) -> RolloutNews:
+    def update_in_phase(self, phase: Phase) -> RolloutNews:
         """Return the news of it as they would be in a phase."""
         return msgspec.structs.replace(self.news, phase=phase)
 
