--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -126,7 +126,7 @@
             Exposure(settings.bounds.exposure_share, settings.bounds.exposure_free),
             store.era,
         )
-        self.book.on_outcome = self.rollouts.note
+        self.book.on_outcome = self.rollouts.record_answer
         self.server_limits = LimitSharing(
             node.id, node.hall, node.peers, self.book, self.members, self._tell_one
         )
@@ -193,7 +193,7 @@
             self._tell_of_plan,
             self._crowd,
             node.link_mbps,
-            lambda stored: self.rollouts.ordered(stored.order, stored.phase),
+            lambda stored: self.rollouts.apply_order(stored.order, stored.phase),
             cold_start,
         )
         self.fleet = FleetWatch(
@@ -356,8 +356,8 @@
             speeds=self.book.speeds(now),
             age_s=now - self._began_at,
             servers=self.fleet.head(),
-            rollouts=self.rollouts.news(),
-            trials=self.rollouts.counts(),
+            rollouts=self.rollouts.updates(),
+            trials=self.rollouts.trial_counts(),
             blocks=self.quarantine.digest(),
             leaving=self.book.notices.leaving_beyond_the_list(),
             declined=self.book.declined(now),
@@ -482,7 +482,7 @@
             self.forwarder.server_leaves(name, source=state.id)
         self.book.notices.peers_declined(state.declined, now)
         self.server_limits.heard_state(state)
-        self.rollouts.heard(state.rollouts)
+        self.rollouts.merge(state.rollouts)
         self.neighbours.addresses.add(state.peer, now)
         for address in message.addresses:
             self.neighbours.addresses.hint(address, now)
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -74,7 +74,7 @@
         if isinstance(outcome, Err):
             emit(Event.ROLLOUT_FAILED, what="kept", why=outcome.err_value.detail)
             return False
-        self._rollouts.heard(outcome.ok_value)
+        self._rollouts.merge(outcome.ok_value)
         self._recovered = True
         return True
 
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -42,9 +42,9 @@
 class ServiceRollout:
     """A service's roll-out as one node follows it."""
 
-    def __init__(self, news: RolloutNews) -> None:
-        self.news = news
-        self.own = TrialCounts(news.order.revision)
+    def __init__(self, update: RolloutNews) -> None:
+        self.update = update
+        self.own = TrialCounts(update.order.revision)
         self.judge = Judge()
         self.seen = Evidence()
         self.tried = 0
@@ -53,18 +53,18 @@
     @property
     def order(self) -> RolloutOrder:
         """Return the order that is carried out."""
-        return self.news.order
+        return self.update.order
 
     @property
     def phase(self) -> Phase:
         """Return how far it is."""
-        return self.news.phase
+        return self.update.phase
 
     def update_in_phase(self, phase: Phase) -> RolloutNews:
         """Return the news of it as they would be in a phase."""
-        return msgspec.structs.replace(self.news, phase=phase)
+        return msgspec.structs.replace(self.update, phase=phase)
 
-    def note_tried(self, route: str) -> None:
+    def record_trial(self, route: str) -> None:
         """Note that this node sends a route's request to the new version."""
         self.own.tried += 1
         self._tried_here[route] += 1
@@ -99,67 +99,73 @@
         self.services: dict[str, ServiceRollout] = {}
         self._book = book
         self._members = members
-        self._changed = changed
+        self._on_change = changed
         self._local_time = local
         self._serving = serving
         self._began_at = began_at
         self._exposure = exposure
         self._era = era or StoreEra()
-        self._random = random.Random()
+        self._rng = random.Random()
 
     # What is heard
 
-    def ordered(self, order: RolloutOrder, phase: Phase = Phase.TRIAL) -> None:
+    def apply_order(self, order: RolloutOrder, phase: Phase = Phase.TRIAL) -> None:
         """Take over an order as the store has it, and how far it is as far as that is known."""
         known = self.services.get(order.service)
         if known is None:
             self._adopt(RolloutNews(order, phase))
         elif order.sequence == known.order.sequence:
-            self._adopt(known.news.joined(RolloutNews(order, phase)))
+            self._adopt(known.update.joined(RolloutNews(order, phase)))
         elif order.sequence > known.order.sequence:
-            self._adopt(self._after(known.news, order, phase))
+            self._adopt(self._next_update(known.update, order, phase))
 
-    def _after(self, known: RolloutNews, order: RolloutOrder, phase: Phase) -> RolloutNews:
+    def _next_update(self, known: RolloutNews, order: RolloutOrder, phase: Phase) -> RolloutNews:
         """Return the news of a later order, or of the known one that was written again."""
         lately = self._era.restored_within(REWRITE_WINDOW_S)
         if lately and order.asks_the_same(known.order):
             return known.written_again(order)
         return msgspec.structs.replace(known.followed_by(order), phase=phase)
 
-    def heard(self, told: Iterable[RolloutNews]) -> None:
+    def merge(self, told: Iterable[RolloutNews]) -> None:
         """Take over what another node, or a former holder, knows."""
-        for news in told:
-            known = self.services.get(news.order.service)
-            self._adopt(news if known is None else known.news.joined(news), from_peer=True)
+        for update in told:
+            known = self.services.get(update.order.service)
+            self._adopt(update if known is None else known.update.joined(update), from_peer=True)
 
     def advance(self, service: str, phase: Phase, why: str) -> None:
         """Bring a roll-out to a higher phase."""
         known = self.services[service]
-        news = known.news.joined(msgspec.structs.replace(known.news, phase=phase))
-        emit(Event.ROLLOUT_DECIDED, service=service, phase=phase.name, why=why, **self._told(known))
-        self._adopt(news)
-
-    def _adopt(self, news: RolloutNews, from_peer: bool = False) -> None:
-        service = news.order.service
+        update = known.update.joined(msgspec.structs.replace(known.update, phase=phase))
+        emit(
+            Event.ROLLOUT_DECIDED,
+            service=service,
+            phase=phase.name,
+            why=why,
+            **self._log_fields(known),
+        )
+        self._adopt(update)
+
+    def _adopt(self, update: RolloutNews, from_peer: bool = False) -> None:
+        service = update.order.service
         known = self.services.get(service)
-        if known is not None and known.news == news:
+        if known is not None and known.update == update:
             return
-        if known is None or not known.order.is_same(news.order):
-            known = self.services[service] = ServiceRollout(news)
+        if known is None or not known.order.is_same(update.order):
+            known = self.services[service] = ServiceRollout(update)
             emit(
                 Event.ROLLOUT_ORDERED,
                 service=service,
-                target=news.order.target,
-                revision=news.order.revision,
-                duration_s=news.order.duration_s,
+                target=update.order.target,
+                revision=update.order.revision,
+                duration_s=update.order.duration_s,
                 from_peer=from_peer,
             )
-        known.news = news
-        known.own.revision = news.order.revision
-        self._book.group(service).set_rule(rule_of(news))
-        self._changed(news)
+        known.update = update
+        known.own.revision = update.order.revision
+        self._book.group(service).set_rule(rule_of(update))
+        self._on_change(update)
 
-    def _told(self, rollout: ServiceRollout) -> dict[str, object]:
+    def _log_fields(self, rollout: ServiceRollout) -> dict[str, object]:
         new = rollout.seen.new.items()
         return {
             "target": rollout.order.target,
@@ -170,11 +176,11 @@
 
     # What is told
 
-    def news(self) -> list[RolloutNews]:
+    def updates(self) -> list[RolloutNews]:
         """Return what other nodes should know, finished roll-outs included."""
-        return [rollout.news for rollout in self.services.values()]
+        return [rollout.update for rollout in self.services.values()]
 
-    def counts(self) -> dict[str, TrialCounts]:
+    def trial_counts(self) -> dict[str, TrialCounts]:
         """Return what this node saw of versions that are not decided on."""
         return {
             service: rollout.own
@@ -199,10 +205,10 @@
         rollout.own.requests += 1
         if rollout.phase is Phase.RISING:
             most = min(RISING_SHARE, group.new_share())
-            return most if self._random.random() < most else 0.0
+            return most if self._rng.random() < most else 0.0
         share = self._share_on_trial(rollout, route, min(FREE_SHARE, group.new_share()))
         if share:
-            rollout.note_tried(route)
+            rollout.record_trial(route)
         return share
 
     def _share_on_trial(self, rollout: ServiceRollout, route: str, most: float) -> float:
@@ -215,9 +221,9 @@
         own, part = rollout.own, self._exposure.part(self._sharers(rollout))
         usual = min(most, part.share)
         if not part.free:
-            return usual if self._random.random() < usual else 0.0
+            return usual if self._rng.random() < usual else 0.0
         scarce = rollout.is_undertested(route)
-        if self._random.random() >= (FREE_SHARE if scarce else most):
+        if self._rng.random() >= (FREE_SHARE if scarce else most):
             return 0.0
         kept = 0.0 if scarce else RESERVED_SHARE * part.free
         if not part.allows(own.requests, own.tried + kept):
@@ -234,7 +240,7 @@
             return 0
         return self._serving()
 
-    def note(self, placement: Placement, series: str, failed: bool, took_s: float) -> None:
+    def record_answer(self, placement: Placement, series: str, failed: bool, took_s: float) -> None:
         """Note an answer, for the comparison."""
         server = placement.view.server
         rollout = self.services.get(server.service)
@@ -248,13 +254,13 @@
         for service, rollout in self.services.items():
             if rollout.phase.ended:
                 continue
-            told = self._told_counts(service, rollout.order.revision)
+            told = self._peer_counts(service, rollout.order.revision)
             rollout.seen = merged([rollout.own.seen, *(each.seen for each in told)])
             rollout.tried = sum(tally.number for tally in rollout.seen.new.values())
             if rollout.judge.note(rollout.seen, rollout.phase is not Phase.MOVING):
                 self.advance(service, Phase.ROLLED_BACK, "the new version's answers are worse")
 
-    def _told_counts(self, service: str, revision: int) -> list[TrialCounts]:
+    def _peer_counts(self, service: str, revision: int) -> list[TrialCounts]:
         """Return what other nodes, and those that are gone, saw."""
         states = self._members.all_states()
         told = (state.trials.get(service) for state in states)
--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -42,7 +42,7 @@
         rollouts = Rollouts(
             book, Membership("n1", 1), lambda _: None, lambda at: at, lambda: 1, -1.0, Exposure()
         )
-        rollouts.ordered(RolloutOrder("model", 1, "v2", duration_s, 0.0))
+        rollouts.apply_order(RolloutOrder("model", 1, "v2", duration_s, 0.0))
         self.note_answers(rollouts)
         store = mock.Mock()
         store.kept_rollouts = mock.AsyncMock(return_value=Ok([]))
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -240,7 +240,7 @@
             Exposure(),
             self.era,
         )
-        self.rollouts.ordered(self.order(90, era=1))
+        self.rollouts.apply_order(self.order(90, era=1))
         self.rollouts.advance(SERVICE, Phase.ROLLED_BACK, "it is bad")
 
     def order(self, revision: int, era: int, target: str = NEW) -> RolloutOrder:
@@ -250,29 +250,29 @@
         self.era.heard(2)
         for revision in (70, 95):
             self.now += 0.5
-            self.rollouts.ordered(self.order(revision, era=2))
+            self.rollouts.apply_order(self.order(revision, era=2))
             known = self.rollouts.services[SERVICE]
             self.assertIs(known.phase, Phase.ROLLED_BACK)
             self.assertEqual(known.order.sequence, (2, revision))
 
     def test_order_for_the_same_version_that_comes_later_is_a_new_one(self) -> None:
         self.era.heard(2)
-        self.rollouts.ordered(self.order(70, era=2))
+        self.rollouts.apply_order(self.order(70, era=2))
         self.now += REWRITE_WINDOW_S + 0.1
-        self.rollouts.ordered(self.order(95, era=2))
+        self.rollouts.apply_order(self.order(95, era=2))
         self.assertIs(self.rollouts.services[SERVICE].phase, Phase.TRIAL)
 
     def test_new_order_counts_though_its_revision_is_lower_than_one_of_the_former_era(self) -> None:
         self.era.heard(2)
-        self.rollouts.ordered(self.order(60, era=2, target="v3"))
+        self.rollouts.apply_order(self.order(60, era=2, target="v3"))
         known = self.rollouts.services[SERVICE]
         self.assertEqual((known.order.target, known.phase), ("v3", Phase.TRIAL))
 
     def test_trial_goes_on_with_what_was_seen_when_its_order_is_written_again(self) -> None:
-        self.rollouts.ordered(self.order(91, era=1, target="v3"))
-        self.rollouts.services[SERVICE].note_tried("r")
+        self.rollouts.apply_order(self.order(91, era=1, target="v3"))
+        self.rollouts.services[SERVICE].record_trial("r")
         self.era.heard(2)
-        self.rollouts.ordered(self.order(80, era=2, target="v3"))
+        self.rollouts.apply_order(self.order(80, era=2, target="v3"))
         own = self.rollouts.services[SERVICE].own
         self.assertEqual((own.tried, own.revision), (1, 80))
 
@@ -428,7 +428,7 @@
         tried = 0
         for node in range(200):
             rollouts, _ = self.rollouts(36, 36, serving=0)
-            rollouts._random.seed(node)
+            rollouts._rng.seed(node)
             tried += sum(rollouts.trial_share(SERVICE, "seldom", True) > 0 for _ in range(2))
         self.assertGreater(tried, 0.04 * 400)
         self.assertLess(tried, 0.1 * 400 + 50)
@@ -460,8 +460,8 @@
             -10.0,
             Exposure(),
         )
-        rollouts._random.seed(1)
-        rollouts.ordered(order())
+        rollouts._rng.seed(1)
+        rollouts.apply_order(order())
         return rollouts, book
 
     def test_request_is_served_by_old_servers_where_none_is_on_trial(self) -> None:
