--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -281,7 +281,7 @@
             return False
         self._health.answered()
         listed = outcome.ok_value
-        self._true_time.store_read(listed.store_s, sent_at, self._now())
+        self._true_time.record_store_clock(listed.store_s, sent_at, self._now())
         if listed.at < self.list.at:
             self._read_in_vain(listed)
             return False
@@ -368,7 +368,7 @@
 
     def _confirmed(self, head: ListHead) -> None:
         self.archive.renew(self.list.at)
-        read_at = self._true_time.local(head.read_s)
+        read_at = self._true_time.to_local(head.read_s)
         if read_at is not None:
             self._note_fresh(min(read_at, self._now()), head.read_s)
         self.drop_lapsed()
@@ -389,7 +389,7 @@
 
         A node that had a list all the time knows better.
         """
-        returned_at = self._true_time.local(head.returned_s)
+        returned_at = self._true_time.to_local(head.returned_s)
         if head.era > self.list.at.era > UNKNOWN_ERA:
             return
         if returned_at is not None and head.read_s - self._read_s > OUTAGE_S:
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -120,7 +120,7 @@
             self.book,
             self.members,
             self._rollout_changed,
-            self.sharing.true_time.local,
+            self.sharing.true_time.to_local,
             self._serving_count,
             self._began_at,
             Exposure(settings.bounds.exposure_share, settings.bounds.exposure_free),
@@ -161,7 +161,9 @@
                 lambda: self.forwarder.index,
                 node.first_start,
             ),
-            RolloutDuty(store, self.rollouts, self.book, self.sharing.true_time.local, monotonic),
+            RolloutDuty(
+                store, self.rollouts, self.book, self.sharing.true_time.to_local, monotonic
+            ),
         )
         self.quarantine = QuarantineSharing(self.forwarder.guard, self._tell_quarantine)
         self._blocks = QuarantineStore(
@@ -514,7 +516,7 @@
     def _empty_old_servers(self, news: RolloutNews) -> None:
         order = news.order
         now = monotonic()
-        ordered_at = self.sharing.true_time.local(order.ordered_s)
+        ordered_at = self.sharing.true_time.to_local(order.ordered_s)
         began_at = now if ordered_at is None else ordered_at
         ends = max(now, began_at + OLD_END_SHARE * order.duration_s)
         views = self.book.group(order.service).views.values()
--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -115,7 +115,7 @@
             self.reached_at = monotonic()
             news = outcome.ok_value
             if position is None:
-                self._true_time.store_read(news.store_s, sent_at, monotonic())
+                self._true_time.record_store_clock(news.store_s, sent_at, monotonic())
             position = news.position
             self._take_news(news)
 
--- a/src/moledale/gateway/quarantine_store.py
+++ b/src/moledale/gateway/quarantine_store.py
@@ -152,7 +152,7 @@
     async def _write(self) -> bool:
         """Write one block; a row of an earlier one of the same request gives way."""
         fingerprint, block = next(iter(self._unwritten.items()))
-        store_s = self._true_time.on_store(self._now())
+        store_s = self._true_time.to_store(self._now())
         if store_s is None:
             return False
         stored = StoredBlock(store_s + block.until - self._now(), block.times)
--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -85,7 +85,7 @@
         if not isinstance(outcome, Ok):
             return False
         now = monotonic()
-        self._true_time.store_read(outcome.ok_value.store_s, sent_at, now)
+        self._true_time.record_store_clock(outcome.ok_value.store_s, sent_at, now)
         for row in outcome.ok_value.rows:
             address = read_or_log(MEMBER_TABLE, row.key, partial(_address_in, row))
             if address is not None:
--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -105,7 +105,7 @@
     def take_over(self, book: ServerBook) -> None:
         """Take over what live peers tell of clocks and servers; once a round is enough."""
         alive = self.members.alive(self._now())
-        self.true_time.others(each.offset_s for each in alive)
+        self.true_time.set_peer_offsets(each.offset_s for each in alive)
         book.others(alive)
 
     def heard_placed(self, news: PlacementNews, book: ServerBook, engine: EngineOf) -> None:
--- a/src/moledale/gateway/usage.py
+++ b/src/moledale/gateway/usage.py
@@ -5,7 +5,7 @@
 
 from moledale.gateway.peers import NodeState
 
-KEPT_WINDOWS = 6
+RETAINED_WINDOWS = 6
 """Windows that a node's counts go back; older ones are reported or lost."""
 
 
@@ -20,7 +20,7 @@
         self._store_ahead_s: float | None = None
         self._others: list[float] = []
 
-    def store_read(self, store_s: float, sent_at: float, answered_at: float) -> None:
+    def record_store_clock(self, store_s: float, sent_at: float, answered_at: float) -> None:
         """Note the store's clock as of a call; the shortest call tells best."""
         ahead = store_s - (sent_at + answered_at) / 2
         if self._store_ahead_s is None or abs(ahead - self._store_ahead_s) > (
@@ -28,11 +28,11 @@
         ):
             self._store_ahead_s = ahead
 
-    def local(self, store_s: float) -> float | None:
+    def to_local(self, store_s: float) -> float | None:
         """Return when the store's clock showed a time, on this machine's monotonic clock."""
         return None if self._store_ahead_s is None else store_s - self._store_ahead_s
 
-    def on_store(self, now: float) -> float | None:
+    def to_store(self, now: float) -> float | None:
         """Return what the store's clock shows at a time of this machine's monotonic clock."""
         return None if self._store_ahead_s is None else now + self._store_ahead_s
 
@@ -40,7 +40,7 @@
         """Return how far this machine's time of day is ahead of the store's clock."""
         return None if self._store_ahead_s is None else wall - (now + self._store_ahead_s)
 
-    def others(self, offsets: Iterable[float | None]) -> None:
+    def set_peer_offsets(self, offsets: Iterable[float | None]) -> None:
         """Note the offsets that other nodes told."""
         self._others = [offset for offset in offsets if offset is not None]
 
@@ -72,7 +72,7 @@
         window = self.window_of(true_time)
         counts = self.started.setdefault(window, {})
         counts[account] = counts.get(account, 0) + 1
-        for old in [number for number in self.started if number < window - KEPT_WINDOWS]:
+        for old in [number for number in self.started if number < window - RETAINED_WINDOWS]:
             del self.started[old]
 
 
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -147,7 +147,7 @@
         self.sequence = 0
         self.leaves_seen: dict[str, float] = {}
         true_time = TrueTime()
-        true_time.store_read(STORE_STARTED_S, 0.0, 0.0)
+        true_time.record_store_clock(STORE_STARTED_S, 0.0, 0.0)
         self.watch = FleetWatch(
             StoreOfNode(world, self.name),  # type: ignore[arg-type]
             true_time,
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -30,17 +30,17 @@
 class TrueTimeTest(unittest.TestCase):
     def test_jumps_on_fewer_than_half_of_the_machines_change_nothing(self) -> None:
         clock = TrueTime()
-        clock.store_read(100.0, 10.0, 10.0)
-        clock.others([1_000.0, 1_000.01, 1_000.02, 1_000.0])
+        clock.record_store_clock(100.0, 10.0, 10.0)
+        clock.set_peer_offsets([1_000.0, 1_000.01, 1_000.02, 1_000.0])
         self.assertAlmostEqual(clock.now(1_100.0, 10.0), 1_100.0, delta=0.05)
         self.assertAlmostEqual(clock.now(1_160.0, 10.0), 1_100.0, delta=0.05)
-        clock.others([1_000.0, 1_000.01, 940.0, 1_000.0])
+        clock.set_peer_offsets([1_000.0, 1_000.01, 940.0, 1_000.0])
         self.assertAlmostEqual(clock.now(1_160.0, 10.0), 1_100.0, delta=0.05)
 
     def test_slow_call_does_not_move_the_clock(self) -> None:
         clock = TrueTime()
-        clock.store_read(100.0, 10.0, 10.0)
-        clock.store_read(105.0, 14.0, 15.6)
+        clock.record_store_clock(100.0, 10.0, 10.0)
+        clock.record_store_clock(105.0, 14.0, 15.6)
         self.assertAlmostEqual(clock.offset_s(0.0, 10.0) or 0.0, -100.0)
 
 
@@ -220,7 +220,7 @@
         self, taken: list[set[str]], tell: Callable[[list[ServerChange], bool], None]
     ) -> FleetWatch:
         true_time = TrueTime()
-        true_time.store_read(self.now, self.now, self.now)
+        true_time.record_store_clock(self.now, self.now, self.now)
         return FleetWatch(
             self.store,  # type: ignore[arg-type]
             true_time,
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -482,7 +482,7 @@
         self.assertLess(USABLE_SHARE * LEAVE_S + CURRENT_WAIT_S, LEAVE_S - 1.0)
 
     def test_first_list_that_a_peer_passes_on_is_as_old_as_the_peer_told(self) -> None:
-        self.true_time.store_read(self.now, self.now, self.now)
+        self.true_time.record_store_clock(self.now, self.now, self.now)
         self.store.version = 5
         peer = ServerList()
         peer.read([a_server(1)], at(5))
