--- a/src/moledale/gateway/duties.py
+++ b/src/moledale/gateway/duties.py
@@ -13,7 +13,7 @@
 from moledale.gateway.rollout_duty import RolloutDuty
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.state_rows import read_row
-from moledale.gateway.usage import total_of
+from moledale.gateway.usage import total_counts
 from moledale.log import Event, emit
 
 USAGE_TABLE = "usage"
@@ -113,7 +113,7 @@
         self._frozen = {window: row for window, row in self._frozen.items() if window >= first}
 
     async def _report_window(self, window: int) -> None:
-        counts = total_of(window, self._sharing.usage, self._sharing.members.all_states())
+        counts = total_counts(window, self._sharing.usage, self._sharing.members.all_states())
         if not counts:
             return
         if window in self._frozen or self._is_first_to_report(window):
--- a/src/moledale/gateway/usage.py
+++ b/src/moledale/gateway/usage.py
@@ -76,7 +76,7 @@
             del self.started[old]
 
 
-def total_of(window: int, own: UsageCounts, others: Iterable[NodeState]) -> dict[str, int]:
+def total_counts(window: int, own: UsageCounts, others: Iterable[NodeState]) -> dict[str, int]:
     """Return the counts of a window over all nodes and all lives that are remembered."""
     total = dict(own.started.get(window, {}))
     for state in others:
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -22,7 +22,7 @@
 )
 from moledale.gateway.server_list import ServerChange
 from moledale.gateway.server_view import note_silence
-from moledale.gateway.usage import TrueTime, UsageCounts, total_of
+from moledale.gateway.usage import TrueTime, UsageCounts, total_counts
 from tests.gateway_states import state
 from tests.list_world import finished
 
@@ -52,7 +52,7 @@
         members.heard(state("n2", started={2: {"north": 4}}), 0.0)
         members.heard(state("n2", life=2, started={2: {"north": 1}}), 1.0)
         members.heard(state("n1", life=9, started={2: {"north": 7}}), 1.0)
-        self.assertEqual(total_of(2, usage, members.all_states()), {"north": 13})
+        self.assertEqual(total_counts(2, usage, members.all_states()), {"north": 13})
 
     def test_doubled_and_late_news_count_once(self) -> None:
         members = Membership("n1", 1)
@@ -62,7 +62,7 @@
         self.assertIsNone(members.heard(state("n2", sequence=4), 0.1))
         members.heard(state("n2", life=2), 0.2)
         self.assertIsNone(members.heard(state("n2", life=1, sequence=9), 0.3))
-        self.assertEqual(total_of(2, UsageCounts(5.0), members.all_states()), {"north": 4})
+        self.assertEqual(total_counts(2, UsageCounts(5.0), members.all_states()), {"north": 4})
 
 
 class RoutesTest(unittest.TestCase):
