--- a/src/moledale/gateway/usage.py
+++ b/src/moledale/gateway/usage.py
@@ -17,39 +17,41 @@
     """
 
     def __init__(self) -> None:
-        self._store_ahead_s: float | None = None
-        self._others: list[float] = []
+        self._store_minus_local_s: float | None = None
+        self._peer_offsets: list[float] = []
 
     def record_store_clock(self, store_s: float, sent_at: float, answered_at: float) -> None:
         """Note the store's clock as of a call; the shortest call tells best."""
         ahead = store_s - (sent_at + answered_at) / 2
-        if self._store_ahead_s is None or abs(ahead - self._store_ahead_s) > (
+        if self._store_minus_local_s is None or abs(ahead - self._store_minus_local_s) > (
             answered_at - sent_at
         ):
-            self._store_ahead_s = ahead
+            self._store_minus_local_s = ahead
 
     def to_local(self, store_s: float) -> float | None:
         """Return when the store's clock showed a time, on this machine's monotonic clock."""
-        return None if self._store_ahead_s is None else store_s - self._store_ahead_s
+        return None if self._store_minus_local_s is None else store_s - self._store_minus_local_s
 
     def to_store(self, now: float) -> float | None:
         """Return what the store's clock shows at a time of this machine's monotonic clock."""
-        return None if self._store_ahead_s is None else now + self._store_ahead_s
+        return None if self._store_minus_local_s is None else now + self._store_minus_local_s
 
     def offset_s(self, wall: float, now: float) -> float | None:
         """Return how far this machine's time of day is ahead of the store's clock."""
-        return None if self._store_ahead_s is None else wall - (now + self._store_ahead_s)
+        return (
+            None if self._store_minus_local_s is None else wall - (now + self._store_minus_local_s)
+        )
 
     def set_peer_offsets(self, offsets: Iterable[float | None]) -> None:
         """Note the offsets that other nodes told."""
-        self._others = [offset for offset in offsets if offset is not None]
+        self._peer_offsets = [offset for offset in offsets if offset is not None]
 
     def now(self, wall: float, now: float) -> float:
         """Return true time in seconds since the epoch, as well as it is known."""
         own = self.offset_s(wall, now)
-        if own is None or self._store_ahead_s is None:
+        if own is None or self._store_minus_local_s is None:
             return wall
-        return now + self._store_ahead_s + median([own, *self._others])
+        return now + self._store_minus_local_s + median([own, *self._peer_offsets])
 
 
 class UsageCounts:
