--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -170,7 +170,9 @@
 
 def _count_lacking_routes(rollout: ServiceRollout) -> int:
     """Return the routes with traffic that the new servers answered too seldom on."""
-    return sum(1 for route in _routes(rollout.seen.old) if not _has_enough_answers(rollout, route))
+    return sum(
+        1 for route in _routes(rollout.evidence.old) if not _has_enough_answers(rollout, route)
+    )
 
 
 def _routes(series: Iterable[str]) -> list[str]:
@@ -178,7 +180,7 @@
 
 
 def _has_enough_answers(rollout: ServiceRollout, route: str) -> bool:
-    old = rollout.seen.old[route].number
-    new = rollout.seen.new.get(route)
+    old = rollout.evidence.old[route].number
+    new = rollout.evidence.new.get(route)
     wanted = min(LEAST_PER_ROUTE, max(1, int(EVIDENCE_SHARE * old)))
     return new is not None and new.number >= wanted
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -46,7 +46,7 @@
         self.update = update
         self.own = TrialCounts(update.order.revision)
         self.judge = Judge()
-        self.seen = Evidence()
+        self.evidence = Evidence()
         self.tried = 0
         self._tried_here: Counter[str] = Counter()
 
@@ -166,7 +166,7 @@
         self._on_change(update)
 
     def _log_fields(self, rollout: ServiceRollout) -> dict[str, object]:
-        new = rollout.seen.new.items()
+        new = rollout.evidence.new.items()
         return {
             "target": rollout.order.target,
             "revision": rollout.order.revision,
@@ -255,9 +255,9 @@
             if rollout.phase.ended:
                 continue
             told = self._peer_counts(service, rollout.order.revision)
-            rollout.seen = merged([rollout.own.seen, *(each.seen for each in told)])
-            rollout.tried = sum(tally.number for tally in rollout.seen.new.values())
-            if rollout.judge.note(rollout.seen, rollout.phase is not Phase.MOVING):
+            rollout.evidence = merged([rollout.own.seen, *(each.seen for each in told)])
+            rollout.tried = sum(tally.number for tally in rollout.evidence.new.values())
+            if rollout.judge.note(rollout.evidence, rollout.phase is not Phase.MOVING):
                 self.advance(service, Phase.ROLLED_BACK, "the new version's answers are worse")
 
     def _peer_counts(self, service: str, revision: int) -> list[TrialCounts]:
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -436,7 +436,7 @@
     def test_evidence_that_a_trial_can_bring_is_enough(self) -> None:
         for old, wanted in ((5, 1), (36, 1), (93, 3), (500, 6)):
             rollouts, _ = self.rollouts(36, 36)
-            seen = rollouts.services[SERVICE].seen
+            seen = rollouts.services[SERVICE].evidence
             for _ in range(old):
                 seen.note(Arm.OLD, "r", False, 0.01)
             for number in range(1, wanted + 1):
