--- a/src/moledale/gateway/renting.py
+++ b/src/moledale/gateway/renting.py
@@ -106,13 +106,13 @@
 
     def record_need(self, number: int, now: float) -> None:
         """Note how many servers the work of late needs, once it was watched for a moment."""
-        if now - self._totals[0][0] >= MIN_DEMAND_WINDOW_S and self.tokens_per_s > 0:
+        if now - self._totals[0][0] >= MIN_DEMAND_WINDOW_S and self.work_per_s > 0:
             self._needs.append((now, max(MIN_SERVERS, number)))
         while self._needs and now - self._needs[0][0] > PEAK_RETENTION_S:
             self._needs.popleft()
 
     @property
-    def tokens_per_s(self) -> float:
+    def work_per_s(self) -> float:
         """Return the work of late, in tokens a second."""
         if len(self._totals) < 2:
             return 0.0
--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -93,7 +93,7 @@
             number=order.number,
             accepted=accepted,
             need=planner.need(renting),
-            work_per_s=round(planner.demand.tokens_per_s),
+            work_per_s=round(planner.demand.work_per_s),
             running=self._book.running(order.service),
             waiting=self._book.waiting(order.service),
             learnt=self._book.learner(order.service).speed(self._now()),
@@ -122,7 +122,7 @@
             demand.record_total(self._work.total.get(service.name, 0), now)
             if service.engine is not None:
                 load = Load(
-                    demand.tokens_per_s,
+                    demand.work_per_s,
                     self._book.waiting(service.name),
                     self._book.running(service.name),
                 )
--- a/tests/test_gateway_renting.py
+++ b/tests/test_gateway_renting.py
@@ -58,7 +58,7 @@
             states = [state("n1", sequence=step + 1, work={"model": placed})] if placed else []
             meter.note_all(states)
             demand.record_total(meter.total.get("model", 0), step * 0.5)
-        self.assertLess(demand.tokens_per_s, 1.1 * 100_000)
+        self.assertLess(demand.work_per_s, 1.1 * 100_000)
 
 
 class LateWorkTest(unittest.TestCase):
