--- a/src/moledale/gateway/duties.py
+++ b/src/moledale/gateway/duties.py
@@ -1,4 +1,4 @@
-"""What one node does for all while it holds the lease: usage, servers, roll-outs."""
+"""Duties that the lease holder performs for all nodes: usage reports, servers and roll-outs."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,41 +18,44 @@
 
 USAGE_TABLE = "usage"
 USAGE_ROWS = 16
-"""Rows of reported windows that are kept; a window takes the row of one long past."""
+"""Number of rows for reported windows; a window overwrites the row of one long past."""
 
 DUTY_POLL_INTERVAL_S = 0.2
-"""Duties look this often what is due, as often as nodes tell each other their states."""
+"""Interval at which duties check what is due, the same as that at which nodes exchange their
+states."""
 
 CALL_TIMEOUT_S = 1.0
-"""A call of a duty has this long: a third of the lease, so that one that hangs does not lose it."""
+"""Timeout of a duty's call: a third of the lease, so that a call that hangs does not lose the
+lease."""
 
 SETTLE_S = 1.5
-"""Counts of a window are complete this long after it ended."""
+"""Delay after the end of a window until its counts are complete."""
 
 NEW_HOLDER_DELAY_S = 1.5
-"""A new holder reports once it has held the lease for this long. Nodes tell their counts to the
-holder only: they hear of it within a round or a second, and tell within a round; a report that is
-sooner freezes too few. Counts of nodes in reserve may come a little later still."""
+"""Delay between acquiring the lease and a new holder's first report. Nodes send their counts to the
+holder only: they learn of a new one within a round or a second, and send within a round, so an
+earlier report would freeze incomplete counts. Counts of nodes in reserve may arrive a little later
+still."""
 
 BACKFILL_WINDOWS = 2
-"""A new holder reports so many windows before the current one: 10 s, as long as reports may be
-late."""
+"""Number of windows before the current one that a new holder reports: 10 s, as late as reports may
+be."""
 
 
 STORE_RESTORED_REASON = "the store came back from an older copy"
 ROW_UNREADABLE_REASON = "the row in its place can't be read"
-"""Why the counts of a window can't be kept."""
+"""Logged reasons why the counts of a window can't be stored."""
 
 
 class WindowRow(msgspec.Struct, frozen=True):
-    """The counts of a window as they are, or were, reported; they never change again."""
+    """The counts of a window as they are, or were, reported; they never change afterwards."""
 
     window: int
     counts: dict[str, int]
 
 
 class Duties:
-    """Reports usage and steps the other duties while the lease is held."""
+    """Reports usage and runs the other duties while the lease is held."""
 
     def __init__(
         self,
@@ -81,7 +84,10 @@
         self._held_since = -1e9
 
     async def step(self) -> None:
-        """Do what is due; demand is watched by all nodes, so that any of them may take over."""
+        """Run the duties that are due.
+
+        All nodes record demand, so that any of them can become the holder.
+        """
         self._renting.record_demand()
         grant = self._keeper.grant()
         if grant is None:
@@ -142,30 +148,34 @@
             emit(Event.USAGE_FAILED, window=window, why=trouble.detail)
 
     def _is_first_to_report(self, window: int) -> bool:
-        """Say whether the store would still have what another holder kept of a window.
+        """Return whether the store would still have counts that another holder stored.
 
-        It would if the window ended in this era; before that only this node can have kept it if it
-        held the lease from the window's end on.
+        It would if the window ended in this era. For an earlier window, only this node can have
+        stored counts if it has held the lease since the window's end.
         """
         usage = self._sharing.usage
         ended_at = self._now() - (self._sharing.time() - usage.end_of(window))
         return ended_at >= min(self._store.era.since, self._held_since)
 
     async def _read_stored(self, window: int) -> WindowRow | None:
-        """Return what a holder kept of a window; one that the store lost is not reported."""
+        """Return a window's stored counts; if the store lost them, the window is not reported."""
         outcome = await self._store.read(USAGE_TABLE, CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
             return None
         for row in outcome.ok_value.rows:
-            kept = read_row(USAGE_TABLE, row, WindowRow)
-            if kept is not None and kept.window == window:
-                return kept
+            stored = read_row(USAGE_TABLE, row, WindowRow)
+            if stored is not None and stored.window == window:
+                return stored
         self._finished_windows.add(window)
-        emit(Event.USAGE_FAILED, window=window, why="the store may have lost what was reported")
+        emit(
+            Event.USAGE_FAILED,
+            window=window,
+            why="the store may have lost the counts that were reported",
+        )
         return None
 
     async def _freeze(self, row: WindowRow) -> WindowRow | None:
-        """Keep a window's counts before they are sent, or return what was kept before."""
+        """Store a window's counts before they are sent, or return the counts stored earlier."""
         key = str(row.window % USAGE_ROWS)
         expected = ABSENT
         era = self._store.era.number
@@ -184,17 +194,17 @@
             if written.standing is None:
                 return None
             expected = written.standing.version
-            standing = read_row(USAGE_TABLE, written.standing, WindowRow)
-            if standing is None:
+            stored = read_row(USAGE_TABLE, written.standing, WindowRow)
+            if stored is None:
                 if row.window not in self._frozen:
                     await self._void(row.window, expected, ROW_UNREADABLE_REASON)
                     return None
-            elif standing.window >= row.window:
-                return standing if standing.window == row.window else None
+            elif stored.window >= row.window:
+                return stored if stored.window == row.window else None
         return None
 
     async def _void(self, window: int, version: int, why: str) -> None:
-        """Keep that a window is not reported, since its counts may have been told before."""
+        """Store that a window is not reported, as other counts of it may have been sent."""
         self._finished_windows.add(window)
         value = msgspec.json.encode(WindowRow(window, {}))
         key = str(window % USAGE_ROWS)
