--- a/src/moledale/gateway/lease_keeper.py
+++ b/src/moledale/gateway/lease_keeper.py
@@ -1,14 +1,14 @@
-"""Taking, renewing and giving back the lease of the duties.
+"""Acquires, renews and releases the lease of the duties.
 
-Holders tell their peers of each renewal, so candidates need not read the row while all is well. A
-candidate counts from the renewal that it was told, or that the row states on the store's clock, so
-it takes over as soon as the time to live has passed. Its write holds only if the row still stands
-at the version that it counted from.
+The holder broadcasts each renewal, so candidates need not poll the row while it is renewed. A
+candidate counts the time to live from the last renewal that it received, or that the row states on
+the store's clock, so it acquires the lease as soon as the time to live has passed. Its write is
+conditional on the row version that it counted from.
 
-The store may come back from an older copy. Later renewals, holders and fences are then gone from
-the row while a grant still runs, and versions are given out again. So a row counts as seen only
-now unless it was written in the era in which it is read, a write is no grant if its condition was
-read in another era, and fences are numbered by era.
+The store may be restored from an older copy. Later renewals, holders and fences are then missing
+from the row while a grant is still valid, and versions are issued again. Therefore a row counts as
+renewed only now unless it was written in the era in which it is read, a write yields no grant if
+its condition was read in another era, and fences are numbered by era.
 """
 
 import random
@@ -28,49 +28,52 @@
 LEASE_TABLE = "leases"
 LEASE_KEY = "duties"
 CALL_TIMEOUT_S = 1.0
-"""A renewal has this long, a third of the lease."""
+"""Timeout of a renewal: a third of the lease."""
 
 TTL_FACTOR = 1.05
-"""Time to live, as a multiple of the least time between two holders that act in turn."""
+"""Time to live, as a multiple of the minimum time between the actions of two successive holders
+(`Bounds.lease_s`)."""
 
 RANK_DELAY_S = 0.25
-"""Candidates try so long after each other: a write and its news take less."""
+"""Delay between the attempts of candidates of successive ranks: a write and the broadcast of its
+result take less."""
 
 READ_INTERVAL_S = 1.0
-"""A candidate that does not know the row reads it this often."""
+"""Interval at which a candidate that does not know the row reads it."""
 
 RESTORE_GRACE_S = 0.5
-"""After a return of the store, candidates leave the holder this long to renew before they read the
-row: several rounds of news."""
+"""After a restore of the store, candidates give the holder this long to renew before they read the
+row: several gossip rounds."""
 
 FENCES_PER_ERA = 1 << 20
-"""Fences begin anew with each era, above all of the eras before, whatever the store has lost."""
+"""Range of fences in each era. Fences of an era are above those of all earlier eras, whatever the
+store has lost."""
 
 NO_HOLDER = ""
 
 UNREADABLE_ROW = LeaseRow("unreadable", 0, "")
-"""Stands for a row that another writer spoilt: whoever held the lease may hold it still."""
+"""Stands for a row that another writer corrupted: whoever held the lease may still hold it."""
 
 
 class StoreClock:
-    """The latest that the store's clock may show, from its answers to this node."""
+    """Bounds the store's clock from above, based on its answers to this node."""
 
     def __init__(self) -> None:
         self._store_s: float | None = None
         self._sent_at = 0.0
 
     def record_answer(self, store_s: float, sent_at: float) -> None:
-        """Note what the store's clock showed some time after a call was sent."""
+        """Record what the store's clock showed some time after a call was sent at `sent_at`."""
         self._store_s = store_s
         self._sent_at = sent_at
 
     def upper_bound(self, now: float) -> float | None:
-        """Return a bound that the store's clock has not passed, or None if it was never told."""
+        """Return a time that the store's clock has not passed, None before its first answer."""
         return None if self._store_s is None else self._store_s + (now - self._sent_at)
 
 
 class LeaseKeeper:
-    """One node's part in the lease."""
+    """Acquires, renews and releases the lease on behalf of one node."""
 
     def __init__(
         self, node: str, store: Store, bounds: Bounds, nonce: str, first_start: bool = True
@@ -101,11 +104,11 @@
         self._interval_factor = 1.0
 
     def grant(self) -> Grant | None:
-        """Return proof of the lease if it is held now."""
+        """Return proof of the lease if this node holds it now."""
         return self.lease.grant(monotonic())
 
     def lease_update(self) -> LeaseNews | None:
-        """Return what this node tells of the lease if it holds it."""
+        """Return the renewal to broadcast, or None if this node does not hold the lease."""
         grant = self.grant()
         if grant is None:
             return None
@@ -113,10 +116,11 @@
         return LeaseNews(grant.epoch, self.lease.version, age, self._version_era)
 
     def lease_to_relay(self, now: float) -> HeldLease | None:
-        """Return the lease that its holder told this node, to pass on.
+        """Return the lease as received from its holder, for nodes that don't hear the holder.
 
-        What others passed on is left out: it would be told back and forth, a little younger each
-        time, and the lease of a holder that is gone would never end.
+        Renewals that were relayed to this node are excluded: nodes would relay them back and forth,
+        each time with a slightly lower age, and the lease of a holder that is gone would never
+        expire.
         """
         row = self.lease.row
         age_s = now - self._direct_renewal_at
@@ -127,29 +131,29 @@
             or self.grant() is not None
         ):
             return None
-        news = LeaseNews(row.epoch, self.lease.version, age_s, self._version_era)
-        return HeldLease(self.holder, news)
-
-    def on_renewal(self, holder: str, news: LeaseNews, now: float, relayed: bool = False) -> None:
-        """Take over a holder's word of its renewal, told by itself or passed on."""
-        self._highest_fence = max(self._highest_fence, news.fence)
-        self._enter_era(news.era, now)
-        told_at = EraVersion(news.era or self._era, news.version)
-        if self.grant() is not None or told_at < self._known_version():
+        update = LeaseNews(row.epoch, self.lease.version, age_s, self._version_era)
+        return HeldLease(self.holder, update)
+
+    def on_renewal(self, holder: str, update: LeaseNews, now: float, relayed: bool = False) -> None:
+        """Apply a holder's renewal, received from the holder itself or relayed by a peer."""
+        self._highest_fence = max(self._highest_fence, update.fence)
+        self._enter_era(update.era, now)
+        received = EraVersion(update.era or self._era, update.version)
+        if self.grant() is not None or received < self._known_version():
             return
         self.holder = holder
-        self._version_era = told_at.era
-        self._last_renewal_at = max(self._last_renewal_at, now - news.age_s)
+        self._version_era = received.era
+        self._last_renewal_at = max(self._last_renewal_at, now - update.age_s)
         if not relayed:
-            self._direct_renewal_at = now - news.age_s
-        self.lease.saw(LeaseRow(holder, news.fence, ""), news.version, now - news.age_s)
+            self._direct_renewal_at = now - update.age_s
+        self.lease.saw(LeaseRow(holder, update.fence, ""), update.version, now - update.age_s)
 
     def _known_version(self) -> EraVersion:
-        """Return the version of the row as it is known here, with its era."""
+        """Return the last known version of the row, with its era."""
         return EraVersion(self._version_era, self.lease.version)
 
     def on_lease_lost(self, node: str, now: float) -> None:
-        """Note that a node no longer says that it holds the lease."""
+        """Record that a node's state no longer reports the lease."""
         if node != self.holder or self.grant() is not None:
             return
         self.holder = NO_HOLDER
@@ -157,14 +161,15 @@
         self._direct_renewal_at = -1e9
         self._next_read_at = -1e9
 
-    async def step(self, rank: int, crowd: float = 1.0) -> None:
-        """Do what is due; `rank` orders the candidates, so that they don't all try at once.
+    async def step(self, rank: int, interval_factor: float = 1.0) -> None:
+        """Perform the lease action that is due; `rank` staggers the attempts of the candidates.
 
-        A candidate that finds the row unreadable asks again `crowd` times as seldom as one alone.
-        One in a crowd that just started takes the lease for held until it should have heard of it.
+        While a candidate can't read the row, it multiplies its read interval by `interval_factor`,
+        which is 1 for a node alone. If the factor is above 1, a candidate that just started assumes
+        that the lease is held until it should have received a renewal.
         """
         now = monotonic()
-        self._interval_factor = crowd
+        self._interval_factor = interval_factor
         self._enter_era(self._store.era.number, now)
         action = self.lease.decide(now)
         self._log_change(now)
@@ -173,19 +178,23 @@
             return
         if action is LeaseAction.WAIT:
             return
-        heard_at = (
-            max(self._last_renewal_at, self._started_at) if crowd > 1.0 else self._last_renewal_at
+        last_renewal_at = (
+            max(self._last_renewal_at, self._started_at)
+            if interval_factor > 1.0
+            else self._last_renewal_at
         )
-        if now - heard_at < self._ttl_s + rank * RANK_DELAY_S:
+        if now - last_renewal_at < self._ttl_s + rank * RANK_DELAY_S:
             return
         if action is LeaseAction.TAKE and self.lease.row is not None:
             await self._write(now)
         elif now >= self._next_read_at:
-            self._next_read_at = now + READ_INTERVAL_S * crowd * (0.5 + self._rng.random())
+            self._next_read_at = now + READ_INTERVAL_S * interval_factor * (
+                0.5 + self._rng.random()
+            )
             await self._read()
 
     async def release(self) -> None:
-        """Let others take the lease at once, at a planned stop."""
+        """Release the lease at a planned stop, so that a candidate can acquire it at once."""
         if self.grant() is None or self.lease.row is None:
             return
         row = LeaseRow(NO_HOLDER, self.lease.row.epoch, f"{self._nonce}/end", era=self._era)
@@ -213,15 +222,16 @@
             await self._write(now)
 
     def _may_acquire_without_row(self, now: float) -> bool:
-        """Say whether a lease without a row is free, and none that the store lost still runs."""
+        """Return whether a lease without a row is free, with no lost grant still valid."""
         if self._first_start and not self._restored:
             return True
         return now - self._store.era.since >= self._ttl_s
 
     def _enter_era(self, era: int, now: float) -> None:
-        """Note an era; a later one than before ends what is known of the row.
+        """Record an era; a later one than before invalidates what is known of the row.
 
-        A holder whose grant still runs goes on: until it ends nobody else can have taken the lease.
+        A holder whose grant is still valid continues: until the grant expires nobody else can have
+        acquired the lease.
         """
         known, self._era = self._era, max(era, self._era)
         if not EraVersion(self._era).is_restored_since(EraVersion(known)):
@@ -236,36 +246,36 @@
         self._last_renewal_at = max(self._last_renewal_at, now - self._ttl_s + RESTORE_GRACE_S)
         self._next_read_at = now + RESTORE_GRACE_S * self._interval_factor * self._rng.random()
 
-    def _observe_row(self, standing: StateRow, store_s: float, now: float) -> None:
-        """Note a row as it stands in this era.
+    def _observe_row(self, stored: StateRow, store_s: float, now: float) -> None:
+        """Apply a row as it is stored in this era.
 
-        One that this life wrote, though the answer was lost, is its own. One that was written in
-        another era, or can't be read, takes no grant away, and tells nothing of when the lease was
-        last renewed.
+        A row that this process wrote is its own, even if the answer to the write was lost. A row
+        that was written in another era, or can't be decoded, revokes no grant, and does not show
+        when the lease was last renewed.
         """
-        row = read_row(LEASE_TABLE, standing, LeaseRow) or UNREADABLE_ROW
+        row = read_row(LEASE_TABLE, stored, LeaseRow) or UNREADABLE_ROW
         self._highest_fence = max(self._highest_fence, row.epoch)
-        tells_holder = row.era == self._era and row is not UNREADABLE_ROW
-        if not tells_holder and self.lease.grant(now) is not None:
-            self._schedule_renewal(standing.version)
+        is_current = row.era == self._era and row is not UNREADABLE_ROW
+        if not is_current and self.lease.grant(now) is not None:
+            self._schedule_renewal(stored.version)
             return
-        if row.operation == self._pending_operation and tells_holder:
-            self._record_write(row, standing.version, self._pending_sent_at)
+        if row.operation == self._pending_operation and is_current:
+            self._record_write(row, stored.version, self._pending_sent_at)
             return
         self.holder = row.holder
-        if not tells_holder:
-            since = now
+        if not is_current:
+            renewed_at = now
         elif row.holder == NO_HOLDER:
-            since = now - self._ttl_s
+            renewed_at = now - self._ttl_s
         elif row.renewed_s is not None:
-            since = now - max(0.0, store_s - row.renewed_s)
+            renewed_at = now - max(0.0, store_s - row.renewed_s)
         else:
-            since = now
-        self.lease.saw(row, standing.version, since)
+            renewed_at = now
+        self.lease.saw(row, stored.version, renewed_at)
         self._version_era = self._era
 
     def _schedule_renewal(self, version: int) -> None:
-        """Have this node's lease renewed at once where the row stands now."""
+        """Have this node's lease renewed at once, on top of the row at `version`."""
         self.lease.stands_at(version)
         self._version_era = self._era
         self._renew_at_once = True
@@ -283,9 +293,9 @@
         self._pending_operation = f"{self._nonce}/{self._write_count}"
         self._pending_sent_at = now
         era = self._era
-        least_fence = max(self._highest_fence, era * FENCES_PER_ERA) + 1
+        min_fence = max(self._highest_fence, era * FENCES_PER_ERA) + 1
         row = msgspec.structs.replace(
-            self.lease.next_row(self._pending_operation, least_fence),
+            self.lease.next_row(self._pending_operation, min_fence),
             renewed_s=self._clock.upper_bound(now),
             era=era,
         )
