--- a/src/moledale/gateway/renting.py
+++ b/src/moledale/gateway/renting.py
@@ -1,8 +1,9 @@
-"""How many servers each hall shall have: a pure plan from demand, what runs and what is refused.
+"""Plans how many servers each hall should have, from demand, running servers and refused orders.
 
-Spot servers cost little and go a hall at once, so they are spread evenly, with enough of them that
-any one hall may go. While spot servers are not to be had, servers on demand fill the gap in the
-halls where they cost least; they are given back once spot servers run again.
+The planner does no I/O. Spot servers are cheap, but all those of a hall may be reclaimed at once,
+so they are spread evenly over the halls, with enough of them that any one hall may be lost. While
+spot servers are unavailable, on-demand servers fill the gap in the cheapest halls; they are
+released once spot servers run again.
 """
 
 from collections import deque
@@ -17,56 +18,60 @@
 from moledale.gateway.server_need import servers_needed
 
 REFUSED_RETRY_S = 2.5
-"""Time after which servers that were refused are asked for again."""
+"""Time after which servers that were refused are ordered again."""
 
 BOOT_GRACE_S = 3.0
-"""Time beyond a server's boot after which an order is taken for lost."""
+"""Time beyond a server's boot after which an order counts as lost."""
 
 MEAN_WAIT_SHARE = 1 / 9
-"""Part of the shortest target that requests may wait on average. A wait is about exponential, so
-three times its mean is exceeded once in twenty; that leaves two thirds for reading and the way."""
+"""Share of the shortest target that requests may wait on average. Waits are about exponentially
+distributed, so three times the mean is exceeded once in twenty; that leaves two thirds of the
+target for prefill and the network."""
 
 BACKLOG_DRAIN_BOOTS = 1.0
-"""Work that is late is to be gone within this many boots of a server after its start, so that the
-wait for it is made up for within as long again."""
+"""Overdue work is to be done within this many boot times of a server after its start, so that the
+wait for the server is made up for within the same time again."""
 
 MIN_MEAN_WAIT_S = 0.01
-"""Requests are allowed to wait this long whatever their target, else the need has no bound."""
+"""Minimum allowed mean wait, whatever the target: without it the need has no bound."""
 
 MIN_SERVERS = 2
-"""Fewer servers are never wanted: one may crash."""
+"""Minimum number of servers wanted: one may crash."""
 
 MIN_START_SERVERS = 4
-"""Servers wanted before demand was watched, where a share of what is allowed is less."""
+"""Minimum number of servers wanted before demand was observed, for when `START_SHARE` of the
+allowed number is less."""
 
 START_SHARE = 0.3
-"""Until demand was watched for a while, this part of what is allowed at most is wanted."""
+"""Share of the maximum allowed number of servers that is wanted until demand was observed for a
+while."""
 
 DEMAND_WINDOW_S = 5.0
-"""Demand is that of this time: about a server's boot, so that an order follows what it is for."""
+"""Window over which demand is measured: about a server's boot time, so that an order follows the
+demand that it is for."""
 
 MIN_DEMAND_WINDOW_S = 1.0
-"""Demand that was watched for less says nothing."""
+"""Minimum observation time; demand observed for less is not meaningful."""
 
 ON_DEMAND_RELEASE_DELAY_S = 4.0
-"""Servers on demand are given back when they were too many for this long."""
+"""On-demand servers are released when there were too many of them for this long."""
 
 PEAK_RETENTION_S = 20.0
-"""Spot servers follow the peak of need in this time."""
+"""Time over which spot servers follow the peak of the need."""
 
 ON_DEMAND_PEAK_BOOTS = 2.0
-"""Servers on demand do so in the time of this many boots, since they cost four to seven times as
-much, and a backlog looks like need until it is worked off."""
+"""The same time for on-demand servers, in boot times of a server. It is shorter since they cost
+four to seven times as much, and a backlog looks like need until it is worked off."""
 
 SPOT_FACTOR = 1.5
-"""Spot servers wanted for each server needed; they cost little and go often."""
+"""Spot servers wanted per server needed; they are cheap and often reclaimed."""
 
 RESERVE_SHARE = 0.75
-"""Part of the need that must be there with any one hall gone."""
+"""Share of the need that must still be covered after the loss of any one hall."""
 
 
 class Order(msgspec.Struct, frozen=True):
-    """A number of servers for one hall, of one kind."""
+    """A target number of servers of one kind in one hall."""
 
     service: str
     hall: str
@@ -75,14 +80,14 @@
 
 
 class Need(msgspec.Struct, frozen=True):
-    """Servers wanted: as many spot ones, and on demand what is missing of the lesser number."""
+    """Servers wanted: `spot` spot ones, and on-demand ones for what is missing to `on_demand`."""
 
     spot: int
     on_demand: int
 
 
 class Demand:
-    """Need of servers, from a counter of reading work that all nodes have placed."""
+    """Derives the need for servers from a counter of the prefill work placed by all nodes."""
 
     def __init__(self) -> None:
         self._totals: deque[tuple[float, float]] = deque()
@@ -92,7 +97,7 @@
         self._last_record_at = 0.0
 
     def record_total(self, total: float, now: float) -> None:
-        """Note the counter; one that falls, since a node was forgotten, starts anew."""
+        """Record the counter; one that falls, since a node was forgotten, restarts the window."""
         if self._totals and total < self._totals[-1][1]:
             self._totals.clear()
         self._totals.append((now, total))
@@ -105,7 +110,7 @@
             self._first_work_at = now
 
     def record_need(self, number: int, now: float) -> None:
-        """Note how many servers the work of late needs, once it was watched for a moment."""
+        """Record how many servers the recent work needs, once it was observed for long enough."""
         if now - self._totals[0][0] >= MIN_DEMAND_WINDOW_S and self.work_per_s > 0:
             self._needs.append((now, max(MIN_SERVERS, number)))
         while self._needs and now - self._needs[0][0] > PEAK_RETENTION_S:
@@ -113,7 +118,7 @@
 
     @property
     def work_per_s(self) -> float:
-        """Return the work of late, in tokens a second."""
+        """Return the recent work, in tokens per second."""
         if len(self._totals) < 2:
             return 0.0
         (begin, first), (end, last) = self._totals[0], self._totals[-1]
@@ -121,33 +126,39 @@
 
     @property
     def active_s(self) -> float:
-        """Return for how long demand was watched."""
+        """Return the time from the first placed work to the last record."""
         return 0.0 if self._first_work_at is None else self._last_record_at - self._first_work_at
 
     @property
     def observed_s(self) -> float:
-        """Return for how long the counter was noted, whether it rose or not."""
+        """Return the time from the first to the last record, whether the counter rose or not."""
         return (
             0.0 if self._first_record_at is None else self._last_record_at - self._first_record_at
         )
 
     @property
     def idle(self) -> bool:
-        """Say whether no node has placed anything yet."""
+        """Return whether no node has placed any work yet."""
         return self._first_work_at is None
 
-    def need(self, start: int, boot_s: float) -> Need:
-        """Return the servers wanted: the peaks of late, and the start's number at first."""
-        least = MIN_SERVERS if self.active_s > PEAK_RETENTION_S else start
-        kept_s = ON_DEMAND_PEAK_BOOTS * boot_s
-        lately = [need for at, need in self._needs if self._last_record_at - at <= kept_s]
-        spot = max([least, *(need for _, need in self._needs)])
-        return Need(spot, max([least, *lately]))
+    def need(self, initial: int, boot_s: float) -> Need:
+        """Return the servers wanted, which follow the recent peaks.
+
+        Until demand was observed for `PEAK_RETENTION_S`, they are at least `initial`.
+        """
+        minimum = MIN_SERVERS if self.active_s > PEAK_RETENTION_S else initial
+        retention_s = ON_DEMAND_PEAK_BOOTS * boot_s
+        recent = [need for at, need in self._needs if self._last_record_at - at <= retention_s]
+        spot = max([minimum, *(need for _, need in self._needs)])
+        return Need(spot, max([minimum, *recent]))
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What a service's servers have to do: work placed a second and work that waits, in tokens, and
-    the requests that hold or wait for a slot."""
+    """Load of a service.
+
+    `work_per_s` is the work placed per second and `queued_tokens` the queued work, both in tokens;
+    `running` is the number of requests that hold or wait for a slot.
+    """
 
     work_per_s: float
     queued_tokens: float
@@ -157,20 +168,21 @@
 def servers_for_load(
     index: PlanIndex, service: str, slots: int, boot_s: float, load: Load, speed: Speed
 ) -> int:
-    """Return the servers of `slots` each that a service needs, which take `boot_s` to start.
+    """Return how many servers of `slots` slots a service needs, if one boots in `boot_s`.
 
-    The longest wait follows from the shortest target of its routes. More work that waits than
-    arrives in that time (Little's law) is late already, and has to be worked off besides.
+    The maximum wait follows from the shortest target of the service's routes. Queued work beyond
+    what arrives within that target (Little's law) is overdue already, and has to be worked off in
+    addition.
     """
     target_s = shortest_target_s(index, service)
-    most_s = max(MIN_MEAN_WAIT_S, MEAN_WAIT_SHARE * target_s)
-    late = max(0.0, load.queued_tokens - load.work_per_s * target_s)
-    work_per_s = load.work_per_s + late / (BACKLOG_DRAIN_BOOTS * boot_s)
-    return servers_needed(work_per_s, load.running, slots, most_s, speed)
+    max_wait_s = max(MIN_MEAN_WAIT_S, MEAN_WAIT_SHARE * target_s)
+    overdue = max(0.0, load.queued_tokens - load.work_per_s * target_s)
+    work_per_s = load.work_per_s + overdue / (BACKLOG_DRAIN_BOOTS * boot_s)
+    return servers_needed(work_per_s, load.running, slots, max_wait_s, speed)
 
 
 def shortest_target_s(index: PlanIndex, service: str) -> float:
-    """Return the shortest target of a service's routes, 1 s where none has one."""
+    """Return the shortest target of a service's routes, 1 s if none has a target."""
     targets = [
         route.target_s
         for route in index.plan.routes
@@ -180,7 +192,7 @@
 
 
 class OrderState(msgspec.Struct):
-    """What was ordered last for a hall and kind, and when it may be ordered again."""
+    """The last accepted order for a hall and kind, and when a refused one may be retried."""
 
     number: int | None = None
     ordered_at: float = -1e9
@@ -188,10 +200,10 @@
 
 
 class RentingPlanner(msgspec.Struct):
-    """Plans orders for one service; remembers what this holder ordered.
+    """Plans the orders for one service, and remembers what this holder ordered.
 
-    `unavailable` servers are there and paid, but turn requests away, or take few, for longer than a
-    new one takes to start, so as many more are needed.
+    `unavailable` is the number of servers that run and are paid for, but reject most or all
+    requests for longer than a new server takes to start; as many more are needed.
     """
 
     service: str
@@ -204,99 +216,104 @@
     def orders(self, renting: Renting, servers: Iterable[Server], now: float) -> list[Order]:
         """Return the orders that are due."""
         staying = [each for each in servers if each.service == self.service and not each.leaving]
-        there = {hall: {True: 0, False: 0} for hall in renting.hall_prices}
+        running = {hall: {True: 0, False: 0} for hall in renting.hall_prices}
         for server in staying:
-            if server.hall in there:
-                there[server.hall][server.spot] += 1
+            if server.hall in running:
+                running[server.hall][server.spot] += 1
         need = self.need(renting)
-        each_hall = ceil(need.spot * SPOT_FACTOR / max(1, len(there) - 1))
-        wanted_spot = max(renting.least, min(each_hall, renting.most))
-        unused = self.first_start and self.demand.idle
-        may_lower = unused or self.demand.observed_s >= DEMAND_WINDOW_S
+        per_hall = ceil(need.spot * SPOT_FACTOR / max(1, len(running) - 1))
+        wanted_spot = max(renting.least, min(per_hall, renting.most))
+        never_used = self.first_start and self.demand.idle
+        may_lower = never_used or self.demand.observed_s >= DEMAND_WINDOW_S
         due = []
-        for hall, counts in there.items():
+        for hall, counts in running.items():
             number = wanted_spot if may_lower else max(wanted_spot, counts[True])
             due.extend(self._due_orders(renting, hall, True, number, counts[True], now))
-        for hall, number in self._on_demand_targets(renting, there, need.on_demand, now).items():
-            number = number if may_lower else max(number, there[hall][False])
-            due.extend(self._due_orders(renting, hall, False, number, there[hall][False], now))
+        for hall, number in self._on_demand_targets(renting, running, need.on_demand, now).items():
+            number = number if may_lower else max(number, running[hall][False])
+            due.extend(self._due_orders(renting, hall, False, number, running[hall][False], now))
         return due
 
     def need(self, renting: Renting) -> Need:
-        """Return the servers wanted; what operators allow at most tells the size before demand."""
+        """Return the servers wanted.
+
+        Before demand is known they follow from the maximum that operators allow.
+        """
         allowed = renting.most * len(renting.hall_prices)
-        start = max(MIN_START_SERVERS, ceil(START_SHARE * allowed))
-        need = self.demand.need(start, renting.boot_s)
+        initial = max(MIN_START_SERVERS, ceil(START_SHARE * allowed))
+        need = self.demand.need(initial, renting.boot_s)
         return Need(need.spot + self.unavailable, need.on_demand + self.unavailable)
 
     def _on_demand_targets(
-        self, renting: Renting, there: dict[str, dict[bool, int]], need: int, now: float
+        self, renting: Renting, running: dict[str, dict[bool, int]], need: int, now: float
     ) -> dict[str, int]:
-        """Return how many servers on demand each hall shall have."""
-        runs = {hall: counts[True] for hall, counts in there.items()}
-        coming = {hall: max(runs[hall], self._expected_spot(renting, hall, now)) for hall in there}
-        least = self._shortfall(coming, need)
-        most = least
+        """Return how many on-demand servers each hall should have."""
+        spot = {hall: counts[True] for hall, counts in running.items()}
+        expected = {
+            hall: max(spot[hall], self._expected_spot(renting, hall, now)) for hall in running
+        }
+        minimum = self._shortfall(expected, need)
+        maximum = minimum
         if not (self.first_start and self.demand.idle):
-            most = self._recent_maximum(self._shortfall(runs, need), now)
-        ordered = {hall: self._ordered_on_demand(hall, there[hall][False]) for hall in there}
-        wanted = max(least, min(sum(ordered.values()), most))
-        return self._place_on_demand(renting, wanted, runs, ordered)
+            maximum = self._recent_maximum(self._shortfall(spot, need), now)
+        ordered = {hall: self._ordered_on_demand(hall, running[hall][False]) for hall in running}
+        wanted = max(minimum, min(sum(ordered.values()), maximum))
+        return self._place_on_demand(renting, wanted, spot, ordered)
 
-    def _recent_maximum(self, most: int, now: float) -> int:
-        self._recent_maxima.append((now, most))
+    def _recent_maximum(self, maximum: int, now: float) -> int:
+        self._recent_maxima.append((now, maximum))
         while now - self._recent_maxima[0][0] > ON_DEMAND_RELEASE_DELAY_S:
             self._recent_maxima.popleft()
         return max(number for _, number in self._recent_maxima)
 
     def _shortfall(self, spot: dict[str, int], need: int) -> int:
-        """Return the servers that are missing now, or for the reserve once a hall goes."""
-        there = sum(spot.values())
-        left = there - max(spot.values())
-        return max(0, need - there, ceil(need * RESERVE_SHARE) - left)
+        """Return how many servers are missing now, or for the reserve after the loss of a hall."""
+        running = sum(spot.values())
+        remaining = running - max(spot.values())
+        return max(0, need - running, ceil(need * RESERVE_SHARE) - remaining)
 
     def _place_on_demand(
         self, renting: Renting, wanted: int, spot: dict[str, int], ordered: dict[str, int]
     ) -> dict[str, int]:
-        """Put servers on demand where they cost least; what is ordered stays while it is wanted."""
+        """Place on-demand servers in the cheapest halls; ordered ones stay while wanted."""
         result = dict.fromkeys(ordered, 0)
         prices = renting.hall_prices
-        for kept in (True, False):
+        for keep_ordered in (True, False):
             for hall in sorted(prices, key=lambda hall: prices[hall]):
                 room = renting.most - max(spot[hall], 0)
-                limit = min(room, ordered[hall]) if kept else room
-                take = max(0, min(wanted - sum(result.values()), limit - result[hall]))
-                result[hall] += take
+                limit = min(room, ordered[hall]) if keep_ordered else room
+                added = max(0, min(wanted - sum(result.values()), limit - result[hall]))
+                result[hall] += added
         return result
 
     def _expected_spot(self, renting: Renting, hall: str, now: float) -> int:
-        """Return the spot servers that an accepted order should bring."""
+        """Return how many spot servers an accepted order is still expected to bring."""
         state = self.states.get((hall, True))
         if state is None or state.number is None or now < state.refused_until:
             return 0
         return state.number if now - state.ordered_at < renting.boot_s + BOOT_GRACE_S else 0
 
-    def _ordered_on_demand(self, hall: str, there: int) -> int:
+    def _ordered_on_demand(self, hall: str, running: int) -> int:
         state = self.states.get((hall, False))
-        return there if state is None or state.number is None else state.number
+        return running if state is None or state.number is None else state.number
 
     def _due_orders(
-        self, renting: Renting, hall: str, spot: bool, wanted: int, there: int, now: float
+        self, renting: Renting, hall: str, spot: bool, wanted: int, running: int, now: float
     ) -> list[Order]:
         """Return an order if it would change something."""
         state = self.states.setdefault((hall, spot), OrderState())
         if now < state.refused_until:
             return []
-        if state.number is None and there == wanted:
+        if state.number is None and running == wanted:
             state.number = wanted
             return []
         starting = now - state.ordered_at < renting.boot_s + BOOT_GRACE_S
-        if state.number == wanted and (there == wanted or starting):
+        if state.number == wanted and (running == wanted or starting):
             return []
         return [Order(self.service, hall, spot, wanted)]
 
     def record_outcome(self, order: Order, accepted: bool, now: float) -> None:
-        """Note what the cloud said of an order."""
+        """Record whether the cloud accepted an order."""
         state = self.states.setdefault((order.hall, order.spot), OrderState())
         if accepted:
             state.number = order.number
