--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -1,4 +1,4 @@
-"""Ordering servers and giving them back while the lease is held."""
+"""Orders and releases servers while the lease is held."""
 
 from collections.abc import Callable
 
@@ -16,11 +16,11 @@
 from moledale.log import Event, emit
 
 PLAN_INTERVAL_S = 0.5
-"""Servers are planned this often: some times within the boot of a server."""
+"""Interval at which servers are planned: several times within the boot of a server."""
 
 
 class RentingDuty:
-    """Watches the demand of all services, and orders what the planners of the holder want."""
+    """Records the demand of all services, and places the orders of the holder's planners."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
         self._demand_recorded_at = -1e9
 
     def reset(self) -> None:
-        """Start anew as the holder: another one may have ordered meanwhile."""
+        """Discard the planners of an earlier term as holder: others may have ordered since."""
         self._planners.clear()
 
     async def step(self) -> None:
-        """Order and give back servers where it is due."""
+        """Order and release servers where it is due."""
         now = self._now()
         index = self._index()
         if index is None or now - self._planned_at < PLAN_INTERVAL_S:
@@ -65,7 +65,7 @@
 
     async def _rent(self, service: str, renting: Renting) -> None:
         now = self._now()
-        # Servers of a version on trial stand beside those that the orders are about.
+        # Excludes servers of a version on trial, which run in addition to the ordered ones.
         group = self._book.group(service)
         servers = [view.server for view in group.allowed()]
         planner = self._planner(service)
@@ -107,7 +107,7 @@
         return planner
 
     def record_demand(self) -> None:
-        """Watch the demand; all nodes do, so that any of them may take over."""
+        """Record the demand; all nodes do, so that any of them can become the holder."""
         now = self._now()
         index = self._index()
         if index is None or now - self._demand_recorded_at < PLAN_INTERVAL_S:
