--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -1,4 +1,4 @@
-"""Carrying roll-outs on while the lease is held, and telling the operator how far they are."""
+"""Advances roll-outs while the lease is held, and reports their status to the operator."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,33 +11,33 @@
 from moledale.log import Event, emit
 
 CALL_TIMEOUT_S = 1.0
-"""A call has this long: a third of the lease."""
+"""Timeout of a call: a third of the lease."""
 
 MAX_WRITE_ATTEMPTS = 3
-"""Writes of a status in one step: the first may find another one in its way, and the next the one
-that another holder wrote meanwhile."""
+"""Maximum writes of a status in one step: the first may conflict with an existing status, and the
+second with one that another holder wrote meanwhile."""
 
 
 EVIDENCE_SHARE = 0.04
-"""Part of a route's requests that the new servers are to have answered, half of what a trial sends
-them on average: where more is wanted, a route with few requests keeps a good version waiting."""
+"""Share of a route's requests that the new servers must have answered: half of what a trial sends
+them on average. A higher share would keep a good version waiting on routes with few requests."""
 
 
 class RolloutDuty:
-    """The part of roll-outs that one node does for all."""
+    """Advances roll-outs on behalf of all nodes."""
 
     def __init__(
         self,
         store: Store,
         rollouts: Rollouts,
         book: ServerBook,
-        local: Callable[[float], float | None],
+        local_time: Callable[[float], float | None],
         now: Callable[[], float],
     ) -> None:
         self._store = store
         self._rollouts = rollouts
         self._book = book
-        self._local_time = local
+        self._local_time = local_time
         self._now = now
         self._era = store.era.number
         self._recovered = False
@@ -46,19 +46,19 @@
         self._phase_since: dict[str, tuple[int, Phase, float]] = {}
 
     def reset(self) -> None:
-        """Start anew as the holder: another one may have written meanwhile."""
+        """Discard the state of an earlier term as holder: another node may have written since."""
         self._reset_rows()
         self._phase_since.clear()
 
     def _reset_rows(self) -> None:
-        """Forget what stands in the store, so that it is read and told anew."""
+        """Discard what is known of the store's rows, so that they are read and written again."""
         self._era = self._store.era.number
         self._recovered = False
         self._row_versions.clear()
         self._written.clear()
 
-    async def step(self, held: Callable[[], bool]) -> None:
-        """Carry all roll-outs on; `held` says whether the lease is still held."""
+    async def step(self, holds_lease: Callable[[], bool]) -> None:
+        """Advance all roll-outs; `holds_lease` returns whether the lease is still held."""
         if not self._rollouts.services:
             return
         if self._era != self._store.era.number:
@@ -66,10 +66,10 @@
         if not self._recovered and not await self._recover():
             return
         for service, rollout in list(self._rollouts.services.items()):
-            await self._advance_service(service, rollout, held)
+            await self._advance_service(service, rollout, holds_lease)
 
     async def _recover(self) -> bool:
-        """Take over what former holders kept; say whether the store answered."""
+        """Merge what former holders stored; return whether the store answered."""
         outcome = await self._store.kept_rollouts(CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
             emit(Event.ROLLOUT_FAILED, what="kept", why=outcome.err_value.detail)
@@ -79,32 +79,32 @@
         return True
 
     async def _advance_service(
-        self, service: str, rollout: ServiceRollout, held: Callable[[], bool]
+        self, service: str, rollout: ServiceRollout, holds_lease: Callable[[], bool]
     ) -> None:
         if not rollout.phase.ended:
             phase = next_phase(self._progress(service, rollout))
             if phase is Phase.COMPLETED:
-                await self._complete(service, rollout, held)
+                await self._complete(service, rollout, holds_lease)
                 return
             if phase > rollout.phase:
                 self._advance(service, phase)
-                # Its time counts from here, not from the next look.
+                # The phase's duration counts from here, not from the next step.
                 self._in_phase_s(service, rollout)
-        await self._write(rollout, rollout.phase, held)
+        await self._write(rollout, rollout.phase, holds_lease)
 
     def _advance(self, service: str, phase: Phase) -> None:
-        why = "nothing speaks for it in time" if phase.ended else "no answers speak against it"
+        why = "not enough evidence for it in time" if phase.ended else "no evidence against it"
         self._rollouts.advance(service, phase, why)
 
     async def _complete(
-        self, service: str, rollout: ServiceRollout, held: Callable[[], bool]
+        self, service: str, rollout: ServiceRollout, holds_lease: Callable[[], bool]
     ) -> None:
-        """End the old servers; nodes hear of it once the operator's store has taken it."""
-        if await self._write(rollout, Phase.COMPLETED, held):
-            self._rollouts.advance(service, Phase.COMPLETED, "nothing runs at old servers")
+        """End the old servers; nodes learn of it once the store has the status."""
+        if await self._write(rollout, Phase.COMPLETED, holds_lease):
+            self._rollouts.advance(service, Phase.COMPLETED, "no requests run at old servers")
 
     def _progress(self, service: str, rollout: ServiceRollout) -> Progress:
-        """Return what is known of a roll-out now."""
+        """Return the current progress of a roll-out."""
         now = self._now()
         ordered_at = self._local_time(rollout.order.ordered_s)
         elapsed_s = 0.0 if ordered_at is None else now - ordered_at
@@ -126,25 +126,27 @@
         )
 
     def _in_phase_s(self, service: str, rollout: ServiceRollout) -> float:
-        """Return for how long this holder has seen a roll-out in the phase that it is in."""
-        seen = (rollout.order.revision, rollout.phase)
+        """Return for how long this holder has seen a roll-out in its current phase."""
+        current = (rollout.order.revision, rollout.phase)
         known = self._phase_since.get(service)
-        if known is None or known[:2] != seen:
-            known = self._phase_since[service] = (*seen, self._now())
+        if known is None or known[:2] != current:
+            known = self._phase_since[service] = (*current, self._now())
         return self._now() - known[2]
 
-    async def _write(self, rollout: ServiceRollout, phase: Phase, held: Callable[[], bool]) -> bool:
-        """Tell the operator a phase unless that was done; say whether it stands in the store."""
+    async def _write(
+        self, rollout: ServiceRollout, phase: Phase, holds_lease: Callable[[], bool]
+    ) -> bool:
+        """Write the operator's status for a phase unless done; return whether the store has it."""
         order = rollout.order
-        told = _status_phase(phase)
-        if self._written.get(order.service) == (order.revision, told):
+        status = _status_phase(phase)
+        if self._written.get(order.service) == (order.revision, status):
             return True
-        news = rollout.update_in_phase(phase)
+        update = rollout.update_in_phase(phase)
         for _ in range(MAX_WRITE_ATTEMPTS):
-            if not held():
+            if not holds_lease():
                 return False
             expected = self._row_versions.get(order.service, ABSENT)
-            outcome = await self._store.write_rollout(news, expected, CALL_TIMEOUT_S)
+            outcome = await self._store.write_rollout(update, expected, CALL_TIMEOUT_S)
             if isinstance(outcome, Err):
                 emit(Event.ROLLOUT_FAILED, service=order.service, why=outcome.err_value.detail)
                 return False
@@ -153,23 +155,25 @@
                 return False
             self._row_versions[order.service] = written.version
             if written.committed:
-                self._written[order.service] = (order.revision, told)
+                self._written[order.service] = (order.revision, status)
                 return True
             if written.phase is not None and written.phase.ended:
                 if written.phase > rollout.phase:
-                    self._rollouts.advance(order.service, written.phase, "the store tells so")
+                    self._rollouts.advance(
+                        order.service, written.phase, "the store already has this phase"
+                    )
                 self._written[order.service] = (order.revision, written.phase)
                 return written.phase is phase
         return False
 
 
 def _status_phase(phase: Phase) -> Phase:
-    """Return the phase that stands for one in what the operator is told."""
+    """Return the phase that represents `phase` in the operator's status."""
     return phase if phase.ended else Phase.TRIAL
 
 
 def _count_lacking_routes(rollout: ServiceRollout) -> int:
-    """Return the routes with traffic that the new servers answered too seldom on."""
+    """Return the number of routes with traffic on which the new servers gave too few answers."""
     return sum(
         1 for route in _routes(rollout.evidence.old) if not _has_enough_answers(rollout, route)
     )
@@ -182,5 +186,5 @@
 def _has_enough_answers(rollout: ServiceRollout, route: str) -> bool:
     old = rollout.evidence.old[route].number
     new = rollout.evidence.new.get(route)
-    wanted = min(LEAST_PER_ROUTE, max(1, int(EVIDENCE_SHARE * old)))
-    return new is not None and new.number >= wanted
+    required = min(LEAST_PER_ROUTE, max(1, int(EVIDENCE_SHARE * old)))
+    return new is not None and new.number >= required
