--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -1,8 +1,8 @@
-"""What a node knows of roll-outs: orders, phases, and what it and others saw of the new versions.
+"""A node's view of roll-outs: orders, phases, and the answers of new versions seen by all nodes.
 
-Each node keeps within the bound of a trial by itself, and each may find that a version is bad, with
-or without the store and the holder of the duties. A version of which nothing was heard yet gets
-nothing: the servers that a node saw first are used until an order says otherwise.
+Each node keeps within the exposure limit of a trial on its own, and each may find that a version is
+bad, with or without the store and the lease holder. A version without a known order gets no
+requests: the servers that a node saw first are used until an order names another version.
 """
 
 import random
@@ -28,19 +28,21 @@
 from moledale.log import Event, emit
 
 MIN_TRIALS_PER_ROUTE = 3
-"""Requests of a route that a node sends to a new version sooner than others: routes with few
-requests would keep a good version waiting for evidence until the end of its time."""
+"""Number of requests of each route that a node sends to a new version with priority. Otherwise
+routes with few requests would keep a good version waiting for evidence until the end of its order's
+time."""
 
 REWRITE_WINDOW_S = 5.0
-"""After a return of the store from an older copy, operators write again for so long what it lost.
-An order that asks for the same is no new one then."""
+"""Time after a restore of the store from an older copy in which operators rewrite what it lost.
+Within it, an order for the same version and duration is not a new one."""
 
 RESERVED_SHARE = 0.5
-"""Part of the free requests that is kept for such routes: the others would use them up before."""
+"""Share of the free requests that is reserved for routes below `MIN_TRIALS_PER_ROUTE`; other routes
+would use them up first."""
 
 
 class ServiceRollout:
-    """A service's roll-out as one node follows it."""
+    """One node's state of a service's roll-out."""
 
     def __init__(self, update: RolloutNews) -> None:
         self.update = update
@@ -52,45 +54,46 @@
 
     @property
     def order(self) -> RolloutOrder:
-        """Return the order that is carried out."""
+        """Return the order that is being carried out."""
         return self.update.order
 
     @property
     def phase(self) -> Phase:
-        """Return how far it is."""
+        """Return the current phase."""
         return self.update.phase
 
     def update_in_phase(self, phase: Phase) -> RolloutNews:
-        """Return the news of it as they would be in a phase."""
+        """Return the update of this roll-out as it would be in `phase`."""
         return msgspec.structs.replace(self.update, phase=phase)
 
     def record_trial(self, route: str) -> None:
-        """Note that this node sends a route's request to the new version."""
+        """Record that this node sends a request of a route to the new version."""
         self.own.tried += 1
         self._tried_here[route] += 1
 
     def is_undertested(self, route: str) -> bool:
-        """Say whether this node has hardly tried the new version on a route."""
+        """Return whether this node has sent the new version too few requests of a route."""
         return self._tried_here[route] < MIN_TRIALS_PER_ROUTE
 
     def arm_of(self, version: str) -> Arm:
-        """Return which side of the comparison a server's version is on."""
+        """Return the arm of the comparison that a server's version belongs to."""
         return Arm.NEW if version == self.order.target else Arm.OLD
 
 
 class Rollouts:
-    """All roll-outs at one node.
+    """Holds all roll-outs of one node.
 
-    `changed` hears of each change that other nodes should know at once. `local` tells when the
-    store's clock showed a time, `serving` how many nodes serve, 0 if this one does not.
+    `on_change` is called with each change that peers should learn of at once. `local_time` converts
+    a time on the store's clock to this machine's monotonic clock. `serving` returns how many nodes
+    serve, 0 if this one does not.
     """
 
     def __init__(
         self,
         book: ServerBook,
         members: Membership,
-        changed: Callable[[RolloutNews], None],
-        local: Callable[[float], float | None],
+        on_change: Callable[[RolloutNews], None],
+        local_time: Callable[[float], float | None],
         serving: Callable[[], int],
         began_at: float,
         exposure: Exposure,
@@ -99,18 +102,16 @@
         self.services: dict[str, ServiceRollout] = {}
         self._book = book
         self._members = members
-        self._on_change = changed
-        self._local_time = local
+        self._on_change = on_change
+        self._local_time = local_time
         self._serving = serving
         self._began_at = began_at
         self._exposure = exposure
         self._era = era or StoreEra()
         self._rng = random.Random()
 
-    # What is heard
-
     def apply_order(self, order: RolloutOrder, phase: Phase = Phase.TRIAL) -> None:
-        """Take over an order as the store has it, and how far it is as far as that is known."""
+        """Apply an order from the store, and its phase as far as that is known."""
         known = self.services.get(order.service)
         if known is None:
             self._adopt(RolloutNews(order, phase))
@@ -120,20 +121,20 @@
             self._adopt(self._next_update(known.update, order, phase))
 
     def _next_update(self, known: RolloutNews, order: RolloutOrder, phase: Phase) -> RolloutNews:
-        """Return the news of a later order, or of the known one that was written again."""
-        lately = self._era.restored_within(REWRITE_WINDOW_S)
-        if lately and order.asks_the_same(known.order):
+        """Return the update for a later order, or for the known one that was written again."""
+        restored = self._era.restored_within(REWRITE_WINDOW_S)
+        if restored and order.asks_the_same(known.order):
             return known.written_again(order)
         return msgspec.structs.replace(known.followed_by(order), phase=phase)
 
-    def merge(self, told: Iterable[RolloutNews]) -> None:
-        """Take over what another node, or a former holder, knows."""
-        for update in told:
+    def merge(self, updates: Iterable[RolloutNews]) -> None:
+        """Merge what a peer or a former holder knows."""
+        for update in updates:
             known = self.services.get(update.order.service)
             self._adopt(update if known is None else known.update.joined(update), from_peer=True)
 
     def advance(self, service: str, phase: Phase, why: str) -> None:
-        """Bring a roll-out to a higher phase."""
+        """Advance a roll-out to a later phase."""
         known = self.services[service]
         update = known.update.joined(msgspec.structs.replace(known.update, phase=phase))
         emit(
@@ -174,27 +175,23 @@
             "failed": {series: tally.failed for series, tally in new if tally.failed},
         }
 
-    # What is told
-
     def updates(self) -> list[RolloutNews]:
-        """Return what other nodes should know, finished roll-outs included."""
+        """Return the updates to send to peers, those of finished roll-outs included."""
         return [rollout.update for rollout in self.services.values()]
 
     def trial_counts(self) -> dict[str, TrialCounts]:
-        """Return what this node saw of versions that are not decided on."""
+        """Return what this node saw of versions that are not decided on yet."""
         return {
             service: rollout.own
             for service, rollout in self.services.items()
             if not rollout.phase.ended
         }
 
-    # Requests
-
     def trial_share(self, service: str, route: str, first_send: bool) -> float:
-        """Return the part of the load that a version on trial bears if a request is to go there.
+        """Return the load share of a version on trial if a request is to go to it, else 0.
 
-        Repeats never do. While few new servers are there they get no more than as many old ones
-        would: a burst on them looks like a slow version.
+        Repeats never go to it. While there are few new servers, they get no more than as many old
+        ones would: a burst on them looks like a slow version.
         """
         rollout = self.services.get(service)
         if rollout is None or rollout.phase not in (Phase.TRIAL, Phase.RISING):
@@ -204,36 +201,38 @@
             return 0.0
         rollout.own.requests += 1
         if rollout.phase is Phase.RISING:
-            most = min(RISING_SHARE, group.new_share())
-            return most if self._rng.random() < most else 0.0
+            max_share = min(RISING_SHARE, group.new_share())
+            return max_share if self._rng.random() < max_share else 0.0
         share = self._share_on_trial(rollout, route, min(FREE_SHARE, group.new_share()))
         if share:
             rollout.record_trial(route)
         return share
 
-    def _share_on_trial(self, rollout: ServiceRollout, route: str, most: float) -> float:
-        """Return the part of the load that new servers bear with this request, 0 if it goes to old
-        ones; `most` is the part with which they have no more to do than these.
+    def _share_on_trial(self, rollout: ServiceRollout, route: str, max_share: float) -> float:
+        """Return the load share of the new servers with this request, 0 if it goes to old ones.
 
-        Nodes without a part in the free requests, most of which get a request now and then, leave
-        it to chance: 8 in 100 of one or two requests are none by any count.
+        At a share of `max_share` the new servers have no more to do than the old ones.
+
+        Nodes without a part in the free requests, most of which get a request now and then, decide
+        at random: 8 in 100 of one or two requests would always be counted as none.
         """
         own, part = rollout.own, self._exposure.part(self._sharers(rollout))
-        usual = min(most, part.share)
+        usual_share = min(max_share, part.share)
         if not part.free:
-            return usual if self._rng.random() < usual else 0.0
-        scarce = rollout.is_undertested(route)
-        if self._rng.random() >= (FREE_SHARE if scarce else most):
+            return usual_share if self._rng.random() < usual_share else 0.0
+        undertested = rollout.is_undertested(route)
+        if self._rng.random() >= (FREE_SHARE if undertested else max_share):
             return 0.0
-        kept = 0.0 if scarce else RESERVED_SHARE * part.free
-        if not part.allows(own.requests, own.tried + kept):
+        reserved = 0.0 if undertested else RESERVED_SHARE * part.free
+        if not part.allows(own.requests, own.tried + reserved):
             return 0.0
-        return usual if part.within_share(own.requests, own.tried) else most
+        return usual_share if part.within_share(own.requests, own.tried) else max_share
 
     def _sharers(self, rollout: ServiceRollout) -> int:
         """Return how many nodes share the free requests, 0 if this one has no part in them.
 
-        A life that began after the order has none: the one before it may have spent its part.
+        A process that started after the order has none: the node's previous incarnation may have
+        used up its part.
         """
         ordered_at = self._local_time(rollout.order.ordered_s)
         if ordered_at is None or ordered_at < self._began_at:
@@ -241,27 +240,25 @@
         return self._serving()
 
     def record_answer(self, placement: Placement, series: str, failed: bool, took_s: float) -> None:
-        """Note an answer, for the comparison."""
+        """Record an answer for the comparison of versions."""
         server = placement.view.server
         rollout = self.services.get(server.service)
         if rollout is not None and not rollout.phase.ended:
             rollout.own.seen.note(rollout.arm_of(server.version), series, failed, took_s)
 
-    # Judging
-
     def step(self) -> None:
-        """Look at what all nodes saw until now; a version found bad gets nothing more."""
+        """Evaluate what all nodes saw so far; a version found bad gets no more requests."""
         for service, rollout in self.services.items():
             if rollout.phase.ended:
                 continue
-            told = self._peer_counts(service, rollout.order.revision)
-            rollout.evidence = merged([rollout.own.seen, *(each.seen for each in told)])
+            peer_counts = self._peer_counts(service, rollout.order.revision)
+            rollout.evidence = merged([rollout.own.seen, *(each.seen for each in peer_counts)])
             rollout.tried = sum(tally.number for tally in rollout.evidence.new.values())
             if rollout.judge.note(rollout.evidence, rollout.phase is not Phase.MOVING):
                 self.advance(service, Phase.ROLLED_BACK, "the new version's answers are worse")
 
     def _peer_counts(self, service: str, revision: int) -> list[TrialCounts]:
-        """Return what other nodes, and those that are gone, saw."""
+        """Return what peers saw, those that are gone included."""
         states = self._members.all_states()
-        told = (state.trials.get(service) for state in states)
-        return [each for each in told if each is not None and each.revision == revision]
+        counts = (state.trials.get(service) for state in states)
+        return [each for each in counts if each is not None and each.revision == revision]
