--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -115,15 +115,15 @@
         "spot-surplus",
         "more spot servers than the need",
         "renting.py",
-        "SPOT_X = 1.5",
-        "SPOT_X = 1.0",
+        "SPOT_FACTOR = 1.5",
+        "SPOT_FACTOR = 1.0",
     ),
     Ablation(
         "on-demand-peak",
         "servers on demand follow a peak for a shorter time",
         "renting.py",
-        "kept_s = ON_DEMAND_KEPT_BOOTS * boot_s",
-        "kept_s = PEAK_KEPT_S",
+        "retention_s = ON_DEMAND_PEAK_BOOTS * boot_s",
+        "retention_s = PEAK_RETENTION_S",
     ),
 )
 
