--- a/src/moledale/gateway/server_model.py
+++ b/src/moledale/gateway/server_model.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-PRIOR_READ_PER_S = 40_000.0
+PRIOR_PREFILL_TOKENS_PER_S = 40_000.0
 """Prompt tokens a second that a server is taken to read before any was seen to."""
 
 PRIOR_START_S = 0.03
@@ -31,64 +31,64 @@
 PRIOR_HOLD_S = 1.0
 """Time that a request holds its slot, likewise."""
 
-PRIOR_RESIDUAL_WORK = 5_000.0
+PRIOR_RESIDUAL_WORK_TOKENS = 5_000.0
 """Half the mean square of prompts over their mean, likewise."""
 
 PRIOR_PAIRS = 6
 """Pairs of observations that weigh as much as the prior."""
 
-KEPT_SAMPLES = 160
+MAX_SAMPLES = 160
 """Observations that are kept: a fit of them takes 1 to 2 ms."""
 
-KEPT_S = 30.0
+SAMPLE_TTL_S = 30.0
 """Observations older than this are forgotten, since servers are replaced and turn slow."""
 
-MOST_PAIRS = 400
+MAX_PAIRS = 400
 """Pairs that are drawn for a slope: its median hardly changes with more, and a fit takes 1 to 2
 ms."""
 
-QUEUED_WEIGHT = 4
+QUEUED_SAMPLE_WEIGHT = 4
 """An observation out of a queue weighs as much as so many pairs of others, of which each has a part
 in about five when there are many."""
 
-LEAST_APART = 0.25
+MIN_WORK_GAP_RATIO = 0.25
 """Prompts of a pair differ by this part of the median prompt at least, else noise decides its
 slope."""
 
-LEAST_APART_TOKENS = 1.0
+MIN_WORK_GAP_TOKENS = 1.0
 """Prompts of a pair differ by this at least, since their difference divides."""
 
-CLEAN_AHEAD = 0.3
+MAX_CLEAN_QUEUE_RATIO = 0.3
 """Observations with at most this part of the prompt waiting ahead tell the rate best, as what waits
 is told late."""
 
-LEAST_CLEAN = 20
+MIN_CLEAN_SAMPLES = 20
 """With fewer of these all observations count, since under load there are no others."""
 
-PASSES = 2
+FIT_PASSES = 2
 """The rate and the slowing by requests beside are estimated in turn; a third pass changes
 hardly anything."""
 
-MOST_CROWDING = 0.5
+MAX_CROWDING = 0.5
 """A request beside slows reading by this part at most; more is a queue that was not known of."""
 
-DRIFT = 0.4
+CUSUM_DRIFT = 0.4
 """Mean deviation, as a logarithm, that counts as noise: 1.5 times as slow or as fast."""
 
-MOST_DEVIATION = 1.5
+MAX_DEVIATION = 1.5
 """One observation counts as this deviation at most (4.5 times), so that no single one tells of a
 change."""
 
-CHANGED = 3.0
+CUSUM_THRESHOLD = 3.0
 """Sum of deviations that means a change: five observations at three times as slow."""
 
-LEAST_KNOWN = 10
+MIN_SAMPLES_FOR_CHANGE = 10
 """Observations behind an estimate before a change against it is looked for."""
 
-HELD_AFTER_CHANGE = 5
+HOLD_WEIGHT_AFTER_CHANGE = 5
 """Requests that the scaled holding time weighs as much as."""
 
-REFIT_S = 0.5
+REFIT_INTERVAL_S = 0.5
 """An estimate takes 1 to 2 ms of processor time with 160 observations (timed beside other load), so
 it is not made for each request."""
 
@@ -96,23 +96,23 @@
 WORK_SMOOTHING = 0.01
 """Weights of a new observation: about the last 30 and the last 100 requests count."""
 
-OWN_WEIGHT = 2.0
+LOCAL_WEIGHT = 2.0
 """What a node saw itself counts this many times as much as what others tell, which is older."""
 
-LEAST_SPAN_S = 0.03
+MIN_FIRST_EVENT_GAP_S = 0.03
 """First events closer to each other came out of the same few steps of the server (6 ms each at the
 users' engines), so the time between them tells no rate."""
 
-LEAST_TOOK_S = 0.001
+MIN_DURATION_S = 0.001
 """Times below this are taken for this long, so that a ratio of them means something."""
 
-SLOW_SMOOTHING = 0.2
+SLOWDOWN_SMOOTHING = 0.2
 """Weight of a new observation of a server's slowness: about the last five count."""
 
-MOST_SLOW = 8.0
+MAX_SLOWDOWN_FACTOR = 8.0
 """A first event may be late for other reasons; it counts as this many times as slow at most."""
 
-SLOW_MEMORY_S = 4.0
+SLOWDOWN_DECAY_S = 4.0
 """A server's own deviation loses two thirds of its weight in this time without an observation."""
 
 
@@ -125,10 +125,10 @@
     part of that time by which each request that runs beside makes reading longer.
     """
 
-    read_per_s: float = PRIOR_READ_PER_S
+    read_per_s: float = PRIOR_PREFILL_TOKENS_PER_S
     start_s: float = PRIOR_START_S
     hold_s: float = PRIOR_HOLD_S
-    residual_work: float = PRIOR_RESIDUAL_WORK
+    residual_work: float = PRIOR_RESIDUAL_WORK_TOKENS
     samples: int = 0
     crowding: float = 0.0
 
@@ -162,7 +162,7 @@
     @property
     def clean(self) -> bool:
         """Say whether little depends on what other nodes told of what waits ahead."""
-        return self.queued or self.ahead <= CLEAN_AHEAD * self.work
+        return self.queued or self.ahead <= MAX_CLEAN_QUEUE_RATIO * self.work
 
 
 class ReadingTimes(msgspec.Struct):
@@ -192,7 +192,7 @@
             self._last_at, self._last_through = alone.at, through
             return alone
         took_s = alone.at - self._last_at
-        if took_s < LEAST_SPAN_S:
+        if took_s < MIN_FIRST_EVENT_GAP_S:
             return None
         work = through - self._last_through
         self._last_at, self._last_through = alone.at, through
@@ -211,14 +211,14 @@
 
     def note(self, deviation: float) -> int:
         """Note a deviation (logarithm); return how many observations a change began ago, or 0."""
-        deviation = max(-MOST_DEVIATION, min(MOST_DEVIATION, deviation))
-        self._slower = max(0.0, self._slower + deviation - DRIFT)
-        self._faster = max(0.0, self._faster - deviation - DRIFT)
+        deviation = max(-MAX_DEVIATION, min(MAX_DEVIATION, deviation))
+        self._slower = max(0.0, self._slower + deviation - CUSUM_DRIFT)
+        self._faster = max(0.0, self._faster - deviation - CUSUM_DRIFT)
         self._slower_for = self._slower_for + 1 if self._slower else 0
         self._faster_for = self._faster_for + 1 if self._faster else 0
-        if self._slower > CHANGED:
+        if self._slower > CUSUM_THRESHOLD:
             return self._slower_for
-        return self._faster_for if self._faster > CHANGED else 0
+        return self._faster_for if self._faster > CUSUM_THRESHOLD else 0
 
     def reset(self) -> None:
         """Begin anew."""
@@ -229,7 +229,7 @@
 class SpeedLearner(msgspec.Struct):
     """Estimates of one service at one node."""
 
-    _seen: deque[FirstEvent] = msgspec.field(default_factory=lambda: deque(maxlen=KEPT_SAMPLES))
+    _seen: deque[FirstEvent] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     _hold_s: float = PRIOR_HOLD_S
     _held: int = 0
     _placed: int = 0
@@ -254,7 +254,7 @@
     def first_event(self, seen: FirstEvent) -> None:
         """Note that a prompt's first event came."""
         self._seen.append(seen)
-        if self._own.samples < LEAST_KNOWN or not seen.clean:
+        if self._own.samples < MIN_SAMPLES_FOR_CHANGE or not seen.clean:
             return
         began_ago = self._detector.note(log(_times_expected(seen, self._own)))
         if began_ago:
@@ -269,7 +269,7 @@
             self._own.read_per_s / times, self._own.start_s * times, crowding=self._own.crowding
         )
         self._hold_s *= times
-        self._held = min(self._held, HELD_AFTER_CHANGE)
+        self._held = min(self._held, HOLD_WEIGHT_AFTER_CHANGE)
         self._detector.reset()
         self.changes += 1
         self._fitted_at = -1e9
@@ -300,14 +300,14 @@
         return self._speed
 
     def _refit(self, now: float) -> None:
-        if now - self._fitted_at < REFIT_S:
+        if now - self._fitted_at < REFIT_INTERVAL_S:
             return
         self._fitted_at = now
-        while self._seen and now - self._seen[0].at > KEPT_S:
+        while self._seen and now - self._seen[0].at > SAMPLE_TTL_S:
             self._seen.popleft()
         if not self._seen:
             self._before = PRIOR
-        residual = PRIOR_RESIDUAL_WORK
+        residual = PRIOR_RESIDUAL_WORK_TOKENS
         if self._work > 0:
             residual = self._work_squared / (2 * self._work)
         known = msgspec.structs.replace(
@@ -321,11 +321,11 @@
         if len(self._seen) < 2:
             return known
         used = [seen for seen in self._seen if seen.clean]
-        if len(used) < LEAST_CLEAN:
+        if len(used) < MIN_CLEAN_SAMPLES:
             used = list(self._seen)
         tokens = [seen.work + known.still_ahead(seen.ahead) for seen in used]
         crowding = known.crowding
-        for _ in range(PASSES):
+        for _ in range(FIT_PASSES):
             works = [
                 each * (1.0 + crowding * seen.beside)
                 for each, seen in zip(tokens, used, strict=True)
@@ -357,7 +357,7 @@
             apart = used[first].beside - used[second].beside
             if apart:
                 slopes.append((times[first] - times[second]) / apart)
-        return min(MOST_CROWDING, max(0.0, median(slopes)))
+        return min(MAX_CROWDING, max(0.0, median(slopes)))
 
     def _rate(
         self, used: list[FirstEvent], works: list[float], known: Speed
@@ -370,7 +370,7 @@
         alone: list[tuple[float, float]] = []
         for seen, work in zip(used, works, strict=True):
             if seen.queued:
-                slopes += [seen.took_s / work] * QUEUED_WEIGHT
+                slopes += [seen.took_s / work] * QUEUED_SAMPLE_WEIGHT
             else:
                 alone.append((work, seen.took_s))
         slopes += self._slopes_of_pairs(alone)
@@ -383,7 +383,7 @@
     def _slopes_of_pairs(self, alone: list[tuple[float, float]]) -> list[float]:
         if len(alone) < 2:
             return []
-        apart = max(LEAST_APART_TOKENS, LEAST_APART * median(work for work, _ in alone))
+        apart = max(MIN_WORK_GAP_TOKENS, MIN_WORK_GAP_RATIO * median(work for work, _ in alone))
         slopes = []
         for _ in range(_pairs_of(len(alone))):
             first, second = self._chance.choice(alone), self._chance.choice(alone)
@@ -397,19 +397,19 @@
     tokens = seen.work + speed.still_ahead(seen.ahead)
     start_s = 0.0 if seen.queued else speed.start_s
     expected_s = start_s + speed.reading_s(tokens, seen.beside)
-    return max(seen.took_s, LEAST_TOOK_S) / max(expected_s, LEAST_TOOK_S)
+    return max(seen.took_s, MIN_DURATION_S) / max(expected_s, MIN_DURATION_S)
 
 
 def _pairs_of(number: int) -> int:
     """Return how many pairs of so many observations are drawn, no more than there are."""
-    return min(MOST_PAIRS, number * (number - 1) // 2)
+    return min(MAX_PAIRS, number * (number - 1) // 2)
 
 
 def combined(own: Speed, others: Iterable[Speed]) -> Speed:
     """Return the middle of what nodes have learnt, by observations; the prior where none have."""
     learnt = [(speed, float(speed.samples)) for speed in others]
     if own.samples:
-        learnt.append((own, OWN_WEIGHT * own.samples))
+        learnt.append((own, LOCAL_WEIGHT * own.samples))
     if not learnt:
         return own
     return Speed(
@@ -443,11 +443,11 @@
 
     def note(self, took_s: float, expected_s: float, now: float) -> None:
         """Note a first event against when it was expected."""
-        ratio = min(MOST_SLOW, max(1.0, took_s / max(expected_s, PRIOR_START_S)))
+        ratio = min(MAX_SLOWDOWN_FACTOR, max(1.0, took_s / max(expected_s, PRIOR_START_S)))
         known = self.times(now)
-        self._times = known + SLOW_SMOOTHING * (ratio - known)
+        self._times = known + SLOWDOWN_SMOOTHING * (ratio - known)
         self._at = now
 
     def times(self, now: float) -> float:
         """Return the factor as of now."""
-        return 1.0 + (self._times - 1.0) * exp(-(now - self._at) / SLOW_MEMORY_S)
+        return 1.0 + (self._times - 1.0) * exp(-(now - self._at) / SLOWDOWN_DECAY_S)
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from moledale.gateway.server_model import (
-    KEPT_S,
     PRIOR,
-    PRIOR_READ_PER_S,
-    SLOW_MEMORY_S,
+    PRIOR_PREFILL_TOKENS_PER_S,
+    SAMPLE_TTL_S,
+    SLOWDOWN_DECAY_S,
     FirstEvent,
     ReadingTimes,
     Slowness,
@@ -208,7 +208,7 @@
         for _ in range(20):
             slow.note(2.0, 0.2, 10.0)
         self.assertGreater(slow.times(10.0), 4.0)
-        self.assertLess(slow.times(10.0 + 4 * SLOW_MEMORY_S), 1.2)
+        self.assertLess(slow.times(10.0 + 4 * SLOWDOWN_DECAY_S), 1.2)
 
     def test_nothing_is_known_without_requests(self) -> None:
         self.assertEqual(SpeedLearner().speed(5.0), PRIOR)
@@ -217,7 +217,7 @@
         learner = SpeedLearner()
         for number in range(100):
             learner.first_event(FirstEvent(1_000.0, 0.0, 0.05 + number % 3 * 0.01, 1.0))
-        self.assertEqual(learner.speed(2.0).read_per_s, PRIOR_READ_PER_S)
+        self.assertEqual(learner.speed(2.0).read_per_s, PRIOR_PREFILL_TOKENS_PER_S)
 
     def test_views_below_zero_and_empty_prompts_do_no_harm(self) -> None:
         learner = SpeedLearner()
@@ -234,9 +234,9 @@
         self.assertAlmostEqual(learner.speed(2.0).read_per_s, 20_000, delta=3_000)
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
-            at = KEPT_S + 2.0 + number / 100
+            at = SAMPLE_TTL_S + 2.0 + number / 100
             learner.first_event(FirstEvent(work, 0.0, work / 80_000, at))
-        self.assertAlmostEqual(learner.speed(KEPT_S + 4.0).read_per_s, 80_000, delta=12_000)
+        self.assertAlmostEqual(learner.speed(SAMPLE_TTL_S + 4.0).read_per_s, 80_000, delta=12_000)
 
     def test_a_node_that_starts_takes_over_what_others_learnt(self) -> None:
         learner = SpeedLearner()
