--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -314,7 +314,7 @@
         learner = self.learner(placement.view.server.service)
         speed = learner.speed(now)
         tokens = placement.work + speed.still_ahead(placement.ahead)
-        expected_s = speed.start_s + speed.reading_s(tokens, placement.beside)
+        expected_s = speed.start_s + speed.prefill_s(tokens, placement.beside)
         placement.view.slowness.note(took_s, expected_s, now)
         with_fetch_s = max(LEAST_EXPECTED_S, expected_s + placement.fetching_s)
         self.note_outcome(placement, False, took_s / with_fetch_s)
--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -57,8 +57,8 @@
     """
     beside = view.all_running
     work = speed.still_ahead(view.all_prefill) + speed.residual_work
-    took_s = speed.reading_s(work, beside) * view.slowness.times(now)
-    alone_s = speed.reading_s(speed.residual_work)
+    took_s = speed.prefill_s(work, beside) * view.slowness.times(now)
+    alone_s = speed.prefill_s(speed.residual_work)
     return took_s - alone_s + slot_s(beside, view.server.slots, speed.hold_s)
 
 
@@ -77,15 +77,15 @@
         prompt = self.facts.prompt_tokens
         saved = prefill_work(prompt, cached) - prefill_work(prompt, self.front.tokens)
         took_s = fetch_s(self.front.tokens - cached, self.engine)
-        return FETCH_X * took_s < self.speed.reading_s(saved, beside)
+        return FETCH_X * took_s < self.speed.prefill_s(saved, beside)
 
-    def reading_s(self, cached: int, beside: int = 0) -> float:
+    def prefill_s(self, cached: int, beside: int = 0) -> float:
         """Return the seconds until a server has the whole prompt once it begins to read it."""
         prompt = self.facts.prompt_tokens
         if self.fetches(cached, beside):
-            read_s = self.speed.reading_s(prefill_work(prompt, self.front.tokens), beside)
+            read_s = self.speed.prefill_s(prefill_work(prompt, self.front.tokens), beside)
             return read_s + self.fetching_s(cached)
-        return self.speed.reading_s(prefill_work(prompt, cached), beside)
+        return self.speed.prefill_s(prefill_work(prompt, cached), beside)
 
     def fetching_s(self, cached: int) -> float:
         """Return the seconds that getting the rest of the front from another server takes."""
@@ -102,6 +102,6 @@
             cached = sum(part.tokens for part in self.facts.parts[:-1]) // 2
         beside = view.all_running
         waiting = self.speed.still_ahead(view.all_prefill)
-        took_s = self.speed.reading_s(waiting, beside) + self.reading_s(cached, beside)
+        took_s = self.speed.prefill_s(waiting, beside) + self.prefill_s(cached, beside)
         slots_s = slot_s(beside, self.engine.slots, self.speed.hold_s)
         return took_s * view.slowness.times(now) + slots_s
--- a/src/moledale/gateway/server_model.py
+++ b/src/moledale/gateway/server_model.py
@@ -132,7 +132,7 @@
     samples: int = 0
     crowding: float = 0.0
 
-    def reading_s(self, work: float, beside: float = 0.0) -> float:
+    def prefill_s(self, work: float, beside: float = 0.0) -> float:
         """Return the time that reading takes; `work` in tokens of a short prompt."""
         return work * (1.0 + self.crowding * beside) / self.read_per_s
 
@@ -396,7 +396,7 @@
     """Return how many times as long as expected a first event took."""
     tokens = seen.work + speed.still_ahead(seen.ahead)
     start_s = 0.0 if seen.queued else speed.start_s
-    expected_s = start_s + speed.reading_s(tokens, seen.beside)
+    expected_s = start_s + speed.prefill_s(tokens, seen.beside)
     return max(seen.took_s, MIN_DURATION_S) / max(expected_s, MIN_DURATION_S)
 
 
--- a/src/moledale/gateway/server_need.py
+++ b/src/moledale/gateway/server_need.py
@@ -28,7 +28,7 @@
     For reading, all servers are taken for one queue, since requests go to the one that is free. A
     slot has to be free at the server that was chosen, so each has its own queue for these.
     """
-    number = max(1, ceil(speed.reading_s(work_per_s)))
+    number = max(1, ceil(speed.prefill_s(work_per_s)))
     while _reading_wait_s(work_per_s, running, number, speed) > most_s:
         number += 1
     while wait_s(running / number, slots, speed.hold_s) > most_s:
@@ -39,5 +39,5 @@
 def _reading_wait_s(work_per_s: float, running: float, number: int, speed: Speed) -> float:
     """Return the mean wait for reading at `number` servers that share what runs."""
     beside = running / number
-    residual_s = speed.reading_s(speed.residual_work, beside)
-    return wait_s(speed.reading_s(work_per_s, beside), number, residual_s)
+    residual_s = speed.prefill_s(speed.residual_work, beside)
+    return wait_s(speed.prefill_s(work_per_s, beside), number, residual_s)
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -165,7 +165,7 @@
             self.learner.first_event(seen)
         speed = self.learner.speed(now)
         tokens = sent.prompt + speed.still_ahead(sent.ahead)
-        expected_s = speed.start_s + speed.reading_s(tokens, sent.beside)
+        expected_s = speed.start_s + speed.prefill_s(tokens, sent.beside)
         self.slowness[sent.server].note(took_s, expected_s, now)
 
 
