--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -17,7 +17,7 @@
 from moledale.gateway.peers import Loads, NodeState
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_group import ServerGroup
-from moledale.gateway.server_model import FirstEvent, Speed, SpeedLearner
+from moledale.gateway.server_model import PrefillSample, Speed, SpeedLearner
 from moledale.gateway.server_notices import ServerNotices
 from moledale.gateway.server_order import steps
 from moledale.gateway.server_standing import FIRST_PAUSE_S
@@ -313,14 +313,14 @@
             return
         learner = self.learner(placement.view.server.service)
         speed = learner.speed(now)
-        tokens = placement.work + speed.still_ahead(placement.ahead)
+        tokens = placement.work + speed.remaining_work(placement.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, placement.beside)
         placement.view.slowness.note(took_s, expected_s, now)
         with_fetch_s = max(LEAST_EXPECTED_S, expected_s + placement.fetching_s)
         self.note_outcome(placement, False, took_s / with_fetch_s)
         waited_for_slot = placement.beside >= placement.view.server.slots
         if not placement.fetched and not waited_for_slot:
-            alone = FirstEvent(placement.work, placement.ahead, took_s, now, placement.beside)
+            alone = PrefillSample(placement.work, placement.ahead, took_s, now, placement.beside)
             reading = placement.view.reading
             seen = reading.first_event(placement.sent_at, placement.through, alone)
             if seen is not None:
--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -56,7 +56,7 @@
     learnt changes: only those with work are estimated anew.
     """
     beside = view.all_running
-    work = speed.still_ahead(view.all_prefill) + speed.residual_work
+    work = speed.remaining_work(view.all_prefill) + speed.residual_work
     took_s = speed.prefill_s(work, beside) * view.slowness.times(now)
     alone_s = speed.prefill_s(speed.residual_work)
     return took_s - alone_s + slot_s(beside, view.server.slots, speed.hold_s)
@@ -101,7 +101,7 @@
         if home and not cached:
             cached = sum(part.tokens for part in self.facts.parts[:-1]) // 2
         beside = view.all_running
-        waiting = self.speed.still_ahead(view.all_prefill)
+        waiting = self.speed.remaining_work(view.all_prefill)
         took_s = self.speed.prefill_s(waiting, beside) + self.prefill_s(cached, beside)
         slots_s = slot_s(beside, self.engine.slots, self.speed.hold_s)
         return took_s * view.slowness.times(now) + slots_s
--- a/src/moledale/gateway/server_model.py
+++ b/src/moledale/gateway/server_model.py
@@ -136,7 +136,7 @@
         """Return the time that reading takes; `work` in tokens of a short prompt."""
         return work * (1.0 + self.crowding * beside) / self.read_per_s
 
-    def still_ahead(self, ahead: float) -> float:
+    def remaining_work(self, ahead: float) -> float:
         """Return what is left of the prompts ahead, one of which has been read in part."""
         return max(ahead / 2, ahead - self.residual_work)
 
@@ -144,7 +144,7 @@
 PRIOR = Speed()
 
 
-class FirstEvent(msgspec.Struct, frozen=True):
+class PrefillSample(msgspec.Struct, frozen=True):
     """An observation: a prompt of some work, what waited ahead of it, how many requests ran beside
     it, and when its first event came.
 
@@ -165,7 +165,7 @@
         return self.queued or self.ahead <= MAX_CLEAN_QUEUE_RATIO * self.work
 
 
-class ReadingTimes(msgspec.Struct):
+class PrefillTracker(msgspec.Struct):
     """When a server's first events came, against the work placed there before them.
 
     Servers read prompts in the order in which they come, so between two first events they read what
@@ -181,7 +181,9 @@
         self.placed += work
         return self.placed
 
-    def first_event(self, sent_at: float, through: float, alone: FirstEvent) -> FirstEvent | None:
+    def first_event(
+        self, sent_at: float, through: float, alone: PrefillSample
+    ) -> PrefillSample | None:
         """Return the observation that a first event makes, None if it came too soon after another.
 
         `through` is what `place` returned for its prompt; `alone` is the observation if nothing of
@@ -198,7 +200,7 @@
         self._last_at, self._last_through = alone.at, through
         if work <= 0:
             return None
-        return FirstEvent(work, 0.0, took_s, alone.at, alone.beside, queued=True)
+        return PrefillSample(work, 0.0, took_s, alone.at, alone.beside, queued=True)
 
 
 class ChangeDetector(msgspec.Struct):
@@ -229,7 +231,7 @@
 class SpeedLearner(msgspec.Struct):
     """Estimates of one service at one node."""
 
-    _seen: deque[FirstEvent] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    _seen: deque[PrefillSample] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     _hold_s: float = PRIOR_HOLD_S
     _held: int = 0
     _placed: int = 0
@@ -251,7 +253,7 @@
         self._work += step * (work - self._work)
         self._work_squared += step * (work * work - self._work_squared)
 
-    def first_event(self, seen: FirstEvent) -> None:
+    def first_event(self, seen: PrefillSample) -> None:
         """Note that a prompt's first event came."""
         self._seen.append(seen)
         if self._own.samples < MIN_SAMPLES_FOR_CHANGE or not seen.clean:
@@ -323,7 +325,7 @@
         used = [seen for seen in self._seen if seen.clean]
         if len(used) < MIN_CLEAN_SAMPLES:
             used = list(self._seen)
-        tokens = [seen.work + known.still_ahead(seen.ahead) for seen in used]
+        tokens = [seen.work + known.remaining_work(seen.ahead) for seen in used]
         crowding = known.crowding
         for _ in range(FIT_PASSES):
             works = [
@@ -338,7 +340,7 @@
 
     def _crowding(
         self,
-        used: list[FirstEvent],
+        used: list[PrefillSample],
         tokens: list[float],
         read_per_s: float,
         start_s: float,
@@ -360,7 +362,7 @@
         return min(MAX_CROWDING, max(0.0, median(slopes)))
 
     def _rate(
-        self, used: list[FirstEvent], works: list[float], known: Speed
+        self, used: list[PrefillSample], works: list[float], known: Speed
     ) -> tuple[float, float]:
         """Return tokens a second and the time of an empty prompt.
 
@@ -392,9 +394,9 @@
         return slopes
 
 
-def _times_expected(seen: FirstEvent, speed: Speed) -> float:
+def _times_expected(seen: PrefillSample, speed: Speed) -> float:
     """Return how many times as long as expected a first event took."""
-    tokens = seen.work + speed.still_ahead(seen.ahead)
+    tokens = seen.work + speed.remaining_work(seen.ahead)
     start_s = 0.0 if seen.queued else speed.start_s
     expected_s = start_s + speed.prefill_s(tokens, seen.beside)
     return max(seen.took_s, MIN_DURATION_S) / max(expected_s, MIN_DURATION_S)
--- a/src/moledale/gateway/server_view.py
+++ b/src/moledale/gateway/server_view.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from moledale.gateway.messages import PromptPart, Server
-from moledale.gateway.server_model import ReadingTimes, Slowness
+from moledale.gateway.server_model import PrefillTracker, Slowness
 from moledale.gateway.server_standing import ServerStanding
 
 SMOOTHING = 0.2
@@ -48,7 +48,7 @@
     cached: OrderedDict[str, int] = msgspec.field(default_factory=OrderedDict)
     cached_tokens: int = 0
     slowness: Slowness = msgspec.field(default_factory=Slowness)
-    reading: ReadingTimes = msgspec.field(default_factory=ReadingTimes)
+    reading: PrefillTracker = msgspec.field(default_factory=PrefillTracker)
     on_change: Callable[["ServerView"], None] | None = None
 
     def changed(self) -> None:
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -13,8 +13,8 @@
     PRIOR_PREFILL_TOKENS_PER_S,
     SAMPLE_TTL_S,
     SLOWDOWN_DECAY_S,
-    FirstEvent,
-    ReadingTimes,
+    PrefillSample,
+    PrefillTracker,
     Slowness,
     Speed,
     SpeedLearner,
@@ -101,8 +101,8 @@
     change_at: float = 1e9
     change_x: float = 1.0
     learner: SpeedLearner = field(default_factory=SpeedLearner)
-    reading: list[ReadingTimes] = field(
-        default_factory=lambda: [ReadingTimes() for _ in range(SERVERS)]
+    reading: list[PrefillTracker] = field(
+        default_factory=lambda: [PrefillTracker() for _ in range(SERVERS)]
     )
     slowness: list[Slowness] = field(default_factory=lambda: [Slowness() for _ in range(SERVERS)])
     now: float = 0.0
@@ -159,12 +159,12 @@
         self.now = max(self.now, now)
         took_s = now - sent.at
         self.learner.placed(sent.prompt)
-        alone = FirstEvent(sent.prompt, sent.ahead, took_s, now, sent.beside)
+        alone = PrefillSample(sent.prompt, sent.ahead, took_s, now, sent.beside)
         seen = self.reading[sent.server].first_event(sent.at, sent.through, alone)
         if seen is not None:
             self.learner.first_event(seen)
         speed = self.learner.speed(now)
-        tokens = sent.prompt + speed.still_ahead(sent.ahead)
+        tokens = sent.prompt + speed.remaining_work(sent.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, sent.beside)
         self.slowness[sent.server].note(took_s, expected_s, now)
 
@@ -216,26 +216,26 @@
     def test_prompts_of_one_length_tell_no_rate(self) -> None:
         learner = SpeedLearner()
         for number in range(100):
-            learner.first_event(FirstEvent(1_000.0, 0.0, 0.05 + number % 3 * 0.01, 1.0))
+            learner.first_event(PrefillSample(1_000.0, 0.0, 0.05 + number % 3 * 0.01, 1.0))
         self.assertEqual(learner.speed(2.0).read_per_s, PRIOR_PREFILL_TOKENS_PER_S)
 
     def test_views_below_zero_and_empty_prompts_do_no_harm(self) -> None:
         learner = SpeedLearner()
         for number in range(100):
             work = 0.0 if number % 2 else 1_000.0
-            learner.first_event(FirstEvent(work, -6_000.0, 0.05, number / 100))
+            learner.first_event(PrefillSample(work, -6_000.0, 0.05, number / 100))
         self.assertGreater(learner.speed(2.0).read_per_s, 0.0)
 
     def test_old_observations_are_forgotten(self) -> None:
         learner = SpeedLearner()
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
-            learner.first_event(FirstEvent(work, 0.0, work / 20_000, number / 100))
+            learner.first_event(PrefillSample(work, 0.0, work / 20_000, number / 100))
         self.assertAlmostEqual(learner.speed(2.0).read_per_s, 20_000, delta=3_000)
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
             at = SAMPLE_TTL_S + 2.0 + number / 100
-            learner.first_event(FirstEvent(work, 0.0, work / 80_000, at))
+            learner.first_event(PrefillSample(work, 0.0, work / 80_000, at))
         self.assertAlmostEqual(learner.speed(SAMPLE_TTL_S + 4.0).read_per_s, 80_000, delta=12_000)
 
     def test_a_node_that_starts_takes_over_what_others_learnt(self) -> None:
@@ -288,7 +288,7 @@
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
             took_s = 9.0 if number % 20 == 10 else work / 20_000
-            learner.first_event(FirstEvent(work, 0.0, took_s, number / 10))
+            learner.first_event(PrefillSample(work, 0.0, took_s, number / 10))
             learner.speed(number / 10)
         self.assertEqual(learner.changes, 0)
 
