--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -17,7 +17,7 @@
 from moledale.gateway.peers import Loads, NodeState
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_group import ServerGroup
-from moledale.gateway.server_model import PrefillSample, Speed, SpeedLearner
+from moledale.gateway.server_model import PrefillSample, Speed, SpeedEstimator
 from moledale.gateway.server_notices import ServerNotices
 from moledale.gateway.server_order import steps
 from moledale.gateway.server_standing import FIRST_PAUSE_S
@@ -68,7 +68,7 @@
     def __init__(self, hall: str) -> None:
         self.views: dict[str, ServerView] = {}
         self.work: dict[str, int] = {}
-        self.learners: dict[str, SpeedLearner] = {}
+        self.estimators: dict[str, SpeedEstimator] = {}
         self.on_placed: Callable[[], None] = _nobody_asks
         self.has_connection: Callable[[str], bool] = _not_known
         self.resting: Callable[[], Iterable[str]] = _none_resting
@@ -122,7 +122,7 @@
         """Estimate what keeps a request of usual size waiting, to keep servers in order."""
         if view.server.slots < ENGINE_SLOTS:
             return plain_cost(view, self._hall)
-        speed = self.learner(view.server.service).last
+        speed = self.estimator(view.server.service).last
         return load_s(view, speed, now) + FAILED_WAIT_S * view.failed_share
 
     # What other nodes have running
@@ -132,7 +132,7 @@
         states = list(states)
         for service in {service for state in states for service in state.speeds}:
             told = (state.speeds.get(service) for state in states)
-            self.learner(service).others(speed for speed in told if speed is not None)
+            self.estimator(service).others(speed for speed in told if speed is not None)
         alive = {state.id for state in states}
         for node in [node for node in self._counted if node not in alive]:
             self.take_loads(node, {})
@@ -202,7 +202,7 @@
         if engine is None:
             return Choice(self._best_plain(views), facts)
         front = longest_front(holders, facts, now)
-        costs = EngineCosts(facts, front, engine, self.learner(service).speed(now))
+        costs = EngineCosts(facts, front, engine, self.estimator(service).speed(now))
         best = self._best_engine(views, home, facts, costs, now)
         return Choice(best, facts, EngineChoice(engine, costs, front))
 
@@ -280,7 +280,7 @@
             cached = chosen.front.tokens
         work = prefill_work(facts.prompt_tokens, cached)
         self.work[service] = self.work.get(service, 0) + work
-        self.learner(service).placed(work)
+        self.estimator(service).placed(work)
         placement = self._count(view, work, now)
         placement.uncached = max(0, facts.prompt_tokens - cached)
         if fetched and chosen.front.view is not None:
@@ -296,12 +296,12 @@
         self._placed.append((view, placement.work, facts.parts))
         self.on_placed()
 
-    def learner(self, service: str) -> SpeedLearner:
+    def estimator(self, service: str) -> SpeedEstimator:
         """Return what is being learnt of a service's servers."""
-        learner = self.learners.get(service)
-        if learner is None:
-            learner = self.learners[service] = SpeedLearner()
-        return learner
+        estimator = self.estimators.get(service)
+        if estimator is None:
+            estimator = self.estimators[service] = SpeedEstimator()
+        return estimator
 
     def note_first(self, placement: Placement, now: float) -> None:
         """Learn from a stream's first event."""
@@ -311,8 +311,8 @@
         if not placement.work:
             placement.judged = True
             return
-        learner = self.learner(placement.view.server.service)
-        speed = learner.speed(now)
+        estimator = self.estimator(placement.view.server.service)
+        speed = estimator.speed(now)
         tokens = placement.work + speed.remaining_work(placement.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, placement.beside)
         placement.view.slowness.note(took_s, expected_s, now)
@@ -324,12 +324,12 @@
             reading = placement.view.reading
             seen = reading.first_event(placement.sent_at, placement.through, alone)
             if seen is not None:
-                learner.first_event(seen)
+                estimator.first_event(seen)
 
     def note_end(self, placement: Placement, now: float) -> None:
         """Learn from a stream that ended whole."""
         if placement.work:
-            self.learner(placement.view.server.service).ended(now - placement.sent_at)
+            self.estimator(placement.view.server.service).ended(now - placement.sent_at)
 
     def note_pace(self, placement: Placement, events: int, now: float) -> None:
         """Compare the time between the events of a stream that ended whole."""
@@ -351,7 +351,7 @@
 
     def speeds(self, now: float) -> dict[str, Speed]:
         """Return what this node has learnt by itself, by service."""
-        return {service: learner.own(now) for service, learner in self.learners.items()}
+        return {service: estimator.own(now) for service, estimator in self.estimators.items()}
 
     def running(self, service: str) -> int:
         """Return the requests that all nodes have at a service's servers."""
--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -96,7 +96,7 @@
             work_per_s=round(planner.demand.work_per_s),
             running=self._book.running(order.service),
             waiting=self._book.waiting(order.service),
-            learnt=self._book.learner(order.service).speed(self._now()),
+            learnt=self._book.estimator(order.service).speed(self._now()),
         )
 
     def _planner(self, service: str) -> RentingPlanner:
@@ -126,7 +126,7 @@
                     self._book.waiting(service.name),
                     self._book.running(service.name),
                 )
-                speed = self._book.learner(service.name).speed(now)
+                speed = self._book.estimator(service.name).speed(now)
                 boot_s = service.renting.boot_s
                 need = servers_for_load(
                     index, service.name, service.engine.slots, boot_s, load, speed
--- a/src/moledale/gateway/server_model.py
+++ b/src/moledale/gateway/server_model.py
@@ -228,7 +228,7 @@
         self._slower_for = self._faster_for = 0
 
 
-class SpeedLearner(msgspec.Struct):
+class SpeedEstimator(msgspec.Struct):
     """Estimates of one service at one node."""
 
     _seen: deque[PrefillSample] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -99,7 +99,7 @@
             views = [view for view in group.views.values() if not view.server.leaving]
             home = group.home(affinity_key(facts.parts))
             front = longest_front(views, facts, now)
-            costs = EngineCosts(facts, front, ENGINE, book.learner("model").speed(now))
+            costs = EngineCosts(facts, front, ENGINE, book.estimator("model").speed(now))
 
             def cost(
                 view: ServerView,
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -17,7 +17,7 @@
     PrefillTracker,
     Slowness,
     Speed,
-    SpeedLearner,
+    SpeedEstimator,
     combined,
 )
 from moledale.gateway.server_need import servers_needed, wait_s
@@ -100,7 +100,7 @@
     slow_x: float = 1.0
     change_at: float = 1e9
     change_x: float = 1.0
-    learner: SpeedLearner = field(default_factory=SpeedLearner)
+    estimator: SpeedEstimator = field(default_factory=SpeedEstimator)
     reading: list[PrefillTracker] = field(
         default_factory=lambda: [PrefillTracker() for _ in range(SERVERS)]
     )
@@ -153,17 +153,17 @@
                     self._first(sent[attempt], clocks[first])
             for sequence in step.finished:
                 views[first].change(clocks[first], 0, -1)
-                self.learner.ended(clocks[first] - sent[sequence.attempt].at)
+                self.estimator.ended(clocks[first] - sent[sequence.attempt].at)
 
     def _first(self, sent: Sent, now: float) -> None:
         self.now = max(self.now, now)
         took_s = now - sent.at
-        self.learner.placed(sent.prompt)
+        self.estimator.placed(sent.prompt)
         alone = PrefillSample(sent.prompt, sent.ahead, took_s, now, sent.beside)
         seen = self.reading[sent.server].first_event(sent.at, sent.through, alone)
         if seen is not None:
-            self.learner.first_event(seen)
-        speed = self.learner.speed(now)
+            self.estimator.first_event(seen)
+        speed = self.estimator.speed(now)
         tokens = sent.prompt + speed.remaining_work(sent.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, sent.beside)
         self.slowness[sent.server].note(took_s, expected_s, now)
@@ -172,7 +172,7 @@
 class LearningTest(unittest.TestCase):
     def assert_learnt(self, play: Play) -> None:
         truth = reading_rate(play.spec)
-        learnt = play.learner.speed(play.now + 1.0).read_per_s
+        learnt = play.estimator.speed(play.now + 1.0).read_per_s
         self.assertAlmostEqual(learnt / truth, 1.0, delta=TOLERANCE)
 
     def test_rate_is_found_for_slow_and_fast_servers_with_few_and_many_slots(self) -> None:
@@ -211,37 +211,37 @@
         self.assertLess(slow.times(10.0 + 4 * SLOWDOWN_DECAY_S), 1.2)
 
     def test_nothing_is_known_without_requests(self) -> None:
-        self.assertEqual(SpeedLearner().speed(5.0), PRIOR)
+        self.assertEqual(SpeedEstimator().speed(5.0), PRIOR)
 
     def test_prompts_of_one_length_tell_no_rate(self) -> None:
-        learner = SpeedLearner()
+        estimator = SpeedEstimator()
         for number in range(100):
-            learner.first_event(PrefillSample(1_000.0, 0.0, 0.05 + number % 3 * 0.01, 1.0))
-        self.assertEqual(learner.speed(2.0).read_per_s, PRIOR_PREFILL_TOKENS_PER_S)
+            estimator.first_event(PrefillSample(1_000.0, 0.0, 0.05 + number % 3 * 0.01, 1.0))
+        self.assertEqual(estimator.speed(2.0).read_per_s, PRIOR_PREFILL_TOKENS_PER_S)
 
     def test_views_below_zero_and_empty_prompts_do_no_harm(self) -> None:
-        learner = SpeedLearner()
+        estimator = SpeedEstimator()
         for number in range(100):
             work = 0.0 if number % 2 else 1_000.0
-            learner.first_event(PrefillSample(work, -6_000.0, 0.05, number / 100))
-        self.assertGreater(learner.speed(2.0).read_per_s, 0.0)
+            estimator.first_event(PrefillSample(work, -6_000.0, 0.05, number / 100))
+        self.assertGreater(estimator.speed(2.0).read_per_s, 0.0)
 
     def test_old_observations_are_forgotten(self) -> None:
-        learner = SpeedLearner()
+        estimator = SpeedEstimator()
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
-            learner.first_event(PrefillSample(work, 0.0, work / 20_000, number / 100))
-        self.assertAlmostEqual(learner.speed(2.0).read_per_s, 20_000, delta=3_000)
+            estimator.first_event(PrefillSample(work, 0.0, work / 20_000, number / 100))
+        self.assertAlmostEqual(estimator.speed(2.0).read_per_s, 20_000, delta=3_000)
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
             at = SAMPLE_TTL_S + 2.0 + number / 100
-            learner.first_event(PrefillSample(work, 0.0, work / 80_000, at))
-        self.assertAlmostEqual(learner.speed(SAMPLE_TTL_S + 4.0).read_per_s, 80_000, delta=12_000)
+            estimator.first_event(PrefillSample(work, 0.0, work / 80_000, at))
+        self.assertAlmostEqual(estimator.speed(SAMPLE_TTL_S + 4.0).read_per_s, 80_000, delta=12_000)
 
     def test_a_node_that_starts_takes_over_what_others_learnt(self) -> None:
-        learner = SpeedLearner()
-        learner.others([Speed(100_000.0, 0.02, 0.8, 6_000.0, 150)])
-        self.assertEqual(learner.speed(1.0).read_per_s, 100_000.0)
+        estimator = SpeedEstimator()
+        estimator.others([Speed(100_000.0, 0.02, 0.8, 6_000.0, 150)])
+        self.assertEqual(estimator.speed(1.0).read_per_s, 100_000.0)
 
     def test_one_node_with_odd_views_does_not_sway_the_others(self) -> None:
         told = [Speed(100_000.0 + number, 0.02, 0.8, 6_000.0, 100) for number in range(5)]
@@ -272,7 +272,7 @@
                     with self.subTest(at=at, load=load, times=times):
                         play = Play(spec, load=load, late_s=0.1, change_at=at, change_x=times)
                         play.run_until(at + FOLLOWED_S)
-                        learnt = play.learner.speed(play.now)
+                        learnt = play.estimator.speed(play.now)
                         truth = reading_rate(spec) / times
                         self.assertAlmostEqual(learnt.read_per_s / truth, 1.0, delta=NEED_OFF)
 
@@ -281,16 +281,16 @@
             with self.subTest(load=load):
                 play = Play(spec_of(157_000.0, 64), load=load, late_s=0.1)
                 play.run(1_000)
-                self.assertEqual(play.learner.changes, 0)
+                self.assertEqual(play.estimator.changes, 0)
 
     def test_a_single_odd_observation_is_no_change(self) -> None:
-        learner = SpeedLearner()
+        estimator = SpeedEstimator()
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
             took_s = 9.0 if number % 20 == 10 else work / 20_000
-            learner.first_event(PrefillSample(work, 0.0, took_s, number / 10))
-            learner.speed(number / 10)
-        self.assertEqual(learner.changes, 0)
+            estimator.first_event(PrefillSample(work, 0.0, took_s, number / 10))
+            estimator.speed(number / 10)
+        self.assertEqual(estimator.changes, 0)
 
 
 class NeedTest(unittest.TestCase):
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -59,7 +59,7 @@
 from moledale.gateway.server_ends import BrokenOff, EndWatch
 from moledale.gateway.server_group import ServerGroup
 from moledale.gateway.server_list import ServerList
-from moledale.gateway.server_model import Slowness, SpeedLearner
+from moledale.gateway.server_model import Slowness, SpeedEstimator
 from moledale.gateway.server_notices import ServerNotices
 from moledale.gateway.server_standing import ServerStanding
 from moledale.gateway.server_view import ServerView
@@ -247,7 +247,7 @@
     ("a newer plan is waited for", DocumentFetch, "behind", lambda *_: False, SPREAD),
     ("the store is asked at last", document_fetch, "STORE_AFTER_S", 1e9, SPREAD),
     ("many repeat calls more seldom", Backoff, "next_s", lambda _: 0.2, "tests.test_backoff"),
-    ("servers' speed is learnt", SpeedLearner, "_fit", lambda _: (40_000.0, 0.03), LEARNING),
+    ("servers' speed is learnt", SpeedEstimator, "_fit", lambda _: (40_000.0, 0.03), LEARNING),
     ("a slow server is told apart", Slowness, "note", lambda *_: None, LEARNING),
     ("a front is fetched", EngineCosts, "fetches", lambda *_: False, PLACEMENTS),
     ("missing spot servers are made up", renting, "RESERVE_SHARE", -1e9, RENTING),
