--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -132,7 +132,7 @@
         states = list(states)
         for service in {service for state in states for service in state.speeds}:
             told = (state.speeds.get(service) for state in states)
-            self.estimator(service).others(speed for speed in told if speed is not None)
+            self.estimator(service).set_peer_speeds(speed for speed in told if speed is not None)
         alive = {state.id for state in states}
         for node in [node for node in self._counted if node not in alive]:
             self.take_loads(node, {})
@@ -280,7 +280,7 @@
             cached = chosen.front.tokens
         work = prefill_work(facts.prompt_tokens, cached)
         self.work[service] = self.work.get(service, 0) + work
-        self.estimator(service).placed(work)
+        self.estimator(service).record_placed(work)
         placement = self._count(view, work, now)
         placement.uncached = max(0, facts.prompt_tokens - cached)
         if fetched and chosen.front.view is not None:
@@ -322,14 +322,14 @@
         if not placement.fetched and not waited_for_slot:
             alone = PrefillSample(placement.work, placement.ahead, took_s, now, placement.beside)
             reading = placement.view.reading
-            seen = reading.first_event(placement.sent_at, placement.through, alone)
+            seen = reading.on_first_event(placement.sent_at, placement.through, alone)
             if seen is not None:
-                estimator.first_event(seen)
+                estimator.add_sample(seen)
 
     def note_end(self, placement: Placement, now: float) -> None:
         """Learn from a stream that ended whole."""
         if placement.work:
-            self.estimator(placement.view.server.service).ended(now - placement.sent_at)
+            self.estimator(placement.view.server.service).record_hold(now - placement.sent_at)
 
     def note_pace(self, placement: Placement, events: int, now: float) -> None:
         """Compare the time between the events of a stream that ended whole."""
--- a/src/moledale/gateway/server_model.py
+++ b/src/moledale/gateway/server_model.py
@@ -132,13 +132,13 @@
     samples: int = 0
     crowding: float = 0.0
 
-    def prefill_s(self, work: float, beside: float = 0.0) -> float:
+    def prefill_s(self, work: float, concurrent: float = 0.0) -> float:
         """Return the time that reading takes; `work` in tokens of a short prompt."""
-        return work * (1.0 + self.crowding * beside) / self.read_per_s
+        return work * (1.0 + self.crowding * concurrent) / self.read_per_s
 
-    def remaining_work(self, ahead: float) -> float:
+    def remaining_work(self, queued_ahead: float) -> float:
         """Return what is left of the prompts ahead, one of which has been read in part."""
-        return max(ahead / 2, ahead - self.residual_work)
+        return max(queued_ahead / 2, queued_ahead - self.residual_work)
 
 
 PRIOR = Speed()
@@ -153,16 +153,16 @@
     """
 
     work: float
-    ahead: float
+    queued_ahead: float
     took_s: float
     at: float
-    beside: int = 0
+    concurrent: int = 0
     queued: bool = False
 
     @property
     def clean(self) -> bool:
         """Say whether little depends on what other nodes told of what waits ahead."""
-        return self.queued or self.ahead <= MAX_CLEAN_QUEUE_RATIO * self.work
+        return self.queued or self.queued_ahead <= MAX_CLEAN_QUEUE_RATIO * self.work
 
 
 class PrefillTracker(msgspec.Struct):
@@ -182,25 +182,25 @@
         return self.placed
 
     def first_event(
-        self, sent_at: float, through: float, alone: PrefillSample
+        self, sent_at: float, cumulative_work: float, unqueued: PrefillSample
     ) -> PrefillSample | None:
         """Return the observation that a first event makes, None if it came too soon after another.
 
-        `through` is what `place` returned for its prompt; `alone` is the observation if nothing of
+        `cumulative_work` is what `place` returned for its prompt; `unqueued` is the observation if nothing of
         this node's was queued there.
         """
         queued = sent_at < self._last_at
         if not queued:
-            self._last_at, self._last_through = alone.at, through
-            return alone
-        took_s = alone.at - self._last_at
+            self._last_at, self._last_through = unqueued.at, cumulative_work
+            return unqueued
+        took_s = unqueued.at - self._last_at
         if took_s < MIN_FIRST_EVENT_GAP_S:
             return None
-        work = through - self._last_through
-        self._last_at, self._last_through = alone.at, through
+        work = cumulative_work - self._last_through
+        self._last_at, self._last_through = unqueued.at, cumulative_work
         if work <= 0:
             return None
-        return PrefillSample(work, 0.0, took_s, alone.at, alone.beside, queued=True)
+        return PrefillSample(work, 0.0, took_s, unqueued.at, unqueued.concurrent, queued=True)
 
 
 class ChangeDetector(msgspec.Struct):
@@ -231,7 +231,9 @@
 class SpeedEstimator(msgspec.Struct):
     """Estimates of one service at one node."""
 
-    _seen: deque[PrefillSample] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    _samples: deque[PrefillSample] = msgspec.field(
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES)
+    )
     _hold_s: float = PRIOR_HOLD_S
     _held: int = 0
     _placed: int = 0
@@ -253,20 +255,20 @@
         self._work += step * (work - self._work)
         self._work_squared += step * (work * work - self._work_squared)
 
-    def first_event(self, seen: PrefillSample) -> None:
+    def first_event(self, sample: PrefillSample) -> None:
         """Note that a prompt's first event came."""
-        self._seen.append(seen)
-        if self._own.samples < MIN_SAMPLES_FOR_CHANGE or not seen.clean:
+        self._samples.append(sample)
+        if self._own.samples < MIN_SAMPLES_FOR_CHANGE or not sample.clean:
             return
-        began_ago = self._detector.note(log(_times_expected(seen, self._own)))
+        began_ago = self._detector.note(log(_times_expected(sample, self._own)))
         if began_ago:
             self._forget_before_change(began_ago)
 
     def _forget_before_change(self, observations: int) -> None:
         """Forget what was before a change; scale what was learnt from it."""
-        while len(self._seen) > observations:
-            self._seen.popleft()
-        times = median(_times_expected(seen, self._own) for seen in self._seen)
+        while len(self._samples) > observations:
+            self._samples.popleft()
+        times = median(_times_expected(sample, self._own) for sample in self._samples)
         self._before = Speed(
             self._own.read_per_s / times, self._own.start_s * times, crowding=self._own.crowding
         )
@@ -305,32 +307,32 @@
         if now - self._fitted_at < REFIT_INTERVAL_S:
             return
         self._fitted_at = now
-        while self._seen and now - self._seen[0].at > SAMPLE_TTL_S:
-            self._seen.popleft()
-        if not self._seen:
+        while self._samples and now - self._samples[0].at > SAMPLE_TTL_S:
+            self._samples.popleft()
+        if not self._samples:
             self._before = PRIOR
         residual = PRIOR_RESIDUAL_WORK_TOKENS
         if self._work > 0:
             residual = self._work_squared / (2 * self._work)
         known = msgspec.structs.replace(
-            self._before, hold_s=self._hold_s, residual_work=residual, samples=len(self._seen)
+            self._before, hold_s=self._hold_s, residual_work=residual, samples=len(self._samples)
         )
         self._own = self._fit(known)
         self._speed = combined(self._own, self._others)
 
     def _fit(self, known: Speed) -> Speed:
         """Return what the observations tell, with the rate of `known` as a prior."""
-        if len(self._seen) < 2:
+        if len(self._samples) < 2:
             return known
-        used = [seen for seen in self._seen if seen.clean]
+        used = [sample for sample in self._samples if sample.clean]
         if len(used) < MIN_CLEAN_SAMPLES:
-            used = list(self._seen)
-        tokens = [seen.work + known.remaining_work(seen.ahead) for seen in used]
+            used = list(self._samples)
+        tokens = [sample.work + known.remaining_work(sample.queued_ahead) for sample in used]
         crowding = known.crowding
         for _ in range(FIT_PASSES):
             works = [
-                each * (1.0 + crowding * seen.beside)
-                for each, seen in zip(tokens, used, strict=True)
+                each * (1.0 + crowding * sample.concurrent)
+                for each, sample in zip(tokens, used, strict=True)
             ]
             read_per_s, start_s = self._rate(used, works, known)
             crowding = self._crowding(used, tokens, read_per_s, start_s, known)
@@ -349,14 +351,14 @@
         """Return by how much of the time of an empty server each request beside slows reading."""
         alone_s = [each / read_per_s for each in tokens]
         times = [
-            (seen.took_s - (0.0 if seen.queued else start_s)) / each if each > 0 else 1.0
-            for each, seen in zip(alone_s, used, strict=True)
+            (sample.took_s - (0.0 if sample.queued else start_s)) / each if each > 0 else 1.0
+            for each, sample in zip(alone_s, used, strict=True)
         ]
         slopes = [known.crowding] * PRIOR_PAIRS
         places = range(len(times))
         for _ in range(_pairs_of(len(times))):
             first, second = self._chance.choice(places), self._chance.choice(places)
-            apart = used[first].beside - used[second].beside
+            apart = used[first].concurrent - used[second].concurrent
             if apart:
                 slopes.append((times[first] - times[second]) / apart)
         return min(MAX_CROWDING, max(0.0, median(slopes)))
@@ -369,37 +371,37 @@
         Queued observations tell the rate by themselves; the others in pairs.
         """
         slopes = [1.0 / known.read_per_s] * PRIOR_PAIRS
-        alone: list[tuple[float, float]] = []
-        for seen, work in zip(used, works, strict=True):
-            if seen.queued:
-                slopes += [seen.took_s / work] * QUEUED_SAMPLE_WEIGHT
+        unqueued: list[tuple[float, float]] = []
+        for sample, work in zip(used, works, strict=True):
+            if sample.queued:
+                slopes += [sample.took_s / work] * QUEUED_SAMPLE_WEIGHT
             else:
-                alone.append((work, seen.took_s))
-        slopes += self._slopes_of_pairs(alone)
+                unqueued.append((work, sample.took_s))
+        slopes += self._slopes_of_pairs(unqueued)
         slope = median(slopes)
         if slope <= 0:
             return known.read_per_s, known.start_s
-        rests = [took_s - slope * work for work, took_s in alone]
+        rests = [took_s - slope * work for work, took_s in unqueued]
         return 1.0 / slope, max(0.0, median(rests)) if rests else known.start_s
 
-    def _slopes_of_pairs(self, alone: list[tuple[float, float]]) -> list[float]:
-        if len(alone) < 2:
+    def _slopes_of_pairs(self, unqueued: list[tuple[float, float]]) -> list[float]:
+        if len(unqueued) < 2:
             return []
-        apart = max(MIN_WORK_GAP_TOKENS, MIN_WORK_GAP_RATIO * median(work for work, _ in alone))
+        apart = max(MIN_WORK_GAP_TOKENS, MIN_WORK_GAP_RATIO * median(work for work, _ in unqueued))
         slopes = []
-        for _ in range(_pairs_of(len(alone))):
-            first, second = self._chance.choice(alone), self._chance.choice(alone)
+        for _ in range(_pairs_of(len(unqueued))):
+            first, second = self._chance.choice(unqueued), self._chance.choice(unqueued)
             if abs(first[0] - second[0]) > apart:
                 slopes.append((first[1] - second[1]) / (first[0] - second[0]))
         return slopes
 
 
-def _times_expected(seen: PrefillSample, speed: Speed) -> float:
+def _times_expected(sample: PrefillSample, speed: Speed) -> float:
     """Return how many times as long as expected a first event took."""
-    tokens = seen.work + speed.remaining_work(seen.ahead)
-    start_s = 0.0 if seen.queued else speed.start_s
-    expected_s = start_s + speed.prefill_s(tokens, seen.beside)
-    return max(seen.took_s, MIN_DURATION_S) / max(expected_s, MIN_DURATION_S)
+    tokens = sample.work + speed.remaining_work(sample.queued_ahead)
+    start_s = 0.0 if sample.queued else speed.start_s
+    expected_s = start_s + speed.prefill_s(tokens, sample.concurrent)
+    return max(sample.took_s, MIN_DURATION_S) / max(expected_s, MIN_DURATION_S)
 
 
 def _pairs_of(number: int) -> int:
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -181,7 +181,7 @@
         assert first is not None and between is not None and second is not None
         one.book.note_first(first, 1.2)
         one.book.note_first(second, 1.8)
-        seen = one.book.estimator("model")._seen[-1]
+        seen = one.book.estimator("model")._samples[-1]
         self.assertTrue(seen.queued)
         self.assertAlmostEqual(seen.took_s, 0.6)
         self.assertEqual(seen.work, between.work + second.work)
@@ -193,7 +193,7 @@
             placed = book.place("model", prompt("a", str(number)), ENGINE, sent_at)
             assert placed is not None
             book.note_first(placed, sent_at + 0.3)
-        seen = book.estimator("model")._seen[-1]
+        seen = book.estimator("model")._samples[-1]
         self.assertFalse(seen.queued)
         self.assertAlmostEqual(seen.took_s, 0.3)
 
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -153,16 +153,16 @@
                     self._first(sent[attempt], clocks[first])
             for sequence in step.finished:
                 views[first].change(clocks[first], 0, -1)
-                self.estimator.ended(clocks[first] - sent[sequence.attempt].at)
+                self.estimator.record_hold(clocks[first] - sent[sequence.attempt].at)
 
     def _first(self, sent: Sent, now: float) -> None:
         self.now = max(self.now, now)
         took_s = now - sent.at
-        self.estimator.placed(sent.prompt)
+        self.estimator.record_placed(sent.prompt)
         alone = PrefillSample(sent.prompt, sent.ahead, took_s, now, sent.beside)
-        seen = self.reading[sent.server].first_event(sent.at, sent.through, alone)
+        seen = self.reading[sent.server].on_first_event(sent.at, sent.through, alone)
         if seen is not None:
-            self.estimator.first_event(seen)
+            self.estimator.add_sample(seen)
         speed = self.estimator.speed(now)
         tokens = sent.prompt + speed.remaining_work(sent.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, sent.beside)
@@ -216,31 +216,31 @@
     def test_prompts_of_one_length_tell_no_rate(self) -> None:
         estimator = SpeedEstimator()
         for number in range(100):
-            estimator.first_event(PrefillSample(1_000.0, 0.0, 0.05 + number % 3 * 0.01, 1.0))
+            estimator.add_sample(PrefillSample(1_000.0, 0.0, 0.05 + number % 3 * 0.01, 1.0))
         self.assertEqual(estimator.speed(2.0).read_per_s, PRIOR_PREFILL_TOKENS_PER_S)
 
     def test_views_below_zero_and_empty_prompts_do_no_harm(self) -> None:
         estimator = SpeedEstimator()
         for number in range(100):
             work = 0.0 if number % 2 else 1_000.0
-            estimator.first_event(PrefillSample(work, -6_000.0, 0.05, number / 100))
+            estimator.add_sample(PrefillSample(work, -6_000.0, 0.05, number / 100))
         self.assertGreater(estimator.speed(2.0).read_per_s, 0.0)
 
     def test_old_observations_are_forgotten(self) -> None:
         estimator = SpeedEstimator()
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
-            estimator.first_event(PrefillSample(work, 0.0, work / 20_000, number / 100))
+            estimator.add_sample(PrefillSample(work, 0.0, work / 20_000, number / 100))
         self.assertAlmostEqual(estimator.speed(2.0).read_per_s, 20_000, delta=3_000)
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
             at = SAMPLE_TTL_S + 2.0 + number / 100
-            estimator.first_event(PrefillSample(work, 0.0, work / 80_000, at))
+            estimator.add_sample(PrefillSample(work, 0.0, work / 80_000, at))
         self.assertAlmostEqual(estimator.speed(SAMPLE_TTL_S + 4.0).read_per_s, 80_000, delta=12_000)
 
     def test_a_node_that_starts_takes_over_what_others_learnt(self) -> None:
         estimator = SpeedEstimator()
-        estimator.others([Speed(100_000.0, 0.02, 0.8, 6_000.0, 150)])
+        estimator.set_peer_speeds([Speed(100_000.0, 0.02, 0.8, 6_000.0, 150)])
         self.assertEqual(estimator.speed(1.0).read_per_s, 100_000.0)
 
     def test_one_node_with_odd_views_does_not_sway_the_others(self) -> None:
@@ -288,7 +288,7 @@
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
             took_s = 9.0 if number % 20 == 10 else work / 20_000
-            estimator.first_event(PrefillSample(work, 0.0, took_s, number / 10))
+            estimator.add_sample(PrefillSample(work, 0.0, took_s, number / 10))
             estimator.speed(number / 10)
         self.assertEqual(estimator.changes, 0)
 
