--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -122,7 +122,7 @@
         """Estimate what keeps a request of usual size waiting, to keep servers in order."""
         if view.server.slots < ENGINE_SLOTS:
             return plain_cost(view, self._hall)
-        speed = self.estimator(view.server.service).last
+        speed = self.estimator(view.server.service).last_speed
         return load_s(view, speed, now) + FAILED_WAIT_S * view.failed_share
 
     # What other nodes have running
@@ -351,7 +351,9 @@
 
     def speeds(self, now: float) -> dict[str, Speed]:
         """Return what this node has learnt by itself, by service."""
-        return {service: estimator.own(now) for service, estimator in self.estimators.items()}
+        return {
+            service: estimator.local_speed(now) for service, estimator in self.estimators.items()
+        }
 
     def running(self, service: str) -> int:
         """Return the requests that all nodes have at a service's servers."""
