--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -75,7 +75,7 @@
         self.on_outcome: Outcome = _nobody_judges
         self.on_silent: Callable[[str], None] = _nobody_waits
         self._hall = hall
-        self._chance = random.Random()
+        self._rng = random.Random()
         self._groups: dict[str, ServerGroup] = {}
         self._counted: dict[str, Loads] = {}
         self._placed: list[tuple[ServerView, int, tuple[PromptPart, ...]]] = []
@@ -114,7 +114,7 @@
         """Return the servers of a service."""
         group = self._groups.get(service)
         if group is None:
-            group = ServerGroup(self._hall, self._load_s, self._chance)
+            group = ServerGroup(self._hall, self._load_s, self._rng)
             self._groups[service] = group
         return group
 
@@ -241,7 +241,7 @@
                 steps(plain_cost(view, self._hall)),
                 not self.has_connection(view.server.id),
                 view.all_running,
-                self._chance.random(),
+                self._rng.random(),
             ),
         )
 
@@ -315,7 +315,7 @@
         speed = estimator.speed(now)
         tokens = placement.work + speed.remaining_work(placement.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, placement.beside)
-        placement.view.slowness.note(took_s, expected_s, now)
+        placement.view.slowness.observe(took_s, expected_s, now)
         with_fetch_s = max(LEAST_EXPECTED_S, expected_s + placement.fetching_s)
         self.note_outcome(placement, False, took_s / with_fetch_s)
         waited_for_slot = placement.beside >= placement.view.server.slots
--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -57,7 +57,7 @@
     """
     beside = view.all_running
     work = speed.remaining_work(view.all_prefill) + speed.residual_work
-    took_s = speed.prefill_s(work, beside) * view.slowness.times(now)
+    took_s = speed.prefill_s(work, beside) * view.slowness.factor(now)
     alone_s = speed.prefill_s(speed.residual_work)
     return took_s - alone_s + slot_s(beside, view.server.slots, speed.hold_s)
 
@@ -104,4 +104,4 @@
         waiting = self.speed.remaining_work(view.all_prefill)
         took_s = self.speed.prefill_s(waiting, beside) + self.prefill_s(cached, beside)
         slots_s = slot_s(beside, self.engine.slots, self.speed.hold_s)
-        return took_s * view.slowness.times(now) + slots_s
+        return took_s * view.slowness.factor(now) + slots_s
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -55,7 +55,7 @@
         self.prefill = 0
         self._hall = hall
         self._load_s = load_s
-        self._chance = chance
+        self._rng = chance
         self._orders: dict[str, LoadOrder] = {}
         self._ring = HomeRing()
         self._holders: dict[str, list[ServerView]] = {}
@@ -150,7 +150,7 @@
 
     def _note_soundness(self, view: ServerView) -> None:
         """Remember a server whose estimate changes by time alone."""
-        slow = view.slowness.times(self._now) - 1.0 > FADING_SHARE
+        slow = view.slowness.factor(self._now) - 1.0 > FADING_SHARE
         waits = view.standing.opens_in_s(self._now) > 0 or view.is_set_aside(self._now)
         if slow or view.failed_share > FADING_SHARE or waits:
             self._unsound.add(view.server.id)
@@ -167,7 +167,7 @@
     def _order(self, hall: str) -> LoadOrder:
         order = self._orders.get(hall)
         if order is None:
-            order = self._orders[hall] = LoadOrder(self._chance)
+            order = self._orders[hall] = LoadOrder(self._rng)
         return order
 
     # Prompts
@@ -201,7 +201,7 @@
                 break
             views = self._holders.get(part.id, [])
             if len(views) > room:
-                views = self._chance.sample(views, room)
+                views = self._rng.sample(views, room)
             found.update((view.server.id, view) for view in views)
         return list(found.values())
 
--- a/src/moledale/gateway/server_model.py
+++ b/src/moledale/gateway/server_model.py
@@ -160,7 +160,7 @@
     queued: bool = False
 
     @property
-    def clean(self) -> bool:
+    def is_clean(self) -> bool:
         """Say whether little depends on what other nodes told of what waits ahead."""
         return self.queued or self.queued_ahead <= MAX_CLEAN_QUEUE_RATIO * self.work
 
@@ -235,32 +235,32 @@
         default_factory=lambda: deque(maxlen=MAX_SAMPLES)
     )
     _hold_s: float = PRIOR_HOLD_S
-    _held: int = 0
-    _placed: int = 0
-    _work: float = 0.0
-    _work_squared: float = 0.0
-    _others: list[Speed] = msgspec.field(default_factory=list)
+    _hold_count: int = 0
+    _placed_count: int = 0
+    _mean_work: float = 0.0
+    _mean_square_work: float = 0.0
+    _peer_speeds: list[Speed] = msgspec.field(default_factory=list)
     _speed: Speed = PRIOR
-    _own: Speed = PRIOR
+    _local_speed: Speed = PRIOR
     _fitted_at: float = -1e9
-    _before: Speed = PRIOR
+    _fit_prior: Speed = PRIOR
     changes: int = 0
     _detector: ChangeDetector = msgspec.field(default_factory=ChangeDetector)
-    _chance: random.Random = msgspec.field(default_factory=lambda: random.Random(0))
+    _rng: random.Random = msgspec.field(default_factory=lambda: random.Random(0))
 
     def placed(self, work: float) -> None:
         """Note the work of a prompt that was placed."""
-        self._placed += 1
-        step = max(WORK_SMOOTHING, 1.0 / self._placed)
-        self._work += step * (work - self._work)
-        self._work_squared += step * (work * work - self._work_squared)
+        self._placed_count += 1
+        step = max(WORK_SMOOTHING, 1.0 / self._placed_count)
+        self._mean_work += step * (work - self._mean_work)
+        self._mean_square_work += step * (work * work - self._mean_square_work)
 
     def first_event(self, sample: PrefillSample) -> None:
         """Note that a prompt's first event came."""
         self._samples.append(sample)
-        if self._own.samples < MIN_SAMPLES_FOR_CHANGE or not sample.clean:
+        if self._local_speed.samples < MIN_SAMPLES_FOR_CHANGE or not sample.is_clean:
             return
-        began_ago = self._detector.note(log(_times_expected(sample, self._own)))
+        began_ago = self._detector.note(log(_ratio_to_expected(sample, self._local_speed)))
         if began_ago:
             self._forget_before_change(began_ago)
 
@@ -268,30 +268,32 @@
         """Forget what was before a change; scale what was learnt from it."""
         while len(self._samples) > observations:
             self._samples.popleft()
-        times = median(_times_expected(sample, self._own) for sample in self._samples)
-        self._before = Speed(
-            self._own.read_per_s / times, self._own.start_s * times, crowding=self._own.crowding
+        times = median(_ratio_to_expected(sample, self._local_speed) for sample in self._samples)
+        self._fit_prior = Speed(
+            self._local_speed.read_per_s / times,
+            self._local_speed.start_s * times,
+            crowding=self._local_speed.crowding,
         )
         self._hold_s *= times
-        self._held = min(self._held, HOLD_WEIGHT_AFTER_CHANGE)
+        self._hold_count = min(self._hold_count, HOLD_WEIGHT_AFTER_CHANGE)
         self._detector.reset()
         self.changes += 1
         self._fitted_at = -1e9
 
     def ended(self, held_s: float) -> None:
         """Note how long a request held its slot."""
-        self._held += 1
-        step = max(HOLD_SMOOTHING, 1.0 / (1 + self._held))
+        self._hold_count += 1
+        step = max(HOLD_SMOOTHING, 1.0 / (1 + self._hold_count))
         self._hold_s += step * (held_s - self._hold_s)
 
     def others(self, speeds: Iterable[Speed]) -> None:
         """Take over what other nodes have learnt."""
-        self._others = [speed for speed in speeds if speed.samples > 0]
+        self._peer_speeds = [speed for speed in speeds if speed.samples > 0]
 
     def own(self, now: float) -> Speed:
         """Return what this node has learnt by itself, to tell others."""
         self._refit(now)
-        return self._own
+        return self._local_speed
 
     def speed(self, now: float) -> Speed:
         """Return the best estimate there is."""
@@ -310,21 +312,21 @@
         while self._samples and now - self._samples[0].at > SAMPLE_TTL_S:
             self._samples.popleft()
         if not self._samples:
-            self._before = PRIOR
+            self._fit_prior = PRIOR
         residual = PRIOR_RESIDUAL_WORK_TOKENS
-        if self._work > 0:
-            residual = self._work_squared / (2 * self._work)
+        if self._mean_work > 0:
+            residual = self._mean_square_work / (2 * self._mean_work)
         known = msgspec.structs.replace(
-            self._before, hold_s=self._hold_s, residual_work=residual, samples=len(self._samples)
+            self._fit_prior, hold_s=self._hold_s, residual_work=residual, samples=len(self._samples)
         )
-        self._own = self._fit(known)
-        self._speed = combined(self._own, self._others)
+        self._local_speed = self._fit(known)
+        self._speed = combine_speeds(self._local_speed, self._peer_speeds)
 
     def _fit(self, known: Speed) -> Speed:
         """Return what the observations tell, with the rate of `known` as a prior."""
         if len(self._samples) < 2:
             return known
-        used = [sample for sample in self._samples if sample.clean]
+        used = [sample for sample in self._samples if sample.is_clean]
         if len(used) < MIN_CLEAN_SAMPLES:
             used = list(self._samples)
         tokens = [sample.work + known.remaining_work(sample.queued_ahead) for sample in used]
@@ -334,13 +336,13 @@
                 each * (1.0 + crowding * sample.concurrent)
                 for each, sample in zip(tokens, used, strict=True)
             ]
-            read_per_s, start_s = self._rate(used, works, known)
-            crowding = self._crowding(used, tokens, read_per_s, start_s, known)
+            read_per_s, start_s = self._fit_rate(used, works, known)
+            crowding = self._fit_crowding(used, tokens, read_per_s, start_s, known)
         return msgspec.structs.replace(
             known, read_per_s=read_per_s, start_s=start_s, crowding=crowding
         )
 
-    def _crowding(
+    def _fit_crowding(
         self,
         used: list[PrefillSample],
         tokens: list[float],
@@ -356,14 +358,14 @@
         ]
         slopes = [known.crowding] * PRIOR_PAIRS
         places = range(len(times))
-        for _ in range(_pairs_of(len(times))):
-            first, second = self._chance.choice(places), self._chance.choice(places)
+        for _ in range(_pair_count(len(times))):
+            first, second = self._rng.choice(places), self._rng.choice(places)
             apart = used[first].concurrent - used[second].concurrent
             if apart:
                 slopes.append((times[first] - times[second]) / apart)
         return min(MAX_CROWDING, max(0.0, median(slopes)))
 
-    def _rate(
+    def _fit_rate(
         self, used: list[PrefillSample], works: list[float], known: Speed
     ) -> tuple[float, float]:
         """Return tokens a second and the time of an empty prompt.
@@ -377,26 +379,26 @@
                 slopes += [sample.took_s / work] * QUEUED_SAMPLE_WEIGHT
             else:
                 unqueued.append((work, sample.took_s))
-        slopes += self._slopes_of_pairs(unqueued)
+        slopes += self._pairwise_slopes(unqueued)
         slope = median(slopes)
         if slope <= 0:
             return known.read_per_s, known.start_s
         rests = [took_s - slope * work for work, took_s in unqueued]
         return 1.0 / slope, max(0.0, median(rests)) if rests else known.start_s
 
-    def _slopes_of_pairs(self, unqueued: list[tuple[float, float]]) -> list[float]:
+    def _pairwise_slopes(self, unqueued: list[tuple[float, float]]) -> list[float]:
         if len(unqueued) < 2:
             return []
         apart = max(MIN_WORK_GAP_TOKENS, MIN_WORK_GAP_RATIO * median(work for work, _ in unqueued))
         slopes = []
-        for _ in range(_pairs_of(len(unqueued))):
-            first, second = self._chance.choice(unqueued), self._chance.choice(unqueued)
+        for _ in range(_pair_count(len(unqueued))):
+            first, second = self._rng.choice(unqueued), self._rng.choice(unqueued)
             if abs(first[0] - second[0]) > apart:
                 slopes.append((first[1] - second[1]) / (first[0] - second[0]))
         return slopes
 
 
-def _times_expected(sample: PrefillSample, speed: Speed) -> float:
+def _ratio_to_expected(sample: PrefillSample, speed: Speed) -> float:
     """Return how many times as long as expected a first event took."""
     tokens = sample.work + speed.remaining_work(sample.queued_ahead)
     start_s = 0.0 if sample.queued else speed.start_s
@@ -404,12 +406,12 @@
     return max(sample.took_s, MIN_DURATION_S) / max(expected_s, MIN_DURATION_S)
 
 
-def _pairs_of(number: int) -> int:
+def _pair_count(number: int) -> int:
     """Return how many pairs of so many observations are drawn, no more than there are."""
     return min(MAX_PAIRS, number * (number - 1) // 2)
 
 
-def combined(own: Speed, others: Iterable[Speed]) -> Speed:
+def combine_speeds(own: Speed, others: Iterable[Speed]) -> Speed:
     """Return the middle of what nodes have learnt, by observations; the prior where none have."""
     learnt = [(speed, float(speed.samples)) for speed in others]
     if own.samples:
--- a/src/moledale/gateway/server_order.py
+++ b/src/moledale/gateway/server_order.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+        self._rng = chance
         self._heap: list[tuple[int, float, int, ServerView]] = []
         self._newest: dict[str, tuple[int, int]] = {}
         self._serial = 0
@@ -54,7 +54,7 @@
             return
         self._serial += 1
         self._newest[name] = (self._serial, step)
-        heapq.heappush(self._heap, (step, self._chance.random(), self._serial, view))
+        heapq.heappush(self._heap, (step, self._rng.random(), self._serial, view))
         if len(self._heap) > max(MOST_ENTRIES, STALE_X * len(self._newest)):
             self._heap = [entry for entry in self._heap if self._is_newest(entry)]
             heapq.heapify(self._heap)
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -272,7 +272,7 @@
         book.note_end(target, 9.0)
         self.assertEqual(book.work, {})
         self.assertEqual(book.estimator("model").speed(10.0), PRIOR)
-        self.assertEqual(target.view.slowness.times(9.0), 1.0)
+        self.assertEqual(target.view.slowness.factor(9.0), 1.0)
         again = book.place("model", prompt("a", "y"), FAST_LINKS, 10.0)
         assert again is not None
         self.assertIs(again.view, target.view)
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -146,7 +146,7 @@
         book = a_book(80)
         view = book.views["model0"]
         for _ in range(20):
-            view.slowness.note(2.0, 0.1, 1.0)
+            view.slowness.observe(2.0, 0.1, 1.0)
         view.changed()
         group = book.group("model")
         for name, other in book.views.items():
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -18,7 +18,7 @@
     Slowness,
     Speed,
     SpeedEstimator,
-    combined,
+    combine_speeds,
 )
 from moledale.gateway.server_need import servers_needed, wait_s
 from standins.engine_model import EngineModel, EngineSpec, Sequence
@@ -166,7 +166,7 @@
         speed = self.estimator.speed(now)
         tokens = sent.prompt + speed.remaining_work(sent.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, sent.beside)
-        self.slowness[sent.server].note(took_s, expected_s, now)
+        self.slowness[sent.server].observe(took_s, expected_s, now)
 
 
 class LearningTest(unittest.TestCase):
@@ -199,16 +199,16 @@
         play = Play(spec_of(50_000.0, 24), load=0.1, slow_x=5.0)
         play.run()
         self.assert_learnt(play)
-        times = [each.times(play.now) for each in play.slowness]
+        times = [each.factor(play.now) for each in play.slowness]
         self.assertGreater(times[0], 2.0)
         self.assertLess(max(times[1:]), 1.5)
 
     def test_a_server_that_was_slow_is_tried_again(self) -> None:
         slow = Slowness()
         for _ in range(20):
-            slow.note(2.0, 0.2, 10.0)
-        self.assertGreater(slow.times(10.0), 4.0)
-        self.assertLess(slow.times(10.0 + 4 * SLOWDOWN_DECAY_S), 1.2)
+            slow.observe(2.0, 0.2, 10.0)
+        self.assertGreater(slow.factor(10.0), 4.0)
+        self.assertLess(slow.factor(10.0 + 4 * SLOWDOWN_DECAY_S), 1.2)
 
     def test_nothing_is_known_without_requests(self) -> None:
         self.assertEqual(SpeedEstimator().speed(5.0), PRIOR)
@@ -246,7 +246,9 @@
     def test_one_node_with_odd_views_does_not_sway_the_others(self) -> None:
         told = [Speed(100_000.0 + number, 0.02, 0.8, 6_000.0, 100) for number in range(5)]
         odd = Speed(1.0, 9.0, 90.0, 1.0, 160)
-        self.assertAlmostEqual(combined(told[0], [*told[1:], odd]).read_per_s, 100_000, delta=10)
+        self.assertAlmostEqual(
+            combine_speeds(told[0], [*told[1:], odd]).read_per_s, 100_000, delta=10
+        )
 
 
 CHANGE_AT_S = (3.0, 30.0)
