--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, hall: str, load_s: Callable[[ServerView, float], float], chance: random.Random
+        self, hall: str, load_s: Callable[[ServerView, float], float], rng: random.Random
     ) -> None:
         self.views: dict[str, ServerView] = {}
         self.busy: set[str] = set()
@@ -55,14 +55,14 @@
         self.prefill = 0
         self._hall = hall
         self._load_s = load_s
-        self._rng = chance
+        self._rng = rng
         self._orders: dict[str, LoadOrder] = {}
         self._ring = HomeRing()
         self._holders: dict[str, list[ServerView]] = {}
         self._counted: dict[str, tuple[int, int]] = {}
         self._unsound: set[str] = set()
         self.limited = LimitedServers()
-        self.closed = ClosedServers(chance)
+        self.closed = ClosedServers(rng)
         self._rule = VersionRule()
         self._settled: frozenset[str] = frozenset()
         self._present: dict[str, float] = {}
--- a/src/moledale/gateway/server_order.py
+++ b/src/moledale/gateway/server_order.py
@@ -40,8 +40,8 @@
     come up.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._rng = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._heap: list[tuple[int, float, int, ServerView]] = []
         self._newest: dict[str, tuple[int, int]] = {}
         self._serial = 0
