--- a/src/moledale/gateway/server_model.py
+++ b/src/moledale/gateway/server_model.py
@@ -208,24 +208,24 @@
 
     _slower: float = 0.0
     _faster: float = 0.0
-    _slower_for: int = 0
-    _faster_for: int = 0
+    _slower_samples: int = 0
+    _faster_samples: int = 0
 
     def note(self, deviation: float) -> int:
         """Note a deviation (logarithm); return how many observations a change began ago, or 0."""
         deviation = max(-MAX_DEVIATION, min(MAX_DEVIATION, deviation))
         self._slower = max(0.0, self._slower + deviation - CUSUM_DRIFT)
         self._faster = max(0.0, self._faster - deviation - CUSUM_DRIFT)
-        self._slower_for = self._slower_for + 1 if self._slower else 0
-        self._faster_for = self._faster_for + 1 if self._faster else 0
+        self._slower_samples = self._slower_samples + 1 if self._slower else 0
+        self._faster_samples = self._faster_samples + 1 if self._faster else 0
         if self._slower > CUSUM_THRESHOLD:
-            return self._slower_for
-        return self._faster_for if self._faster > CUSUM_THRESHOLD else 0
+            return self._slower_samples
+        return self._faster_samples if self._faster > CUSUM_THRESHOLD else 0
 
     def reset(self) -> None:
         """Begin anew."""
         self._slower = self._faster = 0.0
-        self._slower_for = self._faster_for = 0
+        self._slower_samples = self._faster_samples = 0
 
 
 class SpeedEstimator(msgspec.Struct):
@@ -260,9 +260,9 @@
         self._samples.append(sample)
         if self._local_speed.samples < MIN_SAMPLES_FOR_CHANGE or not sample.is_clean:
             return
-        began_ago = self._detector.note(log(_ratio_to_expected(sample, self._local_speed)))
-        if began_ago:
-            self._forget_before_change(began_ago)
+        samples_since = self._detector.note(log(_ratio_to_expected(sample, self._local_speed)))
+        if samples_since:
+            self._forget_before_change(samples_since)
 
     def _forget_before_change(self, observations: int) -> None:
         """Forget what was before a change; scale what was learnt from it."""
