--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -20,7 +20,7 @@
     SpeedEstimator,
     combine_speeds,
 )
-from moledale.gateway.server_need import servers_needed, wait_s
+from moledale.gateway.server_need import mean_wait_s, servers_needed
 from standins.engine_model import EngineModel, EngineSpec, Sequence
 
 REQUESTS = 200
@@ -297,8 +297,8 @@
 
 class NeedTest(unittest.TestCase):
     def test_wait_is_exact_for_one_place(self) -> None:
-        self.assertAlmostEqual(wait_s(0.5, 1, 0.2), 0.2)
-        self.assertAlmostEqual(wait_s(0.8, 1, 0.2), 0.8)
+        self.assertAlmostEqual(mean_wait_s(0.5, 1, 0.2), 0.2)
+        self.assertAlmostEqual(mean_wait_s(0.8, 1, 0.2), 0.8)
 
     def test_slots_decide_where_answers_are_long(self) -> None:
         speed = Speed(1e9, 0.02, 2.0, 1_000.0, 100)
