--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -12,7 +12,7 @@
     longest_front,
     plain_cost,
 )
-from moledale.gateway.engine_costs import EngineCosts, load_s, prefill_work
+from moledale.gateway.engine_costs import EngineCosts, load_delay_s, prefill_work
 from moledale.gateway.messages import Placed, PromptPart, RequestFacts, Server
 from moledale.gateway.peers import Loads, NodeState
 from moledale.gateway.plan import Engine
@@ -123,7 +123,7 @@
         if view.server.slots < ENGINE_SLOTS:
             return plain_cost(view, self._hall)
         speed = self.estimator(view.server.service).last_speed
-        return load_s(view, speed, now) + FAILED_WAIT_S * view.failed_share
+        return load_delay_s(view, speed, now) + FAILED_WAIT_S * view.failed_share
 
     # What other nodes have running
 
@@ -201,10 +201,10 @@
             return None
         if engine is None:
             return Choice(self._best_plain(views), facts)
-        front = longest_front(holders, facts, now)
-        costs = EngineCosts(facts, front, engine, self.estimator(service).speed(now))
+        prefix = longest_front(holders, facts, now)
+        costs = EngineCosts(facts, prefix, engine, self.estimator(service).speed(now))
         best = self._best_engine(views, home, facts, costs, now)
-        return Choice(best, facts, EngineChoice(engine, costs, front))
+        return Choice(best, facts, EngineChoice(engine, costs, prefix))
 
     def count(self, choice: Choice, now: float, moved: bool = False) -> Placement:
         """Count a request at the server that was chosen for it.
@@ -276,17 +276,17 @@
         cached = view.covers(facts.parts)
         fetched, fetching_s = 0, 0.0
         if chosen.costs.fetches(cached, view.all_running):
-            fetched, fetching_s = chosen.front.tokens - cached, chosen.costs.fetching_s(cached)
-            cached = chosen.front.tokens
+            fetched, fetching_s = chosen.prefix.tokens - cached, chosen.costs.fetching_s(cached)
+            cached = chosen.prefix.tokens
         work = prefill_work(facts.prompt_tokens, cached)
         self.work[service] = self.work.get(service, 0) + work
         self.estimator(service).record_placed(work)
         placement = self._count(view, work, now)
         placement.uncached = max(0, facts.prompt_tokens - cached)
-        if fetched and chosen.front.view is not None:
+        if fetched and chosen.prefix.view is not None:
             placement.fetched = fetched
             placement.fetching_s = fetching_s
-            placement.fetch_from = chosen.front.view.server.address
+            placement.fetch_from = chosen.prefix.view.server.address
         return placement
 
     def _tell(self, placement: Placement, facts: RequestFacts, engine: Engine) -> None:
--- a/src/moledale/gateway/choice.py
+++ b/src/moledale/gateway/choice.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from moledale.gateway.engine_costs import EngineCosts, Front
+from moledale.gateway.engine_costs import CachedPrefix, EngineCosts
 from moledale.gateway.messages import PromptPart, RequestFacts
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_view import ServerView
@@ -21,7 +21,7 @@
 
     engine: Engine
     costs: EngineCosts
-    front: Front
+    prefix: CachedPrefix
 
 
 class Choice(msgspec.Struct, frozen=True):
@@ -46,14 +46,14 @@
     return view.answer_s * waiting + away + FAILED_WAIT_S * view.failed_share
 
 
-def longest_front(holders: Iterable[ServerView], facts: RequestFacts, now: float) -> Front:
+def longest_front(holders: Iterable[ServerView], facts: RequestFacts, now: float) -> CachedPrefix:
     """Return the longest front of a prompt that a sound server has, leaving ones included."""
-    best = Front()
+    best = CachedPrefix()
     for view in holders:
         backs_off = view.standing.retry_at > now
         if view.is_set_aside(now) or backs_off or view.standing.failures:
             continue
         tokens = view.covers(facts.parts)
         if tokens > best.tokens:
-            best = Front(tokens, view)
+            best = CachedPrefix(tokens, view)
     return best
--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -9,21 +9,21 @@
 from moledale.gateway.server_model import Speed
 from moledale.gateway.server_view import ServerView
 
-LONG_PROMPT_X = 9.3e-6
+ATTENTION_WORK_FACTOR = 9.3e-6
 """Work that a prompt adds by its square, in tokens: each token attends to all those before it."""
 
 FETCH_SETUP_S = 0.005
 """Time until a fetch from another server begins."""
 
-FETCH_LOAD_S = 0.04
+FETCH_PENALTY_S = 0.04
 """Wait that a request may have at the server with its front, rather than have it fetched elsewhere:
 a fetch loads the links and the memory of two servers."""
 
-FETCH_X = 2.0
+MIN_FETCH_SPEEDUP_FACTOR = 2.0
 """A fetch has to be this many times as quick as reading, since fetches queue at their source."""
 
 
-class Front(msgspec.Struct, frozen=True):
+class CachedPrefix(msgspec.Struct, frozen=True):
     """The longest front of a prompt that lies in some server's memory, in tokens, and where."""
 
     tokens: int = 0
@@ -33,7 +33,7 @@
 def prefill_work(prompt: int, cached: int) -> int:
     """Return what reading a prompt costs beyond its cached front, in tokens of a short prompt."""
     cached = min(cached, prompt)
-    return prompt - cached + int(LONG_PROMPT_X * (prompt * prompt - cached * cached))
+    return prompt - cached + int(ATTENTION_WORK_FACTOR * (prompt * prompt - cached * cached))
 
 
 def fetch_s(tokens: int, engine: Engine) -> float:
@@ -41,7 +41,7 @@
     return FETCH_SETUP_S + tokens * engine.token_bytes * 8e-6 / max(1.0, engine.link_mbps)
 
 
-def slot_s(running: int, slots: int, hold_s: float) -> float:
+def slot_wait_s(running: int, slots: int, hold_s: float) -> float:
     """Return the seconds until a slot is free, little by little as the batch fills."""
     each_s = hold_s / slots
     if running >= slots:
@@ -49,7 +49,7 @@
     return each_s * float((running / slots) ** (sqrt(2.0 * (slots + 1)) - 1.0))
 
 
-def load_s(view: ServerView, speed: Speed, now: float) -> float:
+def load_delay_s(view: ServerView, speed: Speed, now: float) -> float:
     """Return by how many seconds a prompt of usual size, cached nowhere, is later than alone.
 
     That a server which is empty and sound has zero keeps servers in order when the speed that is
@@ -59,37 +59,37 @@
     work = speed.remaining_work(view.all_prefill) + speed.residual_work
     took_s = speed.prefill_s(work, beside) * view.slowness.factor(now)
     alone_s = speed.prefill_s(speed.residual_work)
-    return took_s - alone_s + slot_s(beside, view.server.slots, speed.hold_s)
+    return took_s - alone_s + slot_wait_s(beside, view.server.slots, speed.hold_s)
 
 
 class EngineCosts(msgspec.Struct, frozen=True):
     """Estimates for one prompt at the servers of a service, from what was learnt of them."""
 
     facts: RequestFacts
-    front: Front
+    prefix: CachedPrefix
     engine: Engine
     speed: Speed
 
     def fetches(self, cached: int, beside: int = 0) -> bool:
         """Say whether getting the front from another server is quicker than reading it."""
-        if not self.engine.moves or self.front.tokens <= cached:
+        if not self.engine.moves or self.prefix.tokens <= cached:
             return False
         prompt = self.facts.prompt_tokens
-        saved = prefill_work(prompt, cached) - prefill_work(prompt, self.front.tokens)
-        took_s = fetch_s(self.front.tokens - cached, self.engine)
-        return FETCH_X * took_s < self.speed.prefill_s(saved, beside)
+        saved = prefill_work(prompt, cached) - prefill_work(prompt, self.prefix.tokens)
+        took_s = fetch_s(self.prefix.tokens - cached, self.engine)
+        return MIN_FETCH_SPEEDUP_FACTOR * took_s < self.speed.prefill_s(saved, beside)
 
     def prefill_s(self, cached: int, beside: int = 0) -> float:
         """Return the seconds until a server has the whole prompt once it begins to read it."""
         prompt = self.facts.prompt_tokens
         if self.fetches(cached, beside):
-            read_s = self.speed.prefill_s(prefill_work(prompt, self.front.tokens), beside)
+            read_s = self.speed.prefill_s(prefill_work(prompt, self.prefix.tokens), beside)
             return read_s + self.fetching_s(cached)
         return self.speed.prefill_s(prefill_work(prompt, cached), beside)
 
     def fetching_s(self, cached: int) -> float:
         """Return the seconds that getting the rest of the front from another server takes."""
-        return FETCH_LOAD_S + fetch_s(self.front.tokens - cached, self.engine)
+        return FETCH_PENALTY_S + fetch_s(self.prefix.tokens - cached, self.engine)
 
     def first_event_s(self, view: ServerView, home: bool, now: float) -> float:
         """Return the seconds until the first event if the request went to a server.
@@ -103,5 +103,5 @@
         beside = view.all_running
         waiting = self.speed.remaining_work(view.all_prefill)
         took_s = self.speed.prefill_s(waiting, beside) + self.prefill_s(cached, beside)
-        slots_s = slot_s(beside, self.engine.slots, self.speed.hold_s)
+        slots_s = slot_wait_s(beside, self.engine.slots, self.speed.hold_s)
         return took_s * view.slowness.factor(now) + slots_s
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -42,19 +42,19 @@
 class ServerGroup:
     """The servers of one service at one node.
 
-    `load_s` estimates the seconds that a request of usual size would wait at a server at some time.
+    `load_delay_s` estimates the seconds that a request of usual size would wait at a server at some time.
     It is asked whenever a server's load changes.
     """
 
     def __init__(
-        self, hall: str, load_s: Callable[[ServerView, float], float], rng: random.Random
+        self, hall: str, load_delay_s: Callable[[ServerView, float], float], rng: random.Random
     ) -> None:
         self.views: dict[str, ServerView] = {}
         self.busy: set[str] = set()
         self.running = 0
         self.prefill = 0
         self._hall = hall
-        self._load_s = load_s
+        self._load_s = load_delay_s
         self._rng = rng
         self._orders: dict[str, LoadOrder] = {}
         self._ring = HomeRing()
