--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -114,11 +114,11 @@
         """Return the servers of a service."""
         group = self._groups.get(service)
         if group is None:
-            group = ServerGroup(self._hall, self._load_s, self._rng)
+            group = ServerGroup(self._hall, self._load_delay_s, self._rng)
             self._groups[service] = group
         return group
 
-    def _load_s(self, view: ServerView, now: float) -> float:
+    def _load_delay_s(self, view: ServerView, now: float) -> float:
         """Estimate what keeps a request of usual size waiting, to keep servers in order."""
         if view.server.slots < ENGINE_SLOTS:
             return plain_cost(view, self._hall)
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -54,7 +54,7 @@
         self.running = 0
         self.prefill = 0
         self._hall = hall
-        self._load_s = load_delay_s
+        self._load_delay_s = load_delay_s
         self._rng = rng
         self._orders: dict[str, LoadOrder] = {}
         self._ring = HomeRing()
@@ -140,7 +140,7 @@
         if not self.may_serve(view, NONE_EXCLUDED):
             order.drop(view)
         else:
-            order.put(view, steps(self._load_s(view, self._now)))
+            order.put(view, steps(self._load_delay_s(view, self._now)))
 
     def _open_again(self, now: float) -> None:
         """Weigh servers again once they may get requests, not a round later."""
