--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -275,7 +275,7 @@
         service = view.server.service
         cached = view.covers(facts.parts)
         fetched, fetching_s = 0, 0.0
-        if chosen.costs.fetches(cached, view.all_running):
+        if chosen.costs.should_fetch(cached, view.all_running):
             fetched, fetching_s = chosen.prefix.tokens - cached, chosen.costs.fetching_s(cached)
             cached = chosen.prefix.tokens
         work = prefill_work(facts.prompt_tokens, cached)
--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -70,7 +70,7 @@
     engine: Engine
     speed: Speed
 
-    def fetches(self, cached: int, beside: int = 0) -> bool:
+    def should_fetch(self, cached: int, beside: int = 0) -> bool:
         """Say whether getting the front from another server is quicker than reading it."""
         if not self.engine.moves or self.prefix.tokens <= cached:
             return False
@@ -82,12 +82,12 @@
     def prefill_s(self, cached: int, beside: int = 0) -> float:
         """Return the seconds until a server has the whole prompt once it begins to read it."""
         prompt = self.facts.prompt_tokens
-        if self.fetches(cached, beside):
+        if self.should_fetch(cached, beside):
             read_s = self.speed.prefill_s(prefill_work(prompt, self.prefix.tokens), beside)
-            return read_s + self.fetching_s(cached)
+            return read_s + self.fetch_cost_s(cached)
         return self.speed.prefill_s(prefill_work(prompt, cached), beside)
 
-    def fetching_s(self, cached: int) -> float:
+    def fetch_cost_s(self, cached: int) -> float:
         """Return the seconds that getting the rest of the front from another server takes."""
         return FETCH_PENALTY_S + fetch_s(self.prefix.tokens - cached, self.engine)
 
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -249,7 +249,7 @@
     ("many repeat calls more seldom", Backoff, "next_s", lambda _: 0.2, "tests.test_backoff"),
     ("servers' speed is learnt", SpeedEstimator, "_fit", lambda _: (40_000.0, 0.03), LEARNING),
     ("a slow server is told apart", Slowness, "note", lambda *_: None, LEARNING),
-    ("a front is fetched", EngineCosts, "fetches", lambda *_: False, PLACEMENTS),
+    ("a front is fetched", EngineCosts, "should_fetch", lambda *_: False, PLACEMENTS),
     ("missing spot servers are made up", renting, "RESERVE_SHARE", -1e9, RENTING),
     ("one reader tells all others", FleetWatch, "heard", lambda *_: None, LISTS),
     ("others' states show a missed list", FleetWatch, "heard_head", lambda *_: None, LISTS),
