--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -276,7 +276,7 @@
         cached = view.covers(facts.parts)
         fetched, fetching_s = 0, 0.0
         if chosen.costs.should_fetch(cached, view.all_running):
-            fetched, fetching_s = chosen.prefix.tokens - cached, chosen.costs.fetching_s(cached)
+            fetched, fetching_s = chosen.prefix.tokens - cached, chosen.costs.fetch_cost_s(cached)
             cached = chosen.prefix.tokens
         work = prefill_work(facts.prompt_tokens, cached)
         self.work[service] = self.work.get(service, 0) + work
