--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -55,11 +55,11 @@
     That a server which is empty and sound has zero keeps servers in order when the speed that is
     learnt changes: only those with work are estimated anew.
     """
-    beside = view.all_running
+    concurrent = view.all_running
     work = speed.remaining_work(view.all_prefill) + speed.residual_work
-    took_s = speed.prefill_s(work, beside) * view.slowness.factor(now)
+    took_s = speed.prefill_s(work, concurrent) * view.slowness.factor(now)
     alone_s = speed.prefill_s(speed.residual_work)
-    return took_s - alone_s + slot_wait_s(beside, view.server.slots, speed.hold_s)
+    return took_s - alone_s + slot_wait_s(concurrent, view.server.slots, speed.hold_s)
 
 
 class EngineCosts(msgspec.Struct, frozen=True):
@@ -70,22 +70,22 @@
     engine: Engine
     speed: Speed
 
-    def should_fetch(self, cached: int, beside: int = 0) -> bool:
+    def should_fetch(self, cached: int, concurrent: int = 0) -> bool:
         """Say whether getting the front from another server is quicker than reading it."""
         if not self.engine.moves or self.prefix.tokens <= cached:
             return False
         prompt = self.facts.prompt_tokens
         saved = prefill_work(prompt, cached) - prefill_work(prompt, self.prefix.tokens)
         took_s = fetch_s(self.prefix.tokens - cached, self.engine)
-        return MIN_FETCH_SPEEDUP_FACTOR * took_s < self.speed.prefill_s(saved, beside)
+        return MIN_FETCH_SPEEDUP_FACTOR * took_s < self.speed.prefill_s(saved, concurrent)
 
-    def prefill_s(self, cached: int, beside: int = 0) -> float:
+    def prefill_s(self, cached: int, concurrent: int = 0) -> float:
         """Return the seconds until a server has the whole prompt once it begins to read it."""
         prompt = self.facts.prompt_tokens
-        if self.should_fetch(cached, beside):
-            read_s = self.speed.prefill_s(prefill_work(prompt, self.prefix.tokens), beside)
+        if self.should_fetch(cached, concurrent):
+            read_s = self.speed.prefill_s(prefill_work(prompt, self.prefix.tokens), concurrent)
             return read_s + self.fetch_cost_s(cached)
-        return self.speed.prefill_s(prefill_work(prompt, cached), beside)
+        return self.speed.prefill_s(prefill_work(prompt, cached), concurrent)
 
     def fetch_cost_s(self, cached: int) -> float:
         """Return the seconds that getting the rest of the front from another server takes."""
@@ -100,8 +100,8 @@
         cached = view.covers(self.facts.parts)
         if home and not cached:
             cached = sum(part.tokens for part in self.facts.parts[:-1]) // 2
-        beside = view.all_running
+        concurrent = view.all_running
         waiting = self.speed.remaining_work(view.all_prefill)
-        took_s = self.speed.prefill_s(waiting, beside) + self.prefill_s(cached, beside)
-        slots_s = slot_wait_s(beside, self.engine.slots, self.speed.hold_s)
+        took_s = self.speed.prefill_s(waiting, concurrent) + self.prefill_s(cached, concurrent)
+        slots_s = slot_wait_s(concurrent, self.engine.slots, self.speed.hold_s)
         return took_s * view.slowness.factor(now) + slots_s
