--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -5,7 +5,7 @@
 
 from moledale.core.hashing import weight
 from moledale.gateway.choice import (
-    FAILED_WAIT_S,
+    FAILURE_PENALTY_S,
     Choice,
     EngineChoice,
     affinity_key,
@@ -123,7 +123,7 @@
         if view.server.slots < ENGINE_SLOTS:
             return plain_cost(view, self._hall)
         speed = self.estimator(view.server.service).last_speed
-        return load_delay_s(view, speed, now) + FAILED_WAIT_S * view.failed_share
+        return load_delay_s(view, speed, now) + FAILURE_PENALTY_S * view.failed_share
 
     # What other nodes have running
 
@@ -259,7 +259,7 @@
             key=lambda view: (
                 steps(
                     costs.first_event_s(view, view.server.id == home, now)
-                    + FAILED_WAIT_S * view.failed_share
+                    + FAILURE_PENALTY_S * view.failed_share
                 ),
                 not self.has_connection(view.server.id),
                 view.all_running,
--- a/src/moledale/gateway/choice.py
+++ b/src/moledale/gateway/choice.py
@@ -9,7 +9,7 @@
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_view import ServerView
 
-FAILED_WAIT_S = 0.4
+FAILURE_PENALTY_S = 0.4
 """Extra cost of a server for each part of its answers that failed lately."""
 
 OTHER_HALL_S = 0.001
@@ -43,7 +43,7 @@
     """Estimate the seconds until an answer of a plain service."""
     waiting = 1 + view.all_running / max(1, view.server.slots)
     away = OTHER_HALL_S if view.server.hall != hall else 0.0
-    return view.answer_s * waiting + away + FAILED_WAIT_S * view.failed_share
+    return view.answer_s * waiting + away + FAILURE_PENALTY_S * view.failed_share
 
 
 def longest_front(holders: Iterable[ServerView], facts: RequestFacts, now: float) -> CachedPrefix:
