--- a/src/moledale/gateway/choice.py
+++ b/src/moledale/gateway/choice.py
@@ -12,7 +12,7 @@
 FAILURE_PENALTY_S = 0.4
 """Extra cost of a server for each part of its answers that failed lately."""
 
-OTHER_HALL_S = 0.001
+CROSS_HALL_RTT_S = 0.001
 """Round trip to another hall, at its least: it decides between equal servers only."""
 
 
@@ -42,7 +42,7 @@
 def plain_cost(view: ServerView, hall: str) -> float:
     """Estimate the seconds until an answer of a plain service."""
     waiting = 1 + view.all_running / max(1, view.server.slots)
-    away = OTHER_HALL_S if view.server.hall != hall else 0.0
+    away = CROSS_HALL_RTT_S if view.server.hall != hall else 0.0
     return view.answer_s * waiting + away + FAILURE_PENALTY_S * view.failed_share
 
 
