--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -9,8 +9,8 @@
     Choice,
     EngineChoice,
     affinity_key,
-    longest_front,
-    plain_cost,
+    longest_cached_prefix,
+    plain_cost_s,
 )
 from moledale.gateway.engine_costs import EngineCosts, load_delay_s, prefill_work
 from moledale.gateway.messages import Placed, PromptPart, RequestFacts, Server
@@ -121,7 +121,7 @@
     def _load_delay_s(self, view: ServerView, now: float) -> float:
         """Estimate what keeps a request of usual size waiting, to keep servers in order."""
         if view.server.slots < ENGINE_SLOTS:
-            return plain_cost(view, self._hall)
+            return plain_cost_s(view, self._hall)
         speed = self.estimator(view.server.service).last_speed
         return load_delay_s(view, speed, now) + FAILURE_PENALTY_S * view.failed_share
 
@@ -201,7 +201,7 @@
             return None
         if engine is None:
             return Choice(self._best_plain(views), facts)
-        prefix = longest_front(holders, facts, now)
+        prefix = longest_cached_prefix(holders, facts, now)
         costs = EngineCosts(facts, prefix, engine, self.estimator(service).speed(now))
         best = self._best_engine(views, home, facts, costs, now)
         return Choice(best, facts, EngineChoice(engine, costs, prefix))
@@ -211,13 +211,13 @@
 
         A request that is `moved` brings its memory along, so it reads nothing there.
         """
-        if choice.at_engine is None:
+        if choice.engine_choice is None:
             return self._count(choice.view, 0, now)
         if moved:
             placement = self._count(choice.view, 0, now)
         else:
-            placement = self._count_prompt(choice.view, choice.facts, choice.at_engine, now)
-        self._tell(placement, choice.facts, choice.at_engine.engine)
+            placement = self._count_prompt(choice.view, choice.facts, choice.engine_choice, now)
+        self._tell(placement, choice.facts, choice.engine_choice.engine)
         return placement
 
     def place(
@@ -238,7 +238,7 @@
         return min(
             views,
             key=lambda view: (
-                steps(plain_cost(view, self._hall)),
+                steps(plain_cost_s(view, self._hall)),
                 not self.has_connection(view.server.id),
                 view.all_running,
                 self._rng.random(),
--- a/src/moledale/gateway/choice.py
+++ b/src/moledale/gateway/choice.py
@@ -25,11 +25,11 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """A server chosen for a request; `at_engine` is None for a plain service."""
+    """A server chosen for a request; `engine_choice` is None for a plain service."""
 
     view: ServerView
     facts: RequestFacts
-    at_engine: EngineChoice | None = None
+    engine_choice: EngineChoice | None = None
 
 
 def affinity_key(parts: tuple[PromptPart, ...]) -> str:
@@ -39,14 +39,16 @@
     return parts[-2].id if len(parts) > 1 else parts[0].id
 
 
-def plain_cost(view: ServerView, hall: str) -> float:
+def plain_cost_s(view: ServerView, hall: str) -> float:
     """Estimate the seconds until an answer of a plain service."""
     waiting = 1 + view.all_running / max(1, view.server.slots)
     away = CROSS_HALL_RTT_S if view.server.hall != hall else 0.0
     return view.answer_s * waiting + away + FAILURE_PENALTY_S * view.failed_share
 
 
-def longest_front(holders: Iterable[ServerView], facts: RequestFacts, now: float) -> CachedPrefix:
+def longest_cached_prefix(
+    holders: Iterable[ServerView], facts: RequestFacts, now: float
+) -> CachedPrefix:
     """Return the longest front of a prompt that a sound server has, leaving ones included."""
     best = CachedPrefix()
     for view in holders:
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -9,7 +9,7 @@
 
 from moledale.core.hashing import weight
 from moledale.gateway.balance import ServerBook, affinity_key
-from moledale.gateway.choice import longest_front
+from moledale.gateway.choice import longest_cached_prefix
 from moledale.gateway.engine_costs import EngineCosts
 from moledale.gateway.messages import PromptPart, RequestFacts, Server
 from moledale.gateway.plan import Engine
@@ -98,7 +98,7 @@
             group = book.group("model")
             views = [view for view in group.views.values() if not view.server.leaving]
             home = group.home(affinity_key(facts.parts))
-            front = longest_front(views, facts, now)
+            front = longest_cached_prefix(views, facts, now)
             costs = EngineCosts(facts, front, ENGINE, book.estimator("model").speed(now))
 
             def cost(
