--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -19,7 +19,7 @@
 from moledale.gateway.server_group import ServerGroup
 from moledale.gateway.server_model import PrefillSample, Speed, SpeedEstimator
 from moledale.gateway.server_notices import ServerNotices
-from moledale.gateway.server_order import steps
+from moledale.gateway.server_order import quantize
 from moledale.gateway.server_standing import FIRST_PAUSE_S
 from moledale.gateway.server_view import ENGINE_SLOTS, Placement, ServerView
 from moledale.gateway.stated_limit import LimitNews
@@ -238,7 +238,7 @@
         return min(
             views,
             key=lambda view: (
-                steps(plain_cost_s(view, self._hall)),
+                quantize(plain_cost_s(view, self._hall)),
                 not self.has_connection(view.server.id),
                 view.all_running,
                 self._rng.random(),
@@ -257,7 +257,7 @@
         return min(
             views,
             key=lambda view: (
-                steps(
+                quantize(
                     costs.first_event_s(view, view.server.id == home, now)
                     + FAILURE_PENALTY_S * view.failed_share
                 ),
--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -6,7 +6,7 @@
 
 import random
 
-from moledale.gateway.server_order import LoadOrder, steps
+from moledale.gateway.server_order import LoadOrder, quantize
 from moledale.gateway.server_view import ServerView
 
 LEAST_USUAL_PER_S = 1e-3
@@ -90,11 +90,11 @@
             self._closed.discard(view.server.id)
         may_open = allowed and not view.server.leaving
         if may_open and view.standing.retry_at > now:
-            self._backing_off.put(view, steps(now + view.standing.opens_in_s(now)))
+            self._backing_off.put(view, quantize(now + view.standing.opens_in_s(now)))
         else:
             self._backing_off.drop(view)
         if may_open and view.is_open(now) and view.standing.is_held(now):
-            self._held.put(view, steps(view.standing.held_until))
+            self._held.put(view, quantize(view.standing.held_until))
         else:
             self._held.drop(view)
 
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -16,7 +16,7 @@
 from moledale.core.rollouts import VersionRule
 from moledale.gateway.closed_servers import NONE_EXCLUDED, ClosedServers, LimitedServers
 from moledale.gateway.messages import PromptPart, Server
-from moledale.gateway.server_order import HomeRing, LoadOrder, steps
+from moledale.gateway.server_order import HomeRing, LoadOrder, quantize
 from moledale.gateway.server_view import ServerView
 
 NEAR_LIGHT = 4
@@ -140,7 +140,7 @@
         if not self.may_serve(view, NONE_EXCLUDED):
             order.drop(view)
         else:
-            order.put(view, steps(self._load_delay_s(view, self._now)))
+            order.put(view, quantize(self._load_delay_s(view, self._now)))
 
     def _open_again(self, now: float) -> None:
         """Weigh servers again once they may get requests, not a round later."""
--- a/src/moledale/gateway/server_order.py
+++ b/src/moledale/gateway/server_order.py
@@ -9,28 +9,28 @@
 
 from moledale.gateway.server_view import ServerView
 
-NEAR_S = 0.002
+COST_STEP_S = 0.002
 """Estimates that differ by less count as equal. Prompts of one front then go to the same servers,
 others elsewhere: nodes that know nothing yet, as after the end of all of them, have equal estimates
 of all servers and would send their first requests to the same ones. Plain requests go by chance,
 both to a server with a connection at rest first, since a new one takes 1 ms of it."""
 
-RING_POINTS = 4
+POINTS_PER_SERVER = 4
 """Places of a server on the ring of homes. Few are enough: the choice weighs its load besides."""
 
-POINT_BITS = 128 // RING_POINTS
+POINT_BITS = 128 // POINTS_PER_SERVER
 POINT_MASK = (1 << POINT_BITS) - 1
 
-STALE_X = 4
+REBUILD_FACTOR = 4
 """The order is made anew when it holds this many times as many entries as servers."""
 
-MOST_ENTRIES = 64
+MIN_REBUILD_ENTRIES = 64
 """Fewer entries than these are never worth making the order anew."""
 
 
-def steps(cost_s: float) -> int:
+def quantize(cost_s: float) -> int:
     """Return an estimate as a number that is the same for those that differ by little."""
-    return round(cost_s / NEAR_S)
+    return round(cost_s / COST_STEP_S)
 
 
 class LoadOrder:
@@ -55,7 +55,7 @@
         self._serial += 1
         self._newest[name] = (self._serial, step)
         heapq.heappush(self._heap, (step, self._rng.random(), self._serial, view))
-        if len(self._heap) > max(MOST_ENTRIES, STALE_X * len(self._newest)):
+        if len(self._heap) > max(MIN_REBUILD_ENTRIES, REBUILD_FACTOR * len(self._newest)):
             self._heap = [entry for entry in self._heap if self._is_newest(entry)]
             heapq.heapify(self._heap)
 
@@ -126,4 +126,4 @@
     def _points_of(self, server: str) -> list[int]:
         """Return places on the ring, cut from one hash since hashing is most of the work."""
         whole = xxhash.xxh3_128_intdigest(server.encode())
-        return [whole >> (POINT_BITS * number) & POINT_MASK for number in range(RING_POINTS)]
+        return [whole >> (POINT_BITS * number) & POINT_MASK for number in range(POINTS_PER_SERVER)]
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -19,7 +19,7 @@
     MOST_RESTING,
     NEAR_LIGHT,
 )
-from moledale.gateway.server_order import HomeRing, steps
+from moledale.gateway.server_order import HomeRing, quantize
 from moledale.gateway.server_view import Placement, ServerView, note_silence
 from tests.gateway_states import state
 
@@ -246,6 +246,6 @@
 
 class StepsTest(unittest.TestCase):
     def test_little_differences_do_not_count(self) -> None:
-        self.assertEqual(steps(0.1001), steps(0.1003))
-        self.assertNotEqual(steps(0.1), steps(0.104))
+        self.assertEqual(quantize(0.1001), quantize(0.1003))
+        self.assertNotEqual(quantize(0.1), quantize(0.104))
         self.assertNotEqual(weight("a", "b"), weight("a", "c"))
