--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -6,7 +6,7 @@
 
 import random
 
-from moledale.gateway.server_order import LoadOrder, quantize
+from moledale.gateway.server_order import ServerPriorityQueue, quantize
 from moledale.gateway.server_view import ServerView
 
 LEAST_USUAL_PER_S = 1e-3
@@ -79,8 +79,8 @@
 
     def __init__(self, chance: random.Random) -> None:
         self._closed: set[str] = set()
-        self._held = LoadOrder(chance)
-        self._backing_off = LoadOrder(chance)
+        self._held = ServerPriorityQueue(chance)
+        self._backing_off = ServerPriorityQueue(chance)
 
     def note(self, view: ServerView, allowed: bool, now: float) -> None:
         """Take over how a server stands; `allowed` says whether its version gets work."""
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -16,7 +16,7 @@
 from moledale.core.rollouts import VersionRule
 from moledale.gateway.closed_servers import NONE_EXCLUDED, ClosedServers, LimitedServers
 from moledale.gateway.messages import PromptPart, Server
-from moledale.gateway.server_order import HomeRing, LoadOrder, quantize
+from moledale.gateway.server_order import HomeRing, ServerPriorityQueue, quantize
 from moledale.gateway.server_view import ServerView
 
 NEAR_LIGHT = 4
@@ -56,7 +56,7 @@
         self._hall = hall
         self._load_delay_s = load_delay_s
         self._rng = rng
-        self._orders: dict[str, LoadOrder] = {}
+        self._orders: dict[str, ServerPriorityQueue] = {}
         self._ring = HomeRing()
         self._holders: dict[str, list[ServerView]] = {}
         self._counted: dict[str, tuple[int, int]] = {}
@@ -164,10 +164,10 @@
             self.changed(self.views[name])
         self._settle_versions()
 
-    def _order(self, hall: str) -> LoadOrder:
+    def _order(self, hall: str) -> ServerPriorityQueue:
         order = self._orders.get(hall)
         if order is None:
-            order = self._orders[hall] = LoadOrder(self._rng)
+            order = self._orders[hall] = ServerPriorityQueue(self._rng)
         return order
 
     # Prompts
--- a/src/moledale/gateway/server_order.py
+++ b/src/moledale/gateway/server_order.py
@@ -33,7 +33,7 @@
     return round(cost_s / COST_STEP_S)
 
 
-class LoadOrder:
+class ServerPriorityQueue:
     """Servers of one hall, the least loaded first.
 
     A heap with an entry for each change; those that a later change made stale are dropped when they
