--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -117,7 +117,7 @@
 
     def first_permitted(self, excluded: frozenset[str]) -> ServerView | None:
         """Return the server for which a permit may be had first."""
-        found = self._held.lightest(1, excluded)
+        found = self._held.lowest(1, excluded)
         return found[0] if found else None
 
     def opens_in_s(self, now: float) -> float | None:
@@ -125,5 +125,5 @@
         return min((view.standing.opens_in_s(now) for view in self._firsts()), default=None)
 
     def _firsts(self) -> list[ServerView]:
-        backing_off = self._backing_off.lightest(1, NONE_EXCLUDED)
-        return self._held.lightest(1, NONE_EXCLUDED) + backing_off
+        backing_off = self._backing_off.lowest(1, NONE_EXCLUDED)
+        return self._held.lowest(1, NONE_EXCLUDED) + backing_off
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -311,7 +311,7 @@
                 found[name] = view
         for hall, order in self._orders.items():
             number = NEAR_LIGHT if hall == self._hall else FAR_LIGHT
-            for view in order.lightest(number, excluded):
+            for view in order.lowest(number, excluded):
                 if self.may_serve(view, excluded):
                     found[view.server.id] = view
         return list(found.values()) or self._staying_ones(excluded)
--- a/src/moledale/gateway/server_order.py
+++ b/src/moledale/gateway/server_order.py
@@ -63,7 +63,7 @@
         """Take a server out of the order."""
         self._newest.pop(view.server.id, None)
 
-    def lightest(self, number: int, excluded: frozenset[str]) -> list[ServerView]:
+    def lowest(self, number: int, excluded: frozenset[str]) -> list[ServerView]:
         """Return the least loaded servers but for `excluded`."""
         found: list[ServerView] = []
         passed = []
