--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -16,7 +16,7 @@
 from moledale.core.rollouts import VersionRule
 from moledale.gateway.closed_servers import NONE_EXCLUDED, ClosedServers, LimitedServers
 from moledale.gateway.messages import PromptPart, Server
-from moledale.gateway.server_order import HomeRing, ServerPriorityQueue, quantize
+from moledale.gateway.server_order import HashRing, ServerPriorityQueue, quantize
 from moledale.gateway.server_view import ServerView
 
 NEAR_LIGHT = 4
@@ -57,7 +57,7 @@
         self._load_delay_s = load_delay_s
         self._rng = rng
         self._orders: dict[str, ServerPriorityQueue] = {}
-        self._ring = HomeRing()
+        self._ring = HashRing()
         self._holders: dict[str, list[ServerView]] = {}
         self._counted: dict[str, tuple[int, int]] = {}
         self._unsound: set[str] = set()
--- a/src/moledale/gateway/server_order.py
+++ b/src/moledale/gateway/server_order.py
@@ -83,7 +83,7 @@
         return newest is not None and newest[0] == entry[2]
 
 
-class HomeRing:
+class HashRing:
     """Which server is the home of a key: the same one on all nodes, for the same servers.
 
     Consistent hashing (Karger et al., STOC 1997): a server that comes or goes changes the homes of
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -19,7 +19,7 @@
     MOST_RESTING,
     NEAR_LIGHT,
 )
-from moledale.gateway.server_order import HomeRing, quantize
+from moledale.gateway.server_order import HashRing, quantize
 from moledale.gateway.server_view import Placement, ServerView, note_silence
 from tests.gateway_states import state
 
@@ -221,7 +221,7 @@
 class HomeRingTest(unittest.TestCase):
     def test_same_homes_whatever_the_order(self) -> None:
         names = [f"s{number}" for number in range(50)]
-        one, two = HomeRing(), HomeRing()
+        one, two = HashRing(), HashRing()
         one.add_all(names)
         for name in reversed(names):
             two.add(name)
@@ -229,7 +229,7 @@
         self.assertEqual([one.home(key) for key in keys], [two.home(key) for key in keys])
 
     def test_server_that_goes_changes_its_own_homes_only(self) -> None:
-        ring = HomeRing()
+        ring = HashRing()
         ring.add_all(f"s{number}" for number in range(50))
         keys = [f"k{number}" for number in range(2_000)]
         before = {key: ring.home(key) for key in keys}
@@ -241,7 +241,7 @@
         self.assertEqual({key: ring.home(key) for key in keys}, before)
 
     def test_ring_without_servers_has_no_home(self) -> None:
-        self.assertIsNone(HomeRing().home("k"))
+        self.assertIsNone(HashRing().home("k"))
 
 
 class StepsTest(unittest.TestCase):
