--- a/src/moledale/gateway/server_order.py
+++ b/src/moledale/gateway/server_order.py
@@ -43,25 +43,25 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._heap: list[tuple[int, float, int, ServerView]] = []
-        self._newest: dict[str, tuple[int, int]] = {}
+        self._current: dict[str, tuple[int, int]] = {}
         self._serial = 0
 
-    def put(self, view: ServerView, step: int) -> None:
+    def put(self, view: ServerView, priority: int) -> None:
         """Put a server at a place of the order, equal ones by chance."""
         name = view.server.id
-        known = self._newest.get(name)
-        if known is not None and known[1] == step:
+        known = self._current.get(name)
+        if known is not None and known[1] == priority:
             return
         self._serial += 1
-        self._newest[name] = (self._serial, step)
-        heapq.heappush(self._heap, (step, self._rng.random(), self._serial, view))
-        if len(self._heap) > max(MIN_REBUILD_ENTRIES, REBUILD_FACTOR * len(self._newest)):
-            self._heap = [entry for entry in self._heap if self._is_newest(entry)]
+        self._current[name] = (self._serial, priority)
+        heapq.heappush(self._heap, (priority, self._rng.random(), self._serial, view))
+        if len(self._heap) > max(MIN_REBUILD_ENTRIES, REBUILD_FACTOR * len(self._current)):
+            self._heap = [entry for entry in self._heap if self._is_current(entry)]
             heapq.heapify(self._heap)
 
     def drop(self, view: ServerView) -> None:
         """Take a server out of the order."""
-        self._newest.pop(view.server.id, None)
+        self._current.pop(view.server.id, None)
 
     def lowest(self, number: int, excluded: frozenset[str]) -> list[ServerView]:
         """Return the least loaded servers but for `excluded`."""
@@ -69,7 +69,7 @@
         passed = []
         while self._heap and len(found) < number:
             entry = heapq.heappop(self._heap)
-            if not self._is_newest(entry):
+            if not self._is_current(entry):
                 continue
             passed.append(entry)
             if entry[3].server.id not in excluded:
@@ -78,8 +78,8 @@
             heapq.heappush(self._heap, entry)
         return found
 
-    def _is_newest(self, entry: tuple[int, float, int, ServerView]) -> bool:
-        newest = self._newest.get(entry[3].server.id)
+    def _is_current(self, entry: tuple[int, float, int, ServerView]) -> bool:
+        newest = self._current.get(entry[3].server.id)
         return newest is not None and newest[0] == entry[2]
 
 
