--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -195,7 +195,7 @@
         if only is not None:
             views = [only]
         else:
-            views = group.on_trial(trial_share, excluded) if trial_share else []
+            views = group.trial_servers(trial_share, excluded) if trial_share else []
             views = views or group.candidates(now, excluded, holders, home, self.resting())
         if not views:
             return None
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -201,9 +201,9 @@
             return 0.0
         rollout.own.requests += 1
         if rollout.phase is Phase.RISING:
-            max_share = min(RISING_SHARE, group.new_share())
+            max_share = min(RISING_SHARE, group.new_version_share())
             return max_share if self._rng.random() < max_share else 0.0
-        share = self._share_on_trial(rollout, route, min(FREE_SHARE, group.new_share()))
+        share = self._share_on_trial(rollout, route, min(FREE_SHARE, group.new_version_share()))
         if share:
             rollout.record_trial(route)
         return share
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -19,23 +19,23 @@
 from moledale.gateway.server_order import HashRing, ServerPriorityQueue, quantize
 from moledale.gateway.server_view import ServerView
 
-NEAR_LIGHT = 4
-FAR_LIGHT = 2
+LOCAL_HALL_CANDIDATES = 4
+OTHER_HALL_CANDIDATES = 2
 """Least loaded servers of the own and of each other hall that are weighed for a request: enough for
 one that was tried, one that is slower than believed, and a choice between equal ones."""
 
-MOST_HOLDERS = 12
+MAX_PREFIX_HOLDERS = 12
 """Servers with the front of a prompt that are weighed for a request, drawn by chance if more."""
 
-MOST_RESTING = 4
+MAX_CONNECTED_CANDIDATES = 4
 """Servers with a connection at rest that are weighed for a request: a new one takes 1 ms, and is
 paid for. One would do where it is not slower; the others are for when it is."""
 
-UNORDERED_HELD_S = 30.0
+UNORDERED_VERSION_DELAY_S = 30.0
 """A version that appears without an order gets work after this time: longer than the order that it
 may belong to is on its way, so that servers which were replaced in another way are used at last."""
 
-FADING_SHARE = 0.01
+RECOVERED_RATIO = 0.01
 """A server that failed or was slow counts as sound again below this."""
 
 
@@ -56,17 +56,17 @@
         self._hall = hall
         self._load_delay_s = load_delay_s
         self._rng = rng
-        self._orders: dict[str, ServerPriorityQueue] = {}
+        self._queues: dict[str, ServerPriorityQueue] = {}
         self._ring = HashRing()
-        self._holders: dict[str, list[ServerView]] = {}
-        self._counted: dict[str, tuple[int, int]] = {}
-        self._unsound: set[str] = set()
+        self._part_holders: dict[str, list[ServerView]] = {}
+        self._counted_load: dict[str, tuple[int, int]] = {}
+        self._degraded: set[str] = set()
         self.limited = LimitedServers()
         self.closed = ClosedServers(rng)
         self._rule = VersionRule()
-        self._settled: frozenset[str] = frozenset()
-        self._present: dict[str, float] = {}
-        self._on_trial: tuple[float, list[str]] | None = None
+        self._accepted_versions: frozenset[str] = frozenset()
+        self._present_since: dict[str, float] = {}
+        self._trial: tuple[float, list[str]] | None = None
         self._now = 0.0
 
     # Servers that come and go
@@ -74,8 +74,8 @@
     def apply(self, servers: Iterable[Server]) -> list[ServerView]:
         """Take over the service's servers; return the views of those that are new."""
         listed = {server.id: server for server in servers}
-        if not self._settled:
-            self._settled = frozenset(server.version for server in listed.values())
+        if not self._accepted_versions:
+            self._accepted_versions = frozenset(server.version for server in listed.values())
         for name in [name for name in self.views if name not in listed]:
             self._remove(name)
         new = [ServerView(server) for name, server in listed.items() if name not in self.views]
@@ -90,25 +90,25 @@
         for view in self.views.values():
             server = listed[view.server.id]
             if view.server != server:
-                self._order(view.server.hall).drop(view)
+                self._queue(view.server.hall).drop(view)
                 view.server = server
                 self.changed(view)
         for view in new:
             self.changed(view)
-        self._note_versions()
+        self._update_versions()
         return new
 
     def _remove(self, name: str) -> None:
         view = self.views.pop(name)
-        self._order(view.server.hall).drop(view)
+        self._queue(view.server.hall).drop(view)
         self._ring.drop(name)
         for part in view.cached:
             self._drop_holder(part, view)
-        running, prefill = self._counted.pop(name, (0, 0))
+        running, prefill = self._counted_load.pop(name, (0, 0))
         self.running -= running
         self.prefill -= prefill
         self.busy.discard(name)
-        self._unsound.discard(name)
+        self._degraded.discard(name)
         self.limited.drop(name)
         self.closed.drop(view)
         view.on_change = None
@@ -118,88 +118,90 @@
         view = self.views[name]
         view.server = msgspec.structs.replace(view.server, leaving=True)
         self.changed(view)
-        self._note_versions()
+        self._update_versions()
 
     # Loads
 
     def changed(self, view: ServerView) -> None:
         """Take over that a server's load, or what is known of it, changed."""
         name = view.server.id
-        running, prefill = self._counted.get(name, (0, 0))
-        self._counted[name] = counted = (view.all_running, view.all_prefill)
+        running, prefill = self._counted_load.get(name, (0, 0))
+        self._counted_load[name] = counted = (view.all_running, view.all_prefill)
         self.running += counted[0] - running
         self.prefill += counted[1] - prefill
         if view.running:
             self.busy.add(name)
         else:
             self.busy.discard(name)
-        self._note_soundness(view)
+        self._update_degraded(view)
         self.limited.note(view)
         self.closed.note(view, self.allows(view.server.version), self._now)
-        order = self._order(view.server.hall)
-        if not self.may_serve(view, NONE_EXCLUDED):
-            order.drop(view)
+        queue = self._queue(view.server.hall)
+        if not self.is_eligible(view, NONE_EXCLUDED):
+            queue.drop(view)
         else:
-            order.put(view, quantize(self._load_delay_s(view, self._now)))
+            queue.put(view, quantize(self._load_delay_s(view, self._now)))
 
-    def _open_again(self, now: float) -> None:
+    def _reopen_closed(self, now: float) -> None:
         """Weigh servers again once they may get requests, not a round later."""
         self._now = max(self._now, now)
         while view := self.closed.next_open(self._now):
             self.changed(view)
 
-    def _note_soundness(self, view: ServerView) -> None:
+    def _update_degraded(self, view: ServerView) -> None:
         """Remember a server whose estimate changes by time alone."""
-        slow = view.slowness.factor(self._now) - 1.0 > FADING_SHARE
+        slow = view.slowness.factor(self._now) - 1.0 > RECOVERED_RATIO
         waits = view.standing.opens_in_s(self._now) > 0 or view.is_set_aside(self._now)
-        if slow or view.failed_share > FADING_SHARE or waits:
-            self._unsound.add(view.server.id)
+        if slow or view.failed_share > RECOVERED_RATIO or waits:
+            self._degraded.add(view.server.id)
         else:
-            self._unsound.discard(view.server.id)
+            self._degraded.discard(view.server.id)
 
     def tick(self, now: float) -> None:
         """Follow the time: pauses end and what was slow fades."""
         self._now = max(self._now, now)
-        for name in list(self._unsound):
+        for name in list(self._degraded):
             self.changed(self.views[name])
-        self._settle_versions()
+        self._accept_unordered_versions()
 
-    def _order(self, hall: str) -> ServerPriorityQueue:
-        order = self._orders.get(hall)
-        if order is None:
-            order = self._orders[hall] = ServerPriorityQueue(self._rng)
-        return order
+    def _queue(self, hall: str) -> ServerPriorityQueue:
+        queue = self._queues.get(hall)
+        if queue is None:
+            queue = self._queues[hall] = ServerPriorityQueue(self._rng)
+        return queue
 
     # Prompts
 
-    def remember(self, view: ServerView, parts: tuple[PromptPart, ...], capacity: int) -> None:
+    def record_cached_parts(
+        self, view: ServerView, parts: tuple[PromptPart, ...], capacity: int
+    ) -> None:
         """Note that a prompt's parts lie in a server's memory now."""
         new = [part.id for part in parts if part.tokens > 0 and part.id not in view.cached]
         evicted = view.remember(parts, capacity)
         if self.views.get(view.server.id) is not view:
             return
         for part in dict.fromkeys(new):
-            self._holders.setdefault(part, []).append(view)
+            self._part_holders.setdefault(part, []).append(view)
         for part in evicted:
             self._drop_holder(part, view)
 
     def _drop_holder(self, part: str, view: ServerView) -> None:
-        holders = self._holders.get(part)
+        holders = self._part_holders.get(part)
         if holders is None:
             return
         if view in holders:
             holders.remove(view)
         if not holders:
-            del self._holders[part]
+            del self._part_holders[part]
 
     def holders(self, parts: tuple[PromptPart, ...]) -> list[ServerView]:
         """Return servers that have a front of a prompt, those with more of it first."""
         found: dict[str, ServerView] = {}
         for part in reversed(parts):
-            room = MOST_HOLDERS - len(found)
+            room = MAX_PREFIX_HOLDERS - len(found)
             if room <= 0:
                 break
-            views = self._holders.get(part.id, [])
+            views = self._part_holders.get(part.id, [])
             if len(views) > room:
                 views = self._rng.sample(views, room)
             found.update((view.server.id, view) for view in views)
@@ -216,27 +218,29 @@
         if rule == self._rule:
             return
         self._rule = rule
-        self._on_trial = None
+        self._trial = None
         if rule.only_target:
-            self._settled |= {rule.target}
+            self._accepted_versions |= {rule.target}
         for view in self.views.values():
             self.changed(view)
 
-    def _note_versions(self) -> None:
+    def _update_versions(self) -> None:
         """Remember which versions are there, and since when."""
         there = {view.server.version for view in self.views.values() if not view.server.leaving}
-        self._present = {version: self._present.get(version, self._now) for version in there}
-        self._on_trial = None
+        self._present_since = {
+            version: self._present_since.get(version, self._now) for version in there
+        }
+        self._trial = None
 
-    def _settle_versions(self) -> None:
+    def _accept_unordered_versions(self) -> None:
         """Give work to versions that have been there for long without any order."""
         waited = {
             version
-            for version, since in self._present.items()
-            if self._now - since > UNORDERED_HELD_S and version != self._rule.target
+            for version, since in self._present_since.items()
+            if self._now - since > UNORDERED_VERSION_DELAY_S and version != self._rule.target
         }
-        if not waited <= self._settled:
-            self._settled |= waited
+        if not waited <= self._accepted_versions:
+            self._accepted_versions |= waited
             for view in self.views.values():
                 self.changed(view)
 
@@ -246,7 +250,7 @@
         One that appears without an order that this node knows gets none: the order may be on its
         way, and the version bad.
         """
-        return version in self._settled and self._rule.allows(version)
+        return version in self._accepted_versions and self._rule.allows(version)
 
     def allowed(self) -> list[ServerView]:
         """Return the servers whose version gets work, leaving ones included."""
@@ -254,29 +258,29 @@
 
     def has_version(self, version: str) -> bool:
         """Say whether servers of a version are there that don't leave."""
-        return version in self._present
+        return version in self._present_since
 
-    def on_trial(self, share: float, excluded: frozenset[str]) -> list[ServerView]:
+    def trial_servers(self, share: float, excluded: frozenset[str]) -> list[ServerView]:
         """Return the servers of a new version that share its part of the requests.
 
         They are as many that each gets about as much as an old one does: a version that is bad
         under load only shows it. All nodes choose the same ones.
         """
-        if self._on_trial is None or self._on_trial[0] != share:
-            self._on_trial = (share, self._choose_on_trial(share))
-        chosen = (self.views[name] for name in self._on_trial[1] if name not in excluded)
-        return [view for view in chosen if self._is_free(view)]
+        if self._trial is None or self._trial[0] != share:
+            self._trial = (share, self._choose_trial_servers(share))
+        chosen = (self.views[name] for name in self._trial[1] if name not in excluded)
+        return [view for view in chosen if self._is_available(view)]
 
-    def new_share(self) -> float:
+    def new_version_share(self) -> float:
         """Return the part of the load with which a new server has no more to do than an old one."""
-        new, old = self._new_and_old()
+        new, old = self._new_and_current()
         return len(new) / max(1, len(new) + old)
 
-    def _choose_on_trial(self, share: float) -> list[str]:
-        new, old = self._new_and_old()
+    def _choose_trial_servers(self, share: float) -> list[str]:
+        new, old = self._new_and_current()
         return ranked(self._rule.target, new)[: max(1, round(share / (1.0 - share) * old))]
 
-    def _new_and_old(self) -> tuple[list[str], int]:
+    def _new_and_current(self) -> tuple[list[str], int]:
         """Return the servers of the ordered version that stay, and the number of those in use."""
         staying = [view.server for view in self.views.values() if not view.server.leaving]
         new = [server.id for server in staying if server.version == self._rule.target]
@@ -284,13 +288,13 @@
 
     # Candidates
 
-    def may_serve(self, view: ServerView, excluded: frozenset[str]) -> bool:
+    def is_eligible(self, view: ServerView, excluded: frozenset[str]) -> bool:
         """Say whether a server may get new work."""
-        if view.server.id in excluded or not self._is_free(view):
+        if view.server.id in excluded or not self._is_available(view):
             return False
         return self.allows(view.server.version)
 
-    def _is_free(self, view: ServerView) -> bool:
+    def _is_available(self, view: ServerView) -> bool:
         return not view.is_closed(self._now) and not view.is_set_aside(self._now)
 
     def candidates(
@@ -299,33 +303,33 @@
         excluded: frozenset[str],
         holders: Iterable[ServerView] = (),
         home: str | None = None,
-        resting: Iterable[str] = (),
+        connected: Iterable[str] = (),
     ) -> list[ServerView]:
         """Return the servers to weigh for a request; set aside ones only if there are no others."""
-        self._open_again(now)
-        found = {view.server.id: view for view in holders if self.may_serve(view, excluded)}
+        self._reopen_closed(now)
+        found = {view.server.id: view for view in holders if self.is_eligible(view, excluded)}
         named = [home] if home is not None else []
-        for name in (*named, *self._resting(resting)):
+        for name in (*named, *self._connected(connected)):
             view = self.views.get(name)
-            if view is not None and self.may_serve(view, excluded):
+            if view is not None and self.is_eligible(view, excluded):
                 found[name] = view
-        for hall, order in self._orders.items():
-            number = NEAR_LIGHT if hall == self._hall else FAR_LIGHT
-            for view in order.lowest(number, excluded):
-                if self.may_serve(view, excluded):
+        for hall, queue in self._queues.items():
+            number = LOCAL_HALL_CANDIDATES if hall == self._hall else OTHER_HALL_CANDIDATES
+            for view in queue.lowest(number, excluded):
+                if self.is_eligible(view, excluded):
                     found[view.server.id] = view
-        return list(found.values()) or self._staying_ones(excluded)
+        return list(found.values()) or self._fallback_candidates(excluded)
 
-    def _resting(self, names: Iterable[str]) -> list[str]:
+    def _connected(self, names: Iterable[str]) -> list[str]:
         found: list[str] = []
         for name in names:
             if name in self.views:
                 found.append(name)
-                if len(found) == MOST_RESTING:
+                if len(found) == MAX_CONNECTED_CANDIDATES:
                     break
         return found
 
-    def _staying_ones(self, excluded: frozenset[str]) -> list[ServerView]:
+    def _fallback_candidates(self, excluded: frozenset[str]) -> list[ServerView]:
         """Return the servers that may get requests; those not set aside, if there are any."""
         if self.closed.are_all(len(self.views)):
             return []
@@ -345,7 +349,7 @@
 
         It is 0 if one may get it now.
         """
-        self._open_again(now)
+        self._reopen_closed(now)
         if self.closed.are_all(len(self.views)):
             return self.closed.opens_in_s(now)
         first = None
@@ -360,14 +364,14 @@
 
     def declined(self, now: float) -> list[ServerView]:
         """Return the servers that stay and turned requests of this node away."""
-        views = (self.views[name] for name in self._unsound)
+        views = (self.views[name] for name in self._degraded)
         return [
             view for view in views if view.standing.declined_until > now and not view.server.leaving
         ]
 
     def unavailable(self, now: float, longer_than_s: float) -> int:
         """Return how many servers that stay turn requests of any node away for longer than that."""
-        views = (self.views[name] for name in self._unsound)
+        views = (self.views[name] for name in self._degraded)
         standings = (view.standing for view in views if not view.server.leaving)
         away = (each for each in standings if each.declines_until() > now)
         return sum(each.declines_until() - each.declined_since > longer_than_s for each in away)
@@ -379,4 +383,4 @@
         """
         self._now = max(self._now, now)
         excluded = tried | self.limited.names
-        return any(self.may_serve(view, excluded) for view in self.views.values())
+        return any(self.is_eligible(view, excluded) for view in self.views.values())
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -31,7 +31,7 @@
 from moledale.gateway.peers import Membership
 from moledale.gateway.rollout_duty import RolloutDuty, _has_enough_answers
 from moledale.gateway.rollouts import MIN_TRIALS_PER_ROUTE, REWRITE_WINDOW_S, Rollouts
-from moledale.gateway.server_group import UNORDERED_HELD_S
+from moledale.gateway.server_group import UNORDERED_VERSION_DELAY_S
 from moledale.gateway.store_era import StoreEra
 from standins.rows import Mood
 from tests.gateway_world import quietly
@@ -369,9 +369,9 @@
 
     def test_version_without_an_order_gets_work_after_a_long_while(self) -> None:
         book = self.book()
-        book.tick(UNORDERED_HELD_S / 2)
+        book.tick(UNORDERED_VERSION_DELAY_S / 2)
         self.assertEqual(self.chosen(book), {OLD})
-        book.tick(UNORDERED_HELD_S * 1.5)
+        book.tick(UNORDERED_VERSION_DELAY_S * 1.5)
         self.assertIn(NEW, self.chosen(book))
 
     def test_version_without_an_order_serves_once_no_other_is_left(self) -> None:
@@ -397,7 +397,7 @@
         book.apply(listed(50, 0))
         book.apply(listed(50, 50))
         book.group(SERVICE).set_rule(rule_of(RolloutNews(order())))
-        self.assertEqual(len(book.group(SERVICE).on_trial(0.08, frozenset())), 4)
+        self.assertEqual(len(book.group(SERVICE).trial_servers(0.08, frozenset())), 4)
         self.assertEqual(self.chosen(book, share=0.08), {NEW})
 
     def test_few_new_servers_get_no_more_than_as_many_old_ones(self) -> None:
@@ -406,7 +406,7 @@
         self.assertLess(sum(sent[:60]), 20)
         self.assertLess(sum(sent), 1.6 * 400 * 4 / 40)
         self.assertGreater(sum(sent), 15)
-        self.assertAlmostEqual(book.group(SERVICE).new_share(), 0.1)
+        self.assertAlmostEqual(book.group(SERVICE).new_version_share(), 0.1)
 
     def test_routes_with_few_requests_are_tried_sooner(self) -> None:
         for new in (4, 36):
@@ -421,7 +421,7 @@
             rollouts, book = self.rollouts(36, new)
             shares = {rollouts.trial_share(SERVICE, "check", True) for _ in range(40)} - {0.0}
             for share in shares:
-                servers = len(book.group(SERVICE).on_trial(share, frozenset()))
+                servers = len(book.group(SERVICE).trial_servers(share, frozenset()))
                 self.assertAlmostEqual(share / servers, (1.0 - share) / 36, delta=0.01)
 
     def test_nodes_with_a_request_now_and_then_try_the_version_too(self) -> None:
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -14,10 +14,10 @@
 from moledale.gateway.messages import PromptPart, RequestFacts, Server
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_group import (
-    FAR_LIGHT,
-    MOST_HOLDERS,
-    MOST_RESTING,
-    NEAR_LIGHT,
+    LOCAL_HALL_CANDIDATES,
+    MAX_CONNECTED_CANDIDATES,
+    MAX_PREFIX_HOLDERS,
+    OTHER_HALL_CANDIDATES,
 )
 from moledale.gateway.server_order import HashRing, quantize
 from moledale.gateway.server_view import Placement, ServerView, note_silence
@@ -25,7 +25,13 @@
 
 ENGINE = Engine(64, 500_000, 327_680, 270_000.0, moves=True)
 HALLS = 4
-MOST_WEIGHED = MOST_HOLDERS + 1 + MOST_RESTING + NEAR_LIGHT + FAR_LIGHT * (HALLS - 1)
+MOST_WEIGHED = (
+    MAX_PREFIX_HOLDERS
+    + 1
+    + MAX_CONNECTED_CANDIDATES
+    + LOCAL_HALL_CANDIDATES
+    + OTHER_HALL_CANDIDATES * (HALLS - 1)
+)
 
 
 def servers(number: int, service: str = "model", slots: int = 64) -> list[Server]:
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -272,7 +272,7 @@
      lambda _, account: account.burst, LIMITS),
     ("starting nodes ask their peers first", ColdStart, "wait", _ask_at_once,
      "tests.test_cold_start"),
-    ("few new servers get their part only", ServerGroup, "new_share", lambda _: 1.0, VERSIONS),
+    ("few new servers get their part only", ServerGroup, "new_version_share", lambda _: 1.0, VERSIONS),
     ("routes with few requests are tried sooner", ServiceRollout, "is_undertested",
      lambda *_: False, VERSIONS),
     ("a request is known when it comes again", RequestGuard, "wait_s", lambda *_: 0.0, BLOCKS),
