--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -292,7 +292,7 @@
     def _tell(self, placement: Placement, facts: RequestFacts, engine: Engine) -> None:
         """Note a placed prompt's parts, and that other nodes should hear of it."""
         view = placement.view
-        self.group(view.server.service).remember(view, facts.parts, engine.cache_tokens)
+        self.group(view.server.service).record_cached_parts(view, facts.parts, engine.cache_tokens)
         self._placed.append((view, placement.work, facts.parts))
         self.on_placed()
 
@@ -382,7 +382,9 @@
             return
         view.reading.place(news.work)
         if engine is not None:
-            self.group(view.server.service).remember(view, news.parts, engine.cache_tokens)
+            self.group(view.server.service).record_cached_parts(
+                view, news.parts, engine.cache_tokens
+            )
         view.add_others(news.running - before[0], news.prefill - before[1])
 
     def tick(self, now: float) -> None:
