--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -52,7 +52,7 @@
         self.views: dict[str, ServerView] = {}
         self.busy: set[str] = set()
         self.running = 0
-        self.prefill = 0
+        self.prefill_tokens = 0
         self._hall = hall
         self._load_delay_s = load_delay_s
         self._rng = rng
@@ -106,7 +106,7 @@
             self._drop_holder(part, view)
         running, prefill = self._counted_load.pop(name, (0, 0))
         self.running -= running
-        self.prefill -= prefill
+        self.prefill_tokens -= prefill
         self.busy.discard(name)
         self._degraded.discard(name)
         self.limited.drop(name)
@@ -128,7 +128,7 @@
         running, prefill = self._counted_load.get(name, (0, 0))
         self._counted_load[name] = counted = (view.all_running, view.all_prefill)
         self.running += counted[0] - running
-        self.prefill += counted[1] - prefill
+        self.prefill_tokens += counted[1] - prefill
         if view.running:
             self.busy.add(name)
         else:
