--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -149,7 +149,7 @@
 
     def _may_leave(self, job: Job) -> bool:
         now = self._now()
-        other = self._book.has_other(job.service, now, job.tried)
+        other = self._book.has_alternative(job.service, now, job.tried)
         return other and self._sharing.may_repeat(job.service, now)
 
     async def _read_whole(self, connection: UpstreamConnection) -> bytes:
--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -167,9 +167,9 @@
 
     # Choosing
 
-    def has_other(self, service: str, now: float, tried: frozenset[str]) -> bool:
+    def has_alternative(self, service: str, now: float, tried: frozenset[str]) -> bool:
         """Say whether a server is there that was not tried and is not paused."""
-        return self.group(service).has_other(now, tried)
+        return self.group(service).has_alternative(now, tried)
 
     def choose(
         self,
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -376,7 +376,7 @@
         away = (each for each in standings if each.declines_until() > now)
         return sum(each.declines_until() - each.declined_since > longer_than_s for each in away)
 
-    def has_other(self, now: float, tried: frozenset[str]) -> bool:
+    def has_alternative(self, now: float, tried: frozenset[str]) -> bool:
         """Say whether a server may get work that was not tried and is not set aside.
 
         One that names a limit is none to count on: it may have no place when it is asked.
