--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -234,13 +234,13 @@
 
     def _accept_unordered_versions(self) -> None:
         """Give work to versions that have been there for long without any order."""
-        waited = {
+        unordered = {
             version
             for version, since in self._present_since.items()
             if self._now - since > UNORDERED_VERSION_DELAY_S and version != self._rule.target
         }
-        if not waited <= self._accepted_versions:
-            self._accepted_versions |= waited
+        if not unordered <= self._accepted_versions:
+            self._accepted_versions |= unordered
             for view in self.views.values():
                 self.changed(view)
 
