--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.dialect import Dialect
 from moledale.gateway.evacuation import StreamRun
 from moledale.gateway.job import Attempt, Ending, Job
@@ -47,7 +47,7 @@
     def __init__(
         self,
         dialect: Dialect,
-        book: ServerBook,
+        balancer: LoadBalancer,
         sharing: Sharing,
         refuse: Refuse,
         now: Callable[[], float],
@@ -57,7 +57,7 @@
         self._leaves = leaves
         self._dialect = dialect
         self._guard = guard
-        self._book = book
+        self._balancer = balancer
         self._sharing = sharing
         self._refuse = refuse
         self._now = now
@@ -85,7 +85,7 @@
             return
         view = placement.view
         stated = facts.statement
-        self._book.notices.answered(
+        self._balancer.notices.answered(
             view, status, facts.not_run, stated, placement.sent_at, self._now()
         )
         if stated.leaving and status != WRONG_SERVER:
@@ -149,7 +149,7 @@
 
     def _may_leave(self, job: Job) -> bool:
         now = self._now()
-        other = self._book.has_alternative(job.service, now, job.tried)
+        other = self._balancer.has_alternative(job.service, now, job.tried)
         return other and self._sharing.may_repeat(job.service, now)
 
     async def _read_whole(self, connection: UpstreamConnection) -> bytes:
@@ -169,7 +169,7 @@
         now = self._now()
         failed = head.status >= 500
         note_answer(placement.view, failed, now - placement.sent_at)
-        self._book.note_outcome(placement, failed, now - placement.sent_at)
+        self._balancer.note_outcome(placement, failed, now - placement.sent_at)
         job.may_have_run = True
         self._count(job)
         if failed and job.reply.begun:
@@ -223,7 +223,7 @@
             view.heard_at = self._now()
             if first:
                 first = False
-                self._book.note_first(placement, self._now())
+                self._balancer.note_first(placement, self._now())
                 job.may_have_run = True
                 self._count(job)
                 note_answer(placement.view, False, self._now() - placement.sent_at)
@@ -240,8 +240,8 @@
         self._begin_stream(job, head)
         job.reply.send(job.cutter.rest())
         job.reply.finish()
-        self._book.note_end(placement, self._now())
-        self._book.note_pace(placement, run.events_here, self._now())
+        self._balancer.note_end(placement, self._now())
+        self._balancer.note_pace(placement, run.events_here, self._now())
         return Attempt(Ending.ANSWERED)
 
     def _begin_stream(self, job: Job, head: AnswerHead) -> None:
@@ -255,9 +255,9 @@
         if cut in ENDED_BY_SERVER:
             self._guard.broke_off(job, placement)
         else:
-            self._book.note_cut(placement, self._now())
+            self._balancer.note_cut(placement, self._now())
         if cut is Cut.SLOW:
-            self._book.on_silent(placement.view.server.id)
+            self._balancer.on_silent(placement.view.server.id)
         job.cutter.start_again()
         return Attempt(Ending.BROKEN, why=cut.value)
 
--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -57,7 +57,7 @@
 """Ending of the name of a series that holds a route's time between events."""
 
 
-class ServerBook:
+class LoadBalancer:
     """The servers of all services, with what this node and its peers have running there.
 
     `has_connection` says whether a connection to a server is at rest; `resting` tells all of these,
--- a/src/moledale/gateway/evacuation.py
+++ b/src/moledale/gateway/evacuation.py
@@ -13,7 +13,7 @@
 from result import Err, Result
 
 from moledale.clock import monotonic
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import RequestFacts, Server
 from moledale.gateway.permits import permits_alone
 from moledale.gateway.placing import Placing, Wanted
@@ -129,16 +129,16 @@
     def __init__(
         self,
         engines: Engines,
-        book: ServerBook,
+        balancer: LoadBalancer,
         index: Callable[[], PlanIndex | None],
         notice_s: float,
         now: Callable[[], float] = monotonic,
         placing: Placing | None = None,
     ) -> None:
-        self._placing = placing or Placing(book, permits_alone(book, now), now)
+        self._placing = placing or Placing(balancer, permits_alone(balancer, now), now)
         self.runs: set[StreamRun] = set()
         self._engines = engines
-        self._book = book
+        self._balancer = balancer
         self._index = index
         self._notice_s = notice_s
         self._now = now
@@ -153,7 +153,9 @@
         """
         now = self._now()
         leaving = {
-            view.server.id: view.server for view in self._book.views.values() if view.server.leaving
+            view.server.id: view.server
+            for view in self._balancer.views.values()
+            if view.server.leaving
         }
         self._ends = {name: end for name, end in self._ends.items() if name in leaving or end > now}
         leaving.update({server.id: server for server in gone})
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -7,7 +7,7 @@
 from moledale.gateway.accounts import AccountLimits
 from moledale.gateway.admission import Admission
 from moledale.gateway.answers import AnswerReader
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.dialect import Dialect
 from moledale.gateway.evacuation import Continuation, Engines, Evacuation, StreamRun
 from moledale.gateway.job import Attempt, Ending, Job
@@ -62,7 +62,7 @@
     def __init__(
         self,
         dialect: Dialect,
-        book: ServerBook,
+        balancer: LoadBalancer,
         pool: ConnectionPool,
         sharing: Sharing,
         engines: Engines,
@@ -77,26 +77,26 @@
         limits = AccountLimits(
             first_start, sharing.limit_window_s, sharing.limit_tolerance, starters
         )
-        self.guard = RequestGuard(pool, now, lambda cut: book.note_cut(cut, now()))
+        self.guard = RequestGuard(pool, now, lambda cut: balancer.note_cut(cut, now()))
         self.admission = Admission(dialect, now, newer_plan, limits, self.guard.wait_s)
         self._dialect = dialect
-        self._book = book
-        book.on_silent = pool.forget
+        self._balancer = balancer
+        balancer.on_silent = pool.forget
         self._pool = pool
         self._sharing = sharing
-        self._permits = permits or permits_alone(book, now)
-        self._placing = Placing(book, self._permits, now)
+        self._permits = permits or permits_alone(balancer, now)
+        self._placing = Placing(balancer, self._permits, now)
         self.evacuation = Evacuation(
-            engines, book, lambda: self.index, sharing.leave_s, now, self._placing
+            engines, balancer, lambda: self.index, sharing.leave_s, now, self._placing
         )
         self.handled = 0
         self._now = now
         self._list_is_current = list_is_current
         self._trial_share = trial_share
-        self._refusals = Refusals(dialect, book, Turns(starters, now), now)
+        self._refusals = Refusals(dialect, balancer, Turns(starters, now), now)
         self.refuse = self._refusals.refuse
         self._answers = AnswerReader(
-            dialect, book, sharing, self.refuse, now, self.guard, self.server_leaves
+            dialect, balancer, sharing, self.refuse, now, self.guard, self.server_leaves
         )
 
     @property
@@ -120,7 +120,7 @@
 
     def server_leaves(self, name: str, source: str = "answer") -> None:
         """Give a server that said that it leaves no new work, and move its streams in time."""
-        server = self._book.notices.note_leaving(name)
+        server = self._balancer.notices.note_leaving(name)
         if server is not None:
             emit(Event.SERVER_LEAVING, server=name, source=source)
             self.evacuation.servers_changed()
@@ -316,7 +316,7 @@
         """Hold it against a server's version if nothing came of it within the target."""
         waited_s = self._now() - placement.sent_at
         if job.offered and waited_s >= job.route.target_s:
-            self._book.note_outcome(placement, True, waited_s)
+            self._balancer.note_outcome(placement, True, waited_s)
 
     async def _moved(self, job: Job, run: StreamRun) -> Attempt | None:
         """Return where a stream goes on that was stopped to be moved, or None."""
--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from moledale.clock import monotonic
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.gossip import PlacementNews
 from moledale.gateway.peers import Membership, NodeState
 from moledale.gateway.permits import (
@@ -32,19 +32,19 @@
         own_id: str,
         own_hall: str,
         own_peer: str,
-        book: ServerBook,
+        balancer: LoadBalancer,
         members: Membership,
         tell: Callable[[PermitAsk | PermitAnswer, str], None],
         now: Callable[[], float] = monotonic,
     ) -> None:
         self._own_hall = own_hall
-        self._book = book
+        self._balancer = balancer
         self._members = members
         self._tell = tell
         self._now = now
         self._told_at = now()
         self._grantors = Grantors(own_id)
-        self._desk = PermitDesk(limit_in(book))
+        self._desk = PermitDesk(limit_in(balancer))
         self.permits = Permits(self._desk, self._grantors, own_peer, tell, now)
 
     def renew(self, serving: bool) -> None:
@@ -61,7 +61,7 @@
         counts = self._desk.take_counts()
         most = sorted(counts, key=lambda server: -counts[server].asked)[:MOST_TOLD]
         for server in most:
-            view = self._book.views.get(server)
+            view = self._balancer.views.get(server)
             emit(
                 Event.PERMITS,
                 server=server,
@@ -78,13 +78,13 @@
             return
         # The node that asks may have heard the limit a moment before its state tells it.
         asked_by = LimitNews(message.per_s, message.age_s)
-        self._book.notices.peer_limits({message.server: asked_by}, message.peer, self._now())
+        self._balancer.notices.peer_limits({message.server: asked_by}, message.peer, self._now())
         self._tell(self.permits.grant(message), message.peer)
 
     def heard_state(self, state: NodeState) -> None:
         """Take over the limits that a node heard itself."""
         if state.limits:
-            self._book.notices.peer_limits(state.limits, state.id, self._now())
+            self._balancer.notices.peer_limits(state.limits, state.id, self._now())
 
     def heard_placed(self, news: PlacementNews) -> None:
         """Count what a build that knows no limits sent to servers that this node grants for."""
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -7,7 +7,7 @@
 
 from moledale.clock import SystemClock, monotonic
 from moledale.core.rollouts import Exposure, Phase, RolloutNews
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.builds import FORMATS, BuildWatch
 from moledale.gateway.cold_start import ColdStart
 from moledale.gateway.dialect import Dialect
@@ -114,10 +114,10 @@
         self.life = int.from_bytes(os.urandom(6), "big")
         self.members = Membership(node.id, self.life)
         self.sharing = Sharing(self.members, settings.bounds)
-        self.book = ServerBook(node.hall)
+        self.balancer = LoadBalancer(node.hall)
         self.pool = ConnectionPool(monotonic)
         self.rollouts = Rollouts(
-            self.book,
+            self.balancer,
             self.members,
             self._rollout_changed,
             self.sharing.true_time.to_local,
@@ -126,13 +126,13 @@
             Exposure(settings.bounds.exposure_share, settings.bounds.exposure_free),
             store.era,
         )
-        self.book.on_outcome = self.rollouts.record_answer
+        self.balancer.on_outcome = self.rollouts.record_answer
         self.server_limits = LimitSharing(
-            node.id, node.hall, node.peers, self.book, self.members, self._tell_one
+            node.id, node.hall, node.peers, self.balancer, self.members, self._tell_one
         )
         self.forwarder = Forwarder(
             dialect,
-            self.book,
+            self.balancer,
             self.pool,
             self.sharing,
             engines,
@@ -157,12 +157,12 @@
                 self.keeper,
                 orders,
                 self.sharing,
-                self.book,
+                self.balancer,
                 lambda: self.forwarder.index,
                 node.first_start,
             ),
             RolloutDuty(
-                store, self.rollouts, self.book, self.sharing.true_time.to_local, monotonic
+                store, self.rollouts, self.balancer, self.sharing.true_time.to_local, monotonic
             ),
         )
         self.quarantine = QuarantineSharing(self.forwarder.guard, self._tell_quarantine)
@@ -178,9 +178,9 @@
         self.neighbours = Neighbours(self.members, node.peers, monotonic())
         self._gossip: GossipSocket | None = None
         self._telling_placements: asyncio.TimerHandle | None = None
-        self.book.on_placed = self._placed
-        self.book.has_connection = self.pool.has_idle
-        self.book.resting = self.pool.resting
+        self.balancer.on_placed = self._placed
+        self.balancer.has_connection = self.pool.has_idle
+        self.balancer.resting = self.pool.resting
         self._request_rate = Rate()
         self._sequence = 0
         self._packer = StatePacker()
@@ -231,7 +231,7 @@
         alive = self.members.alive(monotonic())
         unreadable = self._gossip.unreadable.total() if self._gossip is not None else 0
         return {
-            "servers_limited": self.book.limited(),
+            "servers_limited": self.balancer.limited(),
             "peers_of_other_builds": self._builds.others(alive),
             "news_unreadable_total": unreadable,
         }
@@ -345,9 +345,9 @@
             index.version if index is not None else -1,
             self.sharing.usage.started,
             self.forwarder.limits.spent,
-            self.book.loads(),
+            self.balancer.loads(),
             self.sharing.sends(now),
-            self.book.work,
+            self.balancer.work,
             self.neighbours.serving,
             power_of(node.cores, node.link_mbps),
             now - self.plans.reached_at,
@@ -355,15 +355,15 @@
             self.keeper.lease_update(),
             lease_heard=self.keeper.lease_to_relay(now),
             requests_per_s=self._request_rate.per_s,
-            speeds=self.book.speeds(now),
+            speeds=self.balancer.speeds(now),
             age_s=now - self._began_at,
             servers=self.fleet.head(),
             rollouts=self.rollouts.updates(),
             trials=self.rollouts.trial_counts(),
             blocks=self.quarantine.digest(),
-            leaving=self.book.notices.leaving_beyond_the_list(),
-            declined=self.book.declined(now),
-            limits=self.book.limits(now),
+            leaving=self.balancer.notices.leaving_beyond_the_list(),
+            declined=self.balancer.declined(now),
+            limits=self.balancer.limits(now),
             formats=FORMATS,
             era=self._store.era.news(),
         )
@@ -399,7 +399,7 @@
 
     def _tell_placements(self) -> None:
         self._telling_placements = None
-        placed = self.book.take_placed()
+        placed = self.balancer.take_placed()
         if self._gossip is None or not placed:
             return
         node = self.settings.node
@@ -421,7 +421,7 @@
         self._gossip.tell(news, targets)
 
     def _engine_of(self, server: str) -> Engine | None:
-        view = self.book.views.get(server)
+        view = self.balancer.views.get(server)
         index = self.forwarder.index
         if view is None or index is None:
             return None
@@ -439,12 +439,12 @@
             if changed and self.neighbours.steps_up_blind(now):
                 self.forwarder.begin_limits_anew()
             self._tell_state(everyone=changed)
-            self.sharing.take_over(self.book)
+            self.sharing.take_over(self.balancer)
             self.server_limits.renew(self.neighbours.serving)
             self.rollouts.step()
             self.forwarder.guard.decide()
             self.fleet.drop_lapsed()
-            self.book.tick(now)
+            self.balancer.tick(now)
             self.members.forget_old(now)
             await asyncio.sleep(ROUND_S)
 
@@ -461,7 +461,7 @@
             return
         if isinstance(message, PlacementNews):
             self.server_limits.heard_placed(message)
-            self.sharing.heard_placed(message, self.book, self._engine_of)
+            self.sharing.heard_placed(message, self.balancer, self._engine_of)
             return
         if isinstance(message, PackedState):
             news = self._unpacker.unpack(message)
@@ -482,7 +482,7 @@
             self._gossip.tell(StateNews(self._state(), self.neighbours.hints(now)), [state.peer])
         for name in state.leaving:
             self.forwarder.server_leaves(name, source=state.id)
-        self.book.notices.peers_declined(state.declined, now)
+        self.balancer.notices.peers_declined(state.declined, now)
         self.server_limits.heard_state(state)
         self.rollouts.merge(state.rollouts)
         self.neighbours.addresses.add(state.peer, now)
@@ -519,7 +519,7 @@
         ordered_at = self.sharing.true_time.to_local(order.ordered_s)
         began_at = now if ordered_at is None else ordered_at
         ends = max(now, began_at + OLD_END_SHARE * order.duration_s)
-        views = self.book.group(order.service).views.values()
+        views = self.balancer.group(order.service).views.values()
         old = [view.server for view in views if view.server.version != order.target]
         self.forwarder.evacuation.empty_by(old, ends)
 
@@ -560,7 +560,7 @@
         return self.neighbours.rank(self._state(), monotonic(), reserve_first=False)
 
     def _took_fleet(self, servers: list[Server]) -> None:
-        gone = self.book.apply(servers)
+        gone = self.balancer.apply(servers)
         for server in gone:
             self.pool.forget(server.id)
         self.forwarder.evacuation.servers_changed(gone)
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -15,7 +15,7 @@
 from moledale.clock import monotonic
 from moledale.core.hashing import first
 from moledale.core.pacing import Pacer, Reservation
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.peers import NodeState
 from moledale.gateway.server_view import ServerView
 
@@ -258,16 +258,16 @@
             del self._waiting[ask.serial]
 
 
-def permits_alone(book: ServerBook, now: Callable[[], float]) -> Permits:
+def permits_alone(balancer: LoadBalancer, now: Callable[[], float]) -> Permits:
     """Return permits of a node that knows of no other one."""
-    return Permits(PermitDesk(limit_in(book)), Grantors(""), now=now)
+    return Permits(PermitDesk(limit_in(balancer)), Grantors(""), now=now)
 
 
-def limit_in(book: ServerBook) -> LimitOf:
+def limit_in(balancer: LoadBalancer) -> LimitOf:
     """Return what tells limits as a node's book has them."""
 
     def limit_of(server: str, asked_per_s: float) -> float | None:
-        view = book.views.get(server)
+        view = balancer.views.get(server)
         return view.limit_per_s if view is not None else asked_per_s
 
     return limit_of
--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.choice import Choice
 from moledale.gateway.messages import RequestFacts
 from moledale.gateway.permits import ANSWER_S, Permits
@@ -38,8 +38,8 @@
 class Placing:
     """Chooses servers for requests, and counts each where it goes."""
 
-    def __init__(self, book: ServerBook, permits: Permits, now: Callable[[], float]) -> None:
-        self._book = book
+    def __init__(self, balancer: LoadBalancer, permits: Permits, now: Callable[[], float]) -> None:
+        self._balancer = balancer
         self._permits = permits
         self._now = now
 
@@ -61,12 +61,12 @@
     def _choose(self, wanted: Wanted, refused: int) -> Choice | None:
         choice = None
         if refused >= MOST_REFUSED:
-            limited = self._book.group(wanted.service).limited.names
+            limited = self._balancer.group(wanted.service).limited.names
             choice = self._choose_without(wanted, wanted.excluded | limited)
         return choice or self._choose_without(wanted, wanted.excluded)
 
     def _choose_without(self, wanted: Wanted, excluded: frozenset[str]) -> Choice | None:
-        return self._book.choose(
+        return self._balancer.choose(
             wanted.service,
             wanted.facts,
             wanted.engine,
@@ -77,19 +77,19 @@
 
     async def _wait_for_turn(self, wanted: Wanted) -> Placement | None:
         """Wait for a place at the server that has the first one to give, if that is in time."""
-        view = self._book.group(wanted.service).closed.first_permitted(wanted.excluded)
+        view = self._balancer.group(wanted.service).closed.first_permitted(wanted.excluded)
         if view is None or view.standing.held_until - self._now() > wanted.patience_s:
             return None
         if not await self._permits.take(view, wanted.patience_s, wanted.answer_s):
             return None
         if not view.is_open(self._now()):
             return None
-        choice = self._book.choose(
+        choice = self._balancer.choose(
             wanted.service, wanted.facts, wanted.engine, self._now(), only=view
         )
         return None if choice is None else self._count(choice, wanted, True)
 
     def _count(self, choice: Choice, wanted: Wanted, permitted: bool) -> Placement:
-        placement = self._book.count(choice, self._now(), wanted.moved)
+        placement = self._balancer.count(choice, self._now(), wanted.moved)
         placement.permitted = permitted
         return placement
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from moledale.gateway.admission import spread
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.dialect import Dialect
 from moledale.gateway.job import Attempt, Ending, Job
 from moledale.gateway.messages import InboundRequest, Refusal
@@ -28,17 +28,17 @@
     """Tells callers why their request was not served."""
 
     def __init__(
-        self, dialect: Dialect, book: ServerBook, turns: Turns, now: Callable[[], float]
+        self, dialect: Dialect, balancer: LoadBalancer, turns: Turns, now: Callable[[], float]
     ) -> None:
         self._dialect = dialect
-        self._book = book
+        self._balancer = balancer
         self._turns = turns
         self._now = now
         self._random = random.Random()
 
     def why_none(self, job: Job) -> str:
         """Return why a request gets no server though some are there."""
-        return ALL_LIMITED if self._book.group(job.service).limited.names else ALL_BACK_OFF
+        return ALL_LIMITED if self._balancer.group(job.service).limited.names else ALL_BACK_OFF
 
     def to_come_back(self, job: Job, last: Attempt) -> Refusal:
         """Return the answer for a request that no server ran."""
@@ -55,7 +55,7 @@
         wait_s = self.wait_s(job)
         if wait_s is None:
             return NO_SERVER_AGAIN_S
-        limit_per_s = self._book.group(job.service).limited.sum_per_s()
+        limit_per_s = self._balancer.group(job.service).limited.sum_per_s()
         if wait_s > 0 and limit_per_s:
             return self._turns.next_s(job.service, wait_s, limit_per_s)
         usual_s = NO_SERVER_AGAIN_S if last.ending is Ending.NOT_SENT else NOT_RUN_AGAIN_S
@@ -63,7 +63,7 @@
 
     def wait_s(self, job: Job) -> float | None:
         """Return when the first server of a request's service may get one again."""
-        return self._book.group(job.service).retry_in_s(self._now())
+        return self._balancer.group(job.service).retry_in_s(self._now())
 
     def refuse(
         self, reply: Reply, request: InboundRequest, refusal: Refusal, name: str = ""
--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -6,7 +6,7 @@
 
 from moledale.clock import monotonic
 from moledale.core.leases import Grant
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.lease_keeper import LeaseKeeper
 from moledale.gateway.outside import Orders
 from moledale.gateway.plan import PlanIndex, Renting
@@ -28,7 +28,7 @@
         keeper: LeaseKeeper,
         orders: Orders,
         sharing: Sharing,
-        book: ServerBook,
+        balancer: LoadBalancer,
         index: Callable[[], PlanIndex | None],
         first_start: bool,
         now: Callable[[], float] = monotonic,
@@ -37,7 +37,7 @@
         self._keeper = keeper
         self._orders = orders
         self._sharing = sharing
-        self._book = book
+        self._balancer = balancer
         self._index = index
         self._first_start = first_start
         self._now = now
@@ -66,7 +66,7 @@
     async def _rent(self, service: str, renting: Renting) -> None:
         now = self._now()
         # Excludes servers of a version on trial, which run in addition to the ordered ones.
-        group = self._book.group(service)
+        group = self._balancer.group(service)
         servers = [view.server for view in group.allowed()]
         planner = self._planner(service)
         usual_per_s = self._sharing.requests_per_s(service, now) / max(1, len(servers))
@@ -94,9 +94,9 @@
             accepted=accepted,
             need=planner.need(renting),
             work_per_s=round(planner.demand.work_per_s),
-            running=self._book.running(order.service),
-            waiting=self._book.waiting(order.service),
-            learnt=self._book.estimator(order.service).speed(self._now()),
+            running=self._balancer.running(order.service),
+            waiting=self._balancer.waiting(order.service),
+            learnt=self._balancer.estimator(order.service).speed(self._now()),
         )
 
     def _planner(self, service: str) -> RentingPlanner:
@@ -113,7 +113,7 @@
         if index is None or now - self._demand_recorded_at < PLAN_INTERVAL_S:
             return
         self._demand_recorded_at = now
-        self._work.note(OWN_LIFE, self._book.work)
+        self._work.note(OWN_LIFE, self._balancer.work)
         self._work.note_all(self._sharing.members.all_states())
         for service in index.services.values():
             if service.renting is None:
@@ -123,10 +123,10 @@
             if service.engine is not None:
                 load = Load(
                     demand.work_per_s,
-                    self._book.waiting(service.name),
-                    self._book.running(service.name),
+                    self._balancer.waiting(service.name),
+                    self._balancer.running(service.name),
                 )
-                speed = self._book.estimator(service.name).speed(now)
+                speed = self._balancer.estimator(service.name).speed(now)
                 boot_s = service.renting.boot_s
                 need = servers_for_load(
                     index, service.name, service.engine.slots, boot_s, load, speed
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -5,7 +5,7 @@
 from result import Err
 
 from moledale.core.rollouts import LEAST_PER_ROUTE, Phase, Progress, next_phase
-from moledale.gateway.balance import PACE, ServerBook
+from moledale.gateway.balance import PACE, LoadBalancer
 from moledale.gateway.outside import ABSENT, Store
 from moledale.gateway.rollouts import Rollouts, ServiceRollout
 from moledale.log import Event, emit
@@ -30,13 +30,13 @@
         self,
         store: Store,
         rollouts: Rollouts,
-        book: ServerBook,
+        balancer: LoadBalancer,
         local_time: Callable[[float], float | None],
         now: Callable[[], float],
     ) -> None:
         self._store = store
         self._rollouts = rollouts
-        self._book = book
+        self._balancer = balancer
         self._local_time = local_time
         self._now = now
         self._era = store.era.number
@@ -109,7 +109,7 @@
         ordered_at = self._local_time(rollout.order.ordered_s)
         elapsed_s = 0.0 if ordered_at is None else now - ordered_at
         in_phase_s = self._in_phase_s(service, rollout)
-        views = list(self._book.group(service).views.values())
+        views = list(self._balancer.group(service).views.values())
         new = [view for view in views if view.server.version == rollout.order.target]
         old = [view for view in views if view.server.version != rollout.order.target]
         duration_s = max(1.0, rollout.order.duration_s)
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -21,7 +21,7 @@
     RolloutOrder,
     rule_of,
 )
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.peers import Membership, TrialCounts
 from moledale.gateway.server_view import Placement
 from moledale.gateway.store_era import StoreEra
@@ -90,7 +90,7 @@
 
     def __init__(
         self,
-        book: ServerBook,
+        balancer: LoadBalancer,
         members: Membership,
         on_change: Callable[[RolloutNews], None],
         local_time: Callable[[float], float | None],
@@ -100,7 +100,7 @@
         era: StoreEra | None = None,
     ) -> None:
         self.services: dict[str, ServiceRollout] = {}
-        self._book = book
+        self._balancer = balancer
         self._members = members
         self._on_change = on_change
         self._local_time = local_time
@@ -163,7 +163,7 @@
             )
         known.update = update
         known.own.revision = update.order.revision
-        self._book.group(service).set_rule(rule_of(update))
+        self._balancer.group(service).set_rule(rule_of(update))
         self._on_change(update)
 
     def _log_fields(self, rollout: ServiceRollout) -> dict[str, object]:
@@ -196,7 +196,7 @@
         rollout = self.services.get(service)
         if rollout is None or rollout.phase not in (Phase.TRIAL, Phase.RISING):
             return 0.0
-        group = self._book.group(service)
+        group = self._balancer.group(service)
         if not first_send or not group.has_version(rollout.order.target):
             return 0.0
         rollout.own.requests += 1
--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -5,7 +5,7 @@
 
 from moledale.clock import monotonic
 from moledale.gateway.accounts import AccountLimits, Tolerance
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.gossip import PlacementNews
 from moledale.gateway.peers import Membership, NodeState
 from moledale.gateway.plan import Engine
@@ -102,19 +102,19 @@
             limits.spent_elsewhere(before.spent, state.spent, now)
         return True
 
-    def take_over(self, book: ServerBook) -> None:
+    def take_over(self, balancer: LoadBalancer) -> None:
         """Take over what live peers tell of clocks and servers; once a round is enough."""
         alive = self.members.alive(self._now())
         self.true_time.set_peer_offsets(each.offset_s for each in alive)
-        book.others(alive)
+        balancer.others(alive)
 
-    def heard_placed(self, news: PlacementNews, book: ServerBook, engine: EngineOf) -> None:
+    def heard_placed(self, news: PlacementNews, balancer: LoadBalancer, engine: EngineOf) -> None:
         """Take over what a peer placed since it last told its whole state."""
         state = self.members.life_of(news.id, news.life, news.sequence)
         if state is None:
             return
         for each in news.placed:
-            book.heard_placed(state.id, state.loads, each, engine(each.server))
+            balancer.heard_placed(state.id, state.loads, each, engine(each.server))
 
     def _budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -9,7 +9,7 @@
 import logbook
 
 from moledale.clock import monotonic
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.forwarder import Forwarder
 from moledale.gateway.inbound import Listener, listen, sweep_forever
 from moledale.gateway.messages import Server
@@ -191,14 +191,14 @@
         self.members = Membership("n1", 1)
         self.bounds = bounds or Bounds()
         self.sharing = Sharing(self.members, self.bounds)
-        self.book = ServerBook("hall-a")
+        self.balancer = LoadBalancer("hall-a")
         # Nearly equal servers are chosen by chance; tests say what the first choice does.
-        self.book.has_connection = lambda server: server == FIRST_CHOICE
+        self.balancer.has_connection = lambda server: server == FIRST_CHOICE
         self.pool = ConnectionPool(monotonic)
         self.list_current = True
         self.forwarder = Forwarder(
             PlatformHeaders(),
-            self.book,
+            self.balancer,
             self.pool,
             self.sharing,
             PlatformEngines(),
@@ -246,7 +246,7 @@
         await server.start()
         self.servers[server.id] = server
         self._listed.append(Server(server.id, service, server.address, "hall-a", slots))
-        self.book.apply(self._listed)
+        self.balancer.apply(self._listed)
 
     def list_as(self, name: str, **changes: object) -> None:
         """Change what the list says of a server."""
@@ -256,12 +256,12 @@
             else s
             for s in self._listed
         ]
-        self.forwarder.evacuation.servers_changed(self.book.apply(self._listed))
+        self.forwarder.evacuation.servers_changed(self.balancer.apply(self._listed))
 
     def unlist(self, name: str) -> None:
         """Take a server off the list."""
         self._listed = [server for server in self._listed if server.id != name]
-        self.forwarder.evacuation.servers_changed(self.book.apply(self._listed))
+        self.forwarder.evacuation.servers_changed(self.balancer.apply(self._listed))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Open a caller's connection."""
--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -113,7 +113,7 @@
             seeds = tuple(node.settings.node.control for node in nodes[:3])
             nodes.append(await self.cluster.start(name, seeds))
         ends = monotonic() + 5.0
-        while not all(len(node.book.views) >= 4 and node.forwarder.index for node in nodes):
+        while not all(len(node.balancer.views) >= 4 and node.forwarder.index for node in nodes):
             if monotonic() > ends:
                 raise AssertionError("the nodes are not ready")
             await asyncio.sleep(0.02)
--- a/tests/test_gateway_evacuation.py
+++ b/tests/test_gateway_evacuation.py
@@ -108,7 +108,7 @@
                     self.assertEqual(pair.continued[0].get("expect-instance"), "s2")
                     self.assertEqual([c.get("last", False) for c in pair.copies], [False, True])
                     self.assertEqual(pair.released, [])
-                    self.assertEqual(world.book.views["s2"].running, 0)
+                    self.assertEqual(world.balancer.views["s2"].running, 0)
 
         quietly(work())
 
@@ -133,7 +133,7 @@
                 got = await read_answer(reader)
                 writer.close()
                 self.assertEqual((got.body, got.whole), (ALL, True))
-                self.assertEqual(world.book.views["s2"].running, 0)
+                self.assertEqual(world.balancer.views["s2"].running, 0)
 
         quietly(work())
 
@@ -148,7 +148,7 @@
                 await asyncio.sleep(0.3)
                 self.assertEqual(pair.released, ["h1"])
                 self.assertEqual(pair.continued, [])
-                self.assertEqual(world.book.views["s2"].running, 0)
+                self.assertEqual(world.balancer.views["s2"].running, 0)
 
         quietly(work())
 
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -468,7 +468,7 @@
                 writer.close()
                 await asyncio.sleep(0.1)
                 self.assertEqual(server.closed, 1)
-                self.assertEqual(world.book.views["s1"].running, 0)
+                self.assertEqual(world.balancer.views["s1"].running, 0)
 
         quietly(work())
 
@@ -578,7 +578,7 @@
             async with GatewayWorld(a_plan()) as world:
                 await world.server("s1", "model", streams, slots=16)
                 await world.server("s2", "model", streams, slots=16)
-                view = world.book.views["s1"]
+                view = world.balancer.views["s1"]
                 view.running, view.heard_at, view.busy_since = 2, -100.0, -100.0
                 route = next(each for each in a_plan().routes if each.name == "review")
                 waits = 0
@@ -741,7 +741,7 @@
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 await world.server("s1", "plain", fine)
-                gone = world.book.apply([Server("s9", "other", "127.0.0.1:1", "hall-a", 1)])
+                gone = world.balancer.apply([Server("s9", "other", "127.0.0.1:1", "hall-a", 1)])
                 self.assertEqual([server.id for server in gone], ["s1"])
                 self.assertEqual((await world.ask("/check/")).status, 503)
 
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -340,7 +340,7 @@
             self.assertLessEqual(cluster.platform.reads["servers"] - before, 4.0 / 0.8 + 2)
             cluster.list_backend("draining")
             for node in nodes:
-                await until(lambda node=node: node.book.views["s1"].server.leaving, 1.5)  # type: ignore[misc]
+                await until(lambda node=node: node.balancer.views["s1"].server.leaving, 1.5)  # type: ignore[misc]
 
         on_cluster(work)
 
@@ -352,7 +352,7 @@
             cluster.kill("n0")
             cluster.list_backend("draining")
             for node in nodes[1:]:
-                await until(lambda node=node: node.book.views["s1"].server.leaving, 1.8)  # type: ignore[misc]
+                await until(lambda node=node: node.balancer.views["s1"].server.leaving, 1.8)  # type: ignore[misc]
 
         on_cluster(work)
 
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.engine_costs import prefill_work
 from moledale.gateway.gossip import PlacementNews
 from moledale.gateway.messages import (
@@ -38,23 +38,23 @@
         self.name = name
         self.members = Membership(name, 1)
         self.sharing = Sharing(self.members, Bounds(), now=lambda: 1.0)
-        self.book = ServerBook("hall-a")
-        self.book.apply(SERVERS)
+        self.balancer = LoadBalancer("hall-a")
+        self.balancer.apply(SERVERS)
         self.sequence = 0
 
     def state(self) -> NodeState:
         self.sequence += 1
-        loads = self.book.loads()
+        loads = self.balancer.loads()
         return NodeState(
             self.name, 1, self.sequence, "hall-a", "", "", "", int(Standing.READY), 1, {}, {},
             loads, {}, {},
         )  # fmt: skip
 
     def news(self) -> PlacementNews:
-        return PlacementNews(self.name, 1, self.sequence, self.book.take_placed())
+        return PlacementNews(self.name, 1, self.sequence, self.balancer.take_placed())
 
     def hear(self, news: PlacementNews) -> None:
-        self.sharing.heard_placed(news, self.book, lambda _: ENGINE)
+        self.sharing.heard_placed(news, self.balancer, lambda _: ENGINE)
 
 
 class PlacementNewsTest(unittest.TestCase):
@@ -64,53 +64,53 @@
         self.two.members.heard(self.one.state(), 1.0)
 
     def test_other_node_counts_a_placement_before_the_next_state(self) -> None:
-        placed = self.one.book.place("model", prompt("a", "x"), ENGINE, 1.0)
+        placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         assert placed is not None
         self.two.hear(self.one.news())
-        view = self.two.book.views[placed.view.server.id]
+        view = self.two.balancer.views[placed.view.server.id]
         self.assertEqual(view.all_running, 1)
         self.assertEqual(view.all_prefill, placed.prefill)
 
     def test_next_state_counts_nothing_twice(self) -> None:
-        placed = self.one.book.place("model", prompt("a", "x"), ENGINE, 1.0)
+        placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         assert placed is not None
         self.two.hear(self.one.news())
         self.two.members.heard(self.one.state(), 1.0)
-        self.two.sharing.take_over(self.two.book)
-        self.assertEqual(self.two.book.views[placed.view.server.id].all_running, 1)
+        self.two.sharing.take_over(self.two.balancer)
+        self.assertEqual(self.two.balancer.views[placed.view.server.id].all_running, 1)
 
     def test_prompt_follows_its_shared_part_to_where_another_node_placed_it(self) -> None:
-        home = self.one.book.place("model", prompt("a", "x"), ENGINE, 1.0)
+        home = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         assert home is not None
         away = frozenset({home.view.server.id})
-        elsewhere = self.one.book.place("model", prompt("a", "y"), ENGINE, 1.0, away)
+        elsewhere = self.one.balancer.place("model", prompt("a", "y"), ENGINE, 1.0, away)
         assert elsewhere is not None
         self.two.hear(self.one.news())
         home.first_token()
         elsewhere.first_token()
         self.two.members.heard(self.one.state(), 1.0)
-        self.two.sharing.take_over(self.two.book)
-        found = self.two.book.place("model", prompt("a", "z"), ENGINE, 1.0)
+        self.two.sharing.take_over(self.two.balancer)
+        found = self.two.balancer.place("model", prompt("a", "z"), ENGINE, 1.0)
         assert found is not None
         self.assertLess(found.uncached, 1_000)
 
     def test_news_that_overtake_each_other_count_no_less_than_nothing(self) -> None:
-        view = self.one.book.views["s0"]
+        view = self.one.balancer.views["s0"]
         view.others_running, view.others_prefill = -3, -9_000
         self.assertEqual((view.all_running, view.all_prefill), (0, 0))
 
     def test_news_of_a_former_life_or_older_than_the_state_change_nothing(self) -> None:
-        placed = self.one.book.place("model", prompt("a", "x"), ENGINE, 1.0)
+        placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         assert placed is not None
         news = self.one.news()
         self.two.members.heard(self.one.state(), 1.0)
         self.two.hear(news)
         self.two.hear(PlacementNews("n1", 2, 99, news.placed))
         self.two.hear(PlacementNews("n9", 1, 99, news.placed))
-        self.assertEqual(self.two.book.views[placed.view.server.id].all_running, 0)
+        self.assertEqual(self.two.balancer.views[placed.view.server.id].all_running, 0)
 
     def test_placements_are_told_once(self) -> None:
-        self.one.book.place("model", prompt("a", "x"), ENGINE, 1.0)
+        self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         self.assertEqual(len(self.one.news().placed), 1)
         self.assertEqual(self.one.news().placed, [])
 
@@ -126,9 +126,9 @@
         """Let nodes that know nothing place one request each."""
         chosen = []
         for number in range(nodes):
-            book = ServerBook("hall-a")
-            book.apply(SERVERS)
-            placed = book.place("model", facts[number % len(facts)], ENGINE, 1.0)
+            balancer = LoadBalancer("hall-a")
+            balancer.apply(SERVERS)
+            placed = balancer.place("model", facts[number % len(facts)], ENGINE, 1.0)
             assert placed is not None
             chosen.append(placed.view.server.id)
         return chosen
@@ -146,9 +146,9 @@
     def test_plain_requests_of_many_nodes_spread(self) -> None:
         chosen = set()
         for _ in range(40):
-            book = ServerBook("hall-a")
-            book.apply(SERVERS)
-            placed = book.place("model", RequestFacts(), None, 1.0)
+            balancer = LoadBalancer("hall-a")
+            balancer.apply(SERVERS)
+            placed = balancer.place("model", RequestFacts(), None, 1.0)
             assert placed is not None
             chosen.add(placed.view.server.id)
         self.assertEqual(len(chosen), len(SERVERS))
@@ -156,10 +156,12 @@
     def test_server_with_a_connection_at_rest_comes_first(self) -> None:
         for engine in (None, ENGINE):
             for kept in SERVERS:
-                book = ServerBook("hall-a")
-                book.apply(SERVERS)
-                book.has_connection = lambda server, kept=kept: server == kept.id  # type: ignore[misc]
-                placed = book.place("model", RequestFacts(id="r1", prompt_tokens=50), engine, 1.0)
+                balancer = LoadBalancer("hall-a")
+                balancer.apply(SERVERS)
+                balancer.has_connection = lambda server, kept=kept: server == kept.id  # type: ignore[misc]
+                placed = balancer.place(
+                    "model", RequestFacts(id="r1", prompt_tokens=50), engine, 1.0
+                )
                 assert placed is not None
                 self.assertEqual(placed.view.server.id, kept.id)
 
@@ -170,30 +172,30 @@
     def test_work_of_other_nodes_between_two_prompts_counts(self) -> None:
         one, other = Node("n1"), Node("n2")
         for node in (one, other):
-            node.book.apply(SERVERS[:1])
+            node.balancer.apply(SERVERS[:1])
         one.members.heard(other.state(), 1.0)
         other.members.heard(one.state(), 1.0)
-        first = one.book.place("model", prompt("a", "1"), ENGINE, 1.0)
+        first = one.balancer.place("model", prompt("a", "1"), ENGINE, 1.0)
         other.hear(one.news())
-        between = other.book.place("model", prompt("b", "2"), ENGINE, 1.01)
+        between = other.balancer.place("model", prompt("b", "2"), ENGINE, 1.01)
         one.hear(other.news())
-        second = one.book.place("model", prompt("c", "3"), ENGINE, 1.02)
+        second = one.balancer.place("model", prompt("c", "3"), ENGINE, 1.02)
         assert first is not None and between is not None and second is not None
-        one.book.note_first(first, 1.2)
-        one.book.note_first(second, 1.8)
-        seen = one.book.estimator("model")._samples[-1]
+        one.balancer.note_first(first, 1.2)
+        one.balancer.note_first(second, 1.8)
+        seen = one.balancer.estimator("model")._samples[-1]
         self.assertTrue(seen.queued)
         self.assertAlmostEqual(seen.took_s, 0.6)
         self.assertEqual(seen.work, between.work + second.work)
 
     def test_prompt_that_came_after_the_last_first_event_counts_from_its_sending(self) -> None:
-        book = ServerBook("hall-a")
-        book.apply(SERVERS[:1])
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(SERVERS[:1])
         for number, sent_at in enumerate((1.0, 2.0)):
-            placed = book.place("model", prompt("a", str(number)), ENGINE, sent_at)
+            placed = balancer.place("model", prompt("a", str(number)), ENGINE, sent_at)
             assert placed is not None
-            book.note_first(placed, sent_at + 0.3)
-        seen = book.estimator("model")._samples[-1]
+            balancer.note_first(placed, sent_at + 0.3)
+        seen = balancer.estimator("model")._samples[-1]
         self.assertFalse(seen.queued)
         self.assertAlmostEqual(seen.took_s, 0.3)
 
@@ -203,12 +205,12 @@
 
     def place_away(self, engine: Engine) -> tuple[Placement, Placement]:
         """Place a prompt, then one with the same front where its home may not be chosen."""
-        book = ServerBook("hall-a")
-        book.apply(SERVERS)
-        home = book.place("model", prompt("a", "x"), engine, 1.0)
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(SERVERS)
+        home = balancer.place("model", prompt("a", "x"), engine, 1.0)
         assert home is not None
         away = frozenset({home.view.server.id})
-        other = book.place("model", prompt("a", "y"), engine, 1.0, away)
+        other = balancer.place("model", prompt("a", "y"), engine, 1.0, away)
         assert other is not None
         return home, other
 
@@ -225,55 +227,57 @@
                 self.assertEqual((other.fetch_from, other.uncached), ("", 10_100))
 
     def test_what_the_server_has_itself_is_not_fetched(self) -> None:
-        book = ServerBook("hall-a")
-        book.apply(SERVERS)
-        first = book.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(SERVERS)
+        first = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
         assert first is not None
         first.first_token()
-        again = book.place("model", prompt("a", "y"), FAST_LINKS, 1.0)
+        again = balancer.place("model", prompt("a", "y"), FAST_LINKS, 1.0)
         assert again is not None
         self.assertEqual((again.view, again.fetch_from), (first.view, ""))
 
     def test_nothing_is_fetched_from_a_server_that_is_silent_or_gone(self) -> None:
-        book = ServerBook("hall-a")
-        book.apply(SERVERS)
-        home = book.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(SERVERS)
+        home = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
         assert home is not None
         away = frozenset({home.view.server.id})
         note_silence(home.view, 1.0)
-        silent = book.place("model", prompt("a", "y"), FAST_LINKS, 1.0, away)
+        silent = balancer.place("model", prompt("a", "y"), FAST_LINKS, 1.0, away)
         assert silent is not None
         self.assertEqual(silent.fetch_from, "")
         note_answer(home.view, False, 0.1)
-        book.apply([server for server in SERVERS if server.id not in away])
-        book.views[silent.view.server.id].cached.clear()
-        gone = book.place("model", prompt("a", "z"), FAST_LINKS, 9.0)
+        balancer.apply([server for server in SERVERS if server.id not in away])
+        balancer.views[silent.view.server.id].cached.clear()
+        gone = balancer.place("model", prompt("a", "z"), FAST_LINKS, 9.0)
         assert gone is not None
         self.assertEqual(gone.fetch_from, "")
 
     def test_a_server_that_leaves_still_gives_its_fronts(self) -> None:
-        book = ServerBook("hall-a")
-        book.apply(SERVERS)
-        home = book.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(SERVERS)
+        home = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
         assert home is not None
         name = home.view.server.id
-        book.apply(msgspec.structs.replace(server, leaving=server.id == name) for server in SERVERS)
-        other = book.place("model", prompt("a", "y"), FAST_LINKS, 1.0)
+        balancer.apply(
+            msgspec.structs.replace(server, leaving=server.id == name) for server in SERVERS
+        )
+        other = balancer.place("model", prompt("a", "y"), FAST_LINKS, 1.0)
         assert other is not None
         self.assertEqual(other.fetch_from, home.view.server.address)
 
     def test_a_stream_that_is_moved_reads_and_teaches_nothing(self) -> None:
-        book = ServerBook("hall-a")
-        book.apply(SERVERS)
-        target = book.place("model", prompt("a", "x"), FAST_LINKS, 1.0, moved=True)
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(SERVERS)
+        target = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0, moved=True)
         assert target is not None
         self.assertEqual((target.prefill, target.work, target.fetch_from), (0, 0, ""))
-        book.note_first(target, 9.0)
-        book.note_end(target, 9.0)
-        self.assertEqual(book.work, {})
-        self.assertEqual(book.estimator("model").speed(10.0), PRIOR)
+        balancer.note_first(target, 9.0)
+        balancer.note_end(target, 9.0)
+        self.assertEqual(balancer.work, {})
+        self.assertEqual(balancer.estimator("model").speed(10.0), PRIOR)
         self.assertEqual(target.view.slowness.factor(9.0), 1.0)
-        again = book.place("model", prompt("a", "y"), FAST_LINKS, 10.0)
+        again = balancer.place("model", prompt("a", "y"), FAST_LINKS, 10.0)
         assert again is not None
         self.assertIs(again.view, target.view)
 
@@ -297,7 +301,7 @@
 
 class PartsWithoutTokensTest(unittest.TestCase):
     def test_they_are_not_remembered_and_hide_nothing_behind_them(self) -> None:
-        view = ServerBook("hall-a")
+        view = LoadBalancer("hall-a")
         view.apply(SERVERS[:1])
         server = view.views["s0"]
         for number in range(1_000):
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok
 
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.events import EventCutter
 from moledale.gateway.fleet_watch import OUTAGE_S, FleetWatch
 from moledale.gateway.messages import PromptPart, RequestFacts, Server
@@ -99,10 +99,10 @@
 class BalanceTest(unittest.TestCase):
     engine = Engine(4, 50_000, 1, 1000.0)
 
-    def book(self, number: int = 4) -> ServerBook:
-        book = ServerBook("a")
-        book.apply(Server(f"s{n}", "model", f"s{n}:1", "a", 4) for n in range(number))
-        return book
+    def balancer(self, number: int = 4) -> LoadBalancer:
+        balancer = LoadBalancer("a")
+        balancer.apply(Server(f"s{n}", "model", f"s{n}:1", "a", 4) for n in range(number))
+        return balancer
 
     def facts(self, subject: str, own: str) -> RequestFacts:
         parts = (PromptPart(subject, 8_000), PromptPart(own, 1_000))
@@ -111,65 +111,67 @@
     def test_requests_of_one_subject_meet_on_one_server_on_all_nodes(self) -> None:
         places = set()
         for node in range(3):
-            book = self.book()
-            placement = book.place("model", self.facts("subject", f"own{node}"), self.engine, 0.0)
+            balancer = self.balancer()
+            placement = balancer.place(
+                "model", self.facts("subject", f"own{node}"), self.engine, 0.0
+            )
             assert placement is not None
             places.add(placement.view.server.id)
         self.assertEqual(len(places), 1)
 
     def test_crowded_server_gives_way(self) -> None:
-        book = self.book()
+        balancer = self.balancer()
         for number in range(12):
-            book.place("model", self.facts("subject", f"own{number}"), self.engine, 0.0)
-        running = sorted(view.running for view in book.views.values())
+            balancer.place("model", self.facts("subject", f"own{number}"), self.engine, 0.0)
+        running = sorted(view.running for view in balancer.views.values())
         self.assertLess(running[-1], 6)
 
     def test_load_of_peers_counts_and_ends_with_them(self) -> None:
-        book = self.book(2)
-        home = book.place("model", self.facts("subject", "x"), self.engine, 0.0)
+        balancer = self.balancer(2)
+        home = balancer.place("model", self.facts("subject", "x"), self.engine, 0.0)
         assert home is not None
         home.end()
         name = home.view.server.id
-        book.others([state("n2", loads={name: (4, 90_000)})])
-        other = book.place("model", self.facts("subject", "y"), self.engine, 0.0)
+        balancer.others([state("n2", loads={name: (4, 90_000)})])
+        other = balancer.place("model", self.facts("subject", "y"), self.engine, 0.0)
         assert other is not None
         self.assertNotEqual(other.view.server.id, name)
         other.end()
-        book.others([])
-        again = book.place("model", self.facts("subject", "z"), self.engine, 0.0)
+        balancer.others([])
+        again = balancer.place("model", self.facts("subject", "z"), self.engine, 0.0)
         assert again is not None
         self.assertEqual(again.view.server.id, name)
 
     def test_silent_server_is_paused_unless_it_is_the_only_one(self) -> None:
-        book = self.book(2)
-        note_silence(book.views["s0"], 0.0)
-        ready = book.group("model").candidates(0.1, frozenset())
+        balancer = self.balancer(2)
+        note_silence(balancer.views["s0"], 0.0)
+        ready = balancer.group("model").candidates(0.1, frozenset())
         self.assertEqual([view.server.id for view in ready], ["s1"])
-        note_silence(book.views["s1"], 0.0)
-        self.assertEqual(len(book.group("model").candidates(0.1, frozenset())), 2)
+        note_silence(balancer.views["s1"], 0.0)
+        self.assertEqual(len(balancer.group("model").candidates(0.1, frozenset())), 2)
 
     def test_server_that_says_nothing_gets_no_more(self) -> None:
-        book = ServerBook("a")
-        book.apply(Server(f"s{n}", "plain", f"s{n}:1", "a", 4) for n in range(2))
-        first = book.place("plain", RequestFacts(), None, 10.0)
+        balancer = LoadBalancer("a")
+        balancer.apply(Server(f"s{n}", "plain", f"s{n}:1", "a", 4) for n in range(2))
+        first = balancer.place("plain", RequestFacts(), None, 10.0)
         assert first is not None
-        book.tick(10.1)
-        self.assertEqual(len(book.group("plain").candidates(10.1, frozenset())), 2)
-        book.tick(10.5)
-        left = [view.server.id for view in book.group("plain").candidates(10.5, frozenset())]
+        balancer.tick(10.1)
+        self.assertEqual(len(balancer.group("plain").candidates(10.1, frozenset())), 2)
+        balancer.tick(10.5)
+        left = [view.server.id for view in balancer.group("plain").candidates(10.5, frozenset())]
         self.assertEqual(len(left), 1)
         self.assertNotIn(first.view.server.id, left)
         first.view.heard_at = 10.6
         self.assertEqual(first.view.silent_s(10.6), 0.0)
 
     def test_ended_placement_ends_once(self) -> None:
-        book = self.book(1)
-        placement = book.place("model", self.facts("s", "o"), self.engine, 0.0)
+        balancer = self.balancer(1)
+        placement = balancer.place("model", self.facts("s", "o"), self.engine, 0.0)
         assert placement is not None
         placement.first_token()
         placement.end()
         placement.end()
-        view = book.views["s0"]
+        view = balancer.views["s0"]
         self.assertEqual((view.running, view.prefill_tokens), (0, 0))
 
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -8,7 +8,7 @@
 
 import logbook
 
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.limit_sharing import TELL_S, LimitSharing
 from moledale.gateway.messages import Server
 from moledale.gateway.peers import Membership, Standing
@@ -27,17 +27,17 @@
 
     def __init__(self, world: "World", name: str) -> None:
         self.name = name
-        self.book = ServerBook("a")
-        self.book.apply(SERVERS)
+        self.balancer = LoadBalancer("a")
+        self.balancer.apply(SERVERS)
         self.members = Membership(name, 1)
         self.sharing = LimitSharing(
-            name, "a", f"{name}:2", self.book, self.members, world.deliver, world.clock
+            name, "a", f"{name}:2", self.balancer, self.members, world.deliver, world.clock
         )
         self.sharing.permits._sleep = world.sleep
 
     def view(self, server: str = "s0") -> ServerView:
         """Return what the node believes of a server."""
-        return self.book.views[server]
+        return self.balancer.views[server]
 
     def hears(self, *names: str, now: float = 0.0, **more: object) -> None:
         """Let the node hear of others that serve."""
@@ -86,7 +86,7 @@
     def limit(self, per_s: float, server: str = "s0") -> None:
         """Let all nodes hear of a limit from an answer."""
         for node in self.nodes.values():
-            node.book.notices.peer_limits({server: LimitNews(per_s, 0.0)}, "x", self.now)
+            node.balancer.notices.peer_limits({server: LimitNews(per_s, 0.0)}, "x", self.now)
 
     def grantor(self, server: str = "s0") -> Node:
         """Return the node that grants for a server."""
@@ -183,7 +183,7 @@
             world = World("n0", "n1")
             world.limit(1.0)
             grantor, asker = world.grantor(), world.others()[0]
-            grantor.book.apply(SERVERS[1:])
+            grantor.balancer.apply(SERVERS[1:])
             granted = 0
             for _ in range(100):
                 world.pass_time(0.1)
@@ -199,7 +199,7 @@
         async def work() -> None:
             world = World("n0", "n1", "n2")
             asker = world.others()[0]
-            asker.book.notices.peer_limits({"s0": LimitNews(1.0, 0.0)}, "x", world.now)
+            asker.balancer.notices.peer_limits({"s0": LimitNews(1.0, 0.0)}, "x", world.now)
             world.now += 0.1
             self.assertFalse(await asker.sharing.permits.take(asker.view()))
             self.assertEqual(world.grantor().view().limit_per_s, 1.0)
@@ -307,7 +307,7 @@
             await asyncio.sleep(0)
             self.assertTrue(node.view().standing.is_held(world.now))
             self.assertEqual(
-                node.book.group("plain").closed.first_permitted(frozenset()), node.view()
+                node.balancer.group("plain").closed.first_permitted(frozenset()), node.view()
             )
             await asking
 
@@ -411,26 +411,26 @@
         self.assertIsNone(limit.news(2.1 + ENDED_TOLD_S))
 
     def test_limit_outlasts_a_lapse_of_the_entry_but_no_new_life(self) -> None:
-        book = ServerBook("a")
-        book.apply(SERVERS)
-        book.views["s0"].standing.limit.heard(2.0, 1.0, 1.0)
-        book.apply(SERVERS[1:])
-        book.apply(SERVERS)
-        self.assertEqual(book.views["s0"].limit_per_s, 2.0)
-        self.assertEqual(book.group("plain").limited.names, {"s0"})
-        book.apply(SERVERS[1:])
-        self.assertEqual(book.group("plain").limited.names, set())
-        book.apply([Server("s0#2", "plain", "h:0", "a", 4), *SERVERS[1:]])
-        self.assertIsNone(book.views["s0#2"].limit_per_s)
+        balancer = LoadBalancer("a")
+        balancer.apply(SERVERS)
+        balancer.views["s0"].standing.limit.heard(2.0, 1.0, 1.0)
+        balancer.apply(SERVERS[1:])
+        balancer.apply(SERVERS)
+        self.assertEqual(balancer.views["s0"].limit_per_s, 2.0)
+        self.assertEqual(balancer.group("plain").limited.names, {"s0"})
+        balancer.apply(SERVERS[1:])
+        self.assertEqual(balancer.group("plain").limited.names, set())
+        balancer.apply([Server("s0#2", "plain", "h:0", "a", 4), *SERVERS[1:]])
+        self.assertIsNone(balancer.views["s0#2"].limit_per_s)
 
     def test_where_all_are_held_back_no_request_walks_over_all_servers(self) -> None:
-        book = ServerBook("a")
-        book.apply([Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(3_000)])
-        limits = {name: LimitNews(1.0, 0.0) for name in book.views}
-        book.notices.peer_limits(limits, "n1", 10.0)
-        for number, view in enumerate(book.views.values()):
+        balancer = LoadBalancer("a")
+        balancer.apply([Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(3_000)])
+        limits = {name: LimitNews(1.0, 0.0) for name in balancer.views}
+        balancer.notices.peer_limits(limits, "n1", 10.0)
+        for number, view in enumerate(balancer.views.values()):
             view.hold_back(11.0 + number)
-        group = book.group("plain")
+        group = balancer.group("plain")
         with mock.patch.object(
             ServerStanding, "is_held", autospec=True, side_effect=ServerStanding.is_held
         ) as asked:
@@ -441,15 +441,15 @@
         self.assertLess(asked.call_count, 20)
 
     def test_end_of_a_limit_frees_a_server_that_is_held_back(self) -> None:
-        book = ServerBook("a")
-        book.apply(SERVERS[:1])
-        view = book.views["s0"]
-        book.notices.peer_limits({"s0": LimitNews(0.2, 0.0)}, "n1", 10.0)
+        balancer = LoadBalancer("a")
+        balancer.apply(SERVERS[:1])
+        view = balancer.views["s0"]
+        balancer.notices.peer_limits({"s0": LimitNews(0.2, 0.0)}, "n1", 10.0)
         view.hold_back(15.0)
-        group = book.group("plain")
+        group = balancer.group("plain")
         self.assertEqual(group.candidates(10.1, frozenset()), [])
         self.assertEqual(group.retry_in_s(10.1), 15.0 - 10.1)
-        book.notices.peer_limits({"s0": LimitNews(None, 0.0)}, "n1", 10.2)
+        balancer.notices.peer_limits({"s0": LimitNews(None, 0.0)}, "n1", 10.2)
         self.assertEqual(group.candidates(10.2, frozenset()), [view])
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -186,7 +186,7 @@
             nodes.append(await cluster.start(name, seeds))
         for node in nodes:
             await until(ready(node))
-            await until(lambda node=node: len(node.book.views) == self.SERVERS)
+            await until(lambda node=node: len(node.balancer.views) == self.SERVERS)
             await until(lambda node=node: len(node.members.alive(monotonic())) + 1 == len(names))
 
     async def ask_guilty(self, cluster: Cluster, name: str) -> CallerAnswer:
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -154,7 +154,7 @@
             failures += failed
 
         await world.add(fragile_server(name), "plain")
-        world.book.on_outcome = note
+        world.balancer.on_outcome = note
         bodies = [b"%s beside %d" % (name.encode(), number) for number in range(others)]
         asked = [asyncio.create_task(world.ask("/order/", body=each)) for each in bodies]
         await asyncio.sleep(0.1)
@@ -179,7 +179,7 @@
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 failed: list[bool] = []
-                world.book.on_outcome = lambda _, __, bad, ___: failed.append(bad)
+                world.balancer.on_outcome = lambda _, __, bad, ___: failed.append(bad)
                 await world.server("s1", "plain", breaks_off)
                 for number in range(3):
                     await world.ask("/order/", body=b"%d" % number)
@@ -336,7 +336,7 @@
             cluster.list_server(server, "ready")
         node = await cluster.start(name)
         await until(ready(node))
-        await until(lambda: len(node.book.views) == len(servers))
+        await until(lambda: len(node.balancer.views) == len(servers))
         return servers
 
     async def ask_guilty(self, cluster: Cluster, name: str) -> int:
--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import Placed, PromptPart, RequestFacts, Server
 from moledale.gateway.plan import Engine
 from tests.gateway_world import fine, request_bytes
@@ -22,28 +22,28 @@
     """What was known of the life before ends at once, and can't come back."""
 
     def setUp(self) -> None:
-        self.book = ServerBook("hall-a")
-        self.book.apply([started(1)])
-        self.before = self.book.place("model", FACTS, ENGINE, 0.0)
+        self.balancer = LoadBalancer("hall-a")
+        self.balancer.apply([started(1)])
+        self.before = self.balancer.place("model", FACTS, ENGINE, 0.0)
         assert self.before is not None
-        self.gone = self.book.apply([started(2)])
+        self.gone = self.balancer.apply([started(2)])
 
     def test_nothing_of_the_life_before_holds(self) -> None:
         self.assertEqual([server.id for server in self.gone], ["a#1"])
-        view = self.book.views["a#2"]
+        view = self.balancer.views["a#2"]
         self.assertEqual((view.covers(PARTS), view.running, view.all_prefill), (0, 0, 0))
-        self.assertEqual(self.book.group("model").holders(PARTS), [])
-        self.assertEqual(self.book.running("model"), 0)
+        self.assertEqual(self.balancer.group("model").holders(PARTS), [])
+        self.assertEqual(self.balancer.running("model"), 0)
 
     def test_end_of_a_request_of_the_life_before_changes_nothing(self) -> None:
         self.before.end()
-        self.assertEqual(self.book.views["a#2"].running, 0)
-        self.assertEqual(self.book.running("model"), 0)
+        self.assertEqual(self.balancer.views["a#2"].running, 0)
+        self.assertEqual(self.balancer.running("model"), 0)
 
     def test_late_news_of_the_life_before_changes_nothing(self) -> None:
-        self.book.heard_placed("n2", {}, Placed("a#1", 3, 4_000, PARTS, 4_000), ENGINE)
-        self.book.take_loads("n3", {"a#1": (5, 9_000)})
-        view = self.book.views["a#2"]
+        self.balancer.heard_placed("n2", {}, Placed("a#1", 3, 4_000, PARTS, 4_000), ENGINE)
+        self.balancer.take_loads("n3", {"a#1": (5, 9_000)})
+        view = self.balancer.views["a#2"]
         self.assertEqual((view.covers(PARTS), view.all_running, view.all_prefill), (0, 0, 0))
 
 
@@ -55,11 +55,11 @@
             cluster.list_server(cluster.backend, "ready", born=1_000)
             node = await cluster.start("n1")
             await until(ready(node))
-            await until(lambda: list(node.book.views) == ["s1#1000"])
+            await until(lambda: list(node.balancer.views) == ["s1#1000"])
             self.assertEqual((await cluster.ask("n1")).status, 200)
             self.assertTrue(node.pool.has_idle("s1#1000"))
             cluster.list_server(cluster.backend, "ready", born=2_000)
-            await until(lambda: list(node.book.views) == ["s1#2000"], 2.0)
+            await until(lambda: list(node.balancer.views) == ["s1#2000"], 2.0)
             self.assertFalse(node.pool.has_idle("s1#1000"))
             got = await ask(node.settings.node.callers, request_bytes("/check/"))
             self.assertEqual(got.status, 200)
@@ -78,7 +78,7 @@
                 cluster.list_server(other, "ready")
             node = await cluster.start("n1")
             await until(ready(node))
-            await until(lambda: len(node.book.views) == 3)
+            await until(lambda: len(node.balancer.views) == 3)
             answers = await asyncio.gather(*(cluster.ask("n1") for _ in range(6)))
             self.assertEqual([each.status for each in answers], [200] * 6)
             for other in others:
--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -15,7 +15,7 @@
 from moledale.core.rollout_evidence import Arm
 from moledale.core.rollouts import TELLING_S, Exposure, Phase, RolloutOrder
 from moledale.gateway import duties
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import Server
 from moledale.gateway.peers import Membership
 from moledale.gateway.rollout_duty import RolloutDuty
@@ -35,12 +35,18 @@
 
     async def take_over(self, duration_s: float, first_look_s: float) -> None:
         self.now = first_look_s
-        book = ServerBook("hall-a")
+        balancer = LoadBalancer("hall-a")
         old = [Server("s0", "model", "h:0", "hall-a", 4, version="v1")]
-        book.apply(old)
-        book.apply([*old, Server("s1", "model", "h:1", "hall-a", 4, version="v2")])
+        balancer.apply(old)
+        balancer.apply([*old, Server("s1", "model", "h:1", "hall-a", 4, version="v2")])
         rollouts = Rollouts(
-            book, Membership("n1", 1), lambda _: None, lambda at: at, lambda: 1, -1.0, Exposure()
+            balancer,
+            Membership("n1", 1),
+            lambda _: None,
+            lambda at: at,
+            lambda: 1,
+            -1.0,
+            Exposure(),
         )
         rollouts.apply_order(RolloutOrder("model", 1, "v2", duration_s, 0.0))
         self.note_answers(rollouts)
@@ -49,7 +55,7 @@
         store.write_rollout = mock.AsyncMock(
             return_value=Ok(mock.Mock(superseded=False, committed=True, version=1))
         )
-        duty = RolloutDuty(store, rollouts, book, lambda at: at, lambda: self.now)
+        duty = RolloutDuty(store, rollouts, balancer, lambda at: at, lambda: self.now)
         while rollouts.services["model"].phase is not Phase.COMPLETED:
             await duty.step(lambda: True)
             self.assertLessEqual(self.now, duration_s - TELLING_S)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -25,7 +25,7 @@
     next_phase,
     rule_of,
 )
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import RequestFacts, Server
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.peers import Membership
@@ -231,7 +231,7 @@
         self.era = StoreEra(lambda: self.now)
         self.era.heard(1)
         self.rollouts = Rollouts(
-            ServerBook("hall-a"),
+            LoadBalancer("hall-a"),
             Membership("n1", 1),
             lambda _: None,
             lambda at: at,
@@ -347,37 +347,37 @@
 class VersionsTest(unittest.TestCase):
     """Which servers get work in each phase."""
 
-    def book(self, rule: VersionRule | None = None) -> ServerBook:
-        book = ServerBook("hall-a")
-        book.apply(listed(4, 0))
-        book.apply(listed(4, 4))
+    def balancer(self, rule: VersionRule | None = None) -> LoadBalancer:
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(listed(4, 0))
+        balancer.apply(listed(4, 4))
         if rule is not None:
-            book.group(SERVICE).set_rule(rule)
-        return book
+            balancer.group(SERVICE).set_rule(rule)
+        return balancer
 
-    def chosen(self, book: ServerBook, number: int = 40, share: float = 0.0) -> set[str]:
+    def chosen(self, balancer: LoadBalancer, number: int = 40, share: float = 0.0) -> set[str]:
         versions = set()
         for each in range(number):
             facts = RequestFacts(id=f"r{each}")
-            placed = book.place(SERVICE, facts, None, 1.0, trial_share=share)
+            placed = balancer.place(SERVICE, facts, None, 1.0, trial_share=share)
             assert placed is not None
             versions.add(placed.view.server.version)
         return versions
 
     def test_version_without_an_order_gets_nothing(self) -> None:
-        self.assertEqual(self.chosen(self.book()), {OLD})
+        self.assertEqual(self.chosen(self.balancer()), {OLD})
 
     def test_version_without_an_order_gets_work_after_a_long_while(self) -> None:
-        book = self.book()
-        book.tick(UNORDERED_VERSION_DELAY_S / 2)
-        self.assertEqual(self.chosen(book), {OLD})
-        book.tick(UNORDERED_VERSION_DELAY_S * 1.5)
-        self.assertIn(NEW, self.chosen(book))
+        balancer = self.balancer()
+        balancer.tick(UNORDERED_VERSION_DELAY_S / 2)
+        self.assertEqual(self.chosen(balancer), {OLD})
+        balancer.tick(UNORDERED_VERSION_DELAY_S * 1.5)
+        self.assertIn(NEW, self.chosen(balancer))
 
     def test_version_without_an_order_serves_once_no_other_is_left(self) -> None:
-        book = self.book()
-        book.apply(listed(4, 4)[4:])
-        self.assertEqual(self.chosen(book), {NEW})
+        balancer = self.balancer()
+        balancer.apply(listed(4, 4)[4:])
+        self.assertEqual(self.chosen(balancer), {NEW})
 
     def test_phases(self) -> None:
         news = RolloutNews(order())
@@ -390,23 +390,23 @@
         }
         for phase, versions in wanted.items():
             rule = rule_of(RolloutNews(news.order, phase))
-            self.assertEqual(self.chosen(self.book(rule)), versions, phase)
+            self.assertEqual(self.chosen(self.balancer(rule)), versions, phase)
 
     def test_trial_goes_to_as_many_servers_as_bear_its_share(self) -> None:
-        book = ServerBook("hall-a")
-        book.apply(listed(50, 0))
-        book.apply(listed(50, 50))
-        book.group(SERVICE).set_rule(rule_of(RolloutNews(order())))
-        self.assertEqual(len(book.group(SERVICE).trial_servers(0.08, frozenset())), 4)
-        self.assertEqual(self.chosen(book, share=0.08), {NEW})
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(listed(50, 0))
+        balancer.apply(listed(50, 50))
+        balancer.group(SERVICE).set_rule(rule_of(RolloutNews(order())))
+        self.assertEqual(len(balancer.group(SERVICE).trial_servers(0.08, frozenset())), 4)
+        self.assertEqual(self.chosen(balancer, share=0.08), {NEW})
 
     def test_few_new_servers_get_no_more_than_as_many_old_ones(self) -> None:
-        rollouts, book = self.rollouts(36, 4)
+        rollouts, balancer = self.rollouts(36, 4)
         sent = [rollouts.trial_share(SERVICE, "check", True) > 0 for _ in range(400)]
         self.assertLess(sum(sent[:60]), 20)
         self.assertLess(sum(sent), 1.6 * 400 * 4 / 40)
         self.assertGreater(sum(sent), 15)
-        self.assertAlmostEqual(book.group(SERVICE).new_version_share(), 0.1)
+        self.assertAlmostEqual(balancer.group(SERVICE).new_version_share(), 0.1)
 
     def test_routes_with_few_requests_are_tried_sooner(self) -> None:
         for new in (4, 36):
@@ -418,10 +418,10 @@
 
     def test_servers_on_trial_are_as_many_as_bear_the_share_that_is_sent(self) -> None:
         for new in (1, 4, 36):
-            rollouts, book = self.rollouts(36, new)
+            rollouts, balancer = self.rollouts(36, new)
             shares = {rollouts.trial_share(SERVICE, "check", True) for _ in range(40)} - {0.0}
             for share in shares:
-                servers = len(book.group(SERVICE).trial_servers(share, frozenset()))
+                servers = len(balancer.group(SERVICE).trial_servers(share, frozenset()))
                 self.assertAlmostEqual(share / servers, (1.0 - share) / 36, delta=0.01)
 
     def test_nodes_with_a_request_now_and_then_try_the_version_too(self) -> None:
@@ -446,13 +446,13 @@
                 seen.note(Arm.NEW, "r", False, 0.01)
             self.assertTrue(_has_enough_answers(rollouts.services[SERVICE], "r"), old)
 
-    def rollouts(self, old: int, new: int, serving: int = 1) -> tuple[Rollouts, ServerBook]:
+    def rollouts(self, old: int, new: int, serving: int = 1) -> tuple[Rollouts, LoadBalancer]:
         """Return the roll-outs of a node, one of those that serve, with an order that just came."""
-        book = ServerBook("hall-a")
-        book.apply(listed(old, 0))
-        book.apply(listed(old, new))
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(listed(old, 0))
+        balancer.apply(listed(old, new))
         rollouts = Rollouts(
-            book,
+            balancer,
             Membership("n1", 1),
             lambda _: None,
             lambda store_s: store_s,
@@ -462,16 +462,16 @@
         )
         rollouts._rng.seed(1)
         rollouts.apply_order(order())
-        return rollouts, book
+        return rollouts, balancer
 
     def test_request_is_served_by_old_servers_where_none_is_on_trial(self) -> None:
         rule = rule_of(RolloutNews(order(target="v9")))
-        self.assertEqual(self.chosen(self.book(rule), share=0.08), {OLD, NEW} - {NEW})
+        self.assertEqual(self.chosen(self.balancer(rule), share=0.08), {OLD, NEW} - {NEW})
 
     def test_version_rolled_back_gets_nothing_even_if_no_other_is_left(self) -> None:
-        book = self.book(rule_of(RolloutNews(order(), Phase.ROLLED_BACK)))
-        book.apply(listed(4, 4)[4:])
-        self.assertIsNone(book.place(SERVICE, RequestFacts(), None, 1.0))
+        balancer = self.balancer(rule_of(RolloutNews(order(), Phase.ROLLED_BACK)))
+        balancer.apply(listed(4, 4)[4:])
+        self.assertIsNone(balancer.place(SERVICE, RequestFacts(), None, 1.0))
 
 
 def on_world(
@@ -490,7 +490,7 @@
 
 def knows_both(node: GatewayNode) -> bool:
     """Say whether a node knows the order and the servers of both versions."""
-    return SERVICE in node.rollouts.services and len(node.book.views) == 8
+    return SERVICE in node.rollouts.services and len(node.balancer.views) == 8
 
 
 DURATION_S = 8.0
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import Server, ServerStatement
 from moledale.gateway.server_standing import LONGEST_DECLINE_S, LONGEST_PAUSE_S
 from moledale.gateway.server_view import note_silence
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.book = ServerBook("hall-a")
+        self.balancer = LoadBalancer("hall-a")
         self.now = 100.0
         self.lives = dict.fromkeys(("s0", "s1", "s2"), 0)
         self.listed_as_leaving: set[str] = set()
@@ -40,7 +40,7 @@
 
     def apply(self) -> None:
         """Take over the list as it is."""
-        self.book.apply(
+        self.balancer.apply(
             Server(self.id_of(name), SERVICE, f"{name}:1", "hall-a", 4, name in leaving)
             for leaving in [self.listed_as_leaving]
             for name in sorted(self.listed)
@@ -76,12 +76,12 @@
     @rule(name=NAMES, by_peer=st.booleans())
     def says_that_it_leaves(self, name: str, by_peer: bool) -> None:
         if name in self.listed:
-            self.book.notices.note_leaving(self.id_of(name))
+            self.balancer.notices.note_leaving(self.id_of(name))
             self.said_leaving.add(self.id_of(name))
 
     @rule(name=NAMES, wait_s=WAITS)
     def turns_a_request_away(self, name: str, wait_s: float | None) -> None:
-        view = self.book.views.get(self.id_of(name))
+        view = self.balancer.views.get(self.id_of(name))
         if view is not None:
             view.decline(self.now, wait_s)
             until = self.now + (wait_s or 0.0)
@@ -89,29 +89,29 @@
 
     @rule(name=NAMES, sent_ago_s=st.floats(0.0, 3.0))
     def takes_a_request(self, name: str, sent_ago_s: float) -> None:
-        view = self.book.views.get(self.id_of(name))
+        view = self.balancer.views.get(self.id_of(name))
         if view is not None:
             view.accepted(self.now - sent_ago_s)
 
     @rule(name=NAMES)
     def breaks_off(self, name: str) -> None:
-        view = self.book.views.get(self.id_of(name))
+        view = self.balancer.views.get(self.id_of(name))
         if view is not None:
             note_silence(view, self.now)
 
     @rule(name=NAMES, wait_s=st.floats(0.0, MOST_TOLD_S))
     def other_nodes_were_turned_away(self, name: str, wait_s: float) -> None:
-        self.book.notices.peers_declined({self.id_of(name): wait_s}, self.now)
+        self.balancer.notices.peers_declined({self.id_of(name): wait_s}, self.now)
 
     @rule(name=NAMES, limit=LIMITS, sent_ago_s=st.floats(0.0, 3.0))
     def answers_with_a_limit_or_none(
         self, name: str, limit: float | None, sent_ago_s: float
     ) -> None:
-        view = self.book.views.get(self.id_of(name))
+        view = self.balancer.views.get(self.id_of(name))
         if view is None:
             return
         sent_at = self.now - sent_ago_s
-        self.book.notices.answered(
+        self.balancer.notices.answered(
             view, 200, False, ServerStatement(limit_per_s=limit), sent_at, self.now
         )
         known, heard_at = self.limits.get(view.server.id, (None, -1e9))
@@ -123,9 +123,9 @@
     @rule(name=NAMES, limit=LIMITS, age_s=st.floats(0.0, 3.0))
     def other_node_tells_a_limit(self, name: str, limit: float | None, age_s: float) -> None:
         server = self.id_of(name)
-        self.book.notices.peer_limits({server: LimitNews(limit, age_s)}, "n2", self.now)
+        self.balancer.notices.peer_limits({server: LimitNews(limit, age_s)}, "n2", self.now)
         heard_at = self.now - age_s
-        if server in self.book.views and heard_at > self.limits.get(server, (None, -1e9))[1]:
+        if server in self.balancer.views and heard_at > self.limits.get(server, (None, -1e9))[1]:
             self.believe(server, limit, heard_at)
 
     def believe(self, server: str, limit: float | None, heard_at: float) -> None:
@@ -136,7 +136,7 @@
 
     @rule(name=NAMES, wait_s=st.floats(0.0, MOST_TOLD_S))
     def permit_is_refused(self, name: str, wait_s: float) -> None:
-        view = self.book.views.get(self.id_of(name))
+        view = self.balancer.views.get(self.id_of(name))
         if view is not None and view.limit_per_s is not None:
             view.hold_back(self.now + wait_s)
             self.held_until[view.server.id] = self.now + wait_s
@@ -144,7 +144,7 @@
     @rule(seconds=st.floats(0.01, 3.0))
     def time_passes(self, seconds: float) -> None:
         self.now += seconds
-        self.book.tick(self.now)
+        self.balancer.tick(self.now)
 
     def open_servers(self) -> set[str]:
         """Return the servers that may get a request by what was said."""
@@ -155,7 +155,7 @@
 
     @invariant()
     def choice_keeps_what_was_said(self) -> None:
-        chosen = self.book.group(SERVICE).candidates(self.now, frozenset())
+        chosen = self.balancer.group(SERVICE).candidates(self.now, frozenset())
         names = {view.server.id for view in chosen}
         allowed = self.open_servers()
         assert names <= allowed, f"{names - allowed} may be chosen"
@@ -163,8 +163,8 @@
 
     @invariant()
     def limits_are_those_that_were_heard_last(self) -> None:
-        group = self.book.group(SERVICE)
-        limits = {name: view.limit_per_s for name, view in self.book.views.items()}
+        group = self.balancer.group(SERVICE)
+        limits = {name: view.limit_per_s for name, view in self.balancer.views.items()}
         heard = {name: self.limits.get(name, (None, 0.0))[0] for name in limits}
         assert limits == heard
         limited = {name: limit for name, limit in heard.items() if limit is not None}
@@ -175,13 +175,13 @@
     def none_is_lost_for_good(self) -> None:
         """What servers asked for ends: later each that stays is as good as any other."""
         later = self.now + 3 * MOST_TOLD_S + LONGEST_DECLINE_S + LONGEST_PAUSE_S
-        for view in self.book.views.values():
+        for view in self.balancer.views.values():
             if view.server.id not in self.said_leaving and not view.server.leaving:
                 assert not view.is_closed(later) and not view.is_set_aside(later)
 
     @invariant()
     def told_time_is_the_first(self) -> None:
-        wait_s = self.book.group(SERVICE).retry_in_s(self.now)
+        wait_s = self.balancer.group(SERVICE).retry_in_s(self.now)
         if self.open_servers():
             assert wait_s == 0.0
         elif wait_s is not None:
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from moledale.core.hashing import weight
-from moledale.gateway.balance import ServerBook, affinity_key
+from moledale.gateway.balance import LoadBalancer, affinity_key
 from moledale.gateway.choice import longest_cached_prefix
 from moledale.gateway.engine_costs import EngineCosts
 from moledale.gateway.messages import PromptPart, RequestFacts, Server
@@ -46,17 +46,17 @@
     return RequestFacts(prompt_tokens=13_000, answer_tokens=100, parts=parts)
 
 
-def a_book(number: int) -> ServerBook:
-    book = ServerBook("hall-0")
-    book.apply(servers(number))
-    return book
+def a_book(number: int) -> LoadBalancer:
+    balancer = LoadBalancer("hall-0")
+    balancer.apply(servers(number))
+    return balancer
 
 
 class CountingViews:
     """Counts the servers that candidates are weighed from."""
 
-    def __init__(self, book: ServerBook) -> None:
-        group = book.group("model")
+    def __init__(self, balancer: LoadBalancer) -> None:
+        group = balancer.group("model")
         self.most = 0
         candidates = group.candidates
 
@@ -68,7 +68,9 @@
         group.candidates = counted  # type: ignore[method-assign]
 
 
-def traffic(book: ServerBook, number: int, seed: int = 1) -> Iterable[tuple[RequestFacts, float]]:
+def traffic(
+    balancer: LoadBalancer, number: int, seed: int = 1
+) -> Iterable[tuple[RequestFacts, float]]:
     """Place requests on a book, some of which go on running."""
     chance = random.Random(seed)
     live: list[Placement] = []
@@ -77,7 +79,7 @@
         now += 0.001
         facts = prompt(chance.randrange(40), each)
         yield facts, now
-        placed = book.place("model", facts, ENGINE, now)
+        placed = balancer.place("model", facts, ENGINE, now)
         assert placed is not None
         live.append(placed)
         if len(live) > 60:
@@ -90,22 +92,22 @@
     def test_number_weighed_does_not_grow_with_the_servers(self) -> None:
         for number in (64, 300, 3_000):
             with self.subTest(servers=number):
-                book = a_book(number)
-                counting = CountingViews(book)
-                for _ in traffic(book, 300):
+                balancer = a_book(number)
+                counting = CountingViews(balancer)
+                for _ in traffic(balancer, 300):
                     pass
                 self.assertLessEqual(counting.most, MOST_WEIGHED)
                 self.assertGreater(counting.most, HALLS)
 
     def test_choice_is_as_good_as_out_of_all_servers(self) -> None:
-        book = a_book(64)
+        balancer = a_book(64)
         lost = []
-        for facts, now in traffic(book, 600):
-            group = book.group("model")
+        for facts, now in traffic(balancer, 600):
+            group = balancer.group("model")
             views = [view for view in group.views.values() if not view.server.leaving]
             home = group.home(affinity_key(facts.parts))
             front = longest_cached_prefix(views, facts, now)
-            costs = EngineCosts(facts, front, ENGINE, book.estimator("model").speed(now))
+            costs = EngineCosts(facts, front, ENGINE, balancer.estimator("model").speed(now))
 
             def cost(
                 view: ServerView,
@@ -123,50 +125,52 @@
 
 class OrderTest(unittest.TestCase):
     def test_lightest_servers_of_each_hall_are_candidates(self) -> None:
-        book = a_book(40)
-        for view in book.views.values():
+        balancer = a_book(40)
+        for view in balancer.views.values():
             view.add_others(20, 200_000)
         for name in ("model4", "model9", "model38"):
-            book.views[name].add_others(-20, -200_000)
-        found = {view.server.id for view in book.group("model").candidates(1.0, frozenset())}
+            balancer.views[name].add_others(-20, -200_000)
+        found = {view.server.id for view in balancer.group("model").candidates(1.0, frozenset())}
         self.assertLessEqual({"model4", "model9", "model38"}, found)
 
     def test_server_that_leaves_or_is_gone_is_no_candidate(self) -> None:
-        book = a_book(6)
+        balancer = a_book(6)
         listed = servers(6)
         leaving = Server("model0", "model", "h:0", "hall-0", 64, leaving=True)
-        book.apply([leaving, *listed[2:]])
+        balancer.apply([leaving, *listed[2:]])
         for _ in range(20):
-            found = {view.server.id for view in book.group("model").candidates(1.0, frozenset())}
+            found = {
+                view.server.id for view in balancer.group("model").candidates(1.0, frozenset())
+            }
             self.assertEqual(found, {"model2", "model3", "model4", "model5"})
 
     def test_paused_server_is_a_candidate_again_after_its_pause(self) -> None:
-        book = a_book(4)
-        note_silence(book.views["model1"], 1.0)
-        group = book.group("model")
-        self.assertNotIn(book.views["model1"], group.candidates(1.1, frozenset()))
-        book.tick(3.0)
-        self.assertIn(book.views["model1"], group.candidates(3.0, frozenset()))
+        balancer = a_book(4)
+        note_silence(balancer.views["model1"], 1.0)
+        group = balancer.group("model")
+        self.assertNotIn(balancer.views["model1"], group.candidates(1.1, frozenset()))
+        balancer.tick(3.0)
+        self.assertIn(balancer.views["model1"], group.candidates(3.0, frozenset()))
 
     def test_slow_server_comes_back_as_its_slowness_fades(self) -> None:
-        book = a_book(80)
-        view = book.views["model0"]
+        balancer = a_book(80)
+        view = balancer.views["model0"]
         for _ in range(20):
             view.slowness.observe(2.0, 0.1, 1.0)
         view.changed()
-        group = book.group("model")
-        for name, other in book.views.items():
+        group = balancer.group("model")
+        for name, other in balancer.views.items():
             if name != "model0":
                 other.add_others(1, 5_000)
         self.assertNotIn(view, group.candidates(1.1, frozenset()))
-        book.tick(40.0)
+        balancer.tick(40.0)
         self.assertIn(view, group.candidates(40.0, frozenset()))
 
     def test_connection_at_rest_makes_a_server_a_candidate(self) -> None:
-        book = a_book(400)
-        book.resting = lambda: ["gone", "model333"]
-        book.has_connection = lambda name: name == "model333"
-        placed = book.place("model", RequestFacts(id="r", prompt_tokens=50), ENGINE, 1.0)
+        balancer = a_book(400)
+        balancer.resting = lambda: ["gone", "model333"]
+        balancer.has_connection = lambda name: name == "model333"
+        placed = balancer.place("model", RequestFacts(id="r", prompt_tokens=50), ENGINE, 1.0)
         assert placed is not None
         self.assertEqual(placed.view.server.id, "model333")
 
@@ -187,41 +191,41 @@
     )
     def test_sums_after_any_order_of_changes(self, changes: list[tuple[str, int, int]]) -> None:
         listed = servers(6)
-        book = a_book(6)
+        balancer = a_book(6)
         live: list[Placement] = []
         told: dict[str, dict[str, tuple[int, int]]] = {}
         for number, (what, server, node) in enumerate(changes):
             now = float(number)
             name, peer = f"model{server}", f"n{node}"
             if what == "place":
-                placed = book.place("model", prompt(server, number), ENGINE, now)
+                placed = balancer.place("model", prompt(server, number), ENGINE, now)
                 live += [placed] if placed is not None else []
             elif what == "end" and live:
                 live.pop(server % len(live)).end()
             elif what == "state":
                 told[peer] = {name: (server, server * 100)}
-                book.others([state(each, loads=loads) for each, loads in told.items()])
+                balancer.others([state(each, loads=loads) for each, loads in told.items()])
             elif what == "silent":
                 told.pop(peer, None)
-                book.others([state(each, loads=loads) for each, loads in told.items()])
+                balancer.others([state(each, loads=loads) for each, loads in told.items()])
             elif what == "news" and peer in told:
                 loads = told[peer]
                 running, prefill = loads.get(name, (0, 0))
-                book.take_loads(peer, loads)
+                balancer.take_loads(peer, loads)
                 loads[name] = (running + 1, prefill + 50)
-                book.views[name].add_others(1, 50) if name in book.views else None
+                balancer.views[name].add_others(1, 50) if name in balancer.views else None
             elif what == "gone":
-                book.apply(each for each in listed if each.id != name)
+                balancer.apply(each for each in listed if each.id != name)
             else:
-                book.apply(listed)
-            views = list(book.views.values())
-            self.assertEqual(book.running("model"), sum(view.all_running for view in views))
-            self.assertEqual(book.waiting("model"), sum(view.all_prefill for view in views))
+                balancer.apply(listed)
+            views = list(balancer.views.values())
+            self.assertEqual(balancer.running("model"), sum(view.all_running for view in views))
+            self.assertEqual(balancer.waiting("model"), sum(view.all_prefill for view in views))
             for view in views:
                 others = [loads.get(view.server.id, (0, 0)) for loads in told.values()]
                 self.assertEqual(view.others_running, sum(each[0] for each in others))
             busy = {view.server.id for view in views if view.running}
-            self.assertEqual(set(book.loads()), busy)
+            self.assertEqual(set(balancer.loads()), busy)
 
 
 class HomeRingTest(unittest.TestCase):
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -9,7 +9,7 @@
 import logbook
 
 from moledale.clock import monotonic
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.events import EventCutter
 from moledale.gateway.job import Job
 from moledale.gateway.messages import Caller, InboundRequest, RequestFacts, RequestHead, Server
@@ -145,7 +145,7 @@
                 await world.add(first, "plain")
                 await world.add(limited_server("s2", 0.1), "plain")
                 limit = {"s2": LimitNews(0.1, 0.0)}
-                world.book.notices.peer_limits(limit, "n2", monotonic())
+                world.balancer.notices.peer_limits(limit, "n2", monotonic())
                 self.assertEqual((await world.ask("/check/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
 
@@ -162,7 +162,7 @@
                     connection = await take(server, address)
                     if server == "s1":
                         limit = {"s1": LimitNews(0.1, 0.0)}
-                        world.book.notices.peer_limits(limit, "n2", monotonic())
+                        world.balancer.notices.peer_limits(limit, "n2", monotonic())
                     return connection
 
                 world.pool.take = take_slowly  # type: ignore[method-assign]
@@ -198,15 +198,15 @@
         """All servers name limits; only one of six has a place, and nobody knows which."""
 
         async def work() -> None:
-            book = ServerBook("a")
-            book.apply([Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(6)])
-            limits = {name: LimitNews(1.0, 0.0) for name in book.views}
-            book.notices.peer_limits(limits, "n2", monotonic())
-            permits = permits_alone(book, monotonic)
+            balancer = LoadBalancer("a")
+            balancer.apply([Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(6)])
+            limits = {name: LimitNews(1.0, 0.0) for name in balancer.views}
+            balancer.notices.peer_limits(limits, "n2", monotonic())
+            permits = permits_alone(balancer, monotonic)
             with mock.patch.object(
                 permits, "grant", side_effect=lambda ask: grant_only("s3", ask)
             ) as asked:
-                placing = Placing(book, permits, monotonic)
+                placing = Placing(balancer, permits, monotonic)
                 placement = await placing.place(Wanted("plain", RequestFacts(), None))
                 assert placement is not None
                 self.assertEqual(placement.view.server.id, "s3")
@@ -216,10 +216,10 @@
 
     def test_streams_are_moved_to_no_server_that_has_no_place(self) -> None:
         async def work() -> None:
-            book = ServerBook("a")
-            book.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(3)])
-            book.notices.peer_limits({"s1": LimitNews(0.1, 0.0)}, "n2", monotonic())
-            placing = Placing(book, permits_alone(book, monotonic), monotonic)
+            balancer = LoadBalancer("a")
+            balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(3)])
+            balancer.notices.peer_limits({"s1": LimitNews(0.1, 0.0)}, "n2", monotonic())
+            placing = Placing(balancer, permits_alone(balancer, monotonic), monotonic)
             engine = Engine(4, 100_000, 1, 1000.0, moves=True, event_tokens=3)
             for number in range(6):
                 facts = RequestFacts(id=f"r{number}", prompt_tokens=50)
@@ -235,17 +235,17 @@
     """A server that takes hardly anything for longer than a new one takes to start is missing."""
 
     def test_part_that_limits_take_away_is_made_up_for(self) -> None:
-        book = ServerBook("a")
-        book.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(6)])
-        group = book.group("model")
+        balancer = LoadBalancer("a")
+        balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(6)])
+        group = balancer.group("model")
         for name, limit in (("s0", 0.5), ("s1", 1.0), ("s2", 50.0), ("s3", 0.0)):
-            book.notices.peer_limits({name: LimitNews(limit, 0.0)}, "n1", 10.0)
+            balancer.notices.peer_limits({name: LimitNews(limit, 0.0)}, "n1", 10.0)
         usual_per_s, boot_s = 5.0, 4.0
         self.assertEqual(group.limited.lost(13.0, usual_per_s, boot_s), 0)
         # 0.9, 0.8, none and 1 of them are missing.
         self.assertEqual(group.limited.lost(15.0, usual_per_s, boot_s), 2)
         self.assertEqual(group.limited.lost(15.0, 0.0, boot_s), 1)
-        book.notices.note_leaving("s3")
+        balancer.notices.note_leaving("s3")
         self.assertEqual(group.limited.lost(15.0, usual_per_s, boot_s), 1)
 
     def test_requests_of_all_nodes_tell_what_is_usual(self) -> None:
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from moledale.clock import monotonic
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import AnswerHead, Server
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.plan import Renting
@@ -183,15 +183,15 @@
     async def list_again(self, world: GatewayWorld, server: ScriptedServer) -> None:
         """List a server as ready whose entry had lapsed."""
         world._listed.append(Server(server.id, "plain", server.address, "hall-a", 4))
-        world.book.apply(world._listed)
+        world.balancer.apply(world._listed)
 
     def test_word_counts_though_the_list_said_it_before(self) -> None:
-        book = ServerBook("a")
+        balancer = LoadBalancer("a")
         ready = Server("s1", "model", "h:1", "a", 64)
-        book.apply([msgspec.structs.replace(ready, leaving=True)])
-        self.assertIsNone(book.notices.note_leaving("s1"))
-        book.apply([ready])
-        self.assertTrue(book.views["s1"].server.leaving)
+        balancer.apply([msgspec.structs.replace(ready, leaving=True)])
+        self.assertIsNone(balancer.notices.note_leaving("s1"))
+        balancer.apply([ready])
+        self.assertTrue(balancer.views["s1"].server.leaving)
 
     def test_another_life_of_it_gets_requests(self) -> None:
         for name, same_id in (("another address", True), ("another id", False)):
@@ -210,7 +210,7 @@
                 life = Server("s1", "plain", first.address, "hall-a", 4)
             else:
                 life = Server("s1#2", "plain", first.address, "hall-a", 4)
-            world.book.apply([life])
+            world.balancer.apply([life])
             self.assertEqual((await world.ask("/order/")).status, 200)
 
     def test_word_of_another_server_at_its_address_is_not_its_own(self) -> None:
@@ -223,8 +223,8 @@
                 for _ in range(4):
                     self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
-                self.assertFalse(world.book.views["s1"].server.leaving)
-                self.assertEqual(world.book.notices.leaving_beyond_the_list(), [])
+                self.assertFalse(world.balancer.views["s1"].server.leaving)
+                self.assertEqual(world.balancer.notices.leaving_beyond_the_list(), [])
 
         quietly(work())
 
@@ -236,7 +236,7 @@
             async with GatewayWorld(a_plan()) as world:
                 await world.server("s1", "plain", unsigned)
                 self.assertEqual((await world.ask("/order/")).status, 502)
-                self.assertFalse(world.book.views["s1"].server.leaving)
+                self.assertFalse(world.balancer.views["s1"].server.leaving)
 
         quietly(work())
 
@@ -390,22 +390,22 @@
 
     def test_node_that_serves_nobody_counts_what_others_were_told(self) -> None:
         """The holder of the duties is a node in reserve, so it hears of it from others only."""
-        book = ServerBook("a")
-        book.apply([Server("s1", "model", "h:1", "a", 64)])
+        balancer = LoadBalancer("a")
+        balancer.apply([Server("s1", "model", "h:1", "a", 64)])
         for step in range(20):
-            book.notices.peers_declined({"s1": 1.0}, 10.0 + 0.2 * step)
-        self.assertEqual(book.group("model").unavailable(13.8, 4.0), 1)
-        self.assertEqual(book.declined(13.8), {})
-        book.notices.peers_declined({"s1": 1.0}, 30.0)
-        self.assertEqual(book.group("model").unavailable(30.0, 4.0), 0)
+            balancer.notices.peers_declined({"s1": 1.0}, 10.0 + 0.2 * step)
+        self.assertEqual(balancer.group("model").unavailable(13.8, 4.0), 1)
+        self.assertEqual(balancer.declined(13.8), {})
+        balancer.notices.peers_declined({"s1": 1.0}, 30.0)
+        self.assertEqual(balancer.group("model").unavailable(30.0, 4.0), 0)
 
     def test_servers_that_turn_away_for_longer_than_a_start_are_made_up_for(self) -> None:
-        book = ServerBook("a")
-        book.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(4)])
-        group = book.group("model")
+        balancer = LoadBalancer("a")
+        balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(4)])
+        group = balancer.group("model")
         for name in ("s0", "s1"):
-            book.views[name].decline(10.0, 3.0)
-        book.views["s0"].decline(13.0, 3.0)
+            balancer.views[name].decline(10.0, 3.0)
+        balancer.views["s0"].decline(13.0, 3.0)
         self.assertEqual(group.unavailable(13.0, 4.0), 1)
         self.assertEqual(group.unavailable(16.5, 4.0), 0)
         renting = Renting(0, 8, 4.0, 0.25, {"a": 1.0, "b": 1.0})
@@ -426,7 +426,7 @@
             cluster.platform.mood = Mood.SILENT
             self.assertEqual((await ask_node(first)).status, 200)
             arrived = len(cluster.backend.arrivals)
-            await until(lambda: second.book.views["s1"].server.leaving)
+            await until(lambda: second.balancer.views["s1"].server.leaving)
             self.assertEqual((await ask_node(second)).status, 503)
             self.assertEqual(len(cluster.backend.arrivals), arrived)
 
@@ -438,8 +438,8 @@
             cluster.backend.script = declines
             self.assertEqual((await ask_node(first)).status, 503)
             now = monotonic()
-            await until(lambda: second.book.views["s1"].standing.peers_declined_until > now)
-            view = second.book.views["s1"]
+            await until(lambda: second.balancer.views["s1"].standing.peers_declined_until > now)
+            view = second.balancer.views["s1"]
             self.assertGreater(view.standing.peers_declined_until, now + RETRY_AFTER_S)
             latest = monotonic() + RETRY_AFTER_S + ASKED_LATER_S
             self.assertLessEqual(view.standing.peers_declined_until, latest)
@@ -450,21 +450,21 @@
         on_cluster(work)
 
     def test_a_state_tells_a_bounded_number(self) -> None:
-        book = ServerBook("a")
+        balancer = LoadBalancer("a")
         names = [f"s{each}" for each in range(100)]
-        book.apply([Server(name, "model", "h:1", "a", 64) for name in names])
+        balancer.apply([Server(name, "model", "h:1", "a", 64) for name in names])
         for name in names[:50]:
-            book.views[name].decline(1.0, 5.0)
+            balancer.views[name].decline(1.0, 5.0)
         for name in names[50:]:
-            book.notices.note_leaving(name)
-        self.assertEqual(len(book.declined(1.0)), MOST_TOLD)
-        self.assertEqual(len(book.notices.leaving_beyond_the_list()), MOST_TOLD)
+            balancer.notices.note_leaving(name)
+        self.assertEqual(len(balancer.declined(1.0)), MOST_TOLD)
+        self.assertEqual(len(balancer.notices.leaving_beyond_the_list()), MOST_TOLD)
 
     def test_what_the_list_says_is_not_told(self) -> None:
-        book = ServerBook("a")
+        balancer = LoadBalancer("a")
         ready = Server("s1", "model", "h:1", "a", 64)
-        book.apply([ready])
-        book.notices.note_leaving("s1")
-        self.assertEqual(book.notices.leaving_beyond_the_list(), ["s1"])
-        book.apply([msgspec.structs.replace(ready, leaving=True)])
-        self.assertEqual(book.notices.leaving_beyond_the_list(), [])
+        balancer.apply([ready])
+        balancer.notices.note_leaving("s1")
+        self.assertEqual(balancer.notices.leaving_beyond_the_list(), ["s1"])
+        balancer.apply([msgspec.structs.replace(ready, leaving=True)])
+        self.assertEqual(balancer.notices.leaving_beyond_the_list(), [])
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -54,7 +54,7 @@
                 silenced.silence()
                 for number in range(1, servers):
                     await world.server(f"s{number + 1}", "plain", Silenced())
-                    world.book.views[f"s{number + 1}"].answer_s = 0.2
+                    world.balancer.views[f"s{number + 1}"].answer_s = 0.2
                 for number in range(KEPT + 2):
                     began = monotonic()
                     got = await world.ask(path, request_id=f"r{number}")
@@ -81,7 +81,7 @@
     """Follow the time as a node does."""
     while True:
         await asyncio.sleep(0.1)
-        world.book.tick(monotonic())
+        world.balancer.tick(monotonic())
 
 
 class CallsTest(unittest.TestCase):
--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -6,7 +6,7 @@
 
 from moledale.core.rollouts import Exposure
 from moledale.gateway.accounts import AccountLimits, Tolerance
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.evacuation import Evacuation
 from moledale.gateway.fleet_watch import FleetWatch
 from moledale.gateway.node import least_stop_s
@@ -43,7 +43,7 @@
             bounds = scaled(self.bounds, factor)
             sharing = Sharing(Membership("n1", 1), bounds)
             moves = Evacuation(
-                PlatformEngines(), ServerBook("a"), lambda: None, sharing.leave_s, lambda: 0.0
+                PlatformEngines(), LoadBalancer("a"), lambda: None, sharing.leave_s, lambda: 0.0
             )
             self.assertEqual(moves._notice_s, factor * self.bounds.leave_s)
             self.assertAlmostEqual(least_stop_s(bounds), factor * least_stop_s(self.bounds))
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -27,7 +27,7 @@
 from moledale.gateway.admission import Admission
 from moledale.gateway.answers import AnswerReader
 from moledale.gateway.backoff import Backoff
-from moledale.gateway.balance import ServerBook
+from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.closed_servers import LimitedServers
 from moledale.gateway.cold_start import ColdStart
 from moledale.gateway.document_archive import DocumentArchive, DocumentPiece, UploadBudget
@@ -262,7 +262,7 @@
      lambda self: [each.state for each in self.members.values()], f"{STATE} {MEMBERSHIP}"),
     ("a candidate waits for the time to live", lease_keeper, "TTL_FACTOR", 0.0, LEASE),
     ("what was passed on is not passed on again", LeaseKeeper, "on_renewal", _heard_as_told, LEASE),
-    ("others hear of placements at once", ServerBook, "take_placed", lambda _: [],
+    ("others hear of placements at once", LoadBalancer, "take_placed", lambda _: [],
      "tests.test_gateway_placements"),
     ("servers that lapsed are kept", fleet_watch, "RETURN_S", 0.0, STATE),
     ("a window's spending counts", RecentSpending, "wait_s", lambda *_: 0.0, LIMITS),
