--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -24,43 +24,43 @@
 from moledale.gateway.server_view import ENGINE_SLOTS, Placement, ServerView
 from moledale.gateway.stated_limit import LimitNews
 
-LEAST_EXPECTED_S = 0.01
+MIN_EXPECTED_S = 0.01
 """First events that are expected sooner count as expected then: a step of an engine takes 6 ms."""
 
 
-def _not_known(_: str) -> bool:
+def _no_connection(_: str) -> bool:
     """Know of no connection."""
     return False
 
 
-def _none_resting() -> Iterable[str]:
+def _no_idle_servers() -> Iterable[str]:
     """Know of no connection."""
     return ()
 
 
-def _nobody_asks() -> None:
+def _ignore_placement() -> None:
     """Nobody wants to know of placements."""
 
 
-def _nobody_waits(_: str) -> None:
+def _ignore_silence(_: str) -> None:
     """Nobody keeps connections."""
 
 
-def _nobody_judges(_: Placement, _series: str, _failed: bool, _took_s: float) -> None:
+def _ignore_outcome(_: Placement, _series: str, _failed: bool, _took_s: float) -> None:
     """Nobody compares versions."""
 
 
-Outcome = Callable[[Placement, str, bool, float], None]
+OutcomeCallback = Callable[[Placement, str, bool, float], None]
 """Hears of an answer: its series, whether it failed, and its time in seconds or as a ratio."""
 
-PACE = "/pace"
+PACE_SUFFIX = "/pace"
 """Ending of the name of a series that holds a route's time between events."""
 
 
 class LoadBalancer:
     """The servers of all services, with what this node and its peers have running there.
 
-    `has_connection` says whether a connection to a server is at rest; `resting` tells all of these,
+    `has_connection` says whether a connection to a server is at rest; `idle_servers` tells all of these,
     the one used last first. `on_silent` hears of a server that should have said something:
     connections to it may be silent for good though new ones work.
     """
@@ -69,15 +69,15 @@
         self.views: dict[str, ServerView] = {}
         self.work: dict[str, int] = {}
         self.estimators: dict[str, SpeedEstimator] = {}
-        self.on_placed: Callable[[], None] = _nobody_asks
-        self.has_connection: Callable[[str], bool] = _not_known
-        self.resting: Callable[[], Iterable[str]] = _none_resting
-        self.on_outcome: Outcome = _nobody_judges
-        self.on_silent: Callable[[str], None] = _nobody_waits
+        self.on_placed: Callable[[], None] = _ignore_placement
+        self.has_connection: Callable[[str], bool] = _no_connection
+        self.idle_servers: Callable[[], Iterable[str]] = _no_idle_servers
+        self.on_outcome: OutcomeCallback = _ignore_outcome
+        self.on_silent: Callable[[str], None] = _ignore_silence
         self._hall = hall
         self._rng = random.Random()
         self._groups: dict[str, ServerGroup] = {}
-        self._counted: dict[str, Loads] = {}
+        self._peer_loads: dict[str, Loads] = {}
         self._placed: list[tuple[ServerView, int, tuple[PromptPart, ...]]] = []
         self.notices = ServerNotices(self.views, self.group)
 
@@ -95,7 +95,7 @@
             for view in self.group(service).apply(here.values()):
                 self.views[view.server.id] = view
                 self.notices.restore(view)
-                self._count_others(view)
+                self._add_peer_loads(view)
         return gone
 
     def declined(self, now: float) -> dict[str, float]:
@@ -127,35 +127,35 @@
 
     # What other nodes have running
 
-    def others(self, states: Iterable[NodeState]) -> None:
+    def apply_peer_states(self, states: Iterable[NodeState]) -> None:
         """Take over what live peers have running and have learnt."""
         states = list(states)
         for service in {service for state in states for service in state.speeds}:
             told = (state.speeds.get(service) for state in states)
             self.estimator(service).set_peer_speeds(speed for speed in told if speed is not None)
         alive = {state.id for state in states}
-        for node in [node for node in self._counted if node not in alive]:
-            self.take_loads(node, {})
-            del self._counted[node]
+        for node in [node for node in self._peer_loads if node not in alive]:
+            self.apply_peer_loads(node, {})
+            del self._peer_loads[node]
         for state in states:
-            self.take_loads(state.id, state.loads)
+            self.apply_peer_loads(state.id, state.loads)
 
-    def take_loads(self, node: str, loads: Loads) -> None:
+    def apply_peer_loads(self, node: str, loads: Loads) -> None:
         """Count what a node has running in place of what it had when last counted."""
-        before = self._counted.get(node, {})
+        before = self._peer_loads.get(node, {})
         if before is loads:
             return
-        self._counted[node] = loads
+        self._peer_loads[node] = loads
         for name in before.keys() | loads.keys():
             view = self.views.get(name)
             was, now = before.get(name, (0, 0)), loads.get(name, (0, 0))
             if view is not None and was != now:
                 view.add_others(now[0] - was[0], now[1] - was[1])
 
-    def _count_others(self, view: ServerView) -> None:
+    def _add_peer_loads(self, view: ServerView) -> None:
         """Count what others have at a server that is new here."""
         told = [
-            loads[view.server.id] for loads in self._counted.values() if view.server.id in loads
+            loads[view.server.id] for loads in self._peer_loads.values() if view.server.id in loads
         ]
         if told:
             view.add_others(sum(each[0] for each in told), sum(each[1] for each in told))
@@ -196,7 +196,7 @@
             views = [only]
         else:
             views = group.trial_servers(trial_share, excluded) if trial_share else []
-            views = views or group.candidates(now, excluded, holders, home, self.resting())
+            views = views or group.candidates(now, excluded, holders, home, self.idle_servers())
         if not views:
             return None
         if engine is None:
@@ -206,7 +206,7 @@
         best = self._best_engine(views, home, facts, costs, now)
         return Choice(best, facts, EngineChoice(engine, costs, prefix))
 
-    def count(self, choice: Choice, now: float, moved: bool = False) -> Placement:
+    def reserve(self, choice: Choice, now: float, moved: bool = False) -> Placement:
         """Count a request at the server that was chosen for it.
 
         A request that is `moved` brings its memory along, so it reads nothing there.
@@ -232,7 +232,7 @@
     ) -> Placement | None:
         """Choose a server and count the request there in one step; None if there is none."""
         choice = self.choose(service, facts, engine, now, excluded, trial_share)
-        return None if choice is None else self.count(choice, now, moved)
+        return None if choice is None else self.reserve(choice, now, moved)
 
     def _best_plain(self, views: list[ServerView]) -> ServerView:
         return min(
@@ -316,7 +316,7 @@
         tokens = placement.work + speed.remaining_work(placement.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, placement.beside)
         placement.view.slowness.observe(took_s, expected_s, now)
-        with_fetch_s = max(LEAST_EXPECTED_S, expected_s + placement.fetching_s)
+        with_fetch_s = max(MIN_EXPECTED_S, expected_s + placement.fetching_s)
         self.note_outcome(placement, False, took_s / with_fetch_s)
         waited_for_slot = placement.beside >= placement.view.server.slots
         if not placement.fetched and not waited_for_slot:
@@ -335,12 +335,12 @@
         """Compare the time between the events of a stream that ended whole."""
         if events > 1 and placement.first_at:
             pace_s = (now - placement.first_at) / (events - 1)
-            self.on_outcome(placement, placement.route + PACE, False, pace_s)
+            self.on_outcome(placement, placement.route + PACE_SUFFIX, False, pace_s)
 
     def note_cut(self, placement: Placement, now: float) -> None:
         """Hold it against a server's version that an answer broke off."""
         if placement.judged:
-            self.on_outcome(placement, placement.route + PACE, True, 0.0)
+            self.on_outcome(placement, placement.route + PACE_SUFFIX, True, 0.0)
         self.note_outcome(placement, True, now - placement.sent_at)
 
     def note_outcome(self, placement: Placement, failed: bool, took: float) -> None:
@@ -363,7 +363,7 @@
         """Return the prompt tokens that all nodes have waiting at a service's servers."""
         return self.group(service).prefill
 
-    def take_placed(self) -> list[Placed]:
+    def drain_placements(self) -> list[Placed]:
         """Return what was placed on engines since the last call, for other nodes."""
         placed = [
             Placed(view.server.id, view.running, view.prefill_tokens, parts, work)
@@ -372,9 +372,11 @@
         self._placed.clear()
         return placed
 
-    def heard_placed(self, node: str, loads: Loads, news: Placed, engine: Engine | None) -> None:
+    def apply_peer_placement(
+        self, node: str, loads: Loads, news: Placed, engine: Engine | None
+    ) -> None:
         """Count what another node placed, which has `loads` until now."""
-        self.take_loads(node, loads)
+        self.apply_peer_loads(node, loads)
         before = loads.get(news.server, (0, 0))
         loads[news.server] = (news.running, news.prefill)
         view = self.views.get(news.server)
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -180,7 +180,7 @@
         self._telling_placements: asyncio.TimerHandle | None = None
         self.balancer.on_placed = self._placed
         self.balancer.has_connection = self.pool.has_idle
-        self.balancer.resting = self.pool.resting
+        self.balancer.idle_servers = self.pool.resting
         self._request_rate = Rate()
         self._sequence = 0
         self._packer = StatePacker()
@@ -399,7 +399,7 @@
 
     def _tell_placements(self) -> None:
         self._telling_placements = None
-        placed = self.balancer.take_placed()
+        placed = self.balancer.drain_placements()
         if self._gossip is None or not placed:
             return
         node = self.settings.node
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -5,7 +5,7 @@
 from result import Err
 
 from moledale.core.rollouts import LEAST_PER_ROUTE, Phase, Progress, next_phase
-from moledale.gateway.balance import PACE, LoadBalancer
+from moledale.gateway.balance import PACE_SUFFIX, LoadBalancer
 from moledale.gateway.outside import ABSENT, Store
 from moledale.gateway.rollouts import Rollouts, ServiceRollout
 from moledale.log import Event, emit
@@ -180,7 +180,7 @@
 
 
 def _routes(series: Iterable[str]) -> list[str]:
-    return [name for name in series if not name.endswith(PACE)]
+    return [name for name in series if not name.endswith(PACE_SUFFIX)]
 
 
 def _has_enough_answers(rollout: ServiceRollout, route: str) -> bool:
--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -106,7 +106,7 @@
         """Take over what live peers tell of clocks and servers; once a round is enough."""
         alive = self.members.alive(self._now())
         self.true_time.set_peer_offsets(each.offset_s for each in alive)
-        balancer.others(alive)
+        balancer.apply_peer_states(alive)
 
     def heard_placed(self, news: PlacementNews, balancer: LoadBalancer, engine: EngineOf) -> None:
         """Take over what a peer placed since it last told its whole state."""
@@ -114,7 +114,7 @@
         if state is None:
             return
         for each in news.placed:
-            balancer.heard_placed(state.id, state.loads, each, engine(each.server))
+            balancer.apply_peer_placement(state.id, state.loads, each, engine(each.server))
 
     def _budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -51,7 +51,7 @@
         )  # fmt: skip
 
     def news(self) -> PlacementNews:
-        return PlacementNews(self.name, 1, self.sequence, self.balancer.take_placed())
+        return PlacementNews(self.name, 1, self.sequence, self.balancer.drain_placements())
 
     def hear(self, news: PlacementNews) -> None:
         self.sharing.heard_placed(news, self.balancer, lambda _: ENGINE)
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -132,12 +132,12 @@
         assert home is not None
         home.end()
         name = home.view.server.id
-        balancer.others([state("n2", loads={name: (4, 90_000)})])
+        balancer.apply_peer_states([state("n2", loads={name: (4, 90_000)})])
         other = balancer.place("model", self.facts("subject", "y"), self.engine, 0.0)
         assert other is not None
         self.assertNotEqual(other.view.server.id, name)
         other.end()
-        balancer.others([])
+        balancer.apply_peer_states([])
         again = balancer.place("model", self.facts("subject", "z"), self.engine, 0.0)
         assert again is not None
         self.assertEqual(again.view.server.id, name)
--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -41,8 +41,8 @@
         self.assertEqual(self.balancer.running("model"), 0)
 
     def test_late_news_of_the_life_before_changes_nothing(self) -> None:
-        self.balancer.heard_placed("n2", {}, Placed("a#1", 3, 4_000, PARTS, 4_000), ENGINE)
-        self.balancer.take_loads("n3", {"a#1": (5, 9_000)})
+        self.balancer.apply_peer_placement("n2", {}, Placed("a#1", 3, 4_000, PARTS, 4_000), ENGINE)
+        self.balancer.apply_peer_loads("n3", {"a#1": (5, 9_000)})
         view = self.balancer.views["a#2"]
         self.assertEqual((view.covers(PARTS), view.all_running, view.all_prefill), (0, 0, 0))
 
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -168,7 +168,7 @@
 
     def test_connection_at_rest_makes_a_server_a_candidate(self) -> None:
         balancer = a_book(400)
-        balancer.resting = lambda: ["gone", "model333"]
+        balancer.idle_servers = lambda: ["gone", "model333"]
         balancer.has_connection = lambda name: name == "model333"
         placed = balancer.place("model", RequestFacts(id="r", prompt_tokens=50), ENGINE, 1.0)
         assert placed is not None
@@ -204,14 +204,18 @@
                 live.pop(server % len(live)).end()
             elif what == "state":
                 told[peer] = {name: (server, server * 100)}
-                balancer.others([state(each, loads=loads) for each, loads in told.items()])
+                balancer.apply_peer_states(
+                    [state(each, loads=loads) for each, loads in told.items()]
+                )
             elif what == "silent":
                 told.pop(peer, None)
-                balancer.others([state(each, loads=loads) for each, loads in told.items()])
+                balancer.apply_peer_states(
+                    [state(each, loads=loads) for each, loads in told.items()]
+                )
             elif what == "news" and peer in told:
                 loads = told[peer]
                 running, prefill = loads.get(name, (0, 0))
-                balancer.take_loads(peer, loads)
+                balancer.apply_peer_loads(peer, loads)
                 loads[name] = (running + 1, prefill + 50)
                 balancer.views[name].add_others(1, 50) if name in balancer.views else None
             elif what == "gone":
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -262,7 +262,7 @@
      lambda self: [each.state for each in self.members.values()], f"{STATE} {MEMBERSHIP}"),
     ("a candidate waits for the time to live", lease_keeper, "TTL_FACTOR", 0.0, LEASE),
     ("what was passed on is not passed on again", LeaseKeeper, "on_renewal", _heard_as_told, LEASE),
-    ("others hear of placements at once", LoadBalancer, "take_placed", lambda _: [],
+    ("others hear of placements at once", LoadBalancer, "drain_placements", lambda _: [],
      "tests.test_gateway_placements"),
     ("servers that lapsed are kept", fleet_watch, "RETURN_S", 0.0, STATE),
     ("a window's spending counts", RecentSpending, "wait_s", lambda *_: 0.0, LIMITS),
