--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -90,6 +90,6 @@
         return None if choice is None else self._count(choice, wanted, True)
 
     def _count(self, choice: Choice, wanted: Wanted, permitted: bool) -> Placement:
-        placement = self._balancer.count(choice, self._now(), wanted.moved)
+        placement = self._balancer.reserve(choice, self._now(), wanted.moved)
         placement.permitted = permitted
         return placement
