--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -169,7 +169,7 @@
         now = self._now()
         failed = head.status >= 500
         note_answer(placement.view, failed, now - placement.sent_at)
-        self._balancer.note_outcome(placement, failed, now - placement.sent_at)
+        self._balancer.record_outcome(placement, failed, now - placement.sent_at)
         job.may_have_run = True
         self._count(job)
         if failed and job.reply.begun:
@@ -223,7 +223,7 @@
             view.heard_at = self._now()
             if first:
                 first = False
-                self._balancer.note_first(placement, self._now())
+                self._balancer.record_first_event(placement, self._now())
                 job.may_have_run = True
                 self._count(job)
                 note_answer(placement.view, False, self._now() - placement.sent_at)
@@ -240,8 +240,8 @@
         self._begin_stream(job, head)
         job.reply.send(job.cutter.rest())
         job.reply.finish()
-        self._balancer.note_end(placement, self._now())
-        self._balancer.note_pace(placement, run.events_here, self._now())
+        self._balancer.record_completion(placement, self._now())
+        self._balancer.record_pace(placement, run.events_here, self._now())
         return Attempt(Ending.ANSWERED)
 
     def _begin_stream(self, job: Job, head: AnswerHead) -> None:
@@ -255,7 +255,7 @@
         if cut in ENDED_BY_SERVER:
             self._guard.broke_off(job, placement)
         else:
-            self._balancer.note_cut(placement, self._now())
+            self._balancer.record_broken_answer(placement, self._now())
         if cut is Cut.SLOW:
             self._balancer.on_silent(placement.view.server.id)
         job.cutter.start_again()
--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -78,7 +78,7 @@
         self._rng = random.Random()
         self._groups: dict[str, ServerGroup] = {}
         self._peer_loads: dict[str, Loads] = {}
-        self._placed: list[tuple[ServerView, int, tuple[PromptPart, ...]]] = []
+        self._pending_placements: list[tuple[ServerView, int, tuple[PromptPart, ...]]] = []
         self.notices = ServerNotices(self.views, self.group)
 
     def apply(self, servers: Iterable[Server]) -> list[Server]:
@@ -106,7 +106,7 @@
         """Return the limits that servers named to this node, for other nodes."""
         return self.notices.limits(self._groups.values(), now)
 
-    def limited(self) -> int:
+    def limited_count(self) -> int:
         """Return how many servers name a limit."""
         return sum(len(group.limited.names) for group in self._groups.values())
 
@@ -212,12 +212,12 @@
         A request that is `moved` brings its memory along, so it reads nothing there.
         """
         if choice.engine_choice is None:
-            return self._count(choice.view, 0, now)
+            return self._reserve(choice.view, 0, now)
         if moved:
-            placement = self._count(choice.view, 0, now)
+            placement = self._reserve(choice.view, 0, now)
         else:
-            placement = self._count_prompt(choice.view, choice.facts, choice.engine_choice, now)
-        self._tell(placement, choice.facts, choice.engine_choice.engine)
+            placement = self._reserve_prompt(choice.view, choice.facts, choice.engine_choice, now)
+        self._publish(placement, choice.facts, choice.engine_choice.engine)
         return placement
 
     def place(
@@ -268,7 +268,7 @@
             ),
         )
 
-    def _count_prompt(
+    def _reserve_prompt(
         self, view: ServerView, facts: RequestFacts, chosen: EngineChoice, now: float
     ) -> Placement:
         """Count a prompt that is read at a server, but for what that has or fetches of it."""
@@ -281,7 +281,7 @@
         work = prefill_work(facts.prompt_tokens, cached)
         self.work[service] = self.work.get(service, 0) + work
         self.estimator(service).record_placed(work)
-        placement = self._count(view, work, now)
+        placement = self._reserve(view, work, now)
         placement.uncached = max(0, facts.prompt_tokens - cached)
         if fetched and chosen.prefix.view is not None:
             placement.fetched = fetched
@@ -289,11 +289,11 @@
             placement.fetch_from = chosen.prefix.view.server.address
         return placement
 
-    def _tell(self, placement: Placement, facts: RequestFacts, engine: Engine) -> None:
+    def _publish(self, placement: Placement, facts: RequestFacts, engine: Engine) -> None:
         """Note a placed prompt's parts, and that other nodes should hear of it."""
         view = placement.view
         self.group(view.server.service).record_cached_parts(view, facts.parts, engine.cache_tokens)
-        self._placed.append((view, placement.work, facts.parts))
+        self._pending_placements.append((view, placement.work, facts.parts))
         self.on_placed()
 
     def estimator(self, service: str) -> SpeedEstimator:
@@ -303,7 +303,7 @@
             estimator = self.estimators[service] = SpeedEstimator()
         return estimator
 
-    def note_first(self, placement: Placement, now: float) -> None:
+    def record_first_event(self, placement: Placement, now: float) -> None:
         """Learn from a stream's first event."""
         placement.first_token()
         placement.first_at = now
@@ -317,7 +317,7 @@
         expected_s = speed.start_s + speed.prefill_s(tokens, placement.beside)
         placement.view.slowness.observe(took_s, expected_s, now)
         with_fetch_s = max(MIN_EXPECTED_S, expected_s + placement.fetching_s)
-        self.note_outcome(placement, False, took_s / with_fetch_s)
+        self.record_outcome(placement, False, took_s / with_fetch_s)
         waited_for_slot = placement.beside >= placement.view.server.slots
         if not placement.fetched and not waited_for_slot:
             alone = PrefillSample(placement.work, placement.ahead, took_s, now, placement.beside)
@@ -326,24 +326,24 @@
             if seen is not None:
                 estimator.add_sample(seen)
 
-    def note_end(self, placement: Placement, now: float) -> None:
+    def record_completion(self, placement: Placement, now: float) -> None:
         """Learn from a stream that ended whole."""
         if placement.work:
             self.estimator(placement.view.server.service).record_hold(now - placement.sent_at)
 
-    def note_pace(self, placement: Placement, events: int, now: float) -> None:
+    def record_pace(self, placement: Placement, events: int, now: float) -> None:
         """Compare the time between the events of a stream that ended whole."""
         if events > 1 and placement.first_at:
             pace_s = (now - placement.first_at) / (events - 1)
             self.on_outcome(placement, placement.route + PACE_SUFFIX, False, pace_s)
 
-    def note_cut(self, placement: Placement, now: float) -> None:
+    def record_broken_answer(self, placement: Placement, now: float) -> None:
         """Hold it against a server's version that an answer broke off."""
         if placement.judged:
             self.on_outcome(placement, placement.route + PACE_SUFFIX, True, 0.0)
-        self.note_outcome(placement, True, now - placement.sent_at)
+        self.record_outcome(placement, True, now - placement.sent_at)
 
-    def note_outcome(self, placement: Placement, failed: bool, took: float) -> None:
+    def record_outcome(self, placement: Placement, failed: bool, took: float) -> None:
         """Compare an answer, or that there was none, with those of other versions, once."""
         if not placement.judged:
             placement.judged = True
@@ -359,7 +359,7 @@
         """Return the requests that all nodes have at a service's servers."""
         return self.group(service).running
 
-    def waiting(self, service: str) -> int:
+    def queued_tokens(self, service: str) -> int:
         """Return the prompt tokens that all nodes have waiting at a service's servers."""
         return self.group(service).prefill
 
@@ -367,9 +367,9 @@
         """Return what was placed on engines since the last call, for other nodes."""
         placed = [
             Placed(view.server.id, view.running, view.prefill_tokens, parts, work)
-            for view, work, parts in self._placed
+            for view, work, parts in self._pending_placements
         ]
-        self._placed.clear()
+        self._pending_placements.clear()
         return placed
 
     def apply_peer_placement(
@@ -401,7 +401,7 @@
                     self.on_silent(name)
             group.tick(now)
 
-    def _count(self, view: ServerView, prefill: int, now: float) -> Placement:
+    def _reserve(self, view: ServerView, prefill: int, now: float) -> Placement:
         if not view.running:
             view.busy_since = now
         placement = Placement(
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -77,7 +77,7 @@
         limits = AccountLimits(
             first_start, sharing.limit_window_s, sharing.limit_tolerance, starters
         )
-        self.guard = RequestGuard(pool, now, lambda cut: balancer.note_cut(cut, now()))
+        self.guard = RequestGuard(pool, now, lambda cut: balancer.record_broken_answer(cut, now()))
         self.admission = Admission(dialect, now, newer_plan, limits, self.guard.wait_s)
         self._dialect = dialect
         self._balancer = balancer
@@ -316,7 +316,7 @@
         """Hold it against a server's version if nothing came of it within the target."""
         waited_s = self._now() - placement.sent_at
         if job.offered and waited_s >= job.route.target_s:
-            self._balancer.note_outcome(placement, True, waited_s)
+            self._balancer.record_outcome(placement, True, waited_s)
 
     async def _moved(self, job: Job, run: StreamRun) -> Attempt | None:
         """Return where a stream goes on that was stopped to be moved, or None."""
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -231,7 +231,7 @@
         alive = self.members.alive(monotonic())
         unreadable = self._gossip.unreadable.total() if self._gossip is not None else 0
         return {
-            "servers_limited": self.balancer.limited(),
+            "servers_limited": self.balancer.limited_count(),
             "peers_of_other_builds": self._builds.others(alive),
             "news_unreadable_total": unreadable,
         }
--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -55,7 +55,7 @@
             view = choice.view
             limited = view.limit_per_s is not None
             if not limited or await self._permits.take(view, answer_s=wanted.answer_s):
-                return self._count(choice, wanted, limited)
+                return self._reserve(choice, wanted, limited)
         return await self._wait_for_turn(wanted)
 
     def _choose(self, wanted: Wanted, refused: int) -> Choice | None:
@@ -87,9 +87,9 @@
         choice = self._balancer.choose(
             wanted.service, wanted.facts, wanted.engine, self._now(), only=view
         )
-        return None if choice is None else self._count(choice, wanted, True)
+        return None if choice is None else self._reserve(choice, wanted, True)
 
-    def _count(self, choice: Choice, wanted: Wanted, permitted: bool) -> Placement:
+    def _reserve(self, choice: Choice, wanted: Wanted, permitted: bool) -> Placement:
         placement = self._balancer.reserve(choice, self._now(), wanted.moved)
         placement.permitted = permitted
         return placement
--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -95,7 +95,7 @@
             need=planner.need(renting),
             work_per_s=round(planner.demand.work_per_s),
             running=self._balancer.running(order.service),
-            waiting=self._balancer.waiting(order.service),
+            waiting=self._balancer.queued_tokens(order.service),
             learnt=self._balancer.estimator(order.service).speed(self._now()),
         )
 
@@ -123,7 +123,7 @@
             if service.engine is not None:
                 load = Load(
                     demand.work_per_s,
-                    self._balancer.waiting(service.name),
+                    self._balancer.queued_tokens(service.name),
                     self._balancer.running(service.name),
                 )
                 speed = self._balancer.estimator(service.name).speed(now)
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -181,8 +181,8 @@
         one.hear(other.news())
         second = one.balancer.place("model", prompt("c", "3"), ENGINE, 1.02)
         assert first is not None and between is not None and second is not None
-        one.balancer.note_first(first, 1.2)
-        one.balancer.note_first(second, 1.8)
+        one.balancer.record_first_event(first, 1.2)
+        one.balancer.record_first_event(second, 1.8)
         seen = one.balancer.estimator("model")._samples[-1]
         self.assertTrue(seen.queued)
         self.assertAlmostEqual(seen.took_s, 0.6)
@@ -194,7 +194,7 @@
         for number, sent_at in enumerate((1.0, 2.0)):
             placed = balancer.place("model", prompt("a", str(number)), ENGINE, sent_at)
             assert placed is not None
-            balancer.note_first(placed, sent_at + 0.3)
+            balancer.record_first_event(placed, sent_at + 0.3)
         seen = balancer.estimator("model")._samples[-1]
         self.assertFalse(seen.queued)
         self.assertAlmostEqual(seen.took_s, 0.3)
@@ -272,8 +272,8 @@
         target = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0, moved=True)
         assert target is not None
         self.assertEqual((target.prefill, target.work, target.fetch_from), (0, 0, ""))
-        balancer.note_first(target, 9.0)
-        balancer.note_end(target, 9.0)
+        balancer.record_first_event(target, 9.0)
+        balancer.record_completion(target, 9.0)
         self.assertEqual(balancer.work, {})
         self.assertEqual(balancer.estimator("model").speed(10.0), PRIOR)
         self.assertEqual(target.view.slowness.factor(9.0), 1.0)
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -224,7 +224,9 @@
                 balancer.apply(listed)
             views = list(balancer.views.values())
             self.assertEqual(balancer.running("model"), sum(view.all_running for view in views))
-            self.assertEqual(balancer.waiting("model"), sum(view.all_prefill for view in views))
+            self.assertEqual(
+                balancer.queued_tokens("model"), sum(view.all_prefill for view in views)
+            )
             for view in views:
                 others = [loads.get(view.server.id, (0, 0)) for loads in told.values()]
                 self.assertEqual(view.others_running, sum(each[0] for each in others))
