--- a/src/moledale/gateway/evacuation.py
+++ b/src/moledale/gateway/evacuation.py
@@ -16,7 +16,7 @@
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import RequestFacts, Server
 from moledale.gateway.permits import permits_alone
-from moledale.gateway.placing import Placing, Wanted
+from moledale.gateway.placing import PlacementRequest, Placer
 from moledale.gateway.plan import Engine, PlanIndex
 from moledale.gateway.server_view import Placement
 from moledale.log import Event, emit
@@ -133,9 +133,9 @@
         index: Callable[[], PlanIndex | None],
         notice_s: float,
         now: Callable[[], float] = monotonic,
-        placing: Placing | None = None,
+        placing: Placer | None = None,
     ) -> None:
-        self._placing = placing or Placing(balancer, permits_alone(balancer, now), now)
+        self._placing = placing or Placer(balancer, permits_alone(balancer, now), now)
         self.runs: set[StreamRun] = set()
         self._engines = engines
         self._balancer = balancer
@@ -225,7 +225,7 @@
                 return
             self._planned.add(run)
             target = await self._placing.place(
-                Wanted(run.service, run.facts, engine, frozenset({server.id}), moved=True)
+                PlacementRequest(run.service, run.facts, engine, frozenset({server.id}), moved=True)
             )
             if target is None:
                 return
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -13,7 +13,7 @@
 from moledale.gateway.job import Attempt, Ending, Job
 from moledale.gateway.messages import AttemptFacts, InboundRequest, Refusal
 from moledale.gateway.permits import ANSWER_S, Permits, permits_alone
-from moledale.gateway.placing import Placing, Wanted
+from moledale.gateway.placing import PlacementRequest, Placer
 from moledale.gateway.plan import Engine, Kind, Plan, PlanIndex
 from moledale.gateway.pool import ConnectionPool
 from moledale.gateway.refusals import NO_SERVER, NOT_RUN_AGAIN_S, Refusals
@@ -85,7 +85,7 @@
         self._pool = pool
         self._sharing = sharing
         self._permits = permits or permits_alone(balancer, now)
-        self._placing = Placing(balancer, self._permits, now)
+        self._placing = Placer(balancer, self._permits, now)
         self.evacuation = Evacuation(
             engines, balancer, lambda: self.index, sharing.leave_s, now, self._placing
         )
@@ -204,7 +204,7 @@
         answer_s = min(ANSWER_S, ANSWER_SHARE * job.route.target_s)
         engine = self._engine(job.service)
         return await self._placing.place(
-            Wanted(
+            PlacementRequest(
                 job.service,
                 job.facts,
                 engine,
--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -11,14 +11,14 @@
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_view import Placement
 
-MOST_REFUSED = 2
+MAX_REFUSED_PERMITS = 2
 """Permits that one request is refused before a server without a limit is taken, if there is one."""
 
-MOST_ASKED = 8
+MAX_PERMIT_REQUESTS = 8
 """Permits that one request asks for at most, where all servers name limits: a millisecond each."""
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class PlacementRequest(msgspec.Struct, frozen=True):
     """What a request needs of a server.
 
     It may wait `patience_s` for its turn at one that names a limit, where no other server is free,
@@ -35,7 +35,7 @@
     answer_s: float = ANSWER_S
 
 
-class Placing:
+class Placer:
     """Chooses servers for requests, and counts each where it goes."""
 
     def __init__(self, balancer: LoadBalancer, permits: Permits, now: Callable[[], float]) -> None:
@@ -43,12 +43,12 @@
         self._permits = permits
         self._now = now
 
-    async def place(self, wanted: Wanted) -> Placement | None:
+    async def place(self, wanted: PlacementRequest) -> Placement | None:
         """Choose a server and count the request there; None if none may have it in time.
 
         Where the server names no limit, both are one step: no other request comes in between.
         """
-        for refused in range(MOST_ASKED):
+        for refused in range(MAX_PERMIT_REQUESTS):
             choice = self._choose(wanted, refused)
             if choice is None:
                 break
@@ -58,14 +58,14 @@
                 return self._reserve(choice, wanted, limited)
         return await self._wait_for_turn(wanted)
 
-    def _choose(self, wanted: Wanted, refused: int) -> Choice | None:
+    def _choose(self, wanted: PlacementRequest, refused: int) -> Choice | None:
         choice = None
-        if refused >= MOST_REFUSED:
+        if refused >= MAX_REFUSED_PERMITS:
             limited = self._balancer.group(wanted.service).limited.names
             choice = self._choose_without(wanted, wanted.excluded | limited)
         return choice or self._choose_without(wanted, wanted.excluded)
 
-    def _choose_without(self, wanted: Wanted, excluded: frozenset[str]) -> Choice | None:
+    def _choose_without(self, wanted: PlacementRequest, excluded: frozenset[str]) -> Choice | None:
         return self._balancer.choose(
             wanted.service,
             wanted.facts,
@@ -75,7 +75,7 @@
             wanted.trial_share,
         )
 
-    async def _wait_for_turn(self, wanted: Wanted) -> Placement | None:
+    async def _wait_for_turn(self, wanted: PlacementRequest) -> Placement | None:
         """Wait for a place at the server that has the first one to give, if that is in time."""
         view = self._balancer.group(wanted.service).closed.first_permitted(wanted.excluded)
         if view is None or view.standing.held_until - self._now() > wanted.patience_s:
@@ -89,7 +89,7 @@
         )
         return None if choice is None else self._reserve(choice, wanted, True)
 
-    def _reserve(self, choice: Choice, wanted: Wanted, permitted: bool) -> Placement:
+    def _reserve(self, choice: Choice, wanted: PlacementRequest, permitted: bool) -> Placement:
         placement = self._balancer.reserve(choice, self._now(), wanted.moved)
         placement.permitted = permitted
         return placement
