--- a/src/moledale/gateway/evacuation.py
+++ b/src/moledale/gateway/evacuation.py
@@ -133,9 +133,9 @@
         index: Callable[[], PlanIndex | None],
         notice_s: float,
         now: Callable[[], float] = monotonic,
-        placing: Placer | None = None,
+        placer: Placer | None = None,
     ) -> None:
-        self._placing = placing or Placer(balancer, permits_alone(balancer, now), now)
+        self._placer = placer or Placer(balancer, permits_alone(balancer, now), now)
         self.runs: set[StreamRun] = set()
         self._engines = engines
         self._balancer = balancer
@@ -224,7 +224,7 @@
             if run.done or run in self._planned:
                 return
             self._planned.add(run)
-            target = await self._placing.place(
+            target = await self._placer.place(
                 PlacementRequest(run.service, run.facts, engine, frozenset({server.id}), moved=True)
             )
             if target is None:
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -85,9 +85,9 @@
         self._pool = pool
         self._sharing = sharing
         self._permits = permits or permits_alone(balancer, now)
-        self._placing = Placer(balancer, self._permits, now)
+        self._placer = Placer(balancer, self._permits, now)
         self.evacuation = Evacuation(
-            engines, balancer, lambda: self.index, sharing.leave_s, now, self._placing
+            engines, balancer, lambda: self.index, sharing.leave_s, now, self._placer
         )
         self.handled = 0
         self._now = now
@@ -203,7 +203,7 @@
         patience_s = patience(job, self._now())
         answer_s = min(ANSWER_S, ANSWER_SHARE * job.route.target_s)
         engine = self._engine(job.service)
-        return await self._placing.place(
+        return await self._placer.place(
             PlacementRequest(
                 job.service,
                 job.facts,
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -206,8 +206,8 @@
             with mock.patch.object(
                 permits, "grant", side_effect=lambda ask: grant_only("s3", ask)
             ) as asked:
-                placing = Placer(balancer, permits, monotonic)
-                placement = await placing.place(PlacementRequest("plain", RequestFacts(), None))
+                placer = Placer(balancer, permits, monotonic)
+                placement = await placer.place(PlacementRequest("plain", RequestFacts(), None))
                 assert placement is not None
                 self.assertEqual(placement.view.server.id, "s3")
                 self.assertLessEqual(asked.call_count, 6)
@@ -219,12 +219,12 @@
             balancer = LoadBalancer("a")
             balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(3)])
             balancer.notices.peer_limits({"s1": LimitNews(0.1, 0.0)}, "n2", monotonic())
-            placing = Placer(balancer, permits_alone(balancer, monotonic), monotonic)
+            placer = Placer(balancer, permits_alone(balancer, monotonic), monotonic)
             engine = Engine(4, 100_000, 1, 1000.0, moves=True, event_tokens=3)
             for number in range(6):
                 facts = RequestFacts(id=f"r{number}", prompt_tokens=50)
                 wanted = PlacementRequest("model", facts, engine, frozenset({"s0"}), moved=True)
-                placement = await placing.place(wanted)
+                placement = await placer.place(wanted)
                 assert placement is not None
                 self.assertEqual(placement.view.server.id, "s2")
 
