--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -200,7 +200,7 @@
 
     async def _place(self, job: Job) -> Placement | None:
         share = self._trial_share(job.service, job.route.name, not job.tried)
-        patience_s = patience(job, self._now())
+        max_wait_s = patience(job, self._now())
         answer_s = min(ANSWER_S, ANSWER_SHARE * job.route.target_s)
         engine = self._engine(job.service)
         return await self._placer.place(
@@ -210,7 +210,7 @@
                 engine,
                 job.tried,
                 share,
-                patience_s=patience_s,
+                max_wait_s=max_wait_s,
                 answer_s=answer_s,
             )
         )
--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -21,7 +21,7 @@
 class PlacementRequest(msgspec.Struct, frozen=True):
     """What a request needs of a server.
 
-    It may wait `patience_s` for its turn at one that names a limit, where no other server is free,
+    It may wait `max_wait_s` for its turn at one that names a limit, where no other server is free,
     and `answer_s` for the word of the node that grants.
     """
 
@@ -31,7 +31,7 @@
     excluded: frozenset[str] = frozenset()
     trial_share: float = 0.0
     moved: bool = False
-    patience_s: float = 0.0
+    max_wait_s: float = 0.0
     answer_s: float = ANSWER_S
 
 
@@ -56,7 +56,7 @@
             limited = view.limit_per_s is not None
             if not limited or await self._permits.take(view, answer_s=wanted.answer_s):
                 return self._reserve(choice, wanted, limited)
-        return await self._wait_for_turn(wanted)
+        return await self._wait_for_permit(wanted)
 
     def _choose(self, wanted: PlacementRequest, refused: int) -> Choice | None:
         choice = None
@@ -75,12 +75,12 @@
             wanted.trial_share,
         )
 
-    async def _wait_for_turn(self, wanted: PlacementRequest) -> Placement | None:
+    async def _wait_for_permit(self, wanted: PlacementRequest) -> Placement | None:
         """Wait for a place at the server that has the first one to give, if that is in time."""
         view = self._balancer.group(wanted.service).closed.first_permitted(wanted.excluded)
-        if view is None or view.standing.held_until - self._now() > wanted.patience_s:
+        if view is None or view.standing.held_until - self._now() > wanted.max_wait_s:
             return None
-        if not await self._permits.take(view, wanted.patience_s, wanted.answer_s):
+        if not await self._permits.take(view, wanted.max_wait_s, wanted.answer_s):
             return None
         if not view.is_open(self._now()):
             return None
