--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -382,7 +382,7 @@
         view = self.views.get(news.server)
         if view is None:
             return
-        view.reading.place(news.work)
+        view.reading.record_placed(news.work)
         if engine is not None:
             self.group(view.server.service).record_cached_parts(
                 view, news.parts, engine.cache_tokens
@@ -407,7 +407,7 @@
         placement = Placement(
             view, prefill, now, prefill, prefill, view.all_prefill, view.all_running
         )
-        placement.through = view.reading.place(prefill)
+        placement.through = view.reading.record_placed(prefill)
         view.running += 1
         view.prefill_tokens += prefill
         view.changed()
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -139,7 +139,7 @@
                 name = f"r{number}"
                 number += 1
                 ahead, beside = views[chosen].as_of(at - self.late_s)
-                through = self.reading[chosen].place(prompt)
+                through = self.reading[chosen].record_placed(prompt)
                 sent[name] = Sent(chosen, at, prompt, ahead, beside, through)
                 engines[chosen].submit(Sequence(name, "", (), prompt, 0, ANSWER_TOKENS, "normal"))
                 views[chosen].change(at, prompt, 1)
