--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -81,7 +81,7 @@
         new = [ServerView(server) for name, server in listed.items() if name not in self.views]
         for view in new:
             self.views[view.server.id] = view
-            view.on_change = self.changed
+            view.on_change = self.update
         if new and len(new) * 2 > len(self.views):
             self._ring.add_all(view.server.id for view in new)
         else:
@@ -92,9 +92,9 @@
             if view.server != server:
                 self._queue(view.server.hall).drop(view)
                 view.server = server
-                self.changed(view)
+                self.update(view)
         for view in new:
-            self.changed(view)
+            self.update(view)
         self._update_versions()
         return new
 
@@ -117,12 +117,12 @@
         """Take over that a server leaves before the list says so."""
         view = self.views[name]
         view.server = msgspec.structs.replace(view.server, leaving=True)
-        self.changed(view)
+        self.update(view)
         self._update_versions()
 
     # Loads
 
-    def changed(self, view: ServerView) -> None:
+    def update(self, view: ServerView) -> None:
         """Take over that a server's load, or what is known of it, changed."""
         name = view.server.id
         running, prefill = self._counted_load.get(name, (0, 0))
@@ -146,7 +146,7 @@
         """Weigh servers again once they may get requests, not a round later."""
         self._now = max(self._now, now)
         while view := self.closed.next_open(self._now):
-            self.changed(view)
+            self.update(view)
 
     def _update_degraded(self, view: ServerView) -> None:
         """Remember a server whose estimate changes by time alone."""
@@ -161,7 +161,7 @@
         """Follow the time: pauses end and what was slow fades."""
         self._now = max(self._now, now)
         for name in list(self._degraded):
-            self.changed(self.views[name])
+            self.update(self.views[name])
         self._accept_unordered_versions()
 
     def _queue(self, hall: str) -> ServerPriorityQueue:
@@ -222,7 +222,7 @@
         if rule.only_target:
             self._accepted_versions |= {rule.target}
         for view in self.views.values():
-            self.changed(view)
+            self.update(view)
 
     def _update_versions(self) -> None:
         """Remember which versions are there, and since when."""
@@ -242,7 +242,7 @@
         if not unordered <= self._accepted_versions:
             self._accepted_versions |= unordered
             for view in self.views.values():
-                self.changed(view)
+                self.update(view)
 
     def allows(self, version: str) -> bool:
         """Say whether servers of a version get work.
