--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -361,7 +361,7 @@
 
     def queued_tokens(self, service: str) -> int:
         """Return the prompt tokens that all nodes have waiting at a service's servers."""
-        return self.group(service).prefill
+        return self.group(service).prefill_tokens
 
     def drain_placements(self) -> list[Placed]:
         """Return what was placed on engines since the last call, for other nodes."""
