--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -43,53 +43,53 @@
         self._permits = permits
         self._now = now
 
-    async def place(self, wanted: PlacementRequest) -> Placement | None:
+    async def place(self, request: PlacementRequest) -> Placement | None:
         """Choose a server and count the request there; None if none may have it in time.
 
         Where the server names no limit, both are one step: no other request comes in between.
         """
         for refused in range(MAX_PERMIT_REQUESTS):
-            choice = self._choose(wanted, refused)
+            choice = self._choose(request, refused)
             if choice is None:
                 break
             view = choice.view
             limited = view.limit_per_s is not None
-            if not limited or await self._permits.take(view, answer_s=wanted.answer_s):
-                return self._reserve(choice, wanted, limited)
-        return await self._wait_for_permit(wanted)
+            if not limited or await self._permits.take(view, answer_s=request.answer_s):
+                return self._reserve(choice, request, limited)
+        return await self._wait_for_permit(request)
 
-    def _choose(self, wanted: PlacementRequest, refused: int) -> Choice | None:
+    def _choose(self, request: PlacementRequest, refused: int) -> Choice | None:
         choice = None
         if refused >= MAX_REFUSED_PERMITS:
-            limited = self._balancer.group(wanted.service).limited.names
-            choice = self._choose_without(wanted, wanted.excluded | limited)
-        return choice or self._choose_without(wanted, wanted.excluded)
+            limited = self._balancer.group(request.service).limited.names
+            choice = self._choose_without(request, request.excluded | limited)
+        return choice or self._choose_without(request, request.excluded)
 
-    def _choose_without(self, wanted: PlacementRequest, excluded: frozenset[str]) -> Choice | None:
+    def _choose_without(self, request: PlacementRequest, excluded: frozenset[str]) -> Choice | None:
         return self._balancer.choose(
-            wanted.service,
-            wanted.facts,
-            wanted.engine,
+            request.service,
+            request.facts,
+            request.engine,
             self._now(),
             excluded,
-            wanted.trial_share,
+            request.trial_share,
         )
 
-    async def _wait_for_permit(self, wanted: PlacementRequest) -> Placement | None:
+    async def _wait_for_permit(self, request: PlacementRequest) -> Placement | None:
         """Wait for a place at the server that has the first one to give, if that is in time."""
-        view = self._balancer.group(wanted.service).closed.first_permitted(wanted.excluded)
-        if view is None or view.standing.held_until - self._now() > wanted.max_wait_s:
+        view = self._balancer.group(request.service).closed.first_permitted(request.excluded)
+        if view is None or view.standing.held_until - self._now() > request.max_wait_s:
             return None
-        if not await self._permits.take(view, wanted.max_wait_s, wanted.answer_s):
+        if not await self._permits.take(view, request.max_wait_s, request.answer_s):
             return None
         if not view.is_open(self._now()):
             return None
         choice = self._balancer.choose(
-            wanted.service, wanted.facts, wanted.engine, self._now(), only=view
+            request.service, request.facts, request.engine, self._now(), only=view
         )
-        return None if choice is None else self._reserve(choice, wanted, True)
+        return None if choice is None else self._reserve(choice, request, True)
 
-    def _reserve(self, choice: Choice, wanted: PlacementRequest, permitted: bool) -> Placement:
-        placement = self._balancer.reserve(choice, self._now(), wanted.moved)
+    def _reserve(self, choice: Choice, request: PlacementRequest, permitted: bool) -> Placement:
+        placement = self._balancer.reserve(choice, self._now(), request.moved)
         placement.permitted = permitted
         return placement
