--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -1,4 +1,4 @@
-"""Which server gets a request, and what all nodes have placed where."""
+"""Chooses a server for each request and tracks the load that all nodes put on the servers."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -25,44 +25,46 @@
 from moledale.gateway.stated_limit import LimitNews
 
 MIN_EXPECTED_S = 0.01
-"""First events that are expected sooner count as expected then: a step of an engine takes 6 ms."""
+"""Minimum expected time to a first event: one step of an engine takes 6 ms."""
 
 
 def _no_connection(_: str) -> bool:
-    """Know of no connection."""
+    """Return that there is no idle connection."""
     return False
 
 
 def _no_idle_servers() -> Iterable[str]:
-    """Know of no connection."""
+    """Return no server with an idle connection."""
     return ()
 
 
 def _ignore_placement() -> None:
-    """Nobody wants to know of placements."""
+    """Ignore a placement."""
 
 
 def _ignore_silence(_: str) -> None:
-    """Nobody keeps connections."""
+    """Ignore a silent server."""
 
 
 def _ignore_outcome(_: Placement, _series: str, _failed: bool, _took_s: float) -> None:
-    """Nobody compares versions."""
+    """Ignore an outcome."""
 
 
 OutcomeCallback = Callable[[Placement, str, bool, float], None]
-"""Hears of an answer: its series, whether it failed, and its time in seconds or as a ratio."""
+"""Receives the outcome of a placement: its series, whether it failed, and its time in seconds or
+relative to the expected time."""
 
 PACE_SUFFIX = "/pace"
-"""Ending of the name of a series that holds a route's time between events."""
+"""Suffix of the series that holds the time between the events of a route's streams."""
 
 
 class LoadBalancer:
-    """The servers of all services, with what this node and its peers have running there.
+    """Tracks the servers of all services with their load, and chooses a server for each request.
 
-    `has_connection` says whether a connection to a server is at rest; `idle_servers` tells all of these,
-    the one used last first. `on_silent` hears of a server that should have said something:
-    connections to it may be silent for good though new ones work.
+    `has_connection` returns whether there is an idle connection to a server, and `idle_servers`
+    returns all servers with one, the most recently used first. `on_silent` is called with a server
+    that should have sent something: existing connections to it may stay silent although new ones
+    work.
     """
 
     def __init__(self, hall: str) -> None:
@@ -82,7 +84,7 @@
         self.notices = ServerNotices(self.views, self.group)
 
     def apply(self, servers: Iterable[Server]) -> list[Server]:
-        """Take over the list of servers; return those that are there no more."""
+        """Replace the list of servers; return those that are no longer listed."""
         by_service: dict[str, dict[str, Server]] = {name: {} for name in self._groups}
         listed = set()
         for server in self.notices.applied_to(servers):
@@ -99,15 +101,18 @@
         return gone
 
     def declined(self, now: float) -> dict[str, float]:
-        """Return the servers that turned this node's requests away, for other nodes."""
+        """Return the servers that rejected this node's requests, to send to peers.
+
+        The value is the time in seconds for which a server is set aside.
+        """
         return self.notices.declined(self._groups.values(), now)
 
     def limits(self, now: float) -> dict[str, LimitNews]:
-        """Return the limits that servers named to this node, for other nodes."""
+        """Return the limits that servers stated to this node, to send to peers."""
         return self.notices.limits(self._groups.values(), now)
 
     def limited_count(self) -> int:
-        """Return how many servers name a limit."""
+        """Return the number of servers that state a limit."""
         return sum(len(group.limited.names) for group in self._groups.values())
 
     def group(self, service: str) -> ServerGroup:
@@ -119,20 +124,18 @@
         return group
 
     def _load_delay_s(self, view: ServerView, now: float) -> float:
-        """Estimate what keeps a request of usual size waiting, to keep servers in order."""
+        """Estimate the delay of a request of usual size, by which servers are ordered."""
         if view.server.slots < ENGINE_SLOTS:
             return plain_cost_s(view, self._hall)
         speed = self.estimator(view.server.service).last_speed
         return load_delay_s(view, speed, now) + FAILURE_PENALTY_S * view.failed_share
 
-    # What other nodes have running
-
     def apply_peer_states(self, states: Iterable[NodeState]) -> None:
-        """Take over what live peers have running and have learnt."""
+        """Replace the load and the speed estimates of peers by those of the live ones."""
         states = list(states)
         for service in {service for state in states for service in state.speeds}:
-            told = (state.speeds.get(service) for state in states)
-            self.estimator(service).set_peer_speeds(speed for speed in told if speed is not None)
+            speeds = (state.speeds.get(service) for state in states)
+            self.estimator(service).set_peer_speeds(speed for speed in speeds if speed is not None)
         alive = {state.id for state in states}
         for node in [node for node in self._peer_loads if node not in alive]:
             self.apply_peer_loads(node, {})
@@ -141,7 +144,7 @@
             self.apply_peer_loads(state.id, state.loads)
 
     def apply_peer_loads(self, node: str, loads: Loads) -> None:
-        """Count what a node has running in place of what it had when last counted."""
+        """Replace the load counted for a node by `loads`."""
         before = self._peer_loads.get(node, {})
         if before is loads:
             return
@@ -153,22 +156,22 @@
                 view.add_others(now[0] - was[0], now[1] - was[1])
 
     def _add_peer_loads(self, view: ServerView) -> None:
-        """Count what others have at a server that is new here."""
-        told = [
+        """Add the load of peers to a server that is new here."""
+        peer_loads = [
             loads[view.server.id] for loads in self._peer_loads.values() if view.server.id in loads
         ]
-        if told:
-            view.add_others(sum(each[0] for each in told), sum(each[1] for each in told))
+        if peer_loads:
+            view.add_others(
+                sum(each[0] for each in peer_loads), sum(each[1] for each in peer_loads)
+            )
 
     def loads(self) -> Loads:
-        """Return what this node has running, by server."""
+        """Return this node's running requests and prefill tokens by server."""
         busy = (group.views[name] for group in self._groups.values() for name in group.busy)
         return {view.server.id: (view.running, view.prefill_tokens) for view in busy}
 
-    # Choosing
-
     def has_alternative(self, service: str, now: float, tried: frozenset[str]) -> bool:
-        """Say whether a server is there that was not tried and is not paused."""
+        """Return whether an untried server may get work and is not set aside."""
         return self.group(service).has_alternative(now, tried)
 
     def choose(
@@ -181,10 +184,10 @@
         trial_share: float = 0.0,
         only: ServerView | None = None,
     ) -> Choice | None:
-        """Choose a server without counting the request there; None if there is none.
+        """Choose a server without counting the request there; return None if there is none.
 
-        With a `trial_share` it is one of the servers that bear this part of the load for a new
-        version, if there is one. With `only` the server is given.
+        With a `trial_share`, a server is preferred from those that take this share of the load for
+        a new version. With `only`, that server is used.
         """
         group = self.group(service)
         home = None
@@ -207,9 +210,9 @@
         return Choice(best, facts, EngineChoice(engine, costs, prefix))
 
     def reserve(self, choice: Choice, now: float, moved: bool = False) -> Placement:
-        """Count a request at the server that was chosen for it.
+        """Count a request on the server that was chosen for it.
 
-        A request that is `moved` brings its memory along, so it reads nothing there.
+        A `moved` request brings its KV cache along, so it needs no prefill there.
         """
         if choice.engine_choice is None:
             return self._reserve(choice.view, 0, now)
@@ -230,7 +233,7 @@
         moved: bool = False,
         trial_share: float = 0.0,
     ) -> Placement | None:
-        """Choose a server and count the request there in one step; None if there is none."""
+        """Choose a server and count the request there in one step; return None if there is none."""
         choice = self.choose(service, facts, engine, now, excluded, trial_share)
         return None if choice is None else self.reserve(choice, now, moved)
 
@@ -271,7 +274,7 @@
     def _reserve_prompt(
         self, view: ServerView, facts: RequestFacts, chosen: EngineChoice, now: float
     ) -> Placement:
-        """Count a prompt that is read at a server, but for what that has or fetches of it."""
+        """Count a prompt on a server, without the prefix that the server has cached or fetches."""
         service = view.server.service
         cached = view.covers(facts.parts)
         fetched, fetching_s = 0, 0.0
@@ -290,21 +293,21 @@
         return placement
 
     def _publish(self, placement: Placement, facts: RequestFacts, engine: Engine) -> None:
-        """Note a placed prompt's parts, and that other nodes should hear of it."""
+        """Record the parts of a placed prompt as cached, and queue the placement for peers."""
         view = placement.view
         self.group(view.server.service).record_cached_parts(view, facts.parts, engine.cache_tokens)
         self._pending_placements.append((view, placement.work, facts.parts))
         self.on_placed()
 
     def estimator(self, service: str) -> SpeedEstimator:
-        """Return what is being learnt of a service's servers."""
+        """Return the speed estimator of a service."""
         estimator = self.estimators.get(service)
         if estimator is None:
             estimator = self.estimators[service] = SpeedEstimator()
         return estimator
 
     def record_first_event(self, placement: Placement, now: float) -> None:
-        """Learn from a stream's first event."""
+        """Update the speed estimates and the outcome with the first event of a stream."""
         placement.first_token()
         placement.first_at = now
         took_s = now - placement.sent_at
@@ -316,55 +319,55 @@
         tokens = placement.work + speed.remaining_work(placement.ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, placement.beside)
         placement.view.slowness.observe(took_s, expected_s, now)
-        with_fetch_s = max(MIN_EXPECTED_S, expected_s + placement.fetching_s)
-        self.record_outcome(placement, False, took_s / with_fetch_s)
+        expected_with_fetch_s = max(MIN_EXPECTED_S, expected_s + placement.fetching_s)
+        self.record_outcome(placement, False, took_s / expected_with_fetch_s)
         waited_for_slot = placement.beside >= placement.view.server.slots
         if not placement.fetched and not waited_for_slot:
-            alone = PrefillSample(placement.work, placement.ahead, took_s, now, placement.beside)
-            reading = placement.view.reading
-            seen = reading.on_first_event(placement.sent_at, placement.through, alone)
-            if seen is not None:
-                estimator.add_sample(seen)
+            unqueued = PrefillSample(placement.work, placement.ahead, took_s, now, placement.beside)
+            tracker = placement.view.reading
+            sample = tracker.on_first_event(placement.sent_at, placement.through, unqueued)
+            if sample is not None:
+                estimator.add_sample(sample)
 
     def record_completion(self, placement: Placement, now: float) -> None:
-        """Learn from a stream that ended whole."""
+        """Update the estimated hold time with a stream that completed."""
         if placement.work:
             self.estimator(placement.view.server.service).record_hold(now - placement.sent_at)
 
     def record_pace(self, placement: Placement, events: int, now: float) -> None:
-        """Compare the time between the events of a stream that ended whole."""
+        """Report the mean time between the events of a stream that completed."""
         if events > 1 and placement.first_at:
             pace_s = (now - placement.first_at) / (events - 1)
             self.on_outcome(placement, placement.route + PACE_SUFFIX, False, pace_s)
 
     def record_broken_answer(self, placement: Placement, now: float) -> None:
-        """Hold it against a server's version that an answer broke off."""
+        """Report an answer that broke off as a failure of the server's version."""
         if placement.judged:
             self.on_outcome(placement, placement.route + PACE_SUFFIX, True, 0.0)
         self.record_outcome(placement, True, now - placement.sent_at)
 
     def record_outcome(self, placement: Placement, failed: bool, took: float) -> None:
-        """Compare an answer, or that there was none, with those of other versions, once."""
+        """Report an answer, or that there was none, unless the placement was reported already."""
         if not placement.judged:
             placement.judged = True
             self.on_outcome(placement, placement.route, failed, took)
 
     def speeds(self, now: float) -> dict[str, Speed]:
-        """Return what this node has learnt by itself, by service."""
+        """Return the estimates from this node's own samples by service, to send to peers."""
         return {
             service: estimator.local_speed(now) for service, estimator in self.estimators.items()
         }
 
     def running(self, service: str) -> int:
-        """Return the requests that all nodes have at a service's servers."""
+        """Return the requests that all nodes have running on a service's servers."""
         return self.group(service).running
 
     def queued_tokens(self, service: str) -> int:
-        """Return the prompt tokens that all nodes have waiting at a service's servers."""
+        """Return the prompt tokens of all nodes that wait for prefill on a service's servers."""
         return self.group(service).prefill_tokens
 
     def drain_placements(self) -> list[Placed]:
-        """Return what was placed on engines since the last call, for other nodes."""
+        """Return the prompts placed on engines since the last call, to send to peers."""
         placed = [
             Placed(view.server.id, view.running, view.prefill_tokens, parts, work)
             for view, work, parts in self._pending_placements
@@ -373,26 +376,27 @@
         return placed
 
     def apply_peer_placement(
-        self, node: str, loads: Loads, news: Placed, engine: Engine | None
+        self, node: str, loads: Loads, placed: Placed, engine: Engine | None
     ) -> None:
-        """Count what another node placed, which has `loads` until now."""
+        """Count a prompt that a peer placed, and add it to the peer's `loads`."""
         self.apply_peer_loads(node, loads)
-        before = loads.get(news.server, (0, 0))
-        loads[news.server] = (news.running, news.prefill)
-        view = self.views.get(news.server)
+        before = loads.get(placed.server, (0, 0))
+        loads[placed.server] = (placed.running, placed.prefill)
+        view = self.views.get(placed.server)
         if view is None:
             return
-        view.reading.record_placed(news.work)
+        view.reading.record_placed(placed.work)
         if engine is not None:
             self.group(view.server.service).record_cached_parts(
-                view, news.parts, engine.cache_tokens
+                view, placed.parts, engine.cache_tokens
             )
-        view.add_others(news.running - before[0], news.prefill - before[1])
+        view.add_others(placed.running - before[0], placed.prefill - before[1])
 
     def tick(self, now: float) -> None:
-        """Follow the time: pause servers that say nothing though they should.
+        """Pause servers that are silent although they should have sent something.
 
-        A kept connection hides a dark one.
+        An open connection hides that a server is unreachable, so `on_silent` is called for each
+        silent one.
         """
         for group in self._groups.values():
             for name in list(group.busy):
