--- a/src/moledale/gateway/choice.py
+++ b/src/moledale/gateway/choice.py
@@ -1,4 +1,4 @@
-"""A server chosen for a request before it is counted there, and what the choice goes by."""
+"""The choice of a server for a request before it is counted there, and its basis."""
 
 from collections.abc import Iterable
 
@@ -10,14 +10,14 @@
 from moledale.gateway.server_view import ServerView
 
 FAILURE_PENALTY_S = 0.4
-"""Extra cost of a server for each part of its answers that failed lately."""
+"""Cost of a server whose recent answers all failed, scaled by its share of failures."""
 
 CROSS_HALL_RTT_S = 0.001
-"""Round trip to another hall, at its least: it decides between equal servers only."""
+"""Minimum round trip time to another hall; it only decides between otherwise equal servers."""
 
 
 class EngineChoice(msgspec.Struct, frozen=True):
-    """What a choice among engines went by: costs, and the longest front of the prompt anywhere."""
+    """Basis of a choice among engines: the costs, and the longest cached prefix of the prompt."""
 
     engine: Engine
     costs: EngineCosts
@@ -33,27 +33,30 @@
 
 
 def affinity_key(parts: tuple[PromptPart, ...]) -> str:
-    """Return what requests that should meet on one server have in common."""
+    """Return the key that requests have in common if they should go to the same server."""
     if not parts:
         return ""
     return parts[-2].id if len(parts) > 1 else parts[0].id
 
 
 def plain_cost_s(view: ServerView, hall: str) -> float:
-    """Estimate the seconds until an answer of a plain service."""
-    waiting = 1 + view.all_running / max(1, view.server.slots)
-    away = CROSS_HALL_RTT_S if view.server.hall != hall else 0.0
-    return view.answer_s * waiting + away + FAILURE_PENALTY_S * view.failed_share
+    """Estimate the time until the answer of a plain service."""
+    queue_factor = 1 + view.all_running / max(1, view.server.slots)
+    cross_hall_s = CROSS_HALL_RTT_S if view.server.hall != hall else 0.0
+    return view.answer_s * queue_factor + cross_hall_s + FAILURE_PENALTY_S * view.failed_share
 
 
 def longest_cached_prefix(
     holders: Iterable[ServerView], facts: RequestFacts, now: float
 ) -> CachedPrefix:
-    """Return the longest front of a prompt that a sound server has, leaving ones included."""
+    """Return the longest prefix of a prompt that a healthy server has cached.
+
+    Servers that leave are included.
+    """
     best = CachedPrefix()
     for view in holders:
-        backs_off = view.standing.retry_at > now
-        if view.is_set_aside(now) or backs_off or view.standing.failures:
+        is_backing_off = view.standing.retry_at > now
+        if view.is_set_aside(now) or is_backing_off or view.standing.failures:
             continue
         tokens = view.covers(facts.parts)
         if tokens > best.tokens:
