--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -1,4 +1,4 @@
-"""Which server a request goes to, with a permit where the server names a limit."""
+"""Places requests on servers, with a permit where the server states a limit."""
 
 from collections.abc import Callable
 
@@ -12,17 +12,17 @@
 from moledale.gateway.server_view import Placement
 
 MAX_REFUSED_PERMITS = 2
-"""Permits that one request is refused before a server without a limit is taken, if there is one."""
+"""Permits refused to one request before it takes a server without a limit, if there is one."""
 
 MAX_PERMIT_REQUESTS = 8
-"""Permits that one request asks for at most, where all servers name limits: a millisecond each."""
+"""Maximum permits that one request asks for when all servers state limits: each takes 1 ms."""
 
 
 class PlacementRequest(msgspec.Struct, frozen=True):
     """What a request needs of a server.
 
-    It may wait `max_wait_s` for its turn at one that names a limit, where no other server is free,
-    and `answer_s` for the word of the node that grants.
+    `max_wait_s` is how long it may wait for a permit of a server with a limit if no other server is
+    free, and `answer_s` is the timeout for the answer of the node that grants permits.
     """
 
     service: str
@@ -36,7 +36,7 @@
 
 
 class Placer:
-    """Chooses servers for requests, and counts each where it goes."""
+    """Chooses a server for each request and counts the request there."""
 
     def __init__(self, balancer: LoadBalancer, permits: Permits, now: Callable[[], float]) -> None:
         self._balancer = balancer
@@ -44,9 +44,10 @@
         self._now = now
 
     async def place(self, request: PlacementRequest) -> Placement | None:
-        """Choose a server and count the request there; None if none may have it in time.
+        """Choose a server and count the request there; return None if none is available in time.
 
-        Where the server names no limit, both are one step: no other request comes in between.
+        Where the server states no limit, nothing is awaited between the two, so no other request
+        comes in between.
         """
         for refused in range(MAX_PERMIT_REQUESTS):
             choice = self._choose(request, refused)
@@ -76,7 +77,7 @@
         )
 
     async def _wait_for_permit(self, request: PlacementRequest) -> Placement | None:
-        """Wait for a place at the server that has the first one to give, if that is in time."""
+        """Place the request on the server with the next permit, within `max_wait_s`."""
         view = self._balancer.group(request.service).closed.first_permitted(request.excluded)
         if view is None or view.standing.held_until - self._now() > request.max_wait_s:
             return None
