--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -1,10 +1,10 @@
-"""The servers of one service, kept so that few of them have to be weighed for a request.
+"""The servers of one service, indexed so that each request is weighed against a few of them.
 
-Weighing every server for every request takes time that grows with the servers. A request is weighed
-against few candidates instead, found without a walk: servers that have the front of its prompt, the
-one where prompts with that front meet, servers with a connection at rest, and the least loaded ones
-of each hall. The last are kept in order as loads change, so what a change costs does not grow with
-the servers either.
+Weighing every server for every request takes time that grows with the number of servers. Instead a
+request is weighed against a few candidates that are found without a scan: servers that have its
+prefix cached, the home server of that prefix, servers with an idle connection, and the least loaded
+servers of each hall. The latter are kept in order as loads change, so the cost of a change does not
+grow with the number of servers either.
 """
 
 import random
@@ -21,29 +21,31 @@
 
 LOCAL_HALL_CANDIDATES = 4
 OTHER_HALL_CANDIDATES = 2
-"""Least loaded servers of the own and of each other hall that are weighed for a request: enough for
-one that was tried, one that is slower than believed, and a choice between equal ones."""
+"""Least loaded servers of the own hall and of each other hall that are weighed for a request:
+enough for one that was tried, one that is slower than estimated, and a choice between equal
+ones."""
 
 MAX_PREFIX_HOLDERS = 12
-"""Servers with the front of a prompt that are weighed for a request, drawn by chance if more."""
+"""Maximum servers with a cached prefix of the prompt that are weighed for a request, drawn at
+random if there are more."""
 
 MAX_CONNECTED_CANDIDATES = 4
-"""Servers with a connection at rest that are weighed for a request: a new one takes 1 ms, and is
-paid for. One would do where it is not slower; the others are for when it is."""
+"""Maximum servers with an idle connection that are weighed for a request: a new connection takes 1
+ms and is charged for. One would do unless it is slower; the others cover that case."""
 
 UNORDERED_VERSION_DELAY_S = 30.0
-"""A version that appears without an order gets work after this time: longer than the order that it
-may belong to is on its way, so that servers which were replaced in another way are used at last."""
+"""A version that appears without a roll-out order gets work after this time. It is longer than an
+order takes to arrive. Without it, servers replaced in another way would never be used."""
 
 RECOVERED_RATIO = 0.01
-"""A server that failed or was slow counts as sound again below this."""
+"""A server counts as healthy again when its share of failures and its slowdown fall below this."""
 
 
 class ServerGroup:
-    """The servers of one service at one node.
+    """Tracks the servers of one service at one node and finds the candidates for a request.
 
-    `load_delay_s` estimates the seconds that a request of usual size would wait at a server at some time.
-    It is asked whenever a server's load changes.
+    `load_delay_s` estimates the delay of a request of usual size at a server as of a given time. It
+    is called whenever a server's load changes.
     """
 
     def __init__(
@@ -69,10 +71,8 @@
         self._trial: tuple[float, list[str]] | None = None
         self._now = 0.0
 
-    # Servers that come and go
-
     def apply(self, servers: Iterable[Server]) -> list[ServerView]:
-        """Take over the service's servers; return the views of those that are new."""
+        """Replace the service's servers; return the views of those that are new."""
         listed = {server.id: server for server in servers}
         if not self._accepted_versions:
             self._accepted_versions = frozenset(server.version for server in listed.values())
@@ -114,16 +114,14 @@
         view.on_change = None
 
     def mark_leaving(self, name: str) -> None:
-        """Take over that a server leaves before the list says so."""
+        """Mark a server as leaving before the list of servers does."""
         view = self.views[name]
         view.server = msgspec.structs.replace(view.server, leaving=True)
         self.update(view)
         self._update_versions()
 
-    # Loads
-
     def update(self, view: ServerView) -> None:
-        """Take over that a server's load, or what is known of it, changed."""
+        """Update counts and order after a change of a server's load or standing."""
         name = view.server.id
         running, prefill = self._counted_load.get(name, (0, 0))
         self._counted_load[name] = counted = (view.all_running, view.all_prefill)
@@ -143,13 +141,13 @@
             queue.put(view, quantize(self._load_delay_s(view, self._now)))
 
     def _reopen_closed(self, now: float) -> None:
-        """Weigh servers again once they may get requests, not a round later."""
+        """Make servers available as soon as they may get requests, before the next tick."""
         self._now = max(self._now, now)
         while view := self.closed.next_open(self._now):
             self.update(view)
 
     def _update_degraded(self, view: ServerView) -> None:
-        """Remember a server whose estimate changes by time alone."""
+        """Track a server if its estimate changes with time alone."""
         slow = view.slowness.factor(self._now) - 1.0 > RECOVERED_RATIO
         waits = view.standing.opens_in_s(self._now) > 0 or view.is_set_aside(self._now)
         if slow or view.failed_share > RECOVERED_RATIO or waits:
@@ -158,7 +156,7 @@
             self._degraded.discard(view.server.id)
 
     def tick(self, now: float) -> None:
-        """Follow the time: pauses end and what was slow fades."""
+        """Update servers whose pause ends or whose slowness decays, and the accepted versions."""
         self._now = max(self._now, now)
         for name in list(self._degraded):
             self.update(self.views[name])
@@ -170,12 +168,10 @@
             queue = self._queues[hall] = ServerPriorityQueue(self._rng)
         return queue
 
-    # Prompts
-
     def record_cached_parts(
         self, view: ServerView, parts: tuple[PromptPart, ...], capacity: int
     ) -> None:
-        """Note that a prompt's parts lie in a server's memory now."""
+        """Record that a prompt's parts are now cached by a server."""
         new = [part.id for part in parts if part.tokens > 0 and part.id not in view.cached]
         evicted = view.remember(parts, capacity)
         if self.views.get(view.server.id) is not view:
@@ -195,7 +191,7 @@
             del self._part_holders[part]
 
     def holders(self, parts: tuple[PromptPart, ...]) -> list[ServerView]:
-        """Return servers that have a front of a prompt, those with more of it first."""
+        """Return servers that have a prefix of a prompt cached, those with a longer one first."""
         found: dict[str, ServerView] = {}
         for part in reversed(parts):
             room = MAX_PREFIX_HOLDERS - len(found)
@@ -208,13 +204,11 @@
         return list(found.values())
 
     def home(self, key: str) -> str | None:
-        """Return the server where prompts with a key should meet."""
+        """Return the home server of a key, or None if there are no servers."""
         return self._ring.home(key)
 
-    # Versions
-
     def set_rule(self, rule: VersionRule) -> None:
-        """Say which versions get work; servers of others keep what they have."""
+        """Set which versions get work; servers of other versions keep their running requests."""
         if rule == self._rule:
             return
         self._rule = rule
@@ -225,15 +219,15 @@
             self.update(view)
 
     def _update_versions(self) -> None:
-        """Remember which versions are there, and since when."""
-        there = {view.server.version for view in self.views.values() if not view.server.leaving}
+        """Record which versions are present, and since when."""
+        present = {view.server.version for view in self.views.values() if not view.server.leaving}
         self._present_since = {
-            version: self._present_since.get(version, self._now) for version in there
+            version: self._present_since.get(version, self._now) for version in present
         }
         self._trial = None
 
     def _accept_unordered_versions(self) -> None:
-        """Give work to versions that have been there for long without any order."""
+        """Accept versions that have been present for long without a roll-out order."""
         unordered = {
             version
             for version, since in self._present_since.items()
@@ -245,26 +239,26 @@
                 self.update(view)
 
     def allows(self, version: str) -> bool:
-        """Say whether servers of a version get work.
+        """Return whether servers of a version get work.
 
-        One that appears without an order that this node knows gets none: the order may be on its
-        way, and the version bad.
+        A version that appears without an order known to this node gets none: the order may still be
+        on its way, and the version may be bad.
         """
         return version in self._accepted_versions and self._rule.allows(version)
 
     def allowed(self) -> list[ServerView]:
-        """Return the servers whose version gets work, leaving ones included."""
+        """Return the servers whose version gets work, including leaving ones."""
         return [view for view in self.views.values() if self.allows(view.server.version)]
 
     def has_version(self, version: str) -> bool:
-        """Say whether servers of a version are there that don't leave."""
+        """Return whether there are servers of a version that are not leaving."""
         return version in self._present_since
 
     def trial_servers(self, share: float, excluded: frozenset[str]) -> list[ServerView]:
-        """Return the servers of a new version that share its part of the requests.
+        """Return the servers of a new version that take its share of the requests.
 
-        They are as many that each gets about as much as an old one does: a version that is bad
-        under load only shows it. All nodes choose the same ones.
+        There are as many that each gets about as many requests as a server of the old version: some
+        faults only show under load. All nodes choose the same servers.
         """
         if self._trial is None or self._trial[0] != share:
             self._trial = (share, self._choose_trial_servers(share))
@@ -272,24 +266,23 @@
         return [view for view in chosen if self._is_available(view)]
 
     def new_version_share(self) -> float:
-        """Return the part of the load with which a new server has no more to do than an old one."""
-        new, old = self._new_and_current()
-        return len(new) / max(1, len(new) + old)
+        """Return the share of the load at which a new server gets no more than an old one."""
+        new, current = self._new_and_current()
+        return len(new) / max(1, len(new) + current)
 
     def _choose_trial_servers(self, share: float) -> list[str]:
-        new, old = self._new_and_current()
-        return ranked(self._rule.target, new)[: max(1, round(share / (1.0 - share) * old))]
+        new, current = self._new_and_current()
+        return ranked(self._rule.target, new)[: max(1, round(share / (1.0 - share) * current))]
 
     def _new_and_current(self) -> tuple[list[str], int]:
-        """Return the servers of the ordered version that stay, and the number of those in use."""
+        """Return the target version's servers and the number of those in use, without leaving
+        ones."""
         staying = [view.server for view in self.views.values() if not view.server.leaving]
         new = [server.id for server in staying if server.version == self._rule.target]
         return new, sum(1 for server in staying if self.allows(server.version))
 
-    # Candidates
-
     def is_eligible(self, view: ServerView, excluded: frozenset[str]) -> bool:
-        """Say whether a server may get new work."""
+        """Return whether a server may get new work."""
         if view.server.id in excluded or not self._is_available(view):
             return False
         return self.allows(view.server.version)
@@ -305,7 +298,7 @@
         home: str | None = None,
         connected: Iterable[str] = (),
     ) -> list[ServerView]:
-        """Return the servers to weigh for a request; set aside ones only if there are no others."""
+        """Return the servers to weigh for a request; ones set aside only if there are no others."""
         self._reopen_closed(now)
         found = {view.server.id: view for view in holders if self.is_eligible(view, excluded)}
         named = [home] if home is not None else []
@@ -330,7 +323,11 @@
         return found
 
     def _fallback_candidates(self, excluded: frozenset[str]) -> list[ServerView]:
-        """Return the servers that may get requests; those not set aside, if there are any."""
+        """Return the open servers of allowed versions; ones set aside only if there are no others.
+
+        If no allowed version is present, any version that is not rejected counts, unless the rule
+        keeps work from its target version.
+        """
         if self.closed.are_all(len(self.views)):
             return []
         staying = [
@@ -345,9 +342,9 @@
         return [view for view in allowed if not view.is_set_aside(self._now)] or allowed
 
     def retry_in_s(self, now: float) -> float | None:
-        """Return when the first server may get a request again, None if there is none.
+        """Return the time until a server may get a request, or None if there is no server.
 
-        It is 0 if one may get it now.
+        It is 0 if one may get a request now.
         """
         self._reopen_closed(now)
         if self.closed.are_all(len(self.views)):
@@ -363,23 +360,28 @@
         return first
 
     def declined(self, now: float) -> list[ServerView]:
-        """Return the servers that stay and turned requests of this node away."""
+        """Return the servers that are not leaving and rejected requests of this node."""
         views = (self.views[name] for name in self._degraded)
         return [
             view for view in views if view.standing.declined_until > now and not view.server.leaving
         ]
 
     def unavailable(self, now: float, longer_than_s: float) -> int:
-        """Return how many servers that stay turn requests of any node away for longer than that."""
+        """Return the number of servers that reject requests of any node for longer than that.
+
+        Servers that are leaving do not count.
+        """
         views = (self.views[name] for name in self._degraded)
         standings = (view.standing for view in views if not view.server.leaving)
-        away = (each for each in standings if each.declines_until() > now)
-        return sum(each.declines_until() - each.declined_since > longer_than_s for each in away)
+        rejecting = (each for each in standings if each.declines_until() > now)
+        return sum(
+            each.declines_until() - each.declined_since > longer_than_s for each in rejecting
+        )
 
     def has_alternative(self, now: float, tried: frozenset[str]) -> bool:
-        """Say whether a server may get work that was not tried and is not set aside.
+        """Return whether an untried server may get work and is not set aside.
 
-        One that names a limit is none to count on: it may have no place when it is asked.
+        Servers that state a limit do not count, since they may have no permit left.
         """
         self._now = max(self._now, now)
         excluded = tried | self.limited.names
