--- a/src/moledale/gateway/server_need.py
+++ b/src/moledale/gateway/server_need.py
@@ -1,18 +1,18 @@
-"""How many servers a service needs so that its requests wait no longer than they may."""
+"""Number of servers that a service needs to limit the mean wait of its requests."""
 
 from math import ceil, sqrt
 
 from moledale.gateway.server_model import Speed
 
 UNBOUNDED_WAIT_S = 1e9
-"""The wait for servers that are offered more than they can do."""
+"""The wait if the offered load reaches or exceeds the capacity."""
 
 
 def mean_wait_s(load: float, channels: int, residual_s: float) -> float:
-    """Return the mean wait for one of `channels` that are offered the work of `load` of them.
+    """Return the mean wait at `channels` parallel channels that are offered `load` erlangs.
 
-    `residual_s` is what is left on average of the service that a place is busy with. This is
-    Sakasegawa's approximation (Ann. Inst. Stat. Math. 29, 1977); it is exact for one place.
+    `residual_s` is the mean remaining service time of a busy channel. This is Sakasegawa's
+    approximation (Ann. Inst. Stat. Math. 29, 1977); it is exact for one channel.
     """
     utilization = load / channels
     if utilization >= 1.0:
@@ -27,10 +27,10 @@
 def servers_needed(
     work_per_s: float, running: float, slots: int, max_wait_s: float, speed: Speed
 ) -> int:
-    """Return the fewest servers at which requests wait `max_wait_s` on average, for reading or a slot.
+    """Return the fewest servers that keep the mean wait for prefill and for a slot to `max_wait_s`.
 
-    For reading, all servers are taken for one queue, since requests go to the one that is free. A
-    slot has to be free at the server that was chosen, so each has its own queue for these.
+    For prefill all servers form one queue, since a request goes to a free one. A slot must be free
+    on the server that was chosen, so each server has its own queue for slots.
     """
     number = max(1, ceil(speed.prefill_s(work_per_s)))
     while _prefill_wait_s(work_per_s, running, number, speed) > max_wait_s:
@@ -41,7 +41,7 @@
 
 
 def _prefill_wait_s(work_per_s: float, running: float, number: int, speed: Speed) -> float:
-    """Return the mean wait for reading at `number` servers that share what runs."""
+    """Return the mean wait for prefill at `number` servers that share the running requests."""
     concurrent = running / number
     residual_s = speed.prefill_s(speed.residual_work, concurrent)
     return mean_wait_s(speed.prefill_s(work_per_s, concurrent), number, residual_s)
