--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -248,7 +248,7 @@
     ("the store is asked at last", document_fetch, "STORE_AFTER_S", 1e9, SPREAD),
     ("many repeat calls more seldom", Backoff, "next_s", lambda _: 0.2, "tests.test_backoff"),
     ("servers' speed is learnt", SpeedEstimator, "_fit", lambda _: (40_000.0, 0.03), LEARNING),
-    ("a slow server is told apart", Slowness, "note", lambda *_: None, LEARNING),
+    ("a slow server is told apart", Slowness, "observe", lambda *_: None, LEARNING),
     ("a front is fetched", EngineCosts, "should_fetch", lambda *_: False, PLACEMENTS),
     ("missing spot servers are made up", renting, "RESERVE_SHARE", -1e9, RENTING),
     ("one reader tells all others", FleetWatch, "heard", lambda *_: None, LISTS),
