--- a/src/moledale/core/addresses.py
+++ b/src/moledale/core/addresses.py
@@ -5,13 +5,13 @@
 
 from moledale.core.hashing import ranked
 
-MOST_ADDRESSES = 3
+MAX_ADDRESSES = 3
 """A caller is told this many: it tries another when one fails."""
 
-OVERLOAD_BOUND = 1.25
+OVERLOAD_FACTOR = 1.25
 """A node with more than this times the mean load gives way to the next in order."""
 
-LEAST_BOUND = 32
+MIN_OVERLOAD_REQUESTS = 32
 """Open requests that never make a node give way: small loads change faster than gossip."""
 
 
@@ -27,7 +27,7 @@
 
 
 def addresses_for(
-    session: str, nodes: Sequence[NodeView], most: int = MOST_ADDRESSES
+    session: str, nodes: Sequence[NodeView], most: int = MAX_ADDRESSES
 ) -> list[NodeView]:
     """Return the nodes to use for a session, in order.
 
@@ -41,7 +41,7 @@
     if not order:
         return []
     mean = sum(node.load for node in order) / len(order)
-    bound = max(LEAST_BOUND, OVERLOAD_BOUND * mean)
+    bound = max(MIN_OVERLOAD_REQUESTS, OVERLOAD_FACTOR * mean)
     order.sort(key=lambda node: node.load > bound)
     return _other_hall_second(order)[:most]
 
