--- a/src/moledale/backing/guard.py
+++ b/src/moledale/backing/guard.py
@@ -56,12 +56,12 @@
         try:
             outcome = await make()
         except asyncio.CancelledError:
-            self._breaker.abandoned(self._clock.monotonic())
+            self._breaker.record_cancelled(self._clock.monotonic())
             raise
         if outcome.is_ok():
-            if self._breaker.succeeded():
+            if self._breaker.record_success():
                 emit(Event.PLATFORM_UP, part=self.part)
-        elif self._breaker.failed(self._clock.monotonic()):
+        elif self._breaker.record_failure(self._clock.monotonic()):
             emit(Event.PLATFORM_DOWN, part=self.part, detail=outcome.unwrap_err().detail)
         return outcome
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -310,15 +310,15 @@
 
     def test_breaker_backs_off_spread_and_closes(self) -> None:
         breaker = Breaker(BreakerLimits(2, 1.0, 4.0), random.Random(1))
-        self.assertFalse(breaker.failed(0.0))
-        self.assertTrue(breaker.failed(0.0))
+        self.assertFalse(breaker.record_failure(0.0))
+        self.assertTrue(breaker.record_failure(0.0))
         self.assertFalse(breaker.allows(0.4))
         self.assertTrue(breaker.allows(1.0))
         self.assertFalse(breaker.allows(1.0), "one probe at a time")
-        breaker.abandoned(1.0)
+        breaker.record_cancelled(1.0)
         self.assertFalse(breaker.allows(1.9))
         self.assertTrue(breaker.allows(3.0))
-        self.assertTrue(breaker.succeeded())
+        self.assertTrue(breaker.record_success())
         self.assertTrue(breaker.allows(3.0))
 
 
