--- a/src/moledale/core/duties.py
+++ b/src/moledale/core/duties.py
@@ -5,14 +5,14 @@
 from moledale.core.addresses import NodeView
 from moledale.core.hashing import ranked
 
-CANDIDATES = 4
+CANDIDATES_PER_HALL = 4
 """Nodes of a hall that stand for its lease; more would only read its row more often."""
 
-STAND_INS = 2
+SUBSTITUTES_PER_HALL = 2
 """Nodes of other halls that stand for the lease of a hall without nodes."""
 
 
-def duty_halls(
+def halls_to_lease(
     node: str, own_hall: str, nodes: Sequence[NodeView], halls: Iterable[str]
 ) -> set[str]:
     """Return the halls whose lease this node should try to hold.
@@ -25,8 +25,8 @@
     peopled = {view.hall for view in staying} | {own_hall}
     at_home = {view.id for view in staying if view.hall == own_hall} | {node}
     everywhere = {view.id for view in staying} | {node}
-    mine = {own_hall} if node in ranked(own_hall, at_home)[:CANDIDATES] else set()
+    mine = {own_hall} if node in ranked(own_hall, at_home)[:CANDIDATES_PER_HALL] else set()
     for hall in halls:
-        if hall not in peopled and node in ranked(hall, everywhere)[:STAND_INS]:
+        if hall not in peopled and node in ranked(hall, everywhere)[:SUBSTITUTES_PER_HALL]:
             mine.add(hall)
     return mine
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -17,7 +17,7 @@
 from moledale.bundle.schema import Bundle
 from moledale.clock import Clock
 from moledale.core.addresses import NodeView, addresses_for
-from moledale.core.duties import duty_halls
+from moledale.core.duties import halls_to_lease
 from moledale.core.freshness import Freshness, Verdict, judge
 from moledale.core.hashing import ranked
 from moledale.core.routing import LoadBook
@@ -318,7 +318,7 @@
             bundle = self.bundle()
             halls = [hall.name for hall in bundle.halls] if bundle is not None else []
             own = self.settings.node.hall
-            for hall in duty_halls(self.id, own, self.fleet.node_views(), halls):
+            for hall in halls_to_lease(self.id, own, self.fleet.node_views(), halls):
                 if hall not in self._duties and bundle is not None:
                     self._start_duty(hall)
             await self.clock.sleep(DUTY_CHECK_S)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,7 @@
 from moledale.bundle.schema import Bundle, Market, Priority, Renting, Weights, parse
 from moledale.core.addresses import NodeView, addresses_for
 from moledale.core.breaker import Breaker, BreakerLimits
-from moledale.core.duties import duty_halls
+from moledale.core.duties import halls_to_lease
 from moledale.core.freshness import Freshness, Verdict, judge
 from moledale.core.leases import Lease, LeaseAction, LeaseRow, may_order
 from moledale.core.limits import RateBucket, RetryBudget, node_share
@@ -282,9 +282,9 @@
     def test_a_hall_without_nodes_has_stand_ins(self) -> None:
         nodes = [n for n in self.nodes(8) if n.hall != "h0"]
         halls = ["h0", "h1", "h2", "h3"]
-        standing = [n.id for n in nodes if "h0" in duty_halls(n.id, n.hall, nodes, halls)]
+        standing = [n.id for n in nodes if "h0" in halls_to_lease(n.id, n.hall, nodes, halls)]
         self.assertEqual(len(standing), 2)
-        self.assertEqual(duty_halls("n1", "h1", self.nodes(8), halls), {"h1"})
+        self.assertEqual(halls_to_lease("n1", "h1", self.nodes(8), halls), {"h1"})
 
 
 class LimitsTest(unittest.TestCase):
