--- a/src/moledale/core/fingerprint.py
+++ b/src/moledale/core/fingerprint.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-LENGTH_BYTES = 8
+LENGTH_PREFIX_BYTES = 8
 """Bytes that tell the length of a part, so that parts can't run into each other."""
 
 
@@ -17,6 +17,6 @@
     """
     digest = xxhash.xxh3_128()
     for part in parts:
-        digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
+        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, "big"))
         digest.update(part)
     return digest.digest()
