--- a/src/moledale/core/freshness.py
+++ b/src/moledale/core/freshness.py
@@ -18,12 +18,12 @@
 
     version: int
     confirmed_ago_s: float | None
-    heard_peer_ago_s: float | None
-    other_nodes: int
-    newer_version_seen: int
+    peer_contact_ago_s: float | None
+    peer_count: int
+    newest_version_seen: int
 
 
-def judge(view: Freshness, grace_s: float) -> Verdict:
+def decide_verdict(view: Freshness, grace_s: float) -> Verdict:
     """Decide whether to take new requests.
 
     A node serves nothing before it has confirmed a head. After that, an outage of the table
@@ -33,12 +33,12 @@
     """
     if view.version == 0 or view.confirmed_ago_s is None:
         return Verdict.UNCONFIRMED
-    if view.newer_version_seen > view.version:
+    if view.newest_version_seen > view.version:
         return Verdict.UNCONFIRMED
     if view.confirmed_ago_s <= grace_s:
         return Verdict.SERVE
-    if view.other_nodes == 0:
+    if view.peer_count == 0:
         return Verdict.SERVE
-    if view.heard_peer_ago_s is not None and view.heard_peer_ago_s <= grace_s:
+    if view.peer_contact_ago_s is not None and view.peer_contact_ago_s <= grace_s:
         return Verdict.SERVE
     return Verdict.ISOLATED
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -18,7 +18,7 @@
 from moledale.clock import Clock
 from moledale.core.addresses import NodeView, addresses_for
 from moledale.core.duties import halls_to_lease
-from moledale.core.freshness import Freshness, Verdict, judge
+from moledale.core.freshness import Freshness, Verdict, decide_verdict
 from moledale.core.hashing import ranked
 from moledale.core.routing import LoadBook
 from moledale.log import Event, emit
@@ -275,7 +275,7 @@
             len(self.fleet.other_nodes()),
             self.bundles.newest_seen,
         )
-        return judge(view, self.settings.times.isolation_grace_s)
+        return decide_verdict(view, self.settings.times.isolation_grace_s)
 
     def refusal(self) -> Problem | None:
         """Return why new requests are refused now, or None."""
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,7 @@
 from moledale.core.addresses import NodeView, addresses_for
 from moledale.core.breaker import Breaker, BreakerLimits
 from moledale.core.duties import halls_to_lease
-from moledale.core.freshness import Freshness, Verdict, judge
+from moledale.core.freshness import Freshness, Verdict, decide_verdict
 from moledale.core.leases import Lease, LeaseAction, LeaseRow, may_order
 from moledale.core.limits import RateBucket, RetryBudget, node_share
 from moledale.core.queueing import OFFSET_S, WaitingQueue, estimated_wait_s
@@ -334,7 +334,7 @@
         ]
         for name, seen, wanted in cases:
             with self.subTest(name):
-                self.assertEqual(judge(seen, 5.0), wanted)
+                self.assertEqual(decide_verdict(seen, 5.0), wanted)
 
 
 def bundle_with(**renting: object) -> Bundle:
--- a/tools/without.py
+++ b/tools/without.py
@@ -180,7 +180,7 @@
     Without(
         "7 bundles",
         "an unconfirmed or cut-off node serves nothing",
-        _attribute(node, "judge", lambda view, grace: Verdict.SERVE),
+        _attribute(node, "decide_verdict", lambda view, grace: Verdict.SERVE),
         f"{PROMISES}.BundleTest",
     ),
     Without(
