--- a/bench/replay.py
+++ b/bench/replay.py
@@ -15,7 +15,7 @@
 from bench.workload import Turn, blocks_of
 from moledale.bundle.schema import Priority
 from moledale.core import reclaim
-from moledale.core.hashing import first
+from moledale.core.hashing import first_ranked
 from moledale.core.queueing import WaitingQueue, estimated_wait_s
 from moledale.core.routing import (
     LoadBook,
@@ -307,7 +307,7 @@
     # Requests
 
     def _arrive(self, turn: Turn) -> None:
-        name = first(turn.session, [str(index) for index in range(len(self._nodes))])
+        name = first_ranked(turn.session, [str(index) for index in range(len(self._nodes))])
         request = Request(turn, int(name or 0))
         self._outcome.requests.append(request)
         self._outcome.requests_by_node[request.node] += 1
--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -14,7 +14,7 @@
 from statistics import mean
 from typing import Protocol
 
-from moledale.core.hashing import first, ranked
+from moledale.core.hashing import first_ranked, ranked
 from moledale.core.pacing import Pacer
 
 LENGTH_S = 60.0
@@ -180,7 +180,7 @@
         whole = len(heard) == len(self._world.nodes)
         key = (server, whole, 0 if whole else int(node[1:]) % 2)
         if key not in self._grantors:
-            self._grantors[key] = first(server, heard) or node
+            self._grantors[key] = first_ranked(server, heard) or node
         return self._grantors[key]
 
 
--- a/src/moledale/core/hashing.py
+++ b/src/moledale/core/hashing.py
@@ -6,11 +6,11 @@
 
 import xxhash
 
-RING = "ring"
+RING_KEY = "ring"
 RING_SIZE = 2**64
 """Places of the ring: those of a 64-bit hash."""
 
-POSITIONS_KEPT = 4096
+POSITION_CACHE_SIZE = 4096
 """Names whose places in the ring are kept: more than there are nodes."""
 
 
@@ -24,17 +24,17 @@
     return sorted(candidates, key=lambda name: (-weight(key, name), name))
 
 
-def first(key: str, candidates: Iterable[str]) -> str | None:
+def first_ranked(key: str, candidates: Iterable[str]) -> str | None:
     """Return the heaviest candidate, or None if there are none."""
     return min(candidates, key=lambda name: (-weight(key, name), name), default=None)
 
 
-def following(own: str, candidates: Iterable[str], number: int) -> list[str]:
+def ring_successors(own: str, candidates: Iterable[str], number: int) -> list[str]:
     """Return the candidates next after a name in a ring that is the same on every node."""
     place = _position(own)
     return nsmallest(number, candidates, key=lambda name: (_position(name) - place) % RING_SIZE)
 
 
-@lru_cache(POSITIONS_KEPT)
+@lru_cache(POSITION_CACHE_SIZE)
 def _position(name: str) -> int:
-    return weight(RING, name)
+    return weight(RING_KEY, name)
--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from moledale.core.hashing import following
+from moledale.core.hashing import ring_successors
 from moledale.gateway.directory import serving_nodes, should_serve, wanted_nodes
 from moledale.gateway.peers import Membership, NodeState, Standing
 
@@ -199,7 +199,7 @@
     def _passed_on_to(self, now: float) -> list[str]:
         known = self.addresses.known(now)
         by_chance = self._random.sample(known, min(PASSED_ON, len(known)))
-        return [*following(self.addresses.own, known, SUCCESSORS), *by_chance]
+        return [*ring_successors(self.addresses.own, known, SUCCESSORS), *by_chance]
 
     def everyone(self, now: float) -> list[str]:
         """Return whom to tell news that can't wait."""
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -13,7 +13,7 @@
 from cachetools import LRUCache
 
 from moledale.clock import monotonic
-from moledale.core.hashing import first
+from moledale.core.hashing import first_ranked
 from moledale.core.pacing import Pacer, Reservation
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.peers import NodeState
@@ -157,7 +157,7 @@
 
     def _draw(self, view: ServerView) -> str:
         near = [name for name, hall in self._halls.items() if hall == view.server.hall]
-        return first(view.server.id, near or self._halls) or self._own_id
+        return first_ranked(view.server.id, near or self._halls) or self._own_id
 
 
 class Permits:
--- a/src/moledale/node/jobs.py
+++ b/src/moledale/node/jobs.py
@@ -21,7 +21,7 @@
     Write,
 )
 from moledale.clock import Clock
-from moledale.core.hashing import first
+from moledale.core.hashing import first_ranked
 from moledale.log import Event, emit
 from moledale.node.dispatcher import Dispatcher
 from moledale.node.journal import Entry, Journal, Outcome, new_operation
@@ -93,7 +93,7 @@
 def keyed_job_id(halls: list[str], account: str, key: str) -> str:
     """Return the same job id on every node for a caller's idempotency key."""
     named = f"{account}\x00{key}"
-    hall = first(named, halls)
+    hall = first_ranked(named, halls)
     assert hall is not None, "a bundle states a hall"
     return f"{JOB_ID_PREFIX}{hall}_{hashlib.sha256(named.encode()).hexdigest()[:32]}"
 
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -267,7 +267,7 @@
     ("servers that lapsed are kept", fleet_watch, "RETURN_S", 0.0, STATE),
     ("a window's spending counts", RecentSpending, "wait_s", lambda *_: 0.0, LIMITS),
     ("the past of a node is no demand", WorkMeter, "note", _note_all_of_it, RENTING),
-    ("changes go along a ring, too", neighbours, "following", lambda *_: [], MEMBERSHIP),
+    ("changes go along a ring, too", neighbours, "ring_successors", lambda *_: [], MEMBERSHIP),
     ("starting nodes share a limit's tolerance", AccountLimits, "_at_start",
      lambda _, account: account.burst, LIMITS),
     ("starting nodes ask their peers first", ColdStart, "wait", _ask_at_once,
