--- a/src/moledale/core/leases.py
+++ b/src/moledale/core/leases.py
@@ -13,7 +13,7 @@
 VACANT = "vacant"
 OBSERVED = "observed"
 HELD = "held"
-MARGIN = 0.2
+MARGIN_SHARE = 0.2
 """Part of the time to live that a holder gives up early, against unequal clock rates."""
 
 
@@ -37,7 +37,7 @@
 
     WAIT = "wait"
     READ = "read"
-    TAKE = "take"
+    ACQUIRE = "take"
     RENEW = "renew"
 
 
@@ -66,7 +66,7 @@
         self._node = node
         self._ttl_s = ttl_s
         self._unchanged_since = 0.0
-        self._until = 0.0
+        self._held_until = 0.0
         self._held_since = 0.0
         Machine(
             model=self,
@@ -83,48 +83,48 @@
     def decide(self, now: float) -> LeaseAction:
         """Return the action that is due at `now`."""
         if self.state == HELD:
-            if now >= self._until:
+            if now >= self._held_until:
                 self._observe()  # type: ignore[attr-defined]
                 self._unchanged_since = now
                 return LeaseAction.READ
-            renew_at = self._until - self._ttl_s * (1 - MARGIN) * 0.66
+            renew_at = self._held_until - self._ttl_s * (1 - MARGIN_SHARE) * 0.66
             return LeaseAction.RENEW if now >= renew_at else LeaseAction.WAIT
         if self.state == VACANT:
-            return LeaseAction.TAKE
+            return LeaseAction.ACQUIRE
         if now - self._unchanged_since >= self._ttl_s:
-            return LeaseAction.TAKE
+            return LeaseAction.ACQUIRE
         return LeaseAction.READ
 
-    def next_row(self, operation: str, least_epoch: int = 1) -> LeaseRow:
+    def next_row(self, operation: str, min_epoch: int = 1) -> LeaseRow:
         """Return the row to write when taking or renewing; taking raises the epoch."""
         if self.state == HELD and self.row is not None:
             return LeaseRow(self._node, self.row.epoch, operation)
         epoch = self.row.epoch + 1 if self.row is not None else 1
-        return LeaseRow(self._node, max(epoch, least_epoch), operation)
+        return LeaseRow(self._node, max(epoch, min_epoch), operation)
 
-    def stands_at(self, version: int) -> None:
+    def set_version(self, version: int) -> None:
         """Note that the row to renew stands at another version than the last renewal left it."""
         self.version = version
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget the row: what was read of it holds no longer."""
         self.row = None
         self.version = 0
         self._vacate()  # type: ignore[attr-defined]
 
-    def wrote(self, row: LeaseRow, version: int, sent_at: float) -> None:
+    def record_write(self, row: LeaseRow, version: int, sent_at: float) -> None:
         """Note that this node's write, sent at `sent_at`, stands in the table."""
         if self.state != HELD:
             self._held_since = sent_at
         self.row = row
         self.version = version
-        self._until = sent_at + self._ttl_s * (1 - MARGIN)
+        self._held_until = sent_at + self._ttl_s * (1 - MARGIN_SHARE)
         self._hold()  # type: ignore[attr-defined]
 
-    def saw(self, row: LeaseRow | None, version: int, now: float) -> None:
+    def record_read(self, row: LeaseRow | None, version: int, now: float) -> None:
         """Note what a read found; only a change of version starts the wait anew."""
         if row is None:
-            self.forget()
+            self.reset()
             return
         if version != self.version or self.state != OBSERVED:
             self._unchanged_since = now
@@ -136,12 +136,12 @@
 
     def grant(self, now: float) -> Grant | None:
         """Return proof of the lease if it is held at `now`."""
-        if self.state != HELD or self.row is None or now >= self._until:
+        if self.state != HELD or self.row is None or now >= self._held_until:
             return None
-        return Grant(self.name, self.row.epoch, self._until, self._held_since)
+        return Grant(self.name, self.row.epoch, self._held_until, self._held_since)
 
 
-def may_order(
+def may_send_order(
     grant: Grant, now: float, checks_fence: bool, ttl_s: float, order_max_s: float
 ) -> bool:
     """Say whether a fenced order may be sent now.
@@ -155,5 +155,5 @@
     if checks_fence:
         return True
     ends_inside = now + order_max_s < grant.until
-    waited_out = grant.epoch == 1 or now >= grant.since + ttl_s * MARGIN + order_max_s
+    waited_out = grant.epoch == 1 or now >= grant.since + ttl_s * MARGIN_SHARE + order_max_s
     return ends_inside and waited_out
--- a/src/moledale/gateway/lease_keeper.py
+++ b/src/moledale/gateway/lease_keeper.py
@@ -146,7 +146,9 @@
         self._last_renewal_at = max(self._last_renewal_at, now - update.age_s)
         if not relayed:
             self._direct_renewal_at = now - update.age_s
-        self.lease.saw(LeaseRow(holder, update.fence, ""), update.version, now - update.age_s)
+        self.lease.record_read(
+            LeaseRow(holder, update.fence, ""), update.version, now - update.age_s
+        )
 
     def _known_version(self) -> EraVersion:
         """Return the last known version of the row, with its era."""
@@ -185,7 +187,7 @@
         )
         if now - last_renewal_at < self._ttl_s + rank * RANK_DELAY_S:
             return
-        if action is LeaseAction.TAKE and self.lease.row is not None:
+        if action is LeaseAction.ACQUIRE and self.lease.row is not None:
             await self._write(now)
         elif now >= self._next_read_at:
             self._next_read_at = now + READ_INTERVAL_S * interval_factor * (
@@ -199,7 +201,7 @@
             return
         row = LeaseRow(NO_HOLDER, self.lease.row.epoch, f"{self._nonce}/end", era=self._era)
         version = self.lease.version
-        self.lease.saw(row, version + 1, monotonic())
+        self.lease.record_read(row, version + 1, monotonic())
         self._log_change(monotonic())
         value = msgspec.json.encode(row)
         await self._store.write(LEASE_TABLE, LEASE_KEY, value, version, CALL_TIMEOUT_S)
@@ -217,7 +219,7 @@
             if row.key == LEASE_KEY:
                 self._observe_row(row, reading.store_s, now)
                 return
-        self.lease.saw(None, ABSENT, now)
+        self.lease.record_read(None, ABSENT, now)
         if self._may_acquire_without_row(now):
             await self._write(now)
 
@@ -240,7 +242,7 @@
         if self.lease.grant(now) is not None:
             self._renew_at_once = True
             return
-        self.lease.forget()
+        self.lease.reset()
         self._version_era = self._era
         self.holder = NO_HOLDER
         self._last_renewal_at = max(self._last_renewal_at, now - self._ttl_s + RESTORE_GRACE_S)
@@ -271,17 +273,17 @@
             renewed_at = now - max(0.0, store_s - row.renewed_s)
         else:
             renewed_at = now
-        self.lease.saw(row, stored.version, renewed_at)
+        self.lease.record_read(row, stored.version, renewed_at)
         self._version_era = self._era
 
     def _schedule_renewal(self, version: int) -> None:
         """Have this node's lease renewed at once, on top of the row at `version`."""
-        self.lease.stands_at(version)
+        self.lease.set_version(version)
         self._version_era = self._era
         self._renew_at_once = True
 
     def _record_write(self, row: LeaseRow, version: int, sent_at: float) -> None:
-        self.lease.wrote(row, version, sent_at)
+        self.lease.record_write(row, version, sent_at)
         self._version_era = self._era
         self._renew_at_once = False
         self._highest_fence = max(self._highest_fence, row.epoch)
--- a/src/moledale/node/hall_duty.py
+++ b/src/moledale/node/hall_duty.py
@@ -21,7 +21,7 @@
 )
 from moledale.bundle.schema import Bundle
 from moledale.clock import Clock
-from moledale.core.leases import Grant, Lease, LeaseAction, LeaseRow, may_order
+from moledale.core.leases import Grant, Lease, LeaseAction, LeaseRow, may_send_order
 from moledale.log import Event, emit
 from moledale.node.fleet import Fleet
 from moledale.node.hall_renting import HallRenting
@@ -124,7 +124,7 @@
         action = self.lease.decide(self._clock.monotonic())
         if action is LeaseAction.READ:
             await self._read()
-        elif action in (LeaseAction.TAKE, LeaseAction.RENEW):
+        elif action in (LeaseAction.ACQUIRE, LeaseAction.RENEW):
             await self._write()
 
     async def _read(self) -> None:
@@ -134,7 +134,7 @@
         row = outcome.ok_value
         decoded = None if row is None else msgspec.json.decode(row.value, type=LeaseRow)
         version = ABSENT if row is None else row.version
-        self.lease.saw(decoded, version, self._clock.monotonic())
+        self.lease.record_read(decoded, version, self._clock.monotonic())
 
     async def _write(self) -> None:
         sent_at = self._clock.monotonic()
@@ -150,7 +150,7 @@
         if isinstance(outcome, Err) or not outcome.ok_value.committed:
             await self._settle(row, sent_at)
             return
-        self.lease.wrote(row, outcome.ok_value.versions[0], sent_at)
+        self.lease.record_write(row, outcome.ok_value.versions[0], sent_at)
 
     async def _settle(self, row: LeaseRow, sent_at: float) -> None:
         """Read the row to learn whether a write whose answer was lost or refused stands."""
@@ -162,9 +162,9 @@
             return
         held = msgspec.json.decode(found.value, type=LeaseRow)
         if held.operation == row.operation:
-            self.lease.wrote(row, found.version, sent_at)
+            self.lease.record_write(row, found.version, sent_at)
         else:
-            self.lease.saw(held, found.version, self._clock.monotonic())
+            self.lease.record_read(held, found.version, self._clock.monotonic())
 
     def _note_change(self, grant: Grant | None) -> None:
         if (grant is not None) == self._held:
@@ -253,7 +253,7 @@
         checks = item is not None and item.checks_fence
         times = self._times
         now = self._clock.monotonic()
-        if not may_order(grant, now, checks, times.lease_ttl_s, times.order_max_s):
+        if not may_send_order(grant, now, checks, times.lease_ttl_s, times.order_max_s):
             return
         order = Order(f"{grant.name}:{server.id}:{name}", grant.name, grant.epoch, kind, name)
         outcome = await self._servers.order(server.address, order)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,7 +12,7 @@
 from moledale.core.breaker import Breaker, BreakerLimits
 from moledale.core.duties import halls_to_lease
 from moledale.core.freshness import Freshness, Verdict, decide_verdict
-from moledale.core.leases import Lease, LeaseAction, LeaseRow, may_order
+from moledale.core.leases import Lease, LeaseAction, LeaseRow, may_send_order
 from moledale.core.limits import RateBucket, RetryBudget, node_share
 from moledale.core.queueing import OFFSET_S, WaitingQueue, estimated_wait_s
 from moledale.core.reclaim import Course, Held, ReclaimView, plan
@@ -185,33 +185,33 @@
 
     def held(self, at: float) -> Lease:
         lease = Lease("hall/a", "n1", self.TTL)
-        lease.wrote(lease.next_row("op"), 1, at)
+        lease.record_write(lease.next_row("op"), 1, at)
         return lease
 
     def test_a_holder_stops_believing_before_a_candidate_may_take(self) -> None:
         holder = self.held(0.0)
         candidate = Lease("hall/a", "n2", self.TTL)
-        candidate.saw(holder.row, 1, 0.0)
+        candidate.record_read(holder.row, 1, 0.0)
         self.assertIsNotNone(holder.grant(7.9))
         self.assertIsNone(holder.grant(8.0))
         self.assertEqual(candidate.decide(9.9), LeaseAction.READ)
-        self.assertEqual(candidate.decide(10.0), LeaseAction.TAKE)
+        self.assertEqual(candidate.decide(10.0), LeaseAction.ACQUIRE)
         self.assertEqual(candidate.next_row("op2").epoch, 2)
 
     def test_a_renewal_seen_starts_the_wait_anew(self) -> None:
         candidate = Lease("hall/a", "n2", self.TTL)
         row = LeaseRow("n1", 1, "op")
-        candidate.saw(row, 1, 0.0)
-        candidate.saw(row, 1, 5.0)
-        candidate.saw(row, 2, 9.0)
+        candidate.record_read(row, 1, 0.0)
+        candidate.record_read(row, 1, 5.0)
+        candidate.record_read(row, 2, 9.0)
         self.assertEqual(candidate.decide(18.9), LeaseAction.READ)
-        self.assertEqual(candidate.decide(19.0), LeaseAction.TAKE)
+        self.assertEqual(candidate.decide(19.0), LeaseAction.ACQUIRE)
 
     def test_a_paused_holder_reads_before_it_acts(self) -> None:
         lease = self.held(0.0)
         self.assertEqual(lease.decide(100.0), LeaseAction.READ)
         self.assertIsNone(lease.grant(100.0))
-        lease.saw(LeaseRow("n2", 2, "other"), 7, 100.0)
+        lease.record_read(LeaseRow("n2", 2, "other"), 7, 100.0)
         self.assertEqual(lease.decide(101.0), LeaseAction.READ)
 
     def test_renewal_keeps_the_epoch(self) -> None:
@@ -234,17 +234,17 @@
         ]
         for now, checks, wanted in cases:
             with self.subTest(now=now, checks=checks):
-                self.assertEqual(may_order(grant, now, checks, self.TTL, 2.0), wanted)
+                self.assertEqual(may_send_order(grant, now, checks, self.TTL, 2.0), wanted)
 
     def test_a_successor_waits_out_the_longest_order(self) -> None:
         lease = Lease("hall/a", "n2", self.TTL)
-        lease.saw(LeaseRow("n1", 3, "op"), 5, 0.0)
-        lease.wrote(lease.next_row("op2"), 6, 10.0)
+        lease.record_read(LeaseRow("n1", 3, "op"), 5, 0.0)
+        lease.record_write(lease.next_row("op2"), 6, 10.0)
         grant = lease.grant(10.0)
         assert grant is not None
         self.assertEqual(grant.epoch, 4)
-        self.assertFalse(may_order(grant, 13.9, False, self.TTL, 2.0))
-        self.assertTrue(may_order(grant, 14.1, False, self.TTL, 2.0))
+        self.assertFalse(may_send_order(grant, 13.9, False, self.TTL, 2.0))
+        self.assertTrue(may_send_order(grant, 14.1, False, self.TTL, 2.0))
 
 
 class MembershipTest(unittest.TestCase):
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -75,9 +75,9 @@
     def test_lease_that_ran_out_while_suspended_is_not_held(self) -> None:
         keeper = LeaseKeeper("n1", PlatformStore("127.0.0.1:1"), Bounds(lease_s=3.0), "nonce")
         slept_since = monotonic() - 5.0
-        keeper.lease.wrote(LeaseRow("n1", 1, "nonce/1"), 1, slept_since)
+        keeper.lease.record_write(LeaseRow("n1", 1, "nonce/1"), 1, slept_since)
         self.assertIsNone(keeper.grant())
-        keeper.lease.wrote(LeaseRow("n1", 1, "nonce/2"), 2, monotonic())
+        keeper.lease.record_write(LeaseRow("n1", 1, "nonce/2"), 2, monotonic())
         self.assertIsNotNone(keeper.grant())
 
 
--- a/tools/without.py
+++ b/tools/without.py
@@ -186,7 +186,7 @@
     Without(
         "leases",
         "a holder gives up before a candidate may begin",
-        _attribute(leases, "MARGIN", -2.0),
+        _attribute(leases, "MARGIN_SHARE", -2.0),
         f"{PROMISES}.LeaseDutyTest tests.test_core.LeaseTest",
     ),
     Without(
