--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -168,7 +168,7 @@
         grantor = self._grantor(server, node, heard)
         limit = self._world.scene.limit_per_s * part
         pacer = self._pacers.setdefault((grantor, server), Pacer.begin(limit, now))
-        pacer.retune(limit, now)
+        pacer.set_rate(limit, now)
         if grantor != node:
             self._world.messages += 2
         reservation = pacer.take(now)
--- a/src/moledale/core/limits.py
+++ b/src/moledale/core/limits.py
@@ -6,37 +6,37 @@
 FLOOR_SHARE = 0.25
 """Part of an equal share that a node keeps even without demand."""
 
-LEAST_DEMAND = 1e-6
+MIN_TOTAL_DEMAND = 1e-6
 """Demand below which shares by demand would be rounding errors."""
 
 
 @dataclass(slots=True)
-class RateBucket:
+class TokenBucket:
     """A token bucket: `rate` a second, at most `burst` at once."""
 
     rate: float
     burst: float
     level: float
-    at: float
+    updated_at: float
 
     def take(self, now: float) -> float:
         """Take one; return 0.0, or the seconds until one is free."""
-        self.level = min(self.burst, self.level + (now - self.at) * self.rate)
-        self.at = now
+        self.level = min(self.burst, self.level + (now - self.updated_at) * self.rate)
+        self.updated_at = now
         if self.level >= 1.0:
             self.level -= 1.0
             return 0.0
         return (1.0 - self.level) / self.rate if self.rate > 0 else float("inf")
 
-    def retune(self, rate: float, burst: float, now: float) -> None:
+    def set_rate(self, rate: float, burst: float, now: float) -> None:
         """Change rate and burst; what is in the bucket stays, up to the new burst."""
-        self.level = min(burst, self.level + (now - self.at) * self.rate)
-        self.at = now
+        self.level = min(burst, self.level + (now - self.updated_at) * self.rate)
+        self.updated_at = now
         self.rate = rate
         self.burst = burst
 
 
-def node_share(rate: float, own_demand: float, peer_demands: Iterable[float], nodes: int) -> float:
+def node_rate(rate: float, own_demand: float, peer_demands: Iterable[float], nodes: int) -> float:
     """Return this node's part of an account's rate.
 
     Each node keeps a floor; the rest follows demand, so what one node doesn't use another one
@@ -45,7 +45,7 @@
     nodes = max(1, nodes)
     floor = rate * FLOOR_SHARE / nodes
     total = own_demand + sum(peer_demands)
-    if total < LEAST_DEMAND:
+    if total < MIN_TOTAL_DEMAND:
         return rate / nodes
     return floor + (rate - floor * nodes) * own_demand / total
 
@@ -55,14 +55,14 @@
     """Retries as a share of requests: each request earns `share`, each retry costs one."""
 
     share: float = 0.2
-    most: float = 20.0
+    max_level: float = 20.0
     level: float = 20.0
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Note a request."""
-        self.level = min(self.most, self.level + self.share)
+        self.level = min(self.max_level, self.level + self.share)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take a retry if the budget allows one."""
         if self.level < 1.0:
             return False
--- a/src/moledale/core/pacing.py
+++ b/src/moledale/core/pacing.py
@@ -56,7 +56,7 @@
         """Return how long before it is due a place may be taken."""
         return max(self.interval_s, BURST_S - self.interval_s)
 
-    def retune(self, per_s: float, now: float) -> None:
+    def set_rate(self, per_s: float, now: float) -> None:
         """Change the rate; the wait for the next place is as many intervals as before.
 
         After a steep fall there is no place at once, whatever was saved at the higher rate.
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -106,7 +106,7 @@
         pacer = self._pacers.get(server)
         if pacer is None:
             pacer = self._pacers[server] = Pacer.begin(rate, now)
-        pacer.retune(rate, now)
+        pacer.set_rate(rate, now)
         reservation = pacer.take(now, most_wait_s, number)
         counts = self._counts.setdefault(server, PermitCounts())
         counts.asked += number
--- a/src/moledale/node/accounts.py
+++ b/src/moledale/node/accounts.py
@@ -8,7 +8,7 @@
 from moledale import problems
 from moledale.bundle.schema import Account, Bundle, key_digest
 from moledale.clock import Clock
-from moledale.core.limits import RateBucket, node_share
+from moledale.core.limits import TokenBucket, node_rate
 from moledale.problems import Problem
 
 DEMAND_HALF_LIFE_S = 5.0
@@ -19,7 +19,7 @@
 class _Use:
     """An account's bucket here, and the demand it showed lately."""
 
-    bucket: RateBucket
+    bucket: TokenBucket
     demand: float = 0.0
     at: float = 0.0
 
@@ -63,15 +63,15 @@
         now = self._clock.monotonic()
         use = self._uses.get(account.name)
         if use is None:
-            bucket = RateBucket(account.requests_per_s, account.burst, account.burst, now)
+            bucket = TokenBucket(account.requests_per_s, account.burst, account.burst, now)
             use = _Use(bucket, at=now)
             self._uses[account.name] = use
         use.demand = _decayed(use.demand, now - use.at) + 1.0 / DEMAND_HALF_LIFE_S
         use.at = now
-        share = node_share(
+        share = node_rate(
             account.requests_per_s, use.demand, self._peer_demands(account.name), self._nodes()
         )
-        use.bucket.retune(share, max(1.0, account.burst * share / account.requests_per_s), now)
+        use.bucket.set_rate(share, max(1.0, account.burst * share / account.requests_per_s), now)
         wait = use.bucket.take(now)
         if wait <= 0:
             return Ok(None)
--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -96,7 +96,7 @@
         if not record.accepted_at:
             record.accepted_at = self._clock.monotonic()
         self.streams.add(record)
-        self._budget.earn()
+        self._budget.record_request()
         task = asyncio.create_task(self._serve(record), name=f"request/{record.request.id}")
         self._tasks[record.request.id] = task
         return record
@@ -205,7 +205,7 @@
             )
             if not record.request.repeatable:
                 record.fail(problems.outcome_unknown(f"server failed: {detail}"))
-            elif not self._budget.spend():
+            elif not self._budget.try_spend():
                 record.fail(problems.failed(f"server failed, retry budget used up: {detail}"))
             else:
                 if len(excluded) > 1:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,7 +13,7 @@
 from moledale.core.duties import halls_to_lease
 from moledale.core.freshness import Freshness, Verdict, decide_verdict
 from moledale.core.leases import Lease, LeaseAction, LeaseRow, may_send_order
-from moledale.core.limits import RateBucket, RetryBudget, node_share
+from moledale.core.limits import RetryBudget, TokenBucket, node_rate
 from moledale.core.queueing import OFFSET_S, WaitingQueue, estimated_wait_s
 from moledale.core.reclaim import Course, Held, ReclaimView, plan
 from moledale.core.renting import Held as Rented
@@ -289,7 +289,7 @@
 
 class LimitsTest(unittest.TestCase):
     def test_bucket(self) -> None:
-        bucket = RateBucket(10, 2, 2, 0.0)
+        bucket = TokenBucket(10, 2, 2, 0.0)
         self.assertEqual([bucket.take(0.0) for _ in range(3)], [0.0, 0.0, 0.1])
         self.assertEqual(bucket.take(0.1), 0.0)
 
@@ -297,7 +297,7 @@
     def test_shares_add_up_to_the_rate_at_most(self, demands: list[float]) -> None:
         nodes = len(demands)
         shares = [
-            node_share(90.0, own, demands[:i] + demands[i + 1 :], nodes)
+            node_rate(90.0, own, demands[:i] + demands[i + 1 :], nodes)
             for i, own in enumerate(demands)
         ]
         self.assertLessEqual(sum(shares), 90.0 + 1e-6)
@@ -305,8 +305,8 @@
     def test_retry_budget_is_a_share(self) -> None:
         budget = RetryBudget(0.1, 2.0, 0.0)
         for _ in range(15):
-            budget.earn()
-        self.assertEqual([budget.spend(), budget.spend()], [True, False])
+            budget.record_request()
+        self.assertEqual([budget.try_spend(), budget.try_spend()], [True, False])
 
     def test_breaker_backs_off_spread_and_closes(self) -> None:
         breaker = Breaker(BreakerLimits(2, 1.0, 4.0), random.Random(1))
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -43,9 +43,9 @@
         now = 0.0
         for per_s, pause_s in changes:
             now += pause_s
-            pacer.retune(per_s, now)
+            pacer.set_rate(per_s, now)
             pacer.take(now)
-        pacer.retune(1.0, now)
+        pacer.set_rate(1.0, now)
         self.assertTrue(pacer.take(now + 2.0 / LEAST_PER_S).granted)
 
     def test_rate_that_wavers_loses_no_places(self) -> None:
@@ -54,7 +54,7 @@
         granted = 0
         for step in range(400):
             now = step * 0.1
-            pacer.retune(0.4 if step % 4 < 2 else 0.36, now)
+            pacer.set_rate(0.4 if step % 4 < 2 else 0.36, now)
             granted += pacer.take(now).granted
         self.assertIn(granted, range(14, 18))
 
@@ -67,10 +67,10 @@
     def test_lower_rate_counts_at_once_and_higher_one_too(self) -> None:
         pacer = Pacer.begin(50.0, 0.0)
         self.assertTrue(pacer.take(1.0).granted)
-        pacer.retune(0.5, 1.0)
+        pacer.set_rate(0.5, 1.0)
         self.assertFalse(pacer.take(2.9).granted)
         self.assertTrue(pacer.take(3.1).granted)
-        pacer.retune(50.0, 3.1)
+        pacer.set_rate(50.0, 3.1)
         self.assertTrue(pacer.take(3.2).granted)
 
     def test_those_that_are_turned_away_are_told_different_times(self) -> None:
--- a/tools/without.py
+++ b/tools/without.py
@@ -106,7 +106,7 @@
     Without(
         "1 survives a reclaim",
         "streams resume at another server",
-        _attribute(limits.RetryBudget, "spend", lambda self: False),
+        _attribute(limits.RetryBudget, "try_spend", lambda self: False),
         f"{PROMISES}.StreamSurvivesTest",
     ),
     Without(
