--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -119,7 +119,7 @@
         number = max(1, min(len(heard), int(limit / LEAST_PER_NODE_S)))
         if node not in ranked(server, heard)[:number]:
             return False
-        pacer = self._pacers.setdefault((node, server), Pacer.begin(limit / number, now))
+        pacer = self._pacers.setdefault((node, server), Pacer.without_credit(limit / number, now))
         pacer.per_s = limit / number
         return pacer.take(now).granted
 
@@ -167,7 +167,7 @@
         part = len(heard) / len(self._world.nodes)
         grantor = self._grantor(server, node, heard)
         limit = self._world.scene.limit_per_s * part
-        pacer = self._pacers.setdefault((grantor, server), Pacer.begin(limit, now))
+        pacer = self._pacers.setdefault((grantor, server), Pacer.without_credit(limit, now))
         pacer.set_rate(limit, now)
         if grantor != node:
             self._world.messages += 2
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -14,7 +14,7 @@
 
 from moledale.clock import monotonic
 from moledale.core.hashing import first_ranked
-from moledale.core.pacing import Pacer, Reservation
+from moledale.core.pacing import Pacer, SlotReservation
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.peers import NodeState
 from moledale.gateway.server_view import ServerView
@@ -93,7 +93,7 @@
 
     def ask(
         self, server: str, asked_per_s: float, number: int, most_wait_s: float, now: float
-    ) -> Reservation:
+    ) -> SlotReservation:
         """Grant permits, or say when to ask again; all are granted where the limit has ended.
 
         `asked_per_s` is the limit as the node that asks knows it.
@@ -101,11 +101,11 @@
         limit_per_s = self._limit_of(server, asked_per_s)
         if limit_per_s is None:
             self._pacers.pop(server, None)
-            return Reservation(True, 0.0)
+            return SlotReservation(True, 0.0)
         rate = limit_per_s * self.share
         pacer = self._pacers.get(server)
         if pacer is None:
-            pacer = self._pacers[server] = Pacer.begin(rate, now)
+            pacer = self._pacers[server] = Pacer.without_credit(rate, now)
         pacer.set_rate(rate, now)
         reservation = pacer.take(now, most_wait_s, number)
         counts = self._counts.setdefault(server, PermitCounts())
@@ -122,7 +122,7 @@
         """Count a request that a node sent without asking, as builds do that know no limits."""
         pacer = self._pacers.get(server)
         if pacer is not None:
-            pacer.spent_elsewhere(now)
+            pacer.record_external(now)
 
 
 class Grantors:
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from moledale.core.pacing import BURST_S, LEAST_PER_S, MOST_TOLD_S, Pacer
+from moledale.core.pacing import BURST_S, MAX_EXTRA_WAIT_S, MIN_RATE_PER_S, Pacer
 
 RATES = st.sampled_from([0.0, 0.1, 0.4, 1.0, 3.0, 50.0, 2_000.0])
 SPANS_S = (1.0, 4.0, 10.0)
@@ -23,7 +23,7 @@
     def test_rate_is_kept_in_each_span_whoever_asks_and_waits(
         self, per_s: float, asks: list[tuple[float, float]]
     ) -> None:
-        pacer = Pacer.begin(per_s, 100.0)
+        pacer = Pacer.without_credit(per_s, 100.0)
         now, taken = 100.0, []
         for pause_s, most_wait_s in asks:
             now += pause_s
@@ -31,7 +31,7 @@
             if reservation.granted:
                 self.assertLessEqual(reservation.wait_s, most_wait_s)
                 taken.append(now + reservation.wait_s)
-        rate = max(LEAST_PER_S, per_s)
+        rate = max(MIN_RATE_PER_S, per_s)
         for span_s in SPANS_S:
             saved = 1 + max(1.0, rate * BURST_S)
             self.assertLessEqual(most_in(span_s, taken), rate * span_s + saved + 1e-6)
@@ -39,18 +39,18 @@
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(RATES, st.floats(0.0, 2.0)), min_size=1, max_size=40))
     def test_rates_that_change_lose_no_server(self, changes: list[tuple[float, float]]) -> None:
-        pacer = Pacer.begin(1.0, 0.0)
+        pacer = Pacer.without_credit(1.0, 0.0)
         now = 0.0
         for per_s, pause_s in changes:
             now += pause_s
             pacer.set_rate(per_s, now)
             pacer.take(now)
         pacer.set_rate(1.0, now)
-        self.assertTrue(pacer.take(now + 2.0 / LEAST_PER_S).granted)
+        self.assertTrue(pacer.take(now + 2.0 / MIN_RATE_PER_S).granted)
 
     def test_rate_that_wavers_loses_no_places(self) -> None:
         """The part of all nodes that a node hears may change with each round of news."""
-        pacer = Pacer.begin(0.4, 0.0)
+        pacer = Pacer.without_credit(0.4, 0.0)
         granted = 0
         for step in range(400):
             now = step * 0.1
@@ -60,12 +60,12 @@
 
     def test_one_that_begins_has_no_place_yet(self) -> None:
         for per_s in (0.4, 1.0, 50.0):
-            pacer = Pacer.begin(per_s, 5.0)
+            pacer = Pacer.without_credit(per_s, 5.0)
             self.assertFalse(pacer.take(5.0).granted)
             self.assertTrue(pacer.take(5.0 + 1.0 / per_s + 0.001).granted)
 
     def test_lower_rate_counts_at_once_and_higher_one_too(self) -> None:
-        pacer = Pacer.begin(50.0, 0.0)
+        pacer = Pacer.without_credit(50.0, 0.0)
         self.assertTrue(pacer.take(1.0).granted)
         pacer.set_rate(0.5, 1.0)
         self.assertFalse(pacer.take(2.9).granted)
@@ -74,24 +74,24 @@
         self.assertTrue(pacer.take(3.2).granted)
 
     def test_those_that_are_turned_away_are_told_different_times(self) -> None:
-        pacer = Pacer.begin(1.0, 0.0)
+        pacer = Pacer.without_credit(1.0, 0.0)
         told = [pacer.take(0.0).wait_s for _ in range(5)]
         self.assertEqual(len(set(told)), 5)
         many = [pacer.take(0.0).wait_s for _ in range(390)]
-        self.assertLessEqual(max(many), 1.0 + MOST_TOLD_S)
+        self.assertLessEqual(max(many), 1.0 + MAX_EXTRA_WAIT_S)
 
     def test_who_waits_gets_the_next_place(self) -> None:
-        pacer = Pacer.begin(2.0, 0.0)
+        pacer = Pacer.without_credit(2.0, 0.0)
         waits = [pacer.take(0.0, 1.6).wait_s for _ in range(3)]
         self.assertEqual([round(wait, 3) for wait in waits], [0.5, 1.0, 1.5])
         self.assertFalse(pacer.take(0.0, 1.6).granted)
 
     def test_what_was_sent_without_a_place_counts_within_a_bound(self) -> None:
-        pacer = Pacer.begin(1.0, 0.0)
+        pacer = Pacer.without_credit(1.0, 0.0)
         for _ in range(100):
-            pacer.spent_elsewhere(10.0)
+            pacer.record_external(10.0)
         self.assertFalse(pacer.take(11.0).granted)
-        self.assertTrue(pacer.take(10.0 + MOST_TOLD_S + 1.1).granted)
+        self.assertTrue(pacer.take(10.0 + MAX_EXTRA_WAIT_S + 1.1).granted)
 
 
 if __name__ == "__main__":
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -310,7 +310,7 @@
     ("a server without a permit isn't chosen", ServerStanding, "is_held", lambda *_: False,
      PERMITS),
     ("overtaken answers don't loosen a limit", StatedLimit, "_loosens", lambda *_: False, PERMITS),
-    ("those that are refused come one after the other", Pacer, "_turn_s",
+    ("those that are refused come one after the other", Pacer, "_retry_after_s",
      lambda _, wait_s, __: wait_s, "tests.test_pacing"),
     ("requests wait for their turn", Placer, "_wait_for_permit", _no_turn, SERVER_LIMITS),
     ("limits are made up for by renting", LimitedServers, "lost", lambda *_: 0, SERVER_LIMITS),
