--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -107,7 +107,9 @@
             self._now, _, action = heapq.heappop(self._events)
             if self._now > LENGTH_S:
                 break
-            self.tally.blocked.update(b.fingerprint for b in self.quarantine.decide(self._now))
+            self.tally.blocked.update(
+                b.fingerprint for b in self.quarantine.block_guilty(self._now)
+            )
             action()
         return self.tally
 
@@ -150,7 +152,7 @@
     def _finish(self, server: str, run: int) -> None:
         held = self._running[server].pop(run, None)
         if held is not None:
-            self.quarantine.note_served(held[0])
+            self.quarantine.record_served(held[0])
 
     def _end_if_running(self, server: str, run: int) -> None:
         if run in self._running[server]:
@@ -171,7 +173,7 @@
         self._back_at[server] = self._now + BACK_AFTER_S
         at = self._now
         names = [name for name, _ in held]
-        self._at(at + WORD_S, partial(self.quarantine.note_end, server, names, at))
+        self._at(at + WORD_S, partial(self.quarantine.record_crash, server, names, at))
         for name, repeats in held:
             guilty = name.startswith(b"guilty")
             self.tally.broken += not guilty
--- a/src/moledale/core/quarantine.py
+++ b/src/moledale/core/quarantine.py
@@ -14,36 +14,36 @@
 import msgspec
 import xxhash
 
-LEAST_STRIKES = 1.99
+MIN_STRIKES = 1.99
 """Ends that a request must explain before it is blocked: two that nothing else explains."""
 
-MOST_ENDS_UNDER = 4
+UNCONDITIONAL_BLOCK_CRASHES = 4
 """Ends under one request that get it blocked whatever else ended at the same moments, as another
 such request may come in step with it; more than the loss of several halls brings about."""
 
-TOGETHER_S = 0.25
+COINCIDENCE_S = 0.25
 """Servers that end within this time may have ended together: those of a hall fall silent within
 milliseconds, and nodes hear of each other's ends 0.02 to 0.1 s later."""
 
-SAME_END_S = 2.0
+SAME_CRASH_S = 2.0
 """Words of one server's end come within this time, and none that ends starts again sooner."""
 
-KEPT_S = 600.0
+CRASH_RETENTION_S = 600.0
 """Ends are remembered for this long. Callers who ask again by hand do so within minutes."""
 
-FIRST_BLOCK_S = 600.0
-LONGEST_BLOCK_S = 86_400.0
+INITIAL_BLOCK_S = 600.0
+MAX_BLOCK_S = 86_400.0
 """A blocked request is let through again after the first time, once, as its servers may have been
 mended. If it ends another one, the time doubles, up to the second."""
 
-MOST_ENDS = 256
+MAX_CRASHES = 256
 """Ends that are remembered, with up to 64 requests each: 0.3 MB."""
 
-MOST_BLOCKS = 128
+MAX_BLOCKS = 128
 """Blocked requests at a time. If more seem to end servers, the servers are to blame."""
 
 
-class ServerEnd(msgspec.Struct):
+class ServerCrash(msgspec.Struct):
     """A server that ended, and what ran there, as far as it was told; times are monotonic."""
 
     server: str
@@ -58,7 +58,7 @@
     until: float
     times: int = 1
 
-    def is_over(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Say whether nothing follows from it any more: it was let through for as long again."""
         return self.until + _block_s(self.times) < now
 
@@ -66,59 +66,61 @@
 class Quarantine:
     """What one node knows of requests and the servers that ended under them."""
 
-    def __init__(self, least_strikes: float = LEAST_STRIKES) -> None:
+    def __init__(self, min_strikes: float = MIN_STRIKES) -> None:
         self.blocks: dict[bytes, Block] = {}
-        self._least_strikes = least_strikes
-        self._ends: deque[ServerEnd] = deque()
-        self._under: dict[bytes, list[ServerEnd]] = {}
+        self._min_strikes = min_strikes
+        self._crashes: deque[ServerCrash] = deque()
+        self._crashes_by_request: dict[bytes, list[ServerCrash]] = {}
         self._undecided: set[bytes] = set()
 
     @property
-    def watches(self) -> bool:
+    def has_suspects(self) -> bool:
         """Say whether any request is suspected; if none is, nobody needs fingerprints."""
-        return bool(self._under or self.blocks)
+        return bool(self._crashes_by_request or self.blocks)
 
-    def note_end(self, server: str, requests: Iterable[bytes], at: float) -> None:
+    def record_crash(self, server: str, requests: Iterable[bytes], at: float) -> None:
         """Note that a server ended while requests ran there; other nodes may add more of them."""
         end = self._end_of(server, at)
         end.at = min(end.at, at)
         for fingerprint in set(requests) - end.requests:
             end.requests.add(fingerprint)
-            self._under.setdefault(fingerprint, []).append(end)
+            self._crashes_by_request.setdefault(fingerprint, []).append(end)
             self._undecided.add(fingerprint)
 
-    def note_served(self, fingerprint: bytes) -> bool:
+    def record_served(self, fingerprint: bytes) -> bool:
         """Note that a server survived a request; say whether it was suspected."""
-        for end in self._under.get(fingerprint, ()):
+        for end in self._crashes_by_request.get(fingerprint, ()):
             end.requests.discard(fingerprint)
         self._undecided.discard(fingerprint)
-        suspected = self._under.pop(fingerprint, None) is not None
+        suspected = self._crashes_by_request.pop(fingerprint, None) is not None
         return self.blocks.pop(fingerprint, None) is not None or suspected
 
-    def suspects(self, fingerprint: bytes) -> bool:
+    def is_suspect(self, fingerprint: bytes) -> bool:
         """Say whether a server ended under a request that none has survived since."""
-        return fingerprint in self._under
+        return fingerprint in self._crashes_by_request
 
     def strikes(self, fingerprint: bytes) -> float:
         """Return how many ends of servers a request explains.
 
         Of servers that ended together it explains only the part that it ran on.
         """
-        under = self._under.get(fingerprint, [])
+        under = self._crashes_by_request.get(fingerprint, [])
         return sum(self._explained(end, under) for end in under)
 
-    def _explained(self, end: ServerEnd, under: list[ServerEnd]) -> float:
-        together = sum(1 for each in self._ends if abs(each.at - end.at) <= TOGETHER_S)
-        explained = sum(1 for each in under if abs(each.at - end.at) <= TOGETHER_S)
+    def _explained(self, end: ServerCrash, under: list[ServerCrash]) -> float:
+        together = sum(1 for each in self._crashes if abs(each.at - end.at) <= COINCIDENCE_S)
+        explained = sum(1 for each in under if abs(each.at - end.at) <= COINCIDENCE_S)
         return explained / together
 
-    def decide(self, now: float) -> list[Block]:
+    def block_guilty(self, now: float) -> list[Block]:
         """Block what ends servers; return what is blocked anew.
 
         Ends that are so new that others may have come with them wait.
         """
         self._forget(now)
-        decided = [each for each in self._undecided if self._last_end_s(each) + TOGETHER_S <= now]
+        decided = [
+            each for each in self._undecided if self._last_end_s(each) + COINCIDENCE_S <= now
+        ]
         self._undecided.difference_update(decided)
         blocked = (self._judge(each, now) for each in decided)
         return [block for block in blocked if block is not None]
@@ -129,10 +131,10 @@
         if block is not None and block.until > now:
             return block.until - now
         if fingerprint in self._undecided and self._is_guilty(fingerprint):
-            return max(0.0, self._last_end_s(fingerprint) + TOGETHER_S - now)
+            return max(0.0, self._last_end_s(fingerprint) + COINCIDENCE_S - now)
         return 0.0
 
-    def take_over(self, block: Block) -> bool:
+    def merge_block(self, block: Block) -> bool:
         """Take over a block that another node decided on; say whether it was news."""
         known = self.blocks.get(block.fingerprint)
         if known is not None and known.times >= block.times:
@@ -146,38 +148,38 @@
             total ^= xxhash.xxh3_64_intdigest(block.fingerprint + block.times.to_bytes(4, "big"))
         return total
 
-    def _end_of(self, server: str, at: float) -> ServerEnd:
-        for end in reversed(self._ends):
-            if end.server == server and abs(end.at - at) <= SAME_END_S:
+    def _end_of(self, server: str, at: float) -> ServerCrash:
+        for end in reversed(self._crashes):
+            if end.server == server and abs(end.at - at) <= SAME_CRASH_S:
                 return end
-        end = ServerEnd(server, at, set())
-        self._ends.append(end)
-        if len(self._ends) > MOST_ENDS:
+        end = ServerCrash(server, at, set())
+        self._crashes.append(end)
+        if len(self._crashes) > MAX_CRASHES:
             self._drop_oldest_end()
         return end
 
     def _drop_oldest_end(self) -> None:
-        end = self._ends.popleft()
+        end = self._crashes.popleft()
         for fingerprint in end.requests:
-            left = [each for each in self._under[fingerprint] if each is not end]
+            left = [each for each in self._crashes_by_request[fingerprint] if each is not end]
             if left:
-                self._under[fingerprint] = left
+                self._crashes_by_request[fingerprint] = left
             else:
-                del self._under[fingerprint]
+                del self._crashes_by_request[fingerprint]
                 self._undecided.discard(fingerprint)
 
     def _last_end_s(self, fingerprint: bytes) -> float:
-        return max((end.at for end in self._under.get(fingerprint, ())), default=0.0)
+        return max((end.at for end in self._crashes_by_request.get(fingerprint, ())), default=0.0)
 
     def _is_guilty(self, fingerprint: bytes) -> bool:
         """Say whether a request explains enough ends; after a block one more is enough."""
         before = self.blocks.get(fingerprint)
         if before is not None:
             begun = before.until - _block_s(before.times)
-            return self._last_end_s(fingerprint) > begun + SAME_END_S
-        if len(self._under.get(fingerprint, ())) >= MOST_ENDS_UNDER:
+            return self._last_end_s(fingerprint) > begun + SAME_CRASH_S
+        if len(self._crashes_by_request.get(fingerprint, ())) >= UNCONDITIONAL_BLOCK_CRASHES:
             return True
-        return self.strikes(fingerprint) >= self._least_strikes
+        return self.strikes(fingerprint) >= self._min_strikes
 
     def _judge(self, fingerprint: bytes, now: float) -> Block | None:
         if not self._is_guilty(fingerprint):
@@ -190,18 +192,18 @@
         return block if self._keep(block) else None
 
     def _keep(self, block: Block) -> bool:
-        if block.fingerprint not in self.blocks and len(self.blocks) >= MOST_BLOCKS:
+        if block.fingerprint not in self.blocks and len(self.blocks) >= MAX_BLOCKS:
             return False
         self.blocks[block.fingerprint] = block
         return True
 
     def _forget(self, now: float) -> None:
-        while self._ends and self._ends[0].at < now - KEPT_S:
+        while self._crashes and self._crashes[0].at < now - CRASH_RETENTION_S:
             self._drop_oldest_end()
-        for block in [each for each in self.blocks.values() if each.is_over(now)]:
+        for block in [each for each in self.blocks.values() if each.is_expired(now)]:
             del self.blocks[block.fingerprint]
 
 
 def _block_s(times: int) -> float:
     """Return how long the n-th block of a request lasts."""
-    return min(FIRST_BLOCK_S * 2.0 ** (times - 1), LONGEST_BLOCK_S)
+    return min(INITIAL_BLOCK_S * 2.0 ** (times - 1), MAX_BLOCK_S)
--- a/src/moledale/gateway/quarantine_sharing.py
+++ b/src/moledale/gateway/quarantine_sharing.py
@@ -120,7 +120,7 @@
         now = self._now()
         for told in news.blocks:
             block = Block(told.fingerprint, now + told.left_s, told.times)
-            self._guard.quarantine.take_over(block)
+            self._guard.quarantine.merge_block(block)
         self.informed = self.informed or news.all
 
     def _tell_end(self, end: EndSeen) -> None:
--- a/src/moledale/gateway/quarantine_store.py
+++ b/src/moledale/gateway/quarantine_store.py
@@ -108,7 +108,7 @@
     def _held_of(self, blocks: dict[bytes, Block]) -> dict[bytes, Block]:
         """Return the blocks that are not over."""
         now = self._now()
-        return {name: block for name, block in blocks.items() if not block.is_over(now)}
+        return {name: block for name, block in blocks.items() if not block.is_expired(now)}
 
     def _needs_reading(self) -> bool:
         """Say whether callers come here and no peer has told what is blocked.
@@ -126,10 +126,10 @@
         blocks = [self._block_of(row, reading.store_s) for row in reading.rows]
         known = [block for block in blocks if block is not None]
         for block in known:
-            if not block.is_over(self._now()):
-                self._guard.quarantine.take_over(block)
+            if not block.is_expired(self._now()):
+                self._guard.quarantine.merge_block(block)
         self._sharing.informed = True
-        await self._remove([block for block in known if block.is_over(self._now())])
+        await self._remove([block for block in known if block.is_expired(self._now())])
         return True
 
     def _block_of(self, row: StateRow, store_s: float) -> Block | None:
--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from moledale.clock import monotonic
-from moledale.core.quarantine import TOGETHER_S, Block, Quarantine
+from moledale.core.quarantine import COINCIDENCE_S, Block, Quarantine
 from moledale.gateway.fingerprint import fingerprint
 from moledale.gateway.job import Job
 from moledale.gateway.messages import InboundRequest
@@ -61,13 +61,13 @@
 
     def wait_s(self, request: InboundRequest, account: str | None) -> float:
         """Return how long a request that arrives may not run, 0.0 if it may now."""
-        if not self.quarantine.watches:
+        if not self.quarantine.has_suspects:
             return 0.0
         return self.quarantine.wait_s(fingerprint(request, account), self._now())
 
     def may_send_again(self, job: Job) -> bool:
         """Say whether a request under way may go to another server."""
-        if not self.quarantine.watches:
+        if not self.quarantine.has_suspects:
             return True
         return self.quarantine.wait_s(job.fingerprint, self._now()) == 0.0
 
@@ -83,13 +83,13 @@
 
     def served(self, job: Job) -> None:
         """Note that a server survived a request, which is not to blame for ends then."""
-        if self.quarantine.watches and self.quarantine.note_served(job.fingerprint):
+        if self.quarantine.has_suspects and self.quarantine.record_served(job.fingerprint):
             self.on_cleared(job.fingerprint)
 
     def cleared_elsewhere(self, requests: list[bytes]) -> None:
         """Take over that servers survived requests at another node."""
         for each in requests:
-            self.quarantine.note_served(each)
+            self.quarantine.record_served(each)
 
     def ended_elsewhere(self, server: str, requests: list[bytes], at: float) -> None:
         """Take over that a server ended on which another node had requests running."""
@@ -97,9 +97,9 @@
 
     def decide(self) -> None:
         """Block the requests that end servers."""
-        for block in self.quarantine.decide(self._now()):
+        for block in self.quarantine.block_guilty(self._now()):
             self._tell_blocked(block)
-        self._seen_here = {each for each in self._seen_here if self.quarantine.suspects(each)}
+        self._seen_here = {each for each in self._seen_here if self.quarantine.is_suspect(each)}
 
     def _looked(self, broken: BrokenOff, ended: bool) -> None:
         if not ended:
@@ -108,7 +108,7 @@
             return
         # One request may end a server of a good version, and breaks all others off with it: an end
         # is one failure of the version, and none if a request was there that ended servers before.
-        if not any(self.quarantine.suspects(each) for each in broken.requests):
+        if not any(self.quarantine.is_suspect(each) for each in broken.requests):
             self._blame(broken.placements[0])
         self._saw_end(broken.server.id, broken.requests, broken.at)
 
@@ -120,8 +120,8 @@
         self.on_end(EndSeen(server, requests, at))
 
     def _note(self, server: str, requests: list[bytes], at: float) -> None:
-        self.quarantine.note_end(server, requests, at)
-        in_s = max(0.0, at + TOGETHER_S - self._now())
+        self.quarantine.record_crash(server, requests, at)
+        in_s = max(0.0, at + COINCIDENCE_S - self._now())
         asyncio.get_running_loop().call_later(in_s, self.decide)
 
     def _tell_blocked(self, block: Block) -> None:
--- a/src/moledale/node/generation_guard.py
+++ b/src/moledale/node/generation_guard.py
@@ -47,15 +47,15 @@
 
     def wait_s(self, request: GenerationRequest) -> float:
         """Return how long a generation may not run, 0.0 if it may now."""
-        if not self._quarantine.watches:
+        if not self._quarantine.has_suspects:
             return 0.0
         self.decide()
         return self._quarantine.wait_s(_fingerprint(request), self._clock.monotonic())
 
     def served(self, request: GenerationRequest) -> None:
         """Note that a server survived a generation."""
-        if self._quarantine.watches:
-            self._quarantine.note_served(_fingerprint(request))
+        if self._quarantine.has_suspects:
+            self._quarantine.record_served(_fingerprint(request))
 
     def broke_off(self, request: GenerationRequest, server: str, address: str) -> None:
         """Note that a generation broke off; whether its server ended is found out."""
@@ -74,7 +74,7 @@
     def decide(self) -> None:
         """Block the generations that end servers."""
         now = self._clock.monotonic()
-        for block in self._quarantine.decide(now):
+        for block in self._quarantine.block_guilty(now):
             emit(
                 Event.REQUEST_BLOCKED,
                 fingerprint=block.fingerprint.hex(),
@@ -97,7 +97,7 @@
     def _note_end(self, server: str, requests: list[bytes], at: float) -> None:
         names = [each.hex() for each in requests]
         emit(Event.SERVER_ENDED, server=server, requests=len(requests), fingerprints=names)
-        self._quarantine.note_end(server, requests, at)
+        self._quarantine.record_crash(server, requests, at)
 
 
 def _fingerprint(request: GenerationRequest) -> bytes:
--- a/tests/test_generation_guard.py
+++ b/tests/test_generation_guard.py
@@ -6,7 +6,7 @@
 
 import unittest
 
-from moledale.core.quarantine import FIRST_BLOCK_S
+from moledale.core.quarantine import INITIAL_BLOCK_S
 from moledale.problems import Ran
 from tests.world import World, in_world
 
@@ -39,7 +39,7 @@
         before = sum(not engine.alive for engine in world.engines.values())
         refused = dispatcher.submit(world.request(GUILTY)).unwrap_err()
         self.assertEqual((refused.status, refused.ran), (503, Ran.NO))
-        self.assertGreater(refused.retry_after or 0, FIRST_BLOCK_S - 60)
+        self.assertGreater(refused.retry_after or 0, INITIAL_BLOCK_S - 60)
         self.assertEqual(before, 3)
         self.assertEqual(sum(not engine.alive for engine in world.engines.values()), before)
 
--- a/tests/test_quarantine_core.py
+++ b/tests/test_quarantine_core.py
@@ -6,23 +6,23 @@
 from hypothesis import strategies as st
 
 from moledale.core.quarantine import (
-    FIRST_BLOCK_S,
-    KEPT_S,
-    LONGEST_BLOCK_S,
-    MOST_BLOCKS,
-    MOST_ENDS,
-    SAME_END_S,
-    TOGETHER_S,
+    COINCIDENCE_S,
+    CRASH_RETENTION_S,
+    INITIAL_BLOCK_S,
+    MAX_BLOCK_S,
+    MAX_BLOCKS,
+    MAX_CRASHES,
+    SAME_CRASH_S,
     Block,
     Quarantine,
 )
 
 GUILTY = b"guilty"
-LATER_S = TOGETHER_S + 0.01
+LATER_S = COINCIDENCE_S + 0.01
 
 
 def blocked(quarantine: Quarantine, now: float) -> list[bytes]:
-    return [block.fingerprint for block in quarantine.decide(now)]
+    return [block.fingerprint for block in quarantine.block_guilty(now)]
 
 
 class BlamedTest(unittest.TestCase):
@@ -30,43 +30,43 @@
 
     def test_second_end_that_nothing_else_explains_blocks(self) -> None:
         quarantine = Quarantine()
-        quarantine.note_end("s1", [GUILTY, b"a", b"b"], 0.0)
+        quarantine.record_crash("s1", [GUILTY, b"a", b"b"], 0.0)
         self.assertEqual(blocked(quarantine, LATER_S), [])
         self.assertEqual(quarantine.wait_s(GUILTY, LATER_S), 0.0)
-        quarantine.note_end("s2", [GUILTY, b"c"], 5.0)
+        quarantine.record_crash("s2", [GUILTY, b"c"], 5.0)
         self.assertGreater(quarantine.wait_s(GUILTY, 5.0), 0.0)
         self.assertEqual(blocked(quarantine, 5.0 + LATER_S), [GUILTY])
-        self.assertGreater(quarantine.wait_s(GUILTY, 6.0), FIRST_BLOCK_S - 2.0)
+        self.assertGreater(quarantine.wait_s(GUILTY, 6.0), INITIAL_BLOCK_S - 2.0)
         self.assertEqual([quarantine.wait_s(each, 6.0) for each in (b"a", b"b", b"c")], [0.0] * 3)
 
     def test_words_of_one_end_from_many_nodes_are_one_end(self) -> None:
         quarantine = Quarantine()
-        for delay in (0.0, 0.02, 0.3, SAME_END_S):
-            quarantine.note_end("s1", [GUILTY], delay)
+        for delay in (0.0, 0.02, 0.3, SAME_CRASH_S):
+            quarantine.record_crash("s1", [GUILTY], delay)
         self.assertEqual(blocked(quarantine, 5.0), [])
         self.assertAlmostEqual(quarantine.strikes(GUILTY), 1.0)
 
     def test_server_that_is_back_under_its_name_may_end_again(self) -> None:
         quarantine = Quarantine()
-        quarantine.note_end("s1", [GUILTY], 0.0)
-        quarantine.note_end("s1", [GUILTY], 4.0)
+        quarantine.record_crash("s1", [GUILTY], 0.0)
+        quarantine.record_crash("s1", [GUILTY], 4.0)
         self.assertEqual(blocked(quarantine, 5.0), [GUILTY])
 
     def test_answer_of_a_server_clears_a_request(self) -> None:
         quarantine = Quarantine()
-        quarantine.note_end("s1", [b"a"], 0.0)
-        self.assertTrue(quarantine.note_served(b"a"))
-        self.assertFalse(quarantine.note_served(b"a"))
-        quarantine.note_end("s2", [b"a"], 5.0)
+        quarantine.record_crash("s1", [b"a"], 0.0)
+        self.assertTrue(quarantine.record_served(b"a"))
+        self.assertFalse(quarantine.record_served(b"a"))
+        quarantine.record_crash("s2", [b"a"], 5.0)
         self.assertEqual(blocked(quarantine, 6.0), [])
 
     def test_request_that_many_callers_send_is_not_blocked_by_ends_far_between(self) -> None:
         """It runs everywhere all the time, so it ran on each server that ended; it is answered."""
         quarantine = Quarantine()
         for number in range(20):
-            quarantine.note_end(f"s{number}", [b"popular"], 10.0 * number)
+            quarantine.record_crash(f"s{number}", [b"popular"], 10.0 * number)
             self.assertEqual(blocked(quarantine, 10.0 * number + LATER_S), [])
-            quarantine.note_served(b"popular")
+            quarantine.record_served(b"popular")
 
     def test_halls_that_go_block_nothing(self) -> None:
         """Two halls of four servers go, and requests of the first were sent on to the second."""
@@ -74,15 +74,15 @@
         for hall in range(2):
             for server in range(4):
                 name = f"h{hall}s{server}"
-                quarantine.note_end(name, [b"r%d" % server], hall * 2.0 + server * 0.01)
-                quarantine.decide(hall * 2.0 + server * 0.01)
+                quarantine.record_crash(name, [b"r%d" % server], hall * 2.0 + server * 0.01)
+                quarantine.block_guilty(hall * 2.0 + server * 0.01)
         self.assertEqual(blocked(quarantine, 3.0), [])
         self.assertAlmostEqual(quarantine.strikes(b"r1"), 0.5)
 
     def test_copies_of_one_request_explain_ends_at_the_same_moment(self) -> None:
         quarantine = Quarantine()
         for number in range(3):
-            quarantine.note_end(f"s{number}", [GUILTY, b"r%d" % number], 0.01 * number)
+            quarantine.record_crash(f"s{number}", [GUILTY, b"r%d" % number], 0.01 * number)
         self.assertEqual(blocked(quarantine, 1.0), [GUILTY])
 
     def test_guilty_ones_in_step_are_blocked_at_the_fourth_end(self) -> None:
@@ -91,7 +91,7 @@
         for turn in range(4):
             at = 3.0 * turn
             for name in (b"one", b"two", b"three"):
-                quarantine.note_end(f"s{turn}{name!r}", [name], at)
+                quarantine.record_crash(f"s{turn}{name!r}", [name], at)
             found.append(sorted(blocked(quarantine, at + LATER_S)))
         self.assertEqual(found, [[], [], [], [b"one", b"three", b"two"]])
 
@@ -101,60 +101,60 @@
 
     def blocked_at(self, at: float) -> Quarantine:
         quarantine = Quarantine()
-        quarantine.note_end("s1", [GUILTY], at - 1.0)
-        quarantine.note_end("s2", [GUILTY], at - LATER_S)
+        quarantine.record_crash("s1", [GUILTY], at - 1.0)
+        quarantine.record_crash("s2", [GUILTY], at - LATER_S)
         self.assertEqual(blocked(quarantine, at), [GUILTY])
         return quarantine
 
     def test_after_a_block_one_more_end_blocks_for_twice_as_long(self) -> None:
         quarantine = self.blocked_at(10.0)
-        again = 10.0 + FIRST_BLOCK_S + 1.0
+        again = 10.0 + INITIAL_BLOCK_S + 1.0
         self.assertEqual(quarantine.wait_s(GUILTY, again), 0.0)
         self.assertEqual(blocked(quarantine, again), [])
-        quarantine.note_end("s3", [GUILTY], again)
+        quarantine.record_crash("s3", [GUILTY], again)
         self.assertEqual(blocked(quarantine, again + LATER_S), [GUILTY])
         left_s = quarantine.wait_s(GUILTY, again + LATER_S)
-        self.assertAlmostEqual(left_s, 2 * FIRST_BLOCK_S, delta=1.0)
+        self.assertAlmostEqual(left_s, 2 * INITIAL_BLOCK_S, delta=1.0)
 
     def test_ends_that_led_to_a_block_do_not_lead_to_the_next(self) -> None:
         quarantine = self.blocked_at(10.0)
-        quarantine.note_end("s2", [GUILTY], 10.5)
-        for now in (11.0, 10.0 + FIRST_BLOCK_S + 0.5):
+        quarantine.record_crash("s2", [GUILTY], 10.5)
+        for now in (11.0, 10.0 + INITIAL_BLOCK_S + 0.5):
             self.assertEqual(blocked(quarantine, now), [])
 
     def test_request_that_is_served_after_its_block_is_forgotten(self) -> None:
         quarantine = self.blocked_at(10.0)
-        self.assertTrue(quarantine.note_served(GUILTY))
-        self.assertFalse(quarantine.watches)
+        self.assertTrue(quarantine.record_served(GUILTY))
+        self.assertFalse(quarantine.has_suspects)
 
     def test_block_never_lasts_longer_than_a_day(self) -> None:
         quarantine = Quarantine()
-        quarantine.take_over(Block(GUILTY, 100.0, times=40))
-        quarantine.note_end("s1", [GUILTY], 200.0)
+        quarantine.merge_block(Block(GUILTY, 100.0, times=40))
+        quarantine.record_crash("s1", [GUILTY], 200.0)
         self.assertEqual(blocked(quarantine, 201.0), [GUILTY])
-        self.assertLessEqual(quarantine.wait_s(GUILTY, 201.0), LONGEST_BLOCK_S)
+        self.assertLessEqual(quarantine.wait_s(GUILTY, 201.0), MAX_BLOCK_S)
 
     def test_all_is_forgotten_in_time(self) -> None:
         quarantine = self.blocked_at(10.0)
-        quarantine.decide(10.0 + KEPT_S + 1.0)
-        self.assertFalse(quarantine.suspects(GUILTY))
-        quarantine.decide(10.0 + 2 * FIRST_BLOCK_S + 1.0)
-        self.assertFalse(quarantine.watches)
+        quarantine.block_guilty(10.0 + CRASH_RETENTION_S + 1.0)
+        self.assertFalse(quarantine.is_suspect(GUILTY))
+        quarantine.block_guilty(10.0 + 2 * INITIAL_BLOCK_S + 1.0)
+        self.assertFalse(quarantine.has_suspects)
 
     def test_what_is_remembered_is_bounded(self) -> None:
         quarantine = Quarantine()
-        for number in range(3 * MOST_ENDS):
+        for number in range(3 * MAX_CRASHES):
             name = b"r%d" % number
             for turn in (0.0, 0.5):
-                quarantine.note_end(f"s{number}.{turn}", [name], 2.0 * number + turn)
-            quarantine.decide(2.0 * number + 1.0)
-        self.assertLessEqual(len(quarantine.blocks), MOST_BLOCKS)
-        self.assertFalse(quarantine.suspects(b"r0"))
+                quarantine.record_crash(f"s{number}.{turn}", [name], 2.0 * number + turn)
+            quarantine.block_guilty(2.0 * number + 1.0)
+        self.assertLessEqual(len(quarantine.blocks), MAX_BLOCKS)
+        self.assertFalse(quarantine.is_suspect(b"r0"))
 
     def test_newer_block_of_another_node_is_taken_over_and_an_older_one_is_not(self) -> None:
         quarantine = Quarantine()
-        self.assertTrue(quarantine.take_over(Block(GUILTY, 100.0, times=2)))
-        self.assertFalse(quarantine.take_over(Block(GUILTY, 900.0, times=1)))
+        self.assertTrue(quarantine.merge_block(Block(GUILTY, 100.0, times=2)))
+        self.assertFalse(quarantine.merge_block(Block(GUILTY, 900.0, times=1)))
         self.assertEqual(quarantine.wait_s(GUILTY, 0.0), 100.0)
 
     @given(st.lists(st.tuples(st.binary(min_size=1, max_size=2), st.integers(1, 3)), max_size=8))
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -45,7 +45,7 @@
                     await asyncio.sleep(0.1)
                 guard = world.forwarder.guard
                 guard.decide()
-                self.assertFalse(guard.quarantine.watches)
+                self.assertFalse(guard.quarantine.has_suspects)
 
         quietly(work())
 
@@ -79,7 +79,7 @@
                     server.end()
                     await asked
                 await asyncio.sleep(0.1)
-                self.assertFalse(world.forwarder.guard.quarantine.watches)
+                self.assertFalse(world.forwarder.guard.quarantine.has_suspects)
 
         quietly(work())
 
@@ -302,10 +302,10 @@
         async def work(network: Network) -> None:
             network.end("n1", "s1", [GUILTY])
             guard = network.guards["n2"]
-            self.assertTrue(guard.quarantine.suspects(GUILTY))
-            self.assertTrue(guard.quarantine.note_served(GUILTY))
+            self.assertTrue(guard.quarantine.is_suspect(GUILTY))
+            self.assertTrue(guard.quarantine.record_served(GUILTY))
             guard.on_cleared(GUILTY)
-            self.assertFalse(network.guards["n1"].quarantine.suspects(GUILTY))
+            self.assertFalse(network.guards["n1"].quarantine.is_suspect(GUILTY))
 
         over_network(work)
 
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -278,7 +278,7 @@
     ("a request is known when it comes again", RequestGuard, "wait_s", lambda *_: 0.0, BLOCKS),
     ("only servers that ended count", EndWatch, "_has_ended", _always_ended, BLOCKS),
     ("ends at the same moment are shared out", Quarantine, "_explained", lambda *_: 1.0, BLAME),
-    ("an answer clears its request", Quarantine, "note_served", lambda *_: False, BLAME),
+    ("an answer clears its request", Quarantine, "record_served", lambda *_: False, BLAME),
     ("ends are told between nodes", QuarantineSharing, "_send_end", lambda *_: None, BLOCKS),
     ("ends are told once more", quarantine_sharing, "TELL_AGAIN_S", 1e6, BLOCKS),
     ("a node that lacks blocks is told", QuarantineSharing, "heard_digest", lambda *_: None,
