--- a/src/moledale/core/quarantine.py
+++ b/src/moledale/core/quarantine.py
@@ -60,7 +60,7 @@
 
     def is_expired(self, now: float) -> bool:
         """Say whether nothing follows from it any more: it was let through for as long again."""
-        return self.until + _block_s(self.times) < now
+        return self.until + _block_duration_s(self.times) < now
 
 
 class Quarantine:
@@ -80,7 +80,7 @@
 
     def record_crash(self, server: str, requests: Iterable[bytes], at: float) -> None:
         """Note that a server ended while requests ran there; other nodes may add more of them."""
-        end = self._end_of(server, at)
+        end = self._find_or_add_crash(server, at)
         end.at = min(end.at, at)
         for fingerprint in set(requests) - end.requests:
             end.requests.add(fingerprint)
@@ -117,12 +117,12 @@
 
         Ends that are so new that others may have come with them wait.
         """
-        self._forget(now)
+        self._expire(now)
         decided = [
-            each for each in self._undecided if self._last_end_s(each) + COINCIDENCE_S <= now
+            each for each in self._undecided if self._last_crash_at(each) + COINCIDENCE_S <= now
         ]
         self._undecided.difference_update(decided)
-        blocked = (self._judge(each, now) for each in decided)
+        blocked = (self._block_if_guilty(each, now) for each in decided)
         return [block for block in blocked if block is not None]
 
     def wait_s(self, fingerprint: bytes, now: float) -> float:
@@ -131,7 +131,7 @@
         if block is not None and block.until > now:
             return block.until - now
         if fingerprint in self._undecided and self._is_guilty(fingerprint):
-            return max(0.0, self._last_end_s(fingerprint) + COINCIDENCE_S - now)
+            return max(0.0, self._last_crash_at(fingerprint) + COINCIDENCE_S - now)
         return 0.0
 
     def merge_block(self, block: Block) -> bool:
@@ -139,7 +139,7 @@
         known = self.blocks.get(block.fingerprint)
         if known is not None and known.times >= block.times:
             return False
-        return self._keep(block)
+        return self._add_block(block)
 
     def digest(self) -> int:
         """Return a number that two nodes share if they have the same blocks (64 bits)."""
@@ -148,17 +148,17 @@
             total ^= xxhash.xxh3_64_intdigest(block.fingerprint + block.times.to_bytes(4, "big"))
         return total
 
-    def _end_of(self, server: str, at: float) -> ServerCrash:
+    def _find_or_add_crash(self, server: str, at: float) -> ServerCrash:
         for end in reversed(self._crashes):
             if end.server == server and abs(end.at - at) <= SAME_CRASH_S:
                 return end
         end = ServerCrash(server, at, set())
         self._crashes.append(end)
         if len(self._crashes) > MAX_CRASHES:
-            self._drop_oldest_end()
+            self._drop_oldest_crash()
         return end
 
-    def _drop_oldest_end(self) -> None:
+    def _drop_oldest_crash(self) -> None:
         end = self._crashes.popleft()
         for fingerprint in end.requests:
             left = [each for each in self._crashes_by_request[fingerprint] if each is not end]
@@ -168,42 +168,42 @@
                 del self._crashes_by_request[fingerprint]
                 self._undecided.discard(fingerprint)
 
-    def _last_end_s(self, fingerprint: bytes) -> float:
+    def _last_crash_at(self, fingerprint: bytes) -> float:
         return max((end.at for end in self._crashes_by_request.get(fingerprint, ())), default=0.0)
 
     def _is_guilty(self, fingerprint: bytes) -> bool:
         """Say whether a request explains enough ends; after a block one more is enough."""
         before = self.blocks.get(fingerprint)
         if before is not None:
-            begun = before.until - _block_s(before.times)
-            return self._last_end_s(fingerprint) > begun + SAME_CRASH_S
+            begun = before.until - _block_duration_s(before.times)
+            return self._last_crash_at(fingerprint) > begun + SAME_CRASH_S
         if len(self._crashes_by_request.get(fingerprint, ())) >= UNCONDITIONAL_BLOCK_CRASHES:
             return True
         return self.strikes(fingerprint) >= self._min_strikes
 
-    def _judge(self, fingerprint: bytes, now: float) -> Block | None:
+    def _block_if_guilty(self, fingerprint: bytes, now: float) -> Block | None:
         if not self._is_guilty(fingerprint):
             return None
         before = self.blocks.get(fingerprint)
         if before is not None and before.until > now:
             return None
         times = before.times + 1 if before is not None else 1
-        block = Block(fingerprint, now + _block_s(times), times)
-        return block if self._keep(block) else None
+        block = Block(fingerprint, now + _block_duration_s(times), times)
+        return block if self._add_block(block) else None
 
-    def _keep(self, block: Block) -> bool:
+    def _add_block(self, block: Block) -> bool:
         if block.fingerprint not in self.blocks and len(self.blocks) >= MAX_BLOCKS:
             return False
         self.blocks[block.fingerprint] = block
         return True
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         while self._crashes and self._crashes[0].at < now - CRASH_RETENTION_S:
-            self._drop_oldest_end()
+            self._drop_oldest_crash()
         for block in [each for each in self.blocks.values() if each.is_expired(now)]:
             del self.blocks[block.fingerprint]
 
 
-def _block_s(times: int) -> float:
+def _block_duration_s(times: int) -> float:
     """Return how long the n-th block of a request lasts."""
     return min(INITIAL_BLOCK_S * 2.0 ** (times - 1), MAX_BLOCK_S)
