--- a/bench/replay.py
+++ b/bench/replay.py
@@ -321,7 +321,7 @@
         ready = eligible(node.book.views.values(), self._need(request))
         slots = sum(view.speeds.slots for view in ready)
         free = sum(max(0, view.speeds.slots - view.running) for view in ready)
-        ahead = node.queue.ahead_of(request.turn.priority, self._now)
+        ahead = node.queue.count_ahead(request.turn.priority, self._now)
         # Other nodes draw on the same slots; each counts on its part of them.
         part = 1 / len(self._nodes)
         wait = estimated_wait_s(ahead, free, max(1, round(slots * part)), node.service_s)
@@ -341,7 +341,7 @@
     def _tick(self) -> None:
         if self._policy.refuses:
             for node in self._nodes:
-                for request in node.queue.expired(self._now):
+                for request in node.queue.pop_expired(self._now):
                     request.refused_at = self._now
         for index in range(len(self._nodes)):
             self._pump(index)
--- a/src/moledale/core/queueing.py
+++ b/src/moledale/core/queueing.py
@@ -12,7 +12,7 @@
 
 T = TypeVar("T")
 
-OFFSET_S = {Priority.IMMEDIATE: 0.0, Priority.NORMAL: 3.0, Priority.CAN_WAIT: 30.0}
+RANK_OFFSET_S = {Priority.IMMEDIATE: 0.0, Priority.NORMAL: 3.0, Priority.CAN_WAIT: 30.0}
 """Seconds by which a priority stands behind immediate work that arrives together with it."""
 
 
@@ -23,11 +23,11 @@
     deadline: float = field(compare=False)
     priority: Priority = field(compare=False)
     item: T = field(compare=False)
-    gone: bool = field(default=False, compare=False)
+    removed: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Offered(Generic[T]):
+class OfferResult(Generic[T]):
     """What became of an offer: whether it waits, and whom it pushed out."""
 
     accepted: bool
@@ -37,8 +37,8 @@
 class WaitingQueue(Generic[T]):
     """A bounded queue by rank; when full, lower-priority work gives way, newest first."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
         self._heap: list[_Entry[T]] = []
         self._entries: dict[int, _Entry[T]] = {}
         self._serial = 0
@@ -46,20 +46,20 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def offer(self, item: T, priority: Priority, now: float, deadline: float) -> Offered[T]:
+    def offer(self, item: T, priority: Priority, now: float, deadline: float) -> OfferResult[T]:
         """Let an item wait, or refuse it if there is no room for its priority."""
         pushed_out: T | None = None
-        if len(self._entries) >= self._most:
-            victim = self._give_way(priority)
+        if len(self._entries) >= self._capacity:
+            victim = self._find_victim(priority)
             if victim is None:
-                return Offered(False)
+                return OfferResult(False)
             pushed_out = victim.item
             self._drop(victim)
         self._serial += 1
-        entry = _Entry(now + OFFSET_S[priority], self._serial, deadline, priority, item)
+        entry = _Entry(now + RANK_OFFSET_S[priority], self._serial, deadline, priority, item)
         self._entries[id(item)] = entry
         heapq.heappush(self._heap, entry)
-        return Offered(True, pushed_out)
+        return OfferResult(True, pushed_out)
 
     def remove(self, item: T) -> None:
         """Take an item out, wherever it stands."""
@@ -67,7 +67,7 @@
         if entry is not None:
             self._drop(entry)
 
-    def expired(self, now: float) -> list[T]:
+    def pop_expired(self, now: float) -> list[T]:
         """Take out and return every item whose deadline has passed."""
         late = [entry for entry in self._entries.values() if entry.deadline <= now]
         for entry in late:
@@ -78,23 +78,23 @@
         """Return the waiting items, next first."""
         return [entry.item for entry in sorted(self._entries.values())]
 
-    def ahead_of(self, priority: Priority, now: float) -> int:
+    def count_ahead(self, priority: Priority, now: float) -> int:
         """Count the items that a new one of this priority would wait behind."""
-        rank = now + OFFSET_S[priority]
+        rank = now + RANK_OFFSET_S[priority]
         return sum(1 for entry in self._entries.values() if entry.rank <= rank)
 
-    def _give_way(self, priority: Priority) -> _Entry[T] | None:
+    def _find_victim(self, priority: Priority) -> _Entry[T] | None:
         lower = [
             entry
             for entry in self._entries.values()
-            if OFFSET_S[entry.priority] > OFFSET_S[priority]
+            if RANK_OFFSET_S[entry.priority] > RANK_OFFSET_S[priority]
         ]
         return max(lower, default=None)
 
     def _drop(self, entry: _Entry[T]) -> None:
-        entry.gone = True
+        entry.removed = True
         self._entries.pop(id(entry.item), None)
-        while self._heap and self._heap[0].gone:
+        while self._heap and self._heap[0].removed:
             heapq.heappop(self._heap)
 
 
--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -75,7 +75,7 @@
             return problems.unavailable(f"no server holds model {request.model!r} now", 5)
         slots = sum(view.speeds.slots for view in ready)
         free = sum(max(0, view.speeds.slots - view.running) for view in ready)
-        ahead = self._queue.ahead_of(request.priority, self._clock.wall())
+        ahead = self._queue.count_ahead(request.priority, self._clock.wall())
         wait = estimated_wait_s(ahead, free, slots, self._service_s)
         if self._clock.wall() + wait <= request.deadline_at:
             return None
@@ -136,7 +136,7 @@
 
     def refuse_expired(self) -> None:
         """Refuse waiting requests whose deadline has passed."""
-        for waiter in self._queue.expired(self._clock.wall()):
+        for waiter in self._queue.pop_expired(self._clock.wall()):
             self._resolve(waiter, problems.deadline_passed("it passed while waiting", Ran.NO))
 
     def _resolve(self, waiter: _Waiter, outcome: Reservation | Problem) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,7 +14,7 @@
 from moledale.core.freshness import Freshness, Verdict, decide_verdict
 from moledale.core.leases import Lease, LeaseAction, LeaseRow, may_send_order
 from moledale.core.limits import RetryBudget, TokenBucket, node_rate
-from moledale.core.queueing import OFFSET_S, WaitingQueue, estimated_wait_s
+from moledale.core.queueing import RANK_OFFSET_S, WaitingQueue, estimated_wait_s
 from moledale.core.reclaim import Course, Held, ReclaimView, plan
 from moledale.core.renting import Held as Rented
 from moledale.core.renting import Refusal, Rent, RentView
@@ -152,7 +152,7 @@
         queue.offer("old wait", Priority.CAN_WAIT, 0.0, 99)
         queue.offer("normal", Priority.NORMAL, 1.0, 99)
         queue.offer("now", Priority.IMMEDIATE, 2.0, 99)
-        late = OFFSET_S[Priority.CAN_WAIT] + 1.0
+        late = RANK_OFFSET_S[Priority.CAN_WAIT] + 1.0
         queue.offer("late now", Priority.IMMEDIATE, late, 99)
         self.assertEqual(queue.in_order(), ["now", "normal", "old wait", "late now"])
 
@@ -169,7 +169,7 @@
         queue: WaitingQueue[str] = WaitingQueue(5)
         queue.offer("a", Priority.NORMAL, 0.0, 1.0)
         queue.offer("b", Priority.NORMAL, 0.0, 5.0)
-        self.assertEqual(queue.expired(1.0), ["a"])
+        self.assertEqual(queue.pop_expired(1.0), ["a"])
         queue.remove("b")
         queue.remove("b")
         self.assertEqual(len(queue), 0)
