--- a/bench/replay.py
+++ b/bench/replay.py
@@ -442,11 +442,11 @@
             by_id = {one.id: one for one in held}
             spent = 0.0
             for key, course in reclaim.plan(held, view).items():
-                if course is reclaim.Course.MOVE:
+                if course is reclaim.ReclaimAction.MOVE:
                     spent += by_id[key].kv_bytes / view.bandwidth
                     move = self._move_idle if by_id[key].idle else self._move
                     self._after(spent, partial(move, index, engine, key))
-                elif course is reclaim.Course.PREFILL and not by_id[key].idle:
+                elif course is reclaim.ReclaimAction.PREFILL and not by_id[key].idle:
                     self._leave(engine, key)
 
     def _held(self, node: _Node, engine: _Engine, mine: dict[str, Request]) -> list[reclaim.Held]:
--- a/src/moledale/core/reclaim.py
+++ b/src/moledale/core/reclaim.py
@@ -4,18 +4,18 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-SAFETY_S = 0.5
+NOTICE_MARGIN_S = 0.5
 """Part of a notice that is never planned with."""
 
 
-WORTH = 4.0
+MAX_TRANSFER_TO_PREFILL_RATIO = 4.0
 """A transfer may take this many times as long as computing again: it takes no server's time."""
 
-RETURN_SHARE = 0.5
+IDLE_RETURN_SHARE = 0.5
 """Part of the idle sessions that are taken to have another turn soon."""
 
 
-class Course(StrEnum):
+class ReclaimAction(StrEnum):
     """The ways to bring a stream through a reclaim."""
 
     FINISH = "finish"
@@ -52,16 +52,16 @@
     prefill_tokens_per_s: float
 
 
-def plan(streams: Sequence[Held], view: ReclaimView) -> dict[str, Course]:
+def plan(streams: Sequence[Held], view: ReclaimView) -> dict[str, ReclaimAction]:
     """Choose a course for each stream.
 
     Streams that end within the notice stay. The others move in order of the value of what a
     move saves for each second of the link, as long as their transfers fit in the notice; what
     doesn't fit is prefilled elsewhere, which needs nothing from the leaving server.
     """
-    usable_s = max(0.0, view.notice_s - SAFETY_S)
+    usable_s = max(0.0, view.notice_s - NOTICE_MARGIN_S)
     courses = {
-        stream.id: Course.FINISH
+        stream.id: ReclaimAction.FINISH
         for stream in streams
         if not stream.idle and stream.remaining_s <= usable_s
     }
@@ -71,11 +71,11 @@
     for stream in rest:
         transfer_s = _transfer_s(stream, view)
         fits = spent_s + transfer_s <= usable_s
-        if fits and transfer_s <= _prefill_s(stream, view) * WORTH:
-            courses[stream.id] = Course.MOVE
+        if fits and transfer_s <= _prefill_s(stream, view) * MAX_TRANSFER_TO_PREFILL_RATIO:
+            courses[stream.id] = ReclaimAction.MOVE
             spent_s += transfer_s
         else:
-            courses[stream.id] = Course.PREFILL
+            courses[stream.id] = ReclaimAction.PREFILL
     return courses
 
 
@@ -89,5 +89,5 @@
 
 def _value_per_s(stream: Held, view: ReclaimView) -> float:
     saved = _prefill_s(stream, view) * (2.0 if stream.immediate else 1.0)
-    saved *= RETURN_SHARE if stream.idle else 1.0
+    saved *= IDLE_RETURN_SHARE if stream.idle else 1.0
     return saved / max(1e-6, _transfer_s(stream, view))
--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -66,9 +66,9 @@
         courses = reclaim.plan(held, situation)
         for one in held:
             course = courses[one.id]
-            if one.idle and course is reclaim.Course.MOVE:
+            if one.idle and course is reclaim.ReclaimAction.MOVE:
                 self._background.start(self._move_cache(one.id, one.context_tokens, view))
-            elif not one.idle and course is not reclaim.Course.FINISH:
+            elif not one.idle and course is not reclaim.ReclaimAction.FINISH:
                 self._background.start(self._move(by_id[one.id], view, course))
 
     def _held(
@@ -85,11 +85,13 @@
         ]
         return streams + caches
 
-    async def _move(self, record: StreamRecord, source: ServerView, course: reclaim.Course) -> None:
+    async def _move(
+        self, record: StreamRecord, source: ServerView, course: reclaim.ReclaimAction
+    ) -> None:
         """Take a stream off a leaving server; a failed transfer falls back to prefill."""
         attempt = record.attempt
         target: Reservation | None = None
-        if course is reclaim.Course.MOVE:
+        if course is reclaim.ReclaimAction.MOVE:
             target = await self._transfer(record, source, attempt)
         if not self._redirect(record, attempt, source.id, target) and target is not None:
             self._book.release(target, self._clock.monotonic())
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -15,7 +15,7 @@
 from moledale.core.leases import Lease, LeaseAction, LeaseRow, may_send_order
 from moledale.core.limits import RetryBudget, TokenBucket, node_rate
 from moledale.core.queueing import RANK_OFFSET_S, WaitingQueue, estimated_wait_s
-from moledale.core.reclaim import Course, Held, ReclaimView, plan
+from moledale.core.reclaim import Held, ReclaimAction, ReclaimView, plan
 from moledale.core.renting import Held as Rented
 from moledale.core.renting import Refusal, Rent, RentView
 from moledale.core.renting import plan as renting_plan
@@ -421,24 +421,24 @@
             self.stream("c", 30_000),
         ]
         courses = plan(streams, self.VIEW)
-        self.assertEqual(courses["short"], Course.FINISH)
-        moved = [s for s in streams if courses[s.id] is Course.MOVE]
+        self.assertEqual(courses["short"], ReclaimAction.FINISH)
+        moved = [s for s in streams if courses[s.id] is ReclaimAction.MOVE]
         self.assertTrue(moved)
         self.assertLessEqual(sum(s.kv_bytes for s in moved) / 1e9, 9.5)
-        self.assertIn(Course.PREFILL, courses.values())
+        self.assertIn(ReclaimAction.PREFILL, courses.values())
 
     def test_idle_caches_move_after_streams_of_like_size(self) -> None:
         idle = Held("idle", 40_000, 4_000_000_000, 0.0, False, idle=True)
         live = [self.stream("a", 40_000), self.stream("b", 40_000)]
         courses = plan([idle, *live], self.VIEW)
-        self.assertEqual(courses["idle"], Course.PREFILL)
-        self.assertEqual({courses["a"], courses["b"]}, {Course.MOVE})
-        self.assertEqual(plan([idle], self.VIEW), {"idle": Course.MOVE})
+        self.assertEqual(courses["idle"], ReclaimAction.PREFILL)
+        self.assertEqual({courses["a"], courses["b"]}, {ReclaimAction.MOVE})
+        self.assertEqual(plan([idle], self.VIEW), {"idle": ReclaimAction.MOVE})
 
     def test_no_time_or_no_link_means_prefill(self) -> None:
         for notice, link in [(0.0, 1e9), (10.0, 0.0)]:
             view = ReclaimView(notice, link, 8_000)
-            self.assertEqual(plan([self.stream("a", 100)], view), {"a": Course.PREFILL})
+            self.assertEqual(plan([self.stream("a", 100)], view), {"a": ReclaimAction.PREFILL})
 
 
 if __name__ == "__main__":
--- a/tools/without.py
+++ b/tools/without.py
@@ -113,7 +113,9 @@
         "1 survives a reclaim",
         "KV cache moves within the notice",
         _attribute(
-            reclaim, "plan", lambda streams, view: {s.id: reclaim.Course.PREFILL for s in streams}
+            reclaim,
+            "plan",
+            lambda streams, view: {s.id: reclaim.ReclaimAction.PREFILL for s in streams},
         ),
         f"{PROMISES}.StreamSurvivesTest",
     ),
