--- a/bench/weights.py
+++ b/bench/weights.py
@@ -10,7 +10,7 @@
 from bench.scenarios import SECONDS, WAVE_AT
 from bench.workload import ORDERVOET, make
 from moledale.bundle.schema import Bundle, Market, Weights, parse
-from moledale.core.renting import Held, Rent, RentView, plan
+from moledale.core.renting import HeldInstance, Rent, RentView, plan
 
 DEMAND = 5_000.0
 REQUESTS_PER_S = 5.0
@@ -83,12 +83,12 @@
     return bundle.model_copy(update={"weights": weights})
 
 
-def _rented(bundle: Bundle) -> list[Held]:
-    held: list[Held] = []
+def _rented(bundle: Bundle) -> list[HeldInstance]:
+    held: list[HeldInstance] = []
     while True:
         changes = [c for c in plan(bundle, RentView(DEMAND, held)) if isinstance(c, Rent)]
         if not changes:
             return held
         for change in changes:
             name = f"i{len(held)}"
-            held.append(Held(name, change.hall, change.instance_class, change.market))
+            held.append(HeldInstance(name, change.hall, change.instance_class, change.market))
--- a/src/moledale/core/renting.py
+++ b/src/moledale/core/renting.py
@@ -7,15 +7,15 @@
 
 from moledale.bundle.schema import Bundle, InstanceClass, Market, Price
 
-HYSTERESIS = 0.15
+HYSTERESIS_SHARE = 0.15
 """Capacity over the need by less than this part is kept, so that counts don't swing."""
 
-MOST_ON_DEMAND = 0.6
+MAX_ON_DEMAND_SHARE = 0.6
 """Part that is on demand when only recomputed tokens count."""
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HeldInstance:
     """An instance that is rented now; `idle` means it has no requests."""
 
     id: str
@@ -39,7 +39,7 @@
     """Demand in generated tokens a second, what is held, and what was refused."""
 
     demand: float
-    held: Sequence[Held]
+    held: Sequence[HeldInstance]
     refusals: frozenset[Refusal] = frozenset()
 
 
@@ -92,13 +92,13 @@
     """Return the part of the need that is rented on demand, where it can't be reclaimed.
 
     On-demand instances cost more and lose no caches. So the weight of recomputed tokens against
-    that of cost decides, up to `MOST_ON_DEMAND`, unless the bundle states the part.
+    that of cost decides, up to `MAX_ON_DEMAND_SHARE`, unless the bundle states the part.
     """
     stated = bundle.renting.on_demand_share
     if stated is not None:
         return stated
     weights = bundle.weights
-    return MOST_ON_DEMAND * weights.recompute / (weights.cost + weights.recompute)
+    return MAX_ON_DEMAND_SHARE * weights.recompute / (weights.cost + weights.recompute)
 
 
 def plan(bundle: Bundle, view: RentView) -> list[Rent | Return]:
@@ -167,13 +167,13 @@
 
 
 def _returns(
-    bundle: Bundle, fleet: _Fleet, held: Sequence[Held], target: float
+    bundle: Bundle, fleet: _Fleet, held: Sequence[HeldInstance], target: float
 ) -> list[Rent | Return]:
     """Return idle instances that the need can do without, dearest first."""
     found: list[Rent | Return] = []
     prices = {(price.hall, price.instance_class): price for price in bundle.prices}
 
-    def price_of(item: Held) -> float:
+    def price_of(item: HeldInstance) -> float:
         price = prices.get((item.hall, item.instance_class))
         if price is None:
             return math.inf
@@ -190,7 +190,7 @@
         keeps_share = item.market is Market.RECLAIMABLE or (
             fleet.on_demand >= on_demand_share(bundle) * target
         )
-        if fleet.surviving() >= target * (1 + HYSTERESIS) and keeps_share:
+        if fleet.surviving() >= target * (1 + HYSTERESIS_SHARE) and keeps_share:
             found.append(Return(item.id, item.hall))
         else:
             fleet.add(item.hall, known, item.market)
--- a/src/moledale/node/hall_renting.py
+++ b/src/moledale/node/hall_renting.py
@@ -19,7 +19,7 @@
 from moledale.bundle.schema import Bundle, Market
 from moledale.clock import Clock
 from moledale.core.leases import Grant
-from moledale.core.renting import Held, Refusal, Rent, RentView, Return, plan
+from moledale.core.renting import HeldInstance, Refusal, Rent, RentView, Return, plan
 from moledale.log import Event, emit
 from moledale.node.fleet import Fleet
 from moledale.node.messages import ServerLeaving
@@ -162,10 +162,10 @@
         total = sum(row.tokens_per_s for row in demands) * DEMAND_GROWTH
         return RentView(total, [*self._listed(demands), *self._expected(demands)], refusals)
 
-    def _listed(self, demands: list[HallDemand]) -> list[Held]:
+    def _listed(self, demands: list[HallDemand]) -> list[HeldInstance]:
         idle = {server for row in demands for server in row.idle}
         return [
-            Held(
+            HeldInstance(
                 server.id,
                 server.hall,
                 server.instance_class,
@@ -176,10 +176,10 @@
             if server.state is InstanceState.LIVE
         ]
 
-    def _expected(self, demands: list[HallDemand]) -> list[Held]:
+    def _expected(self, demands: list[HallDemand]) -> list[HeldInstance]:
         now = self._clock.wall()
         return [
-            Held(one.token, row.hall, one.instance_class, one.market)
+            HeldInstance(one.token, row.hall, one.instance_class, one.market)
             for row in demands
             for one in row.coming
             if one.until > now and one.instance_id not in self._fleet.servers
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -16,7 +16,7 @@
 from moledale.core.limits import RetryBudget, TokenBucket, node_rate
 from moledale.core.queueing import RANK_OFFSET_S, WaitingQueue, estimated_wait_s
 from moledale.core.reclaim import Held, ReclaimAction, ReclaimView, plan
-from moledale.core.renting import Held as Rented
+from moledale.core.renting import HeldInstance as Rented
 from moledale.core.renting import Refusal, Rent, RentView
 from moledale.core.renting import plan as renting_plan
 from moledale.core.routing import LoadBook, Need, RoutingParams, ServerView, Speeds, Standing, pick
