--- a/bench/replay.py
+++ b/bench/replay.py
@@ -443,18 +443,20 @@
             spent = 0.0
             for key, course in reclaim.plan(held, view).items():
                 if course is reclaim.ReclaimAction.MOVE:
-                    spent += by_id[key].kv_bytes / view.bandwidth
+                    spent += by_id[key].kv_bytes / view.bandwidth_bytes_per_s
                     move = self._move_idle if by_id[key].idle else self._move
                     self._after(spent, partial(move, index, engine, key))
                 elif course is reclaim.ReclaimAction.PREFILL and not by_id[key].idle:
                     self._leave(engine, key)
 
-    def _held(self, node: _Node, engine: _Engine, mine: dict[str, Request]) -> list[reclaim.Held]:
+    def _held(
+        self, node: _Node, engine: _Engine, mine: dict[str, Request]
+    ) -> list[reclaim.HeldSession]:
         """Return a node's streams on an engine and, where the policy moves them, idle caches."""
         spec = self._scenario.spec
         token_s = spec.slots / spec.decode_tokens_per_s
         held = [
-            reclaim.Held(
+            reclaim.HeldSession(
                 attempt,
                 request.context,
                 request.context * KV_BYTES_PER_TOKEN,
@@ -468,7 +470,7 @@
             return held
         busy = {request.turn.session for request in mine.values()}
         return held + [
-            reclaim.Held(session, tokens, tokens * KV_BYTES_PER_TOKEN, 0.0, False, idle=True)
+            reclaim.HeldSession(session, tokens, tokens * KV_BYTES_PER_TOKEN, 0.0, False, idle=True)
             for session, tokens in view.cached.items()
             if session not in busy
         ]
--- a/src/moledale/core/reclaim.py
+++ b/src/moledale/core/reclaim.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HeldSession:
     """A session on the leaving server; times in seconds, sizes in bytes.
 
     An idle one has no stream now, only a cache that its next turn would use; for it, `PREFILL`
@@ -43,16 +43,16 @@
 class ReclaimView:
     """What there is to work with until the server is gone.
 
-    `bandwidth` is this node's part of the link out of the server, in bytes a second;
+    `bandwidth_bytes_per_s` is this node's part of the link out of the server, in bytes a second;
     `prefill_tokens_per_s` is the speed at which another server would compute the context anew.
     """
 
     notice_s: float
-    bandwidth: float
+    bandwidth_bytes_per_s: float
     prefill_tokens_per_s: float
 
 
-def plan(streams: Sequence[Held], view: ReclaimView) -> dict[str, ReclaimAction]:
+def plan(streams: Sequence[HeldSession], view: ReclaimView) -> dict[str, ReclaimAction]:
     """Choose a course for each stream.
 
     Streams that end within the notice stay. The others move in order of the value of what a
@@ -79,15 +79,19 @@
     return courses
 
 
-def _transfer_s(stream: Held, view: ReclaimView) -> float:
-    return stream.kv_bytes / view.bandwidth if view.bandwidth > 0 else float("inf")
+def _transfer_s(stream: HeldSession, view: ReclaimView) -> float:
+    return (
+        stream.kv_bytes / view.bandwidth_bytes_per_s
+        if view.bandwidth_bytes_per_s > 0
+        else float("inf")
+    )
 
 
-def _prefill_s(stream: Held, view: ReclaimView) -> float:
+def _prefill_s(stream: HeldSession, view: ReclaimView) -> float:
     return stream.context_tokens / view.prefill_tokens_per_s
 
 
-def _value_per_s(stream: Held, view: ReclaimView) -> float:
+def _value_per_s(stream: HeldSession, view: ReclaimView) -> float:
     saved = _prefill_s(stream, view) * (2.0 if stream.immediate else 1.0)
     saved *= IDLE_RETURN_SHARE if stream.idle else 1.0
     return saved / max(1e-6, _transfer_s(stream, view))
--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -73,13 +73,13 @@
 
     def _held(
         self, bundle: Bundle, view: ServerView, records: list[StreamRecord]
-    ) -> list[reclaim.Held]:
+    ) -> list[reclaim.HeldSession]:
         token_s = view.speeds.slots / view.speeds.decode_tokens_per_s
         streams = [_held_stream(bundle, record, token_s) for record in records]
         busy = {record.request.session for record in records}
         each = max(model.kv_bytes_per_token for model in bundle.models)
         caches = [
-            reclaim.Held(session, tokens, tokens * each, 0.0, immediate=False, idle=True)
+            reclaim.HeldSession(session, tokens, tokens * each, 0.0, immediate=False, idle=True)
             for session, tokens in view.cached.items()
             if session not in busy
         ]
@@ -131,11 +131,11 @@
         return isinstance(await self._servers.import_kv(target, exported.ok_value), Ok)
 
 
-def _held_stream(bundle: Bundle, record: StreamRecord, token_s: float) -> reclaim.Held:
+def _held_stream(bundle: Bundle, record: StreamRecord, token_s: float) -> reclaim.HeldSession:
     request = record.request
     model = bundle.model(request.model)
     context = context_tokens(record)
-    return reclaim.Held(
+    return reclaim.HeldSession(
         request.id,
         context,
         context * (model.kv_bytes_per_token if model is not None else 0),
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -15,7 +15,7 @@
 from moledale.core.leases import Lease, LeaseAction, LeaseRow, may_send_order
 from moledale.core.limits import RetryBudget, TokenBucket, node_rate
 from moledale.core.queueing import RANK_OFFSET_S, WaitingQueue, estimated_wait_s
-from moledale.core.reclaim import Held, ReclaimAction, ReclaimView, plan
+from moledale.core.reclaim import HeldSession, ReclaimAction, ReclaimView, plan
 from moledale.core.renting import HeldInstance as Rented
 from moledale.core.renting import Refusal, Rent, RentView
 from moledale.core.renting import plan as renting_plan
@@ -410,8 +410,8 @@
 class ReclaimTest(unittest.TestCase):
     VIEW = ReclaimView(10.0, 1e9, 8_000)
 
-    def stream(self, name: str, tokens: int, remaining: float = 60.0) -> Held:
-        return Held(name, tokens, tokens * 100_000, remaining, False)
+    def stream(self, name: str, tokens: int, remaining: float = 60.0) -> HeldSession:
+        return HeldSession(name, tokens, tokens * 100_000, remaining, False)
 
     def test_courses(self) -> None:
         streams = [
@@ -428,7 +428,7 @@
         self.assertIn(ReclaimAction.PREFILL, courses.values())
 
     def test_idle_caches_move_after_streams_of_like_size(self) -> None:
-        idle = Held("idle", 40_000, 4_000_000_000, 0.0, False, idle=True)
+        idle = HeldSession("idle", 40_000, 4_000_000_000, 0.0, False, idle=True)
         live = [self.stream("a", 40_000), self.stream("b", 40_000)]
         courses = plan([idle, *live], self.VIEW)
         self.assertEqual(courses["idle"], ReclaimAction.PREFILL)
