--- a/src/moledale/core/renting.py
+++ b/src/moledale/core/renting.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class RentRefusal:
     """A hall and class whose renting was refused lately; it isn't asked again for now."""
 
     hall: str
@@ -38,9 +38,9 @@
 class RentView:
     """Demand in generated tokens a second, what is held, and what was refused."""
 
-    demand: float
+    demand_tokens_per_s: float
     held: Sequence[HeldInstance]
-    refusals: frozenset[Refusal] = frozenset()
+    refusals: frozenset[RentRefusal] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,15 +76,15 @@
         if market is Market.ON_DEMAND:
             self.on_demand += sign * item.decode_tokens_per_s
 
-    def surviving(self) -> float:
+    def surviving_capacity(self) -> float:
         """Return the capacity left when the largest halls that may go are gone."""
         sizes = sorted(self.capacity.values(), reverse=True)
         return sum(sizes[self.bundle.renting.survive_halls :])
 
 
-def need(bundle: Bundle, demand: float) -> float:
+def required_capacity(bundle: Bundle, demand_tokens_per_s: float) -> float:
     """Return the capacity that must be left after a loss, in tokens a second."""
-    wanted = max(demand, bundle.renting.least_tokens_per_s)
+    wanted = max(demand_tokens_per_s, bundle.renting.least_tokens_per_s)
     return wanted / bundle.renting.utilization
 
 
@@ -108,10 +108,10 @@
         item = bundle.instance_class(held.instance_class)
         if item is not None:
             fleet.add(held.hall, item, held.market)
-    target = need(bundle, view.demand)
+    target = required_capacity(bundle, view.demand_tokens_per_s)
     changes: list[Rent | Return] = []
-    while fleet.surviving() < target and len(changes) < bundle.renting.most_changes:
-        chosen = _cheapest(bundle, fleet, view.refusals, target)
+    while fleet.surviving_capacity() < target and len(changes) < bundle.renting.most_changes:
+        chosen = _cheapest_rent(bundle, fleet, view.refusals, target)
         if chosen is None:
             break
         changes.append(chosen)
@@ -119,21 +119,21 @@
         assert item is not None
         fleet.add(chosen.hall, item, chosen.market)
     if not changes:
-        changes.extend(_returns(bundle, fleet, view.held, target))
+        changes.extend(_plan_returns(bundle, fleet, view.held, target))
     return changes
 
 
-def _cheapest(
-    bundle: Bundle, fleet: _Fleet, refusals: frozenset[Refusal], target: float
+def _cheapest_rent(
+    bundle: Bundle, fleet: _Fleet, refusals: frozenset[RentRefusal], target: float
 ) -> Rent | None:
     """Return the cheapest rent that adds surviving capacity where it's least."""
-    market = _market(bundle, fleet, target)
+    market = _preferred_market(bundle, fleet, target)
     other = Market.ON_DEMAND if market is Market.RECLAIMABLE else Market.RECLAIMABLE
     for wanted in (market, other):
         options = [
             price
             for price in bundle.prices
-            if Refusal(price.hall, price.instance_class, wanted) not in refusals
+            if RentRefusal(price.hall, price.instance_class, wanted) not in refusals
             and _hall_has_room(bundle, fleet, price.hall)
         ]
         if options:
@@ -142,7 +142,7 @@
     return None
 
 
-def _market(bundle: Bundle, fleet: _Fleet, target: float) -> Market:
+def _preferred_market(bundle: Bundle, fleet: _Fleet, target: float) -> Market:
     wanted = on_demand_share(bundle) * target
     return Market.ON_DEMAND if fleet.on_demand < wanted else Market.RECLAIMABLE
 
@@ -157,16 +157,16 @@
     item = bundle.instance_class(price.instance_class)
     assert item is not None
     asked = price.reclaimable if market is Market.RECLAIMABLE else price.on_demand
-    before = fleet.surviving()
+    before = fleet.surviving_capacity()
     fleet.add(price.hall, item, market)
-    gained = fleet.surviving() - before
+    gained = fleet.surviving_capacity() - before
     fleet.add(price.hall, item, market, -1)
     # A rent in the largest hall adds nothing that survives its loss; a smaller hall first.
     worth = gained + 1e-3 * item.decode_tokens_per_s / (1.0 + fleet.capacity[price.hall])
     return (asked / worth if worth > 0 else math.inf, price.hall, price.instance_class)
 
 
-def _returns(
+def _plan_returns(
     bundle: Bundle, fleet: _Fleet, held: Sequence[HeldInstance], target: float
 ) -> list[Rent | Return]:
     """Return idle instances that the need can do without, dearest first."""
@@ -190,7 +190,7 @@
         keeps_share = item.market is Market.RECLAIMABLE or (
             fleet.on_demand >= on_demand_share(bundle) * target
         )
-        if fleet.surviving() >= target * (1 + HYSTERESIS_SHARE) and keeps_share:
+        if fleet.surviving_capacity() >= target * (1 + HYSTERESIS_SHARE) and keeps_share:
             found.append(Return(item.id, item.hall))
         else:
             fleet.add(item.hall, known, item.market)
--- a/src/moledale/node/hall_renting.py
+++ b/src/moledale/node/hall_renting.py
@@ -19,7 +19,7 @@
 from moledale.bundle.schema import Bundle, Market
 from moledale.clock import Clock
 from moledale.core.leases import Grant
-from moledale.core.renting import HeldInstance, Refusal, Rent, RentView, Return, plan
+from moledale.core.renting import HeldInstance, Rent, RentRefusal, RentView, Return, plan
 from moledale.log import Event, emit
 from moledale.node.fleet import Fleet
 from moledale.node.messages import ServerLeaving
@@ -154,7 +154,7 @@
     def _view(self, demands: list[HallDemand]) -> RentView:
         now = self._clock.wall()
         refusals = frozenset(
-            Refusal(row.hall, one.instance_class, one.market)
+            RentRefusal(row.hall, one.instance_class, one.market)
             for row in demands
             for one in row.refused
             if one.until > now
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -17,7 +17,7 @@
 from moledale.core.queueing import RANK_OFFSET_S, WaitingQueue, estimated_wait_s
 from moledale.core.reclaim import HeldSession, ReclaimAction, ReclaimView, plan
 from moledale.core.renting import HeldInstance as Rented
-from moledale.core.renting import Refusal, Rent, RentView
+from moledale.core.renting import Rent, RentRefusal, RentView
 from moledale.core.renting import plan as renting_plan
 from moledale.core.routing import LoadBook, Need, RoutingParams, ServerView, Speeds, Standing, pick
 from moledale.core.subset import Followable, followed
@@ -344,7 +344,7 @@
 
 
 def rented(
-    bundle: Bundle, demand: float, refused: frozenset[Refusal] = frozenset()
+    bundle: Bundle, demand: float, refused: frozenset[RentRefusal] = frozenset()
 ) -> list[Rented]:
     """Rent until the plan has no changes left, as the rounds of the holders do."""
     held: list[Rented] = []
@@ -393,11 +393,13 @@
     def test_a_refused_market_or_hall_falls_back(self) -> None:
         bundle = bundle_with()
         cheap = frozenset(
-            Refusal(hall, "small", Market.RECLAIMABLE) for hall in ("hall-a", "hall-b")
+            RentRefusal(hall, "small", Market.RECLAIMABLE) for hall in ("hall-a", "hall-b")
         )
         markets = {one.market for one in rented(bundle, 4_000.0, cheap)}
         self.assertEqual(markets, {Market.ON_DEMAND})
-        everything = cheap | {Refusal(h, "small", Market.ON_DEMAND) for h in ("hall-a", "hall-b")}
+        everything = cheap | {
+            RentRefusal(h, "small", Market.ON_DEMAND) for h in ("hall-a", "hall-b")
+        }
         self.assertEqual(rented(bundle, 4_000.0, everything), [])
 
     def test_a_hall_takes_no_more_than_its_most(self) -> None:
