--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -85,7 +85,7 @@
             at_s += ROUND_S
             for _ in range(self._arrivals()):
                 self._answer(at_s)
-            if judge.note(self.evidence):
+            if judge.observe(self.evidence):
                 return Outcome(True, at_s, self.bad)
         return Outcome(False, at_s, self.bad)
 
@@ -104,7 +104,7 @@
             self.bad += failed_too or slow
             failed = failed or failed_too
             took_s *= 3.0 if slow else 1.0
-        self.evidence.note(Arm.NEW if new else Arm.OLD, f"route {route}", failed, took_s)
+        self.evidence.observe(Arm.NEW if new else Arm.OLD, f"route {route}", failed, took_s)
 
     def _tries(self) -> bool:
         """Say whether the node that got a request sends it to the new version."""
--- a/src/moledale/core/rollout_evidence.py
+++ b/src/moledale/core/rollout_evidence.py
@@ -19,41 +19,41 @@
 import msgspec
 
 BUCKETS_PER_DOUBLING = 4
-MOST_BUCKET = 60
+MAX_BUCKET = 60
 """Buckets of time: a ratio of 1.19 each, 33,000 times as long at most (and as short)."""
 
 SLOW_BUCKETS = 5
 """An answer this many buckets above the middle of the old ones is slow: 2.4 times as long. Versions
 that are slow take several times as long; few answers of a sound one are that slow by chance."""
 
-LEAST_SLOW_S = 0.02
+MIN_SLOW_S = 0.02
 """An answer that came sooner is never slow. Servers that a node has no connection to yet answer a
 few ms later, which is twice as long and more on a route whose answers take 2 ms."""
 
-LEAST_CONTROL = 8
+MIN_CONTROL_ANSWERS = 8
 """Answers of the old servers before the middle of their times is trusted."""
 
-RECENT_CONTROL = 30
+RECENT_CONTROL_ANSWERS = 30
 """The middle is that of about so many answers of late. Were it that of all, a good version would be
 taken for bad once all servers turn slower."""
 
-PRIOR_BAD = 0.05
-PRIOR_WEIGHT = 4.0
+PRIOR_BAD_SHARE = 0.05
+PRIOR_ANSWERS = 4.0
 """Share of answers of the old servers that is taken to be bad, with the weight of so many."""
 
-LEAST_EXPECTED = 0.03
+MIN_EXPECTED_BAD_SHARE = 0.03
 """Share of bad answers that any version is expected to have. Where the old servers had none at all,
 a single answer lost to a crash would speak against a version as loudly as thirty good ones for it;
 with this two of two are needed, or about three of ten."""
 
-LEAST_EXCESS = 0.15
-EXCESS_X = 1.6
+BAD_SHARE_OFFSET = 0.15
+BAD_SHARE_FACTOR = 1.6
 """What a bad version is taken for: this share of bad answers more than this many times those of the
 old one. A version with less can't be told within the exposure that is allowed."""
 
-MOST_SHARE = 0.95
-LEAST_CHANGED = 3.0
-CHANGED_X = 0.65
+MAX_BAD_SHARE = 0.95
+BASE_THRESHOLD = 3.0
+LOG_THRESHOLD_FACTOR = 0.65
 """Sum that means a bad version, and what is added with the natural logarithm of the number of
 answers seen, since chance has more goes at a long series. What it costs in good versions that are
 stopped and bad ones that are missed is told in docs/design/rollouts.md."""
@@ -69,7 +69,7 @@
 def bucket_of(took_s: float) -> int:
     """Return the bucket of a time in seconds."""
     place = floor(log2(max(took_s, 1e-9)) * BUCKETS_PER_DOUBLING)
-    return max(-MOST_BUCKET, min(MOST_BUCKET, place))
+    return max(-MAX_BUCKET, min(MAX_BUCKET, place))
 
 
 class Tally(msgspec.Struct, array_like=True):
@@ -83,7 +83,7 @@
         """Return the answers counted."""
         return self.failed + sum(self.times.values())
 
-    def note(self, failed: bool, took_s: float) -> None:
+    def observe(self, failed: bool, took_s: float) -> None:
         """Count an answer."""
         if failed:
             self.failed += 1
@@ -110,10 +110,10 @@
         }
         return Tally(max(0, self.failed - before.failed), times)
 
-    def middle(self) -> int | None:
+    def median_bucket(self) -> int | None:
         """Return the bucket of the median time, None if too few answers were seen."""
         number = sum(self.times.values())
-        if number < LEAST_CONTROL:
+        if number < MIN_CONTROL_ANSWERS:
             return None
         left = number / 2
         for bucket in sorted(self.times):
@@ -122,11 +122,11 @@
                 return bucket
         return None
 
-    def bad(self, slow_from: int | None) -> int:
-        """Return the answers that failed, or lie in a bucket from `slow_from` up."""
-        if slow_from is None:
+    def count_bad(self, slow_bucket: int | None) -> int:
+        """Return the answers that failed, or lie in a bucket from `slow_bucket` up."""
+        if slow_bucket is None:
             return self.failed
-        slow = sum(number for bucket, number in self.times.items() if bucket >= slow_from)
+        slow = sum(number for bucket, number in self.times.items() if bucket >= slow_bucket)
         return self.failed + slow
 
 
@@ -136,9 +136,9 @@
     old: dict[str, Tally] = {}
     new: dict[str, Tally] = {}
 
-    def note(self, arm: Arm, series: str, failed: bool, took_s: float) -> None:
+    def observe(self, arm: Arm, series: str, failed: bool, took_s: float) -> None:
         """Count an answer."""
-        self.tally(arm, series).note(failed, took_s)
+        self.tally(arm, series).observe(failed, took_s)
 
     def tally(self, arm: Arm, series: str) -> Tally:
         """Return what is counted of a series, to count on."""
@@ -169,40 +169,43 @@
 
     number: int = 0
     bad: int = 0
-    slow_from: int | None = None
-    lately: float = 0.0
+    slow_bucket: int | None = None
+    recent_bad_share: float = 0.0
     _snapshots: deque[Tally] = msgspec.field(default_factory=lambda: deque([Tally()]))
 
-    def note(self, now: Tally) -> None:
+    def observe(self, now: Tally) -> None:
         """Take over the counts as they are now."""
         fresh = now.since(self._snapshots[-1])
         if fresh.number <= 0:
-            self.lately = 0.0
+            self.recent_bad_share = 0.0
             return
         self._snapshots.append(now.copy())
-        while len(self._snapshots) > 2 and now.since(self._snapshots[1]).number >= RECENT_CONTROL:
+        while (
+            len(self._snapshots) > 2
+            and now.since(self._snapshots[1]).number >= RECENT_CONTROL_ANSWERS
+        ):
             self._snapshots.popleft()
-        middle = now.since(self._snapshots[0]).middle()
+        middle = now.since(self._snapshots[0]).median_bucket()
         if middle is not None:
-            self.slow_from = max(middle + SLOW_BUCKETS, bucket_of(LEAST_SLOW_S))
+            self.slow_bucket = max(middle + SLOW_BUCKETS, bucket_of(MIN_SLOW_S))
         self.number += fresh.number
-        bad = fresh.bad(self.slow_from)
+        bad = fresh.count_bad(self.slow_bucket)
         self.bad += bad
-        known = self.usual * PRIOR_WEIGHT
-        self.lately = (bad + known) / (fresh.number + PRIOR_WEIGHT)
+        known = self.bad_share * PRIOR_ANSWERS
+        self.recent_bad_share = (bad + known) / (fresh.number + PRIOR_ANSWERS)
 
     @property
-    def usual(self) -> float:
+    def bad_share(self) -> float:
         """Return the share of bad answers over all that were seen."""
-        return (self.bad + PRIOR_BAD * PRIOR_WEIGHT) / (self.number + PRIOR_WEIGHT)
+        return (self.bad + PRIOR_BAD_SHARE * PRIOR_ANSWERS) / (self.number + PRIOR_ANSWERS)
 
     @property
-    def expected(self) -> float:
+    def expected_bad_share(self) -> float:
         """Return the share of bad answers that a good version has now.
 
         A moment in which everything stood still makes answers of both versions late together.
         """
-        return max(LEAST_EXPECTED, self.usual, self.lately)
+        return max(MIN_EXPECTED_BAD_SHARE, self.bad_share, self.recent_bad_share)
 
 
 class SeriesJudge(msgspec.Struct):
@@ -210,30 +213,30 @@
 
     control: Control = msgspec.field(default_factory=Control)
     number: int = 0
-    total: float = 0.0
+    cusum: float = 0.0
     _seen: Tally = msgspec.field(default_factory=Tally)
 
-    def note(self, old: Tally, new: Tally, with_times: bool) -> bool:
+    def observe(self, old: Tally, new: Tally, with_times: bool) -> bool:
         """Take over the counts as they are now; say whether the version is bad."""
-        self.control.note(old)
+        self.control.observe(old)
         fresh = new.since(self._seen)
         if fresh.number <= 0:
-            return self.changed
+            return self.exceeds_threshold
         self._seen = new.copy()
         self.number += fresh.number
-        bad = fresh.bad(self.control.slow_from if with_times else None)
-        expected = self.control.expected
-        feared = min(MOST_SHARE, LEAST_EXCESS + EXCESS_X * expected)
-        expected = min(expected, feared / EXCESS_X)
+        bad = fresh.count_bad(self.control.slow_bucket if with_times else None)
+        expected = self.control.expected_bad_share
+        feared = min(MAX_BAD_SHARE, BAD_SHARE_OFFSET + BAD_SHARE_FACTOR * expected)
+        expected = min(expected, feared / BAD_SHARE_FACTOR)
         step = bad * log(feared / expected)
         step += (fresh.number - bad) * log((1.0 - feared) / (1.0 - expected))
-        self.total = max(0.0, self.total + step)
-        return self.changed
+        self.cusum = max(0.0, self.cusum + step)
+        return self.exceeds_threshold
 
     @property
-    def changed(self) -> bool:
+    def exceeds_threshold(self) -> bool:
         """Say whether chance alone would hardly bring as many bad answers."""
-        return self.total > LEAST_CHANGED + CHANGED_X * log(1 + self.number)
+        return self.cusum > BASE_THRESHOLD + LOG_THRESHOLD_FACTOR * log(1 + self.number)
 
 
 class Judge(msgspec.Struct):
@@ -242,7 +245,7 @@
     series: dict[str, SeriesJudge] = msgspec.field(default_factory=dict)
     bad: bool = False
 
-    def note(self, evidence: Evidence, with_times: bool = True) -> bool:
+    def observe(self, evidence: Evidence, with_times: bool = True) -> bool:
         """Take over what all nodes saw until now; say whether the version is bad.
 
         Once the old servers bear less load than the new ones they are no control for times, and
@@ -250,6 +253,6 @@
         """
         for name, new in evidence.new.items():
             judge = self.series.setdefault(name, SeriesJudge())
-            if judge.note(evidence.old.get(name, Tally()), new, with_times):
+            if judge.observe(evidence.old.get(name, Tally()), new, with_times):
                 self.bad = True
         return self.bad
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -184,7 +184,7 @@
 
 
 def _has_enough_answers(rollout: ServiceRollout, route: str) -> bool:
-    old = rollout.evidence.old[route].number
+    old = rollout.evidence.old[route].count
     new = rollout.evidence.new.get(route)
     required = min(LEAST_PER_ROUTE, max(1, int(EVIDENCE_SHARE * old)))
-    return new is not None and new.number >= required
+    return new is not None and new.count >= required
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -244,7 +244,7 @@
         server = placement.view.server
         rollout = self.services.get(server.service)
         if rollout is not None and not rollout.phase.ended:
-            rollout.own.seen.note(rollout.arm_of(server.version), series, failed, took_s)
+            rollout.own.seen.observe(rollout.arm_of(server.version), series, failed, took_s)
 
     def step(self) -> None:
         """Evaluate what all nodes saw so far; a version found bad gets no more requests."""
@@ -254,7 +254,7 @@
             peer_counts = self._peer_counts(service, rollout.order.revision)
             rollout.evidence = merged([rollout.own.seen, *(each.seen for each in peer_counts)])
             rollout.tried = sum(tally.number for tally in rollout.evidence.new.values())
-            if rollout.judge.note(rollout.evidence, rollout.phase is not Phase.MOVING):
+            if rollout.judge.observe(rollout.evidence, rollout.phase is not Phase.MOVING):
                 self.advance(service, Phase.ROLLED_BACK, "the new version's answers are worse")
 
     def _peer_counts(self, service: str, revision: int) -> list[TrialCounts]:
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -57,14 +57,14 @@
     def answers(self, arm: Arm, number: int, failing: float, slower_x: float = 1.0) -> bool:
         """Note answers; say whether the new version is found bad."""
         self.note(arm, number, failing, slower_x)
-        return self.judge.note(self.evidence)
+        return self.judge.observe(self.evidence)
 
     def note(self, arm: Arm, number: int, failing: float, slower_x: float = 1.0) -> None:
         """Note answers that are judged with those that come next."""
         for _ in range(number):
             failed = self.random.random() < failing
             took_s = 0.06 * slower_x * self.random.lognormvariate(0.0, self.spread)
-            self.evidence.note(arm, "r", failed, took_s)
+            self.evidence.observe(arm, "r", failed, took_s)
 
     def rounds(
         self, number: int, failing: float, slower_x: float = 1.0, usual: float = 0.02
@@ -136,25 +136,25 @@
         for _ in range(60):
             slow.note(Arm.OLD, 1, 0.02)
             slow.note(Arm.NEW, 10, 0.02, slower_x=5.0)
-            self.assertFalse(slow.judge.note(slow.evidence, with_times=False))
+            self.assertFalse(slow.judge.observe(slow.evidence, with_times=False))
         failing.note(Arm.NEW, 30, 0.5)
-        self.assertTrue(failing.judge.note(failing.evidence, with_times=False))
+        self.assertTrue(failing.judge.observe(failing.evidence, with_times=False))
 
     def test_one_lost_answer_says_nothing_where_the_old_servers_lost_none(self) -> None:
         evidence, judge = Evidence(), Judge()
         for number in range(60):
             for _ in range(10):
-                evidence.note(Arm.OLD, "r", False, 0.06)
-            evidence.note(Arm.NEW, "r", number == 20, 0.06)
-            self.assertFalse(judge.note(evidence))
+                evidence.observe(Arm.OLD, "r", False, 0.06)
+            evidence.observe(Arm.NEW, "r", number == 20, 0.06)
+            self.assertFalse(judge.observe(evidence))
 
     def test_few_milliseconds_more_are_not_slow(self) -> None:
         evidence, judge = Evidence(), Judge()
         for _ in range(40):
             for _ in range(5):
-                evidence.note(Arm.OLD, "r", False, 0.002)
-            evidence.note(Arm.NEW, "r", False, 0.006)
-            self.assertFalse(judge.note(evidence))
+                evidence.observe(Arm.OLD, "r", False, 0.002)
+            evidence.observe(Arm.NEW, "r", False, 0.006)
+            self.assertFalse(judge.observe(evidence))
 
     def test_found_bad_stays_bad(self) -> None:
         trial = Trial(1)
@@ -168,9 +168,9 @@
         for number in range(200):
             arm, failed = Arm(number % 2), chance.random() < 0.3
             took_s = chance.random()
-            parts[number % 5].note(arm, "r", failed, took_s)
-            whole.note(arm, "r", failed, took_s)
-        self.assertEqual(merged(parts).old["r"].number, whole.old["r"].number)
+            parts[number % 5].observe(arm, "r", failed, took_s)
+            whole.observe(arm, "r", failed, took_s)
+        self.assertEqual(merged(parts).old["r"].count, whole.old["r"].count)
         self.assertEqual(merged(parts).new["r"].times, whole.new["r"].times)
         self.assertEqual(merged(reversed(parts)).new["r"].failed, whole.new["r"].failed)
 
@@ -438,12 +438,12 @@
             rollouts, _ = self.rollouts(36, 36)
             seen = rollouts.services[SERVICE].evidence
             for _ in range(old):
-                seen.note(Arm.OLD, "r", False, 0.01)
+                seen.observe(Arm.OLD, "r", False, 0.01)
             for number in range(1, wanted + 1):
                 self.assertFalse(
                     _has_enough_answers(rollouts.services[SERVICE], "r"), (old, number)
                 )
-                seen.note(Arm.NEW, "r", False, 0.01)
+                seen.observe(Arm.NEW, "r", False, 0.01)
             self.assertTrue(_has_enough_answers(rollouts.services[SERVICE], "r"), old)
 
     def rollouts(self, old: int, new: int, serving: int = 1) -> tuple[Rollouts, LoadBalancer]:
