--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -16,7 +16,7 @@
 from statistics import median
 
 from moledale.core.rollout_evidence import Arm, Evidence, Judge
-from moledale.core.rollouts import RISE_AFTER, Exposure
+from moledale.core.rollouts import EARLIEST_RISE_SHARE, Exposure
 
 DURATION_S = 12.0
 BOOT_S = 4.0
@@ -79,7 +79,7 @@
     def run(self) -> Outcome:
         """Play until the version is found bad or would rise."""
         judge = Judge()
-        ends_s = DURATION_S * RISE_AFTER
+        ends_s = DURATION_S * EARLIEST_RISE_SHARE
         at_s = 0.0
         while at_s < ends_s:
             at_s += ROUND_S
@@ -110,14 +110,14 @@
         """Say whether the node that got a request sends it to the new version."""
         node = self.random.randrange(len(self.requests))
         self.requests[node] += 1
-        part = Exposure().part(len(self.requests))
+        part = Exposure().per_node(len(self.requests))
         if not part.allows(self.requests[node], self.tried[node]):
             return False
         self.tried[node] += 1
         return True
 
     def _is_bad(self, at_s: float, route: int) -> bool:
-        ends_s = DURATION_S * RISE_AFTER
+        ends_s = DURATION_S * EARLIEST_RISE_SHARE
         from_s = BOOT_S + LATER * (ends_s - BOOT_S) if self.kind.later else 0.0
         return at_s >= from_s and not (self.kind.one_route and route)
 
--- a/src/moledale/core/rollouts.py
+++ b/src/moledale/core/rollouts.py
@@ -9,48 +9,48 @@
 
 import msgspec
 
-SHARE_USED = 0.8
+TRIAL_SHARE_RATIO = 0.8
 """Part of the share of requests that a bad version may get which a trial uses; the rest is for
 streams that move, and for requests whose count is lost with a node."""
 
-FREE_USED = 0.6
+TRIAL_FREE_RATIO = 0.6
 """The same of the requests that it may get beyond that share. Free ones bring evidence where there
 are few requests: at 10 a second 19 answers in place of 2 within a trial of 3.2 s."""
 
-FREE_SHARE = 0.5
+MAX_FREE_SHARE = 0.5
 """Part of the requests that the free ones may be at most, so that they don't come all at once."""
 
 RISING_SHARE = 0.35
 """Part of the requests that the new version gets before it gets all of them, so that more servers
 bear the load of their own before no old one does."""
 
-RISE_AFTER = 0.55
-RISE_LATEST = 0.8
+EARLIEST_RISE_SHARE = 0.55
+LATEST_RISE_SHARE = 0.8
 """Parts of an order's time before which no version rises, and until which evidence is waited for:
 versions may turn bad only after a while, and streams at old servers need the time that is left."""
 
-RISING_FOR = 0.06
+RISING_DURATION_SHARE = 0.06
 """Part of an order's time for which it has the share of the rise: 0.7 s of 12 s."""
 
-LEAST_MOVING_S = 1.2
+MIN_MOVING_S = 1.2
 """All requests go to the new servers for this long at least before the old ones end: a node that
 missed the first word of it hears the next within a second."""
 
-TELLING_S = 0.5
+STATUS_WRITE_S = 0.5
 """Time for the last requests at old servers and for the store to take the status."""
 
-STEP_S = 0.25
+POLL_INTERVAL_S = 0.25
 """Time between two looks of the holder: a tick of its duties, 0.2 s, and what the look takes."""
 
-STEPS_AFTER_RISE = 3
+POLLS_AFTER_RISE = 3
 """Looks by which a version may be taken over later than its phases ask for: each of the rise, the
 move and the end comes up to one look after it is due."""
 
-LEAST_PER_ROUTE = 6
+MIN_ANSWERS_PER_ROUTE = 6
 """Answers of the new servers on each route that has traffic before the version rises: of those of a
 version half of whose answers fail there, one in 64 has none."""
 
-LEAST_IN_ALL = 10
+MIN_ANSWERS = 10
 """With fewer answers in all at the latest moment, nothing speaks for the version."""
 
 
@@ -88,15 +88,15 @@
         """Return what rises with each order: the era and the revision."""
         return self.era, self.revision
 
-    def asks_the_same(self, other: "RolloutOrder") -> bool:
+    def is_equivalent(self, other: "RolloutOrder") -> bool:
         """Say whether another order is for the same version in the same time."""
         return (self.target, self.duration_s) == (other.target, other.duration_s)
 
-    def is_same(self, other: "RolloutOrder") -> bool:
+    def is_same_order(self, other: "RolloutOrder") -> bool:
         """Say whether another one is this order, perhaps as it was written again."""
         if self.sequence == other.sequence:
             return True
-        return self.asks_the_same(other) and self.ordered_s == other.ordered_s
+        return self.is_equivalent(other) and self.ordered_s == other.ordered_s
 
 
 class RolloutNews(msgspec.Struct, frozen=True, array_like=True):
@@ -106,7 +106,7 @@
     phase: Phase = Phase.TRIAL
     rejected: tuple[str, ...] = ()
 
-    def joined(self, other: "RolloutNews") -> "RolloutNews":
+    def merged_with(self, other: "RolloutNews") -> "RolloutNews":
         """Return what two nodes know together; the same whichever is asked first."""
         if other.order.sequence != self.order.sequence:
             return max(self, other, key=lambda news: news.order.sequence)
@@ -114,12 +114,12 @@
         rejected = tuple(sorted({*self.rejected, *other.rejected}))
         return RolloutNews(earlier, max(self.phase, other.phase), rejected)
 
-    def written_again(self, order: RolloutOrder) -> "RolloutNews":
+    def with_rewritten_order(self, order: RolloutOrder) -> "RolloutNews":
         """Return the news of this order after the operator wrote it again, as the store lost it."""
         again = msgspec.structs.replace(order, ordered_s=self.order.ordered_s)
         return msgspec.structs.replace(self, order=again)
 
-    def followed_by(self, order: RolloutOrder) -> "RolloutNews":
+    def superseded_by(self, order: RolloutOrder) -> "RolloutNews":
         """Return the news of an order that takes the place of this one.
 
         A version that was not taken over stays out of use.
@@ -161,11 +161,11 @@
     @property
     def trial_share(self) -> float:
         """Return the share that a trial uses."""
-        return SHARE_USED * self.share
+        return TRIAL_SHARE_RATIO * self.share
 
-    def part(self, nodes: int) -> "Exposure":
+    def per_node(self, nodes: int) -> "Exposure":
         """Return what is left to one of `nodes` that serve."""
-        return Exposure(self.trial_share, FREE_USED * self.free / nodes if nodes else 0.0)
+        return Exposure(self.trial_share, TRIAL_FREE_RATIO * self.free / nodes if nodes else 0.0)
 
     def allows(self, requests: int, tried: float) -> bool:
         """Say whether a node may send one more request to the version on trial.
@@ -173,7 +173,7 @@
         `requests` and `tried` are the node's own since the trial began. Each node keeps within its
         part by itself, so all of them keep within the bound whomever they hear.
         """
-        return tried + 1 <= self.share * requests + min(self.free, FREE_SHARE * requests)
+        return tried + 1 <= self.share * requests + min(self.free, MAX_FREE_SHARE * requests)
 
     def within_share(self, requests: int, tried: int) -> bool:
         """Say whether one more request is within the share, with none of the free ones."""
@@ -185,45 +185,45 @@
 
     `elapsed` is the part of the order's `duration_s` that has passed, `moving_s` the time since all
     requests go to the new servers. `new_ready` are servers of the new version that may get work,
-    `old_running` requests that all nodes have at the old ones, `lacking` routes with traffic that
+    `old_running` requests that all nodes have at the old ones, `untested_routes` routes with traffic that
     were tried too little.
     """
 
     phase: Phase
     duration_s: float
     elapsed: float
-    risen_for: float
+    rising_elapsed: float
     moving_s: float
     new_ready: int
     old_running: int
     tried: int
-    lacking: int
+    untested_routes: int
 
 
-def latest_rise(duration_s: float) -> float:
+def latest_rise_share(duration_s: float) -> float:
     """Return the part of an order's time after which a version can hardly be taken over in it."""
-    follows_s = LEAST_MOVING_S + TELLING_S + STEPS_AFTER_RISE * STEP_S
-    return min(RISE_LATEST, 1.0 - RISING_FOR - follows_s / duration_s)
+    follows_s = MIN_MOVING_S + STATUS_WRITE_S + POLLS_AFTER_RISE * POLL_INTERVAL_S
+    return min(LATEST_RISE_SHARE, 1.0 - RISING_DURATION_SHARE - follows_s / duration_s)
 
 
 def next_phase(seen: Progress) -> Phase:
     """Return the phase that a version which was not found bad is to be in."""
     if seen.phase is Phase.TRIAL:
         return _after_trial(seen)
-    if seen.phase is Phase.RISING and seen.risen_for >= RISING_FOR:
+    if seen.phase is Phase.RISING and seen.rising_elapsed >= RISING_DURATION_SHARE:
         return Phase.MOVING
-    if seen.phase is Phase.MOVING and seen.old_running == 0 and seen.moving_s >= LEAST_MOVING_S:
+    if seen.phase is Phase.MOVING and seen.old_running == 0 and seen.moving_s >= MIN_MOVING_S:
         return Phase.COMPLETED
     return seen.phase
 
 
 def _after_trial(seen: Progress) -> Phase:
-    if seen.elapsed < RISE_AFTER:
+    if seen.elapsed < EARLIEST_RISE_SHARE:
         return Phase.TRIAL
-    if seen.new_ready and seen.tried >= LEAST_IN_ALL and not seen.lacking:
+    if seen.new_ready and seen.tried >= MIN_ANSWERS and not seen.untested_routes:
         return Phase.RISING
-    if seen.elapsed < latest_rise(seen.duration_s):
+    if seen.elapsed < latest_rise_share(seen.duration_s):
         return Phase.TRIAL
-    if seen.new_ready and seen.tried >= LEAST_IN_ALL:
+    if seen.new_ready and seen.tried >= MIN_ANSWERS:
         return Phase.RISING
-    return Phase.ROLLED_BACK if seen.elapsed >= 1.0 - RISING_FOR else Phase.TRIAL
+    return Phase.ROLLED_BACK if seen.elapsed >= 1.0 - RISING_DURATION_SHARE else Phase.TRIAL
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from moledale.core.rollouts import LEAST_PER_ROUTE, Phase, Progress, next_phase
+from moledale.core.rollouts import MIN_ANSWERS_PER_ROUTE, Phase, Progress, next_phase
 from moledale.gateway.balance import PACE_SUFFIX, LoadBalancer
 from moledale.gateway.outside import ABSENT, Store
 from moledale.gateway.rollouts import Rollouts, ServiceRollout
@@ -117,12 +117,12 @@
             phase=rollout.phase,
             duration_s=duration_s,
             elapsed=elapsed_s / duration_s,
-            risen_for=in_phase_s / duration_s,
+            rising_elapsed=in_phase_s / duration_s,
             moving_s=in_phase_s,
             new_ready=sum(1 for view in new if not view.server.leaving),
             old_running=sum(view.all_running for view in old),
             tried=rollout.tried,
-            lacking=_count_lacking_routes(rollout),
+            untested_routes=_count_lacking_routes(rollout),
         )
 
     def _in_phase_s(self, service: str, rollout: ServiceRollout) -> float:
@@ -186,5 +186,5 @@
 def _has_enough_answers(rollout: ServiceRollout, route: str) -> bool:
     old = rollout.evidence.old[route].count
     new = rollout.evidence.new.get(route)
-    required = min(LEAST_PER_ROUTE, max(1, int(EVIDENCE_SHARE * old)))
+    required = min(MIN_ANSWERS_PER_ROUTE, max(1, int(EVIDENCE_SHARE * old)))
     return new is not None and new.count >= required
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -13,7 +13,7 @@
 
 from moledale.core.rollout_evidence import Arm, Evidence, Judge, merged
 from moledale.core.rollouts import (
-    FREE_SHARE,
+    MAX_FREE_SHARE,
     RISING_SHARE,
     Exposure,
     Phase,
@@ -116,27 +116,29 @@
         if known is None:
             self._adopt(RolloutNews(order, phase))
         elif order.sequence == known.order.sequence:
-            self._adopt(known.update.joined(RolloutNews(order, phase)))
+            self._adopt(known.update.merged_with(RolloutNews(order, phase)))
         elif order.sequence > known.order.sequence:
             self._adopt(self._next_update(known.update, order, phase))
 
     def _next_update(self, known: RolloutNews, order: RolloutOrder, phase: Phase) -> RolloutNews:
         """Return the update for a later order, or for the known one that was written again."""
         restored = self._era.restored_within(REWRITE_WINDOW_S)
-        if restored and order.asks_the_same(known.order):
-            return known.written_again(order)
-        return msgspec.structs.replace(known.followed_by(order), phase=phase)
+        if restored and order.is_equivalent(known.order):
+            return known.with_rewritten_order(order)
+        return msgspec.structs.replace(known.superseded_by(order), phase=phase)
 
     def merge(self, updates: Iterable[RolloutNews]) -> None:
         """Merge what a peer or a former holder knows."""
         for update in updates:
             known = self.services.get(update.order.service)
-            self._adopt(update if known is None else known.update.joined(update), from_peer=True)
+            self._adopt(
+                update if known is None else known.update.merged_with(update), from_peer=True
+            )
 
     def advance(self, service: str, phase: Phase, why: str) -> None:
         """Advance a roll-out to a later phase."""
         known = self.services[service]
-        update = known.update.joined(msgspec.structs.replace(known.update, phase=phase))
+        update = known.update.merged_with(msgspec.structs.replace(known.update, phase=phase))
         emit(
             Event.ROLLOUT_DECIDED,
             service=service,
@@ -151,7 +153,7 @@
         known = self.services.get(service)
         if known is not None and known.update == update:
             return
-        if known is None or not known.order.is_same(update.order):
+        if known is None or not known.order.is_same_order(update.order):
             known = self.services[service] = ServiceRollout(update)
             emit(
                 Event.ROLLOUT_ORDERED,
@@ -203,7 +205,7 @@
         if rollout.phase is Phase.RISING:
             max_share = min(RISING_SHARE, group.new_version_share())
             return max_share if self._rng.random() < max_share else 0.0
-        share = self._share_on_trial(rollout, route, min(FREE_SHARE, group.new_version_share()))
+        share = self._share_on_trial(rollout, route, min(MAX_FREE_SHARE, group.new_version_share()))
         if share:
             rollout.record_trial(route)
         return share
@@ -216,12 +218,12 @@
         Nodes without a part in the free requests, most of which get a request now and then, decide
         at random: 8 in 100 of one or two requests would always be counted as none.
         """
-        own, part = rollout.own, self._exposure.part(self._sharers(rollout))
+        own, part = rollout.own, self._exposure.per_node(self._sharers(rollout))
         usual_share = min(max_share, part.share)
         if not part.free:
             return usual_share if self._rng.random() < usual_share else 0.0
         undertested = rollout.is_undertested(route)
-        if self._rng.random() >= (FREE_SHARE if undertested else max_share):
+        if self._rng.random() >= (MAX_FREE_SHARE if undertested else max_share):
             return 0.0
         reserved = 0.0 if undertested else RESERVED_SHARE * part.free
         if not part.allows(own.requests, own.tried + reserved):
--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -13,7 +13,7 @@
 from result import Ok
 
 from moledale.core.rollout_evidence import Arm
-from moledale.core.rollouts import TELLING_S, Exposure, Phase, RolloutOrder
+from moledale.core.rollouts import STATUS_WRITE_S, Exposure, Phase, RolloutOrder
 from moledale.gateway import duties
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import Server
@@ -58,7 +58,7 @@
         duty = RolloutDuty(store, rollouts, balancer, lambda at: at, lambda: self.now)
         while rollouts.services["model"].phase is not Phase.COMPLETED:
             await duty.step(lambda: True)
-            self.assertLessEqual(self.now, duration_s - TELLING_S)
+            self.assertLessEqual(self.now, duration_s - STATUS_WRITE_S)
             self.now += duties.DUTY_POLL_INTERVAL_S + LATE_S
             await asyncio.sleep(0)
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -11,11 +11,11 @@
 from moledale.clock import monotonic
 from moledale.core.rollout_evidence import Arm, Evidence, Judge, merged
 from moledale.core.rollouts import (
-    LEAST_IN_ALL,
-    LEAST_MOVING_S,
-    RISE_AFTER,
-    RISE_LATEST,
-    RISING_FOR,
+    EARLIEST_RISE_SHARE,
+    LATEST_RISE_SHARE,
+    MIN_ANSWERS,
+    MIN_MOVING_S,
+    RISING_DURATION_SHARE,
     Exposure,
     Phase,
     Progress,
@@ -196,17 +196,17 @@
     def test_what_two_nodes_know_is_the_same_in_any_order(
         self, one: RolloutNews, two: RolloutNews
     ) -> None:
-        joined = one.joined(two)
-        self.assertEqual(joined.order.revision, two.joined(one).order.revision)
-        self.assertEqual(joined.phase, two.joined(one).phase)
-        self.assertEqual(joined.joined(joined), joined)
+        joined = one.merged_with(two)
+        self.assertEqual(joined.order.revision, two.merged_with(one).order.revision)
+        self.assertEqual(joined.phase, two.merged_with(one).phase)
+        self.assertEqual(joined.merged_with(joined), joined)
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.lists(NEWS, min_size=1, max_size=8))
     def test_no_roll_out_goes_back(self, told: list[RolloutNews]) -> None:
         known = told[0]
         for news in told[1:]:
-            after = known.joined(news)
+            after = known.merged_with(news)
             self.assertGreaterEqual(
                 (after.order.revision, after.phase), (known.order.revision, known.phase)
             )
@@ -214,12 +214,12 @@
 
     def test_version_that_a_newer_order_replaced_stays_out_of_use(self) -> None:
         first = RolloutNews(order(5, "v2"))
-        second = first.followed_by(order(6, "v3"))
+        second = first.superseded_by(order(6, "v3"))
         rule = rule_of(second)
         self.assertEqual([rule.allows(each) for each in ("v1", "v2", "v3")], [True, False, False])
-        again = second.followed_by(order(7, "v2"))
+        again = second.superseded_by(order(7, "v2"))
         self.assertEqual(again.rejected, ("v3",))
-        done = RolloutNews(order(5, "v2"), Phase.COMPLETED).followed_by(order(6, "v3"))
+        done = RolloutNews(order(5, "v2"), Phase.COMPLETED).superseded_by(order(6, "v3"))
         self.assertTrue(rule_of(done).allows("v2"))
 
 
@@ -283,7 +283,7 @@
     def test_all_nodes_together_keep_within_the_bound(
         self, requests: list[int], serving: int
     ) -> None:
-        part = Exposure(EXPOSURE_SHARE, EXPOSURE_FREE).part(max(serving, len(requests)))
+        part = Exposure(EXPOSURE_SHARE, EXPOSURE_FREE).per_node(max(serving, len(requests)))
         tried_in_all = 0
         for number in requests:
             tried = 0
@@ -295,44 +295,44 @@
     def test_few_requests_bring_evidence_too(self) -> None:
         tried = 0
         for each in range(1, 41):
-            tried += Exposure().part(1).allows(each, tried)
-        self.assertGreater(tried, LEAST_IN_ALL)
+            tried += Exposure().per_node(1).allows(each, tried)
+        self.assertGreater(tried, MIN_ANSWERS)
 
 
 def seen(**changes: object) -> Progress:
     values: dict[str, object] = {
         "phase": Phase.TRIAL,
         "duration_s": 12.0,
-        "elapsed": RISE_AFTER,
-        "risen_for": 0.0,
-        "moving_s": LEAST_MOVING_S,
+        "elapsed": EARLIEST_RISE_SHARE,
+        "rising_elapsed": 0.0,
+        "moving_s": MIN_MOVING_S,
         "new_ready": 3,
         "old_running": 5,
         "tried": 40,
-        "lacking": 0,
+        "untested_routes": 0,
     }
     return Progress(**{**values, **changes})  # type: ignore[arg-type]
 
 
 class NextPhaseTest(unittest.TestCase):
     def test_version_rises_with_evidence_and_not_before_its_time(self) -> None:
-        self.assertIs(next_phase(seen(elapsed=RISE_AFTER - 0.01)), Phase.TRIAL)
+        self.assertIs(next_phase(seen(elapsed=EARLIEST_RISE_SHARE - 0.01)), Phase.TRIAL)
         self.assertIs(next_phase(seen()), Phase.RISING)
-        self.assertIs(next_phase(seen(lacking=1)), Phase.TRIAL)
-        self.assertIs(next_phase(seen(lacking=1, elapsed=RISE_LATEST)), Phase.RISING)
+        self.assertIs(next_phase(seen(untested_routes=1)), Phase.TRIAL)
+        self.assertIs(next_phase(seen(untested_routes=1, elapsed=LATEST_RISE_SHARE)), Phase.RISING)
 
     def test_version_that_nothing_speaks_for_is_not_taken_over(self) -> None:
         for lacking in ({"tried": 2}, {"new_ready": 0}):
-            self.assertIs(next_phase(seen(elapsed=RISE_LATEST, **lacking)), Phase.TRIAL)
+            self.assertIs(next_phase(seen(elapsed=LATEST_RISE_SHARE, **lacking)), Phase.TRIAL)
             self.assertIs(next_phase(seen(elapsed=0.99, **lacking)), Phase.ROLLED_BACK)
 
     def test_old_servers_end_only_with_nothing_running(self) -> None:
         self.assertIs(next_phase(seen(phase=Phase.RISING)), Phase.RISING)
-        risen = seen(phase=Phase.RISING, risen_for=RISING_FOR)
+        risen = seen(phase=Phase.RISING, rising_elapsed=RISING_DURATION_SHARE)
         self.assertIs(next_phase(risen), Phase.MOVING)
         self.assertIs(next_phase(seen(phase=Phase.MOVING, elapsed=2.0)), Phase.MOVING)
         self.assertIs(next_phase(seen(phase=Phase.MOVING, old_running=0)), Phase.COMPLETED)
-        soon = seen(phase=Phase.MOVING, old_running=0, moving_s=LEAST_MOVING_S / 2)
+        soon = seen(phase=Phase.MOVING, old_running=0, moving_s=MIN_MOVING_S / 2)
         self.assertIs(next_phase(soon), Phase.MOVING)
 
 
--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -97,7 +97,7 @@
     def test_trials_of_versions_follow(self) -> None:
         for factor in FACTORS:
             bounds = scaled(self.bounds, factor)
-            part = Exposure(bounds.exposure_share, bounds.exposure_free).part(4)
+            part = Exposure(bounds.exposure_share, bounds.exposure_free).per_node(4)
             self.assertAlmostEqual(part.free, factor * 7.5)
 
     def test_wait_that_servers_are_rented_for_follows_targets(self) -> None:
