--- a/bench/policies.py
+++ b/bench/policies.py
@@ -29,7 +29,7 @@
 
 
 def _room(views: Sequence[ServerView], need: Need) -> list[ServerView]:
-    return routing.with_room(routing.eligible(views, need))
+    return routing.with_free_slot(routing.eligible(views, need))
 
 
 def _picked(view: ServerView, need: Need) -> Pick:
@@ -95,17 +95,17 @@
     """Always the cheapest; a session's cache counts only in the wait."""
 
     def choose(views: Sequence[ServerView], need: Need) -> Pick | None:
-        room = routing.suited(routing.eligible(views, need), need, params)
+        room = routing.servers_for_priority(routing.eligible(views, need), need, params)
         if not room:
             return None
-        return _picked(min(room, key=lambda v: routing.cost(v, need, params)), need)
+        return _picked(min(room, key=lambda v: routing.cost_s(v, need, params)), need)
 
     return choose
 
 
 def _ours_impatient(params: RoutingParams) -> Choose:
     """Go elsewhere at once when the session's server has no free slot."""
-    return lambda views, need: routing.pick(views, replace(need, patient=False), params)
+    return lambda views, need: routing.pick(views, replace(need, wait_for_cache=False), params)
 
 
 def _ours_with_overflow(params: RoutingParams, overflow: float) -> Choose:
@@ -113,12 +113,12 @@
 
     def choose(views: Sequence[ServerView], need: Need) -> Pick | None:
         live = routing.eligible(views, need)
-        home = routing.home_of(live, need)
+        home = routing.cache_holder(live, need)
         if home is not None:
             mean = sum(v.running / v.speeds.slots for v in live) / len(live)
             if home.running > 1 and home.running / home.speeds.slots > overflow * mean:
-                room = routing.suited(live, need, params)
-                best = min(room, key=lambda v: routing.cost(v, need, params), default=None)
+                room = routing.servers_for_priority(live, need, params)
+                best = min(room, key=lambda v: routing.cost_s(v, need, params), default=None)
                 return _picked(best, need) if best is not None else None
         return routing.pick(views, need, params)
 
@@ -130,13 +130,13 @@
 
     def score(view: ServerView, need: Need) -> float:
         decode = 0.01 * view.decode_tokens / view.speeds.prefill_tokens_per_s
-        return routing.cost(view, need, params) + decode
+        return routing.cost_s(view, need, params) + decode
 
     def choose(views: Sequence[ServerView], need: Need) -> Pick | None:
         live = routing.eligible(views, need)
-        if routing.home_of(live, need) is not None:
+        if routing.cache_holder(live, need) is not None:
             return routing.pick(views, need, params)
-        room = routing.suited(live, need, params)
+        room = routing.servers_for_priority(live, need, params)
         best = min(room, key=lambda v: score(v, need), default=None)
         return _picked(best, need) if best is not None else None
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -18,7 +18,7 @@
 from moledale.core.hashing import first_ranked
 from moledale.core.queueing import WaitingQueue, estimated_wait_s
 from moledale.core.routing import (
-    LoadBook,
+    LoadTracker,
     Need,
     Reservation,
     ServerView,
@@ -120,7 +120,7 @@
 class _Node:
     """A node's own view and queue."""
 
-    book: LoadBook
+    book: LoadTracker
     queue: WaitingQueue[Request]
     service_s: float = 2.0
 
@@ -145,7 +145,7 @@
         self._seen: defaultdict[str, int] = defaultdict(int)
         self._engines: dict[str, _Engine] = {}
         self._nodes = [
-            _Node(LoadBook(20_000), WaitingQueue(MOST_WAITING)) for _ in range(scenario.nodes)
+            _Node(LoadTracker(20_000), WaitingQueue(MOST_WAITING)) for _ in range(scenario.nodes)
         ]
         self._outcome = Outcome()
 
@@ -236,7 +236,7 @@
         request.last_at = self._now
         node = self._nodes[request.node]
         if request.reservation is not None and request.reservation.prefill_tokens:
-            request.reservation = node.book.first_token(request.reservation)
+            request.reservation = node.book.record_first_token(request.reservation)
 
     def _finished(self, engine: _Engine, sequence: Sequence) -> None:
         request = engine.requests.pop(sequence.attempt, None)
@@ -269,7 +269,7 @@
             for node in self._nodes:
                 for session in gone:
                     if node.book.server_of(session) == engine.name:
-                        node.book.forget(session)
+                        node.book.forget_session(session)
 
         self._after(EVENT_LAG_S, heard)
 
@@ -358,7 +358,7 @@
                 continue
             need = self._need(request)
             if self._now - request.queued_at >= HOME_WAIT_S:
-                need = replace(need, patient=False)
+                need = replace(need, wait_for_cache=False)
             chosen = self._policy.choose(list(node.book.views.values()), need)
             if chosen is None:
                 if not has_home:
--- a/src/moledale/core/routing.py
+++ b/src/moledale/core/routing.py
@@ -16,7 +16,7 @@
 from moledale.servers.types import LoadReport
 
 SET_ASIDE_KEY = "can-wait"
-QUIET_SHARE = 0.25
+LIGHT_LOAD_SHARE = 0.25
 """Part of its slots below which a server is quiet, so that work that can wait may go there."""
 
 
@@ -49,7 +49,7 @@
     hall: str = ""
     priority: Priority = Priority.NORMAL
     excluded: frozenset[str] = frozenset()
-    patient: bool = True
+    wait_for_cache: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 class ServerView:
     """A server as this node sees it: the last report plus what this node did since.
 
-    Its standing changes by the triggers of `SERVER_LIFE` once a book follows it.
+    Its standing changes by the triggers of `SERVER_STATES` once a book follows it.
     """
 
     id: str
@@ -93,7 +93,7 @@
         return need.prompt_tokens - self.cached_for(need)
 
 
-SERVER_LIFE: Any = Machine(
+SERVER_STATES: Any = Machine(
     model=None,
     model_attribute="standing",
     states=Standing,
@@ -150,12 +150,14 @@
     ]
 
 
-def with_room(views: Iterable[ServerView]) -> list[ServerView]:
+def with_free_slot(views: Iterable[ServerView]) -> list[ServerView]:
     """Return servers with a free slot."""
     return [view for view in views if view.running < view.speeds.slots]
 
 
-def suited(live: Sequence[ServerView], need: Need, params: RoutingParams) -> list[ServerView]:
+def servers_for_priority(
+    live: Sequence[ServerView], need: Need, params: RoutingParams
+) -> list[ServerView]:
     """Return the servers with a free slot that this priority should use.
 
     Long prompts that can wait slow every step of the batch they are in, so they have some
@@ -163,7 +165,7 @@
     servers while others have room. Which ones are set aside follows from a hash of the servers,
     so nodes agree on it without talking.
     """
-    room = with_room(live)
+    room = with_free_slot(live)
     number = round(len(live) * params.set_aside)
     if number == 0 or need.priority is Priority.NORMAL:
         return room
@@ -171,25 +173,25 @@
     if need.priority is Priority.IMMEDIATE:
         return [view for view in room if view.id not in aside] or room
     inside = [view for view in room if view.id in aside]
-    return inside or [view for view in room if quiet(view)]
+    return inside or [view for view in room if is_lightly_loaded(view)]
 
 
-def quiet(view: ServerView) -> bool:
+def is_lightly_loaded(view: ServerView) -> bool:
     """Say whether little runs on a server and nothing waits for its prefill."""
-    return view.prefill_tokens == 0 and view.running < QUIET_SHARE * view.speeds.slots
+    return view.prefill_tokens == 0 and view.running < LIGHT_LOAD_SHARE * view.speeds.slots
 
 
-def wait_s(view: ServerView, need: Need) -> float:
+def estimated_ttft_s(view: ServerView, need: Need) -> float:
     """Estimate the seconds until the first token if the request went to this server."""
     work = view.prefill_tokens + view.uncached(need)
     share = view.running / view.speeds.slots
     return work / view.speeds.prefill_tokens_per_s * (1.0 + share)
 
 
-def cost(view: ServerView, need: Need, params: RoutingParams) -> float:
+def cost_s(view: ServerView, need: Need, params: RoutingParams) -> float:
     """Return the seconds that a choice costs: the wait, and the way to another hall."""
     away = params.cross_hall_s if need.hall and view.hall != need.hall else 0.0
-    return wait_s(view, need) + away
+    return estimated_ttft_s(view, need) + away
 
 
 def pick(views: Sequence[ServerView], need: Need, params: RoutingParams) -> Pick | None:
@@ -202,42 +204,42 @@
     breaks ties the same way on every node.
     """
     live = eligible(views, need)
-    home = home_of(live, need)
+    home = cache_holder(live, need)
     if home is not None:
         if home.running < home.speeds.slots:
             return Pick(home.id, True, home.cached_for(need))
-        if need.patient and need.priority is not Priority.IMMEDIATE:
+        if need.wait_for_cache and need.priority is not Priority.IMMEDIATE:
             return None
-    candidates = suited(live, need, params)
+    candidates = servers_for_priority(live, need, params)
     if not candidates:
         return None
     best = min(
         candidates,
-        key=lambda view: (cost(view, need, params), -weight(need.session, view.id)),
+        key=lambda view: (cost_s(view, need, params), -weight(need.session, view.id)),
     )
     return Pick(best.id, best.cached_for(need) > 0, best.cached_for(need))
 
 
-def home_of(live: Sequence[ServerView], need: Need) -> ServerView | None:
+def cache_holder(live: Sequence[ServerView], need: Need) -> ServerView | None:
     """Return the server that holds most of the session's cache, if one holds any."""
     home = max(live, key=lambda view: view.cached_for(need), default=None)
     return home if home is not None and home.cached_for(need) > 0 else None
 
 
-class LoadBook:
+class LoadTracker:
     """The views of the servers a node follows, with this node's own reservations on top.
 
     A reservation counts until a report that was made after it, and a release is taken off
     until a report that was made after that; so a lagged report neither hides nor doubles it.
     """
 
-    def __init__(self, most_sessions: int) -> None:
+    def __init__(self, max_sessions: int) -> None:
         self.views: dict[str, ServerView] = {}
         self._open: dict[int, Reservation] = {}
         self._unreported: dict[str, list[int]] = {}
-        self._ended: dict[str, list[tuple[float, Reservation]]] = {}
+        self._released: dict[str, list[tuple[float, Reservation]]] = {}
         self._next_id = 0
-        self._most_sessions = most_sessions
+        self._max_sessions = max_sessions
         self._cached_sessions: dict[str, str] = {}
 
     def follow(self, view: ServerView) -> None:
@@ -245,7 +247,7 @@
         known = self.views.get(view.id)
         if known is None:
             self.views[view.id] = view
-            SERVER_LIFE.add_model(view, initial=view.standing)
+            SERVER_STATES.add_model(view, initial=view.standing)
             return
         known.address = view.address
         known.speeds = view.speeds
@@ -274,8 +276,8 @@
         """Stop following a server; open reservations may still be released."""
         view = self.views.pop(server, None)
         if view is not None:
-            SERVER_LIFE.remove_model(view)
-        self._ended.pop(server, None)
+            SERVER_STATES.remove_model(view)
+        self._released.pop(server, None)
         self._unreported.pop(server, None)
         self._cached_sessions = {s: at for s, at in self._cached_sessions.items() if at != server}
 
@@ -296,10 +298,10 @@
         made = Reservation(self._next_id, server, uncached, need.prompt_tokens, now)
         self._open[made.id] = made
         self._unreported.setdefault(server, []).append(made.id)
-        _add(view, made, 1)
+        _apply_reservation(view, made, 1)
         return made
 
-    def first_token(self, made: Reservation) -> Reservation:
+    def record_first_token(self, made: Reservation) -> Reservation:
         """Note that a request's prefill is done."""
         if made.id not in self._open:
             return made
@@ -318,14 +320,14 @@
         view = self.views.get(made.server)
         if view is None:
             return
-        _add(view, current, -1)
+        _apply_reservation(view, current, -1)
         unreported = self._unreported.get(made.server, [])
         if made.id in unreported:
             unreported.remove(made.id)
         else:
-            self._ended.setdefault(made.server, []).append((now, current))
+            self._released.setdefault(made.server, []).append((now, current))
 
-    def report(self, report: LoadReport, made_at: float, now: float) -> bool:
+    def apply_report(self, report: LoadReport, made_at: float, now: float) -> bool:
         """Take over a report made at `made_at`; an older one than the last is ignored."""
         view = self.views.get(report.server)
         if view is None or report.sequence <= view.sequence:
@@ -337,21 +339,21 @@
         view.prefill_tokens = report.pending_prefill_tokens
         view.decode_tokens = report.decode_tokens
         self._add_unreported(view, made_at)
-        self._take_off_ended(view, made_at)
+        self._subtract_released(view, made_at)
         return True
 
-    def cached(self, session: str, server: str, tokens: int) -> None:
+    def record_cache(self, session: str, server: str, tokens: int) -> None:
         """Note that a server's cache covers `tokens` of a session; the newest place counts."""
         view = self.views.get(server)
         if not session or view is None:
             return
-        self.forget(session)
+        self.forget_session(session)
         view.cached[session] = tokens
         self._cached_sessions[session] = server
-        if len(self._cached_sessions) > self._most_sessions:
-            self.forget(next(iter(self._cached_sessions)))
+        if len(self._cached_sessions) > self._max_sessions:
+            self.forget_session(next(iter(self._cached_sessions)))
 
-    def forget(self, session: str) -> None:
+    def forget_session(self, session: str) -> None:
         """Forget where a session's cache is."""
         server = self._cached_sessions.pop(session, None)
         view = self.views.get(server) if server is not None else None
@@ -372,17 +374,17 @@
             made = self._open.get(identity)
             if made is not None and made.made_at >= made_at:
                 still.append(identity)
-                _add(view, made, 1)
+                _apply_reservation(view, made, 1)
         self._unreported[view.id] = still
 
-    def _take_off_ended(self, view: ServerView, made_at: float) -> None:
-        still = [(at, made) for at, made in self._ended.get(view.id, []) if at >= made_at]
+    def _subtract_released(self, view: ServerView, made_at: float) -> None:
+        still = [(at, made) for at, made in self._released.get(view.id, []) if at >= made_at]
         for _, made in still:
-            _add(view, made, -1)
-        self._ended[view.id] = still
+            _apply_reservation(view, made, -1)
+        self._released[view.id] = still
 
 
-def _add(view: ServerView, made: Reservation, sign: int) -> None:
+def _apply_reservation(view: ServerView, made: Reservation, sign: int) -> None:
     view.running = max(0, view.running + sign)
     view.prefill_tokens = max(0, view.prefill_tokens + sign * made.prefill_tokens)
     view.decode_tokens = max(0, view.decode_tokens + sign * made.decode_tokens)
--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -12,7 +12,7 @@
 from moledale.bundle.schema import Bundle
 from moledale.clock import Clock
 from moledale.core.limits import RetryBudget
-from moledale.core.routing import LoadBook, Reservation, ServerView, Standing, eligible
+from moledale.core.routing import LoadTracker, Reservation, ServerView, Standing, eligible
 from moledale.log import Event, emit
 from moledale.node.background import Background
 from moledale.node.generation_guard import GenerationGuard
@@ -41,7 +41,7 @@
         hall: str,
         servers: ModelServers,
         streams: StreamTable,
-        book: LoadBook,
+        book: LoadTracker,
         tally: Tally,
         bundle: Callable[[], Bundle | None],
         most_waiting: int,
@@ -258,7 +258,7 @@
                 async for event in events:
                     if isinstance(event, Token):
                         if record.first_token_at is None or made.prefill_tokens:
-                            made = self.book.first_token(made)
+                            made = self.book.record_first_token(made)
                         if not record.add(attempt, event.i, event.t, self._clock.monotonic()):
                             return f"token {event.i} out of order"
                     elif isinstance(event, Done):
--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -8,7 +8,7 @@
 from moledale.bundle.schema import Bundle, Priority
 from moledale.clock import Clock
 from moledale.core import reclaim
-from moledale.core.routing import LoadBook, Need, Reservation, ServerView, pick
+from moledale.core.routing import LoadTracker, Need, Reservation, ServerView, pick
 from moledale.node.background import Background
 from moledale.node.needs import context_tokens, need_of, params_of
 from moledale.node.streams import StreamRecord
@@ -36,7 +36,7 @@
         self,
         hall: str,
         servers: ModelServers,
-        book: LoadBook,
+        book: LoadTracker,
         waiting: WaitingRoom,
         bundle: Callable[[], Bundle | None],
         redirect: Redirect,
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -20,7 +20,7 @@
 from moledale.core.duties import halls_to_lease
 from moledale.core.freshness import Freshness, Verdict, decide_verdict
 from moledale.core.hashing import ranked
-from moledale.core.routing import LoadBook
+from moledale.core.routing import LoadTracker
 from moledale.log import Event, emit
 from moledale.node.accounts import Accounts
 from moledale.node.background import Background
@@ -111,7 +111,7 @@
         self.streams = StreamTable(
             limits.streams, limits.finished_streams, limits.finished_stream_s
         )
-        self.book = LoadBook(limits.sessions)
+        self.book = LoadTracker(limits.sessions)
         self.dispatcher = Dispatcher(
             settings.node.hall,
             servers,
--- a/src/moledale/node/server_watch.py
+++ b/src/moledale/node/server_watch.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from moledale.clock import Clock
-from moledale.core.routing import LoadBook, ServerView
+from moledale.core.routing import LoadTracker, ServerView
 from moledale.log import Event, emit
 from moledale.node.messages import ServerGone, ServerMessage, ServerReported
 from moledale.servers.types import ModelServers
@@ -32,7 +32,7 @@
     def __init__(
         self,
         servers: ModelServers,
-        book: LoadBook,
+        book: LoadTracker,
         tell: Callable[[ServerMessage], None],
         poll_s: float,
         polls_per_s: float,
@@ -114,8 +114,8 @@
         for event in outcome.ok_value:
             if after and event.sequence != after + 1:
                 for session in list(view.cached):
-                    self._book.forget(session)
+                    self._book.forget_session(session)
             after = event.sequence
             if event.kind == "evicted" and self._book.server_of(event.session) == view.id:
-                self._book.forget(event.session)
+                self._book.forget_session(event.session)
         self._events_seen[view.id] = after
--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -9,7 +9,7 @@
 from moledale.bundle.schema import Bundle, Priority
 from moledale.clock import Clock
 from moledale.core.queueing import WaitingQueue, estimated_wait_s
-from moledale.core.routing import LoadBook, Need, Reservation, eligible
+from moledale.core.routing import LoadTracker, Need, Reservation, eligible
 from moledale.node.needs import need_of, params_of
 from moledale.node.streams import GenerationRequest, StreamRecord
 from moledale.problems import Problem, Ran
@@ -43,7 +43,7 @@
     def __init__(
         self,
         hall: str,
-        book: LoadBook,
+        book: LoadTracker,
         bundle: Callable[[], Bundle | None],
         most_waiting: int,
         clock: Clock,
@@ -127,7 +127,7 @@
             if kind in full and not has_home:
                 continue
             if now - waiter.since >= HOME_WAIT_S:
-                need = replace(need, patient=False)
+                need = replace(need, wait_for_cache=False)
             made = self.reserve(need)
             if made is not None:
                 self._resolve(waiter, made)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -19,7 +19,15 @@
 from moledale.core.renting import HeldInstance as Rented
 from moledale.core.renting import Rent, RentRefusal, RentView
 from moledale.core.renting import plan as renting_plan
-from moledale.core.routing import LoadBook, Need, RoutingParams, ServerView, Speeds, Standing, pick
+from moledale.core.routing import (
+    LoadTracker,
+    Need,
+    RoutingParams,
+    ServerView,
+    Speeds,
+    Standing,
+    pick,
+)
 from moledale.core.subset import Followable, followed
 from moledale.servers.types import LoadReport
 
@@ -71,9 +79,11 @@
             (full, later, True, None),
             (full, later, False, "x"),
         ]
-        for home, priority, patient, wanted in cases:
-            with self.subTest(running=home.running, priority=priority, patient=patient):
-                asked = Need("m", 100, 10, "s", "a", priority, patient=patient)
+        for home, priority, wait_for_cache, wanted in cases:
+            with self.subTest(
+                running=home.running, priority=priority, wait_for_cache=wait_for_cache
+            ):
+                asked = Need("m", 100, 10, "s", "a", priority, wait_for_cache=wait_for_cache)
                 chosen = pick([view("x"), home], asked, PARAMS)
                 self.assertEqual(chosen.server if chosen else None, wanted)
 
@@ -88,7 +98,7 @@
         self.assertEqual(len(picked[Priority.NORMAL]), 10)
 
     def test_picks_in_a_row_spread_before_any_report(self) -> None:
-        book = LoadBook(10)
+        book = LoadTracker(10)
         for name in "wxyz":
             book.follow(view(name))
         picked = [book.pick_and_reserve(need(session=""), PARAMS, 1.0) for _ in range(16)]
@@ -97,7 +107,7 @@
         self.assertEqual(set(counts.values()), {4})
 
     def test_a_lagged_report_neither_hides_nor_doubles_own_dispatches(self) -> None:
-        book = LoadBook(10)
+        book = LoadTracker(10)
         book.follow(view("x"))
         early = book.reserve("x", need(), 1.0)
         late = book.reserve("x", need(), 3.0)
@@ -111,7 +121,7 @@
         self.assertEqual(book.views["x"].running, 0)
 
     def test_an_older_report_is_ignored(self) -> None:
-        book = LoadBook(10)
+        book = LoadTracker(10)
         book.follow(view("x"))
         self.assertTrue(book.report(report("x", 5, 3), 1.0, 1.0))
         self.assertFalse(book.report(report("x", 4, 0), 2.0, 2.0))
@@ -119,7 +129,7 @@
 
     @given(st.lists(st.sampled_from(["reserve", "release", "report"]), max_size=40))
     def test_the_book_returns_to_zero(self, steps: list[str]) -> None:
-        book = LoadBook(5)
+        book = LoadTracker(5)
         book.follow(view("x"))
         held = []
         for number, step in enumerate(steps):
@@ -137,7 +147,7 @@
         self.assertEqual((book.views["x"].running, book.open_reservations()), (0, 0))
 
     def test_sessions_are_bounded_and_forgotten_with_their_server(self) -> None:
-        book = LoadBook(2)
+        book = LoadTracker(2)
         book.follow(view("x"))
         for session in ("a", "b", "c"):
             book.cached(session, "x", 10)
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -12,7 +12,7 @@
 from result import Ok, Result
 
 from moledale.bundle.schema import Bundle, Service
-from moledale.core.routing import LoadBook, ServerView, Speeds, Standing
+from moledale.core.routing import LoadTracker, ServerView, Speeds, Standing
 from moledale.node.services import ServiceRouter
 from moledale.problems import Ran
 from moledale.servers.http import HttpModelServers, HttpPlainServices, make_client
@@ -64,7 +64,7 @@
         self.assertEqual(record.state, "finished")
 
     def test_a_server_that_leaves_meanwhile_does_not_come_back(self) -> None:
-        book = LoadBook(10)
+        book = LoadTracker(10)
         book.follow(ServerView("s1", "a", "h:1", Speeds(1.0, 1.0, 4)))
         view = book.views["s1"]
         book.back_off("s1", 5.0)
--- a/tools/without.py
+++ b/tools/without.py
@@ -206,7 +206,7 @@
     Without(
         "routing",
         "pick and reserve in one step",
-        _attribute(routing, "_add", lambda view, made, sign: None),
+        _attribute(routing, "_apply_reservation", lambda view, made, sign: None),
         "tests.test_core.RoutingTest",
     ),
 ]
