--- a/src/moledale/core/subset.py
+++ b/src/moledale/core/subset.py
@@ -14,7 +14,7 @@
     hall: str
 
 
-def followed(
+def select_followed(
     node: str, hall: str, servers: Sequence[Followable], most: int, away_share: float = 0.25
 ) -> set[str]:
     """Return the servers that `node` follows: at most `most`, mostly of its own hall.
--- a/src/moledale/node/fleet.py
+++ b/src/moledale/node/fleet.py
@@ -10,7 +10,7 @@
 from moledale.clock import Clock
 from moledale.core.addresses import NodeView
 from moledale.core.routing import ServerView, Speeds
-from moledale.core.subset import Followable, followed
+from moledale.core.subset import Followable, select_followed
 from moledale.node.messages import ServerGone, ServerLeaving, ServerMessage
 
 
@@ -81,7 +81,7 @@
             for server in self.servers.values()
             if bundle.instance_class(server.instance_class) is not None
         ]
-        wanted = followed(self._node, self._hall, known, self._most_followed)
+        wanted = select_followed(self._node, self._hall, known, self._most_followed)
         for server_id in self.followed - wanted:
             self._tell(ServerGone(server_id, "no longer followed"))
         for server_id in sorted(wanted):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -28,7 +28,7 @@
     Standing,
     pick,
 )
-from moledale.core.subset import Followable, followed
+from moledale.core.subset import Followable, select_followed
 from moledale.servers.types import LoadReport
 
 SPEEDS = Speeds(8_000, 1_500, 4)
@@ -280,13 +280,15 @@
 
     def test_subsets_are_even_and_shift_little(self) -> None:
         servers = [Followable(f"srv{i}", f"h{i % 7}") for i in range(1_100)]
-        sets = {f"n{i}": followed(f"n{i}", f"h{i % 7}", servers, 32) for i in range(390)}
+        sets = {f"n{i}": select_followed(f"n{i}", f"h{i % 7}", servers, 32) for i in range(390)}
         followers = {s.id: sum(1 for one in sets.values() if s.id in one) for s in servers}
         self.assertTrue(all(len(one) == 32 for one in sets.values()))
         self.assertGreaterEqual(min(followers.values()), 1)
         self.assertLess(max(followers.values()), 30)
         fewer = servers[1:]
-        changed = sum(len(sets[n] ^ followed(n, f"h{int(n[1:]) % 7}", fewer, 32)) for n in sets)
+        changed = sum(
+            len(sets[n] ^ select_followed(n, f"h{int(n[1:]) % 7}", fewer, 32)) for n in sets
+        )
         self.assertLessEqual(changed, 2 * followers["srv0"])
 
     def test_a_hall_without_nodes_has_stand_ins(self) -> None:
