--- a/tests/test_quarantine_core.py
+++ b/tests/test_quarantine_core.py
@@ -163,9 +163,9 @@
     ) -> None:
         one, other = Quarantine(), Quarantine()
         for fingerprint, times in told:
-            one.take_over(Block(fingerprint, 50.0, times))
+            one.merge_block(Block(fingerprint, 50.0, times))
         for fingerprint, times in reversed(told):
-            other.take_over(Block(fingerprint, 60.0, times))
+            other.merge_block(Block(fingerprint, 60.0, times))
         self.assertEqual(one.digest(), other.digest())
         self.assertEqual(one.digest() == Quarantine().digest(), not told)
 
