--- a/bench/replay.py
+++ b/bench/replay.py
@@ -334,8 +334,8 @@
         offered = node.queue.offer(request, request.turn.priority, self._now, deadline)
         if not offered.accepted:
             request.refused_at = self._now
-        if offered.pushed_out is not None:
-            offered.pushed_out.refused_at = self._now
+        if offered.evicted is not None:
+            offered.evicted.refused_at = self._now
         self._pump(request.node)
 
     def _tick(self) -> None:
--- a/src/moledale/core/queueing.py
+++ b/src/moledale/core/queueing.py
@@ -31,7 +31,7 @@
     """What became of an offer: whether it waits, and whom it pushed out."""
 
     accepted: bool
-    pushed_out: T | None = None
+    evicted: T | None = None
 
 
 class WaitingQueue(Generic[T]):
@@ -48,18 +48,18 @@
 
     def offer(self, item: T, priority: Priority, now: float, deadline: float) -> OfferResult[T]:
         """Let an item wait, or refuse it if there is no room for its priority."""
-        pushed_out: T | None = None
+        evicted: T | None = None
         if len(self._entries) >= self._capacity:
             victim = self._find_victim(priority)
             if victim is None:
                 return OfferResult(False)
-            pushed_out = victim.item
+            evicted = victim.item
             self._drop(victim)
         self._serial += 1
         entry = _Entry(now + RANK_OFFSET_S[priority], self._serial, deadline, priority, item)
         self._entries[id(item)] = entry
         heapq.heappush(self._heap, entry)
-        return OfferResult(True, pushed_out)
+        return OfferResult(True, evicted)
 
     def remove(self, item: T) -> None:
         """Take an item out, wherever it stands."""
--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -102,9 +102,9 @@
         offered = self._queue.offer(waiter, request.priority, now, request.deadline_at)
         if not offered.accepted:
             return problems.overloaded("the queue is full", 1)
-        if offered.pushed_out is not None:
+        if offered.evicted is not None:
             refusal = problems.overloaded("more urgent work took its place", 2)
-            self._resolve(offered.pushed_out, refusal)
+            self._resolve(offered.evicted, refusal)
         self.fill()
         try:
             return await waiter.slot
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -172,7 +172,7 @@
         queue.offer("b", Priority.CAN_WAIT, 1.0, 9)
         self.assertFalse(queue.offer("c", Priority.CAN_WAIT, 2.0, 9).accepted)
         offered = queue.offer("d", Priority.IMMEDIATE, 2.0, 9)
-        self.assertEqual((offered.accepted, offered.pushed_out), (True, "b"))
+        self.assertEqual((offered.accepted, offered.evicted), (True, "b"))
         self.assertEqual(queue.in_order(), ["d", "a"])
 
     def test_expiry_and_removal(self) -> None:
