--- a/src/moledale/core/rollout_evidence.py
+++ b/src/moledale/core/rollout_evidence.py
@@ -79,7 +79,7 @@
     times: dict[int, int] = {}
 
     @property
-    def number(self) -> int:
+    def count(self) -> int:
         """Return the answers counted."""
         return self.failed + sum(self.times.values())
 
@@ -167,7 +167,7 @@
     many answers to be known.
     """
 
-    number: int = 0
+    count: int = 0
     bad: int = 0
     slow_bucket: int | None = None
     recent_bad_share: float = 0.0
@@ -176,28 +176,28 @@
     def observe(self, now: Tally) -> None:
         """Take over the counts as they are now."""
         fresh = now.since(self._snapshots[-1])
-        if fresh.number <= 0:
+        if fresh.count <= 0:
             self.recent_bad_share = 0.0
             return
         self._snapshots.append(now.copy())
         while (
             len(self._snapshots) > 2
-            and now.since(self._snapshots[1]).number >= RECENT_CONTROL_ANSWERS
+            and now.since(self._snapshots[1]).count >= RECENT_CONTROL_ANSWERS
         ):
             self._snapshots.popleft()
         middle = now.since(self._snapshots[0]).median_bucket()
         if middle is not None:
             self.slow_bucket = max(middle + SLOW_BUCKETS, bucket_of(MIN_SLOW_S))
-        self.number += fresh.number
+        self.count += fresh.count
         bad = fresh.count_bad(self.slow_bucket)
         self.bad += bad
         known = self.bad_share * PRIOR_ANSWERS
-        self.recent_bad_share = (bad + known) / (fresh.number + PRIOR_ANSWERS)
+        self.recent_bad_share = (bad + known) / (fresh.count + PRIOR_ANSWERS)
 
     @property
     def bad_share(self) -> float:
         """Return the share of bad answers over all that were seen."""
-        return (self.bad + PRIOR_BAD_SHARE * PRIOR_ANSWERS) / (self.number + PRIOR_ANSWERS)
+        return (self.bad + PRIOR_BAD_SHARE * PRIOR_ANSWERS) / (self.count + PRIOR_ANSWERS)
 
     @property
     def expected_bad_share(self) -> float:
@@ -212,7 +212,7 @@
     """Follows one series of the new servers against the old ones."""
 
     control: Control = msgspec.field(default_factory=Control)
-    number: int = 0
+    count: int = 0
     cusum: float = 0.0
     _seen: Tally = msgspec.field(default_factory=Tally)
 
@@ -220,23 +220,23 @@
         """Take over the counts as they are now; say whether the version is bad."""
         self.control.observe(old)
         fresh = new.since(self._seen)
-        if fresh.number <= 0:
+        if fresh.count <= 0:
             return self.exceeds_threshold
         self._seen = new.copy()
-        self.number += fresh.number
+        self.count += fresh.count
         bad = fresh.count_bad(self.control.slow_bucket if with_times else None)
         expected = self.control.expected_bad_share
         feared = min(MAX_BAD_SHARE, BAD_SHARE_OFFSET + BAD_SHARE_FACTOR * expected)
         expected = min(expected, feared / BAD_SHARE_FACTOR)
         step = bad * log(feared / expected)
-        step += (fresh.number - bad) * log((1.0 - feared) / (1.0 - expected))
+        step += (fresh.count - bad) * log((1.0 - feared) / (1.0 - expected))
         self.cusum = max(0.0, self.cusum + step)
         return self.exceeds_threshold
 
     @property
     def exceeds_threshold(self) -> bool:
         """Say whether chance alone would hardly bring as many bad answers."""
-        return self.cusum > BASE_THRESHOLD + LOG_THRESHOLD_FACTOR * log(1 + self.number)
+        return self.cusum > BASE_THRESHOLD + LOG_THRESHOLD_FACTOR * log(1 + self.count)
 
 
 class Judge(msgspec.Struct):
--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -173,7 +173,7 @@
         return {
             "target": rollout.order.target,
             "revision": rollout.order.revision,
-            "answers": {series: tally.number for series, tally in new},
+            "answers": {series: tally.count for series, tally in new},
             "failed": {series: tally.failed for series, tally in new if tally.failed},
         }
 
@@ -255,7 +255,7 @@
                 continue
             peer_counts = self._peer_counts(service, rollout.order.revision)
             rollout.evidence = merged([rollout.own.seen, *(each.seen for each in peer_counts)])
-            rollout.tried = sum(tally.number for tally in rollout.evidence.new.values())
+            rollout.tried = sum(tally.count for tally in rollout.evidence.new.values())
             if rollout.judge.observe(rollout.evidence, rollout.phase is not Phase.MOVING):
                 self.advance(service, Phase.ROLLED_BACK, "the new version's answers are worse")
 
