--- a/bench/replay.py
+++ b/bench/replay.py
@@ -246,7 +246,7 @@
         self._count_computed(request, sequence)
         node = self._nodes[request.node]
         self._release(request)
-        node.book.cached(request.turn.session, engine.name, sequence.context_tokens)
+        node.book.record_cache(request.turn.session, engine.name, sequence.context_tokens)
         node.service_s += 0.1 * (self._now - request.turn.at - node.service_s)
         self._report(engine, [request.node])
         self._pump(request.node)
@@ -299,7 +299,7 @@
 
         def arrive() -> None:
             for index in nodes:
-                self._nodes[index].book.report(report, taken, self._now)
+                self._nodes[index].book.apply_report(report, taken, self._now)
                 self._pump(index)
 
         self._after(REPORT_LAG_S, arrive)
@@ -486,7 +486,7 @@
         if chosen is not None:
             blocks = blocks_of(session, tokens)
             self._engines[chosen.server].model.adopt_cache(blocks, session)
-            node.book.cached(session, chosen.server, tokens)
+            node.book.record_cache(session, chosen.server, tokens)
 
     def _move(self, index: int, source: _Engine, attempt: str) -> None:
         """End a transfer: the cache is at the target, and the stream goes on there."""
--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -290,7 +290,7 @@
         record.finish(attempt, done.reason)
         self.handle(ServerReported(done.load, 0.0))
         if server is not None:
-            self.book.cached(record.request.session, server, context_tokens(record))
+            self.book.record_cache(record.request.session, server, context_tokens(record))
 
     def _cancel_later(self, address: str, attempt: str) -> None:
         """Tell a server to stop an attempt that nobody follows any more."""
@@ -303,7 +303,7 @@
         if view is None:
             return
         now = self._clock.monotonic()
-        if self.book.report(message.report, now - message.made_ago_s, now):
+        if self.book.apply_report(message.report, now - message.made_ago_s, now):
             view.note_answer()  # type: ignore[attr-defined]
         # Reports that ride along with answers keep the watch from polling a busy server, so
         # they must tell of its leaving too.
--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -122,7 +122,7 @@
             return
         # A turn that came meanwhile knows better where the session is.
         if self._book.server_of(session) in (None, source.id):
-            self._book.cached(session, chosen.server, tokens)
+            self._book.record_cache(session, chosen.server, tokens)
 
     async def _copy_cache(self, session: str, source: str, target: str) -> bool:
         exported = await self._servers.export_kv(source, session)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -111,10 +111,10 @@
         book.follow(view("x"))
         early = book.reserve("x", need(), 1.0)
         late = book.reserve("x", need(), 3.0)
-        book.report(report("x", 1, running=1), made_at=2.0, now=3.5)
+        book.apply_report(report("x", 1, running=1), made_at=2.0, now=3.5)
         self.assertEqual(book.views["x"].running, 2)
         book.release(early, 4.0)
-        book.report(report("x", 2, running=2), made_at=3.8, now=4.5)
+        book.apply_report(report("x", 2, running=2), made_at=3.8, now=4.5)
         self.assertEqual(book.views["x"].running, 1)
         book.release(late, 5.0)
         book.release(late, 5.0)
@@ -123,8 +123,8 @@
     def test_an_older_report_is_ignored(self) -> None:
         book = LoadTracker(10)
         book.follow(view("x"))
-        self.assertTrue(book.report(report("x", 5, 3), 1.0, 1.0))
-        self.assertFalse(book.report(report("x", 4, 0), 2.0, 2.0))
+        self.assertTrue(book.apply_report(report("x", 5, 3), 1.0, 1.0))
+        self.assertFalse(book.apply_report(report("x", 4, 0), 2.0, 2.0))
         self.assertEqual(book.views["x"].running, 3)
 
     @given(st.lists(st.sampled_from(["reserve", "release", "report"]), max_size=40))
@@ -139,18 +139,18 @@
             elif step == "release" and held:
                 book.release(held.pop(0), at)
             elif step == "report":
-                book.report(report("x", number, len(held)), at - 0.5, at)
+                book.apply_report(report("x", number, len(held)), at - 0.5, at)
             self.assertGreaterEqual(book.views["x"].running, 0)
         for made in held:
             book.release(made, 100.0)
-        book.report(report("x", 1000, 0), 200.0, 200.0)
+        book.apply_report(report("x", 1000, 0), 200.0, 200.0)
         self.assertEqual((book.views["x"].running, book.open_reservations()), (0, 0))
 
     def test_sessions_are_bounded_and_forgotten_with_their_server(self) -> None:
         book = LoadTracker(2)
         book.follow(view("x"))
         for session in ("a", "b", "c"):
-            book.cached(session, "x", 10)
+            book.record_cache(session, "x", 10)
         self.assertEqual(sorted(book.views["x"].cached), ["b", "c"])
         book.unfollow("x")
         self.assertIsNone(book.server_of("b"))
