--- a/src/moledale/core/quarantine.py
+++ b/src/moledale/core/quarantine.py
@@ -105,9 +105,9 @@
         Of servers that ended together it explains only the part that it ran on.
         """
         under = self._crashes_by_request.get(fingerprint, [])
-        return sum(self._explained_share(end, under) for end in under)
+        return sum(self._strike_share(end, under) for end in under)
 
-    def _explained_share(self, end: ServerCrash, under: list[ServerCrash]) -> float:
+    def _strike_share(self, end: ServerCrash, under: list[ServerCrash]) -> float:
         together = sum(1 for each in self._crashes if abs(each.at - end.at) <= COINCIDENCE_S)
         explained = sum(1 for each in under if abs(each.at - end.at) <= COINCIDENCE_S)
         return explained / together
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -277,7 +277,7 @@
      lambda *_: False, VERSIONS),
     ("a request is known when it comes again", RequestGuard, "wait_s", lambda *_: 0.0, BLOCKS),
     ("only servers that ended count", EndWatch, "_has_ended", _always_ended, BLOCKS),
-    ("ends at the same moment are shared out", Quarantine, "_explained_share", lambda *_: 1.0, BLAME),
+    ("ends at the same moment are shared out", Quarantine, "_strike_share", lambda *_: 1.0, BLAME),
     ("an answer clears its request", Quarantine, "record_served", lambda *_: False, BLAME),
     ("ends are told between nodes", QuarantineSharing, "_send_end", lambda *_: None, BLOCKS),
     ("ends are told once more", quarantine_sharing, "TELL_AGAIN_S", 1e6, BLOCKS),
