--- a/src/moledale/core/__init__.py
+++ b/src/moledale/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decision logic as pure functions over typed views; no sockets and no clock."""
+"""Decision logic as pure functions over typed views, without I/O; callers pass in the time."""
