--- a/src/moledale/core/breaker.py
+++ b/src/moledale/core/breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breaker: stops calls to something that keeps failing, with spread-out returns."""
+"""Circuit breaker: stops calls to a failing dependency, with jittered exponential backoff."""
 
 import random
 from dataclasses import dataclass
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakerLimits:
-    """After `failure_threshold` in a row calls stop, for `initial_wait_s` and then longer up to `max_wait_s`."""
+    """When a breaker opens and for how long.
+
+    It opens after `failure_threshold` failures in a row, for `initial_wait_s` at first and for up
+    to `max_wait_s` if the failures go on.
+    """
 
     failure_threshold: int = 3
     initial_wait_s: float = 0.5
@@ -20,7 +24,7 @@
 
 
 class Breaker:
-    """A breaker whose waits double and are spread by full jitter over [half, whole]."""
+    """A circuit breaker whose wait doubles each time, with jitter between half and all of it."""
 
     state: str
 
@@ -43,7 +47,7 @@
         )
 
     def allows(self, now: float) -> bool:
-        """Say whether a call may be made at `now`; one probe at a time once open."""
+        """Return whether a call may be made at `now`; after the wait, one probe at a time."""
         if self.state == CLOSED:
             return True
         if self.state == OPEN and now >= self._open_until:
@@ -56,7 +60,7 @@
         return 0.0 if self.state == CLOSED else max(0.0, self._open_until - now)
 
     def record_success(self) -> bool:
-        """Note an answer; return True if it ended an outage."""
+        """Record a successful call; return True if it ended an outage."""
         was_down = self.state != CLOSED
         self._failures = 0
         self._next_wait_s = self._limits.initial_wait_s
@@ -65,7 +69,7 @@
         return was_down
 
     def record_failure(self, now: float) -> bool:
-        """Note a failure; return True if it began an outage."""
+        """Record a failed call; return True if it started an outage."""
         self._failures += 1
         if self.state == OPEN:
             return False
@@ -75,7 +79,7 @@
         return began
 
     def record_cancelled(self, now: float) -> None:
-        """Note a call that was cancelled before it brought an outcome."""
+        """Record a call that was cancelled before its outcome was known."""
         if self.state == PROBING:
             self._open(now)
 
