--- a/src/moledale/core/duties.py
+++ b/src/moledale/core/duties.py
@@ -1,4 +1,4 @@
-"""Which halls' leases a node stands for."""
+"""Chooses the halls whose leases a node competes for."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,10 +6,10 @@
 from moledale.core.hashing import ranked
 
 CANDIDATES_PER_HALL = 4
-"""Nodes of a hall that stand for its lease; more would only read its row more often."""
+"""Nodes of a hall that compete for its lease; more would only read its row more often."""
 
 SUBSTITUTES_PER_HALL = 2
-"""Nodes of other halls that stand for the lease of a hall without nodes."""
+"""Nodes of other halls that compete for the lease of a hall without nodes."""
 
 
 def halls_to_lease(
@@ -17,16 +17,17 @@
 ) -> set[str]:
     """Return the halls whose lease this node should try to hold.
 
-    The first nodes of a hall by rendezvous hash stand for it. For a hall whose nodes are all
-    gone, some of the others stand in. If lists differ, more or other nodes may try than these,
-    and the table decides; when all of these die, the list says so and the next ones stand.
+    The first nodes of a hall by rendezvous hash are the candidates for its lease. A hall without
+    nodes gets candidates from the other halls. If the node lists differ, more or other nodes may
+    try, and the table decides between them. When all candidates die, they drop out of the list and
+    the next nodes follow.
     """
-    staying = [view for view in nodes if not view.leaving]
-    peopled = {view.hall for view in staying} | {own_hall}
-    at_home = {view.id for view in staying if view.hall == own_hall} | {node}
-    everywhere = {view.id for view in staying} | {node}
-    mine = {own_hall} if node in ranked(own_hall, at_home)[:CANDIDATES_PER_HALL] else set()
+    active = [view for view in nodes if not view.leaving]
+    halls_with_nodes = {view.hall for view in active} | {own_hall}
+    local_nodes = {view.id for view in active if view.hall == own_hall} | {node}
+    all_nodes = {view.id for view in active} | {node}
+    chosen = {own_hall} if node in ranked(own_hall, local_nodes)[:CANDIDATES_PER_HALL] else set()
     for hall in halls:
-        if hall not in peopled and node in ranked(hall, everywhere)[:SUBSTITUTES_PER_HALL]:
-            mine.add(hall)
-    return mine
+        if hall not in halls_with_nodes and node in ranked(hall, all_nodes)[:SUBSTITUTES_PER_HALL]:
+            chosen.add(hall)
+    return chosen
