--- a/src/moledale/core/freshness.py
+++ b/src/moledale/core/freshness.py
@@ -1,11 +1,11 @@
-"""Whether a node may take new requests, given how long ago it confirmed its bundle."""
+"""Decides whether a node may accept new requests, by how recently it confirmed its bundle."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Verdict(StrEnum):
-    """Whether new requests are taken."""
+    """Whether a node accepts new requests, and if not, why."""
 
     SERVE = "serve"
     UNCONFIRMED = "unconfirmed"
@@ -14,7 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Freshness:
-    """What a node knows about the head; times are seconds ago, None meaning never."""
+    """What a node knows about the bundle's head and its own connectivity.
+
+    Fields ending in `_ago_s` are seconds since the event; None means that it never happened.
+    `peer_count` is the number of other nodes in the instance list.
+    """
 
     version: int
     confirmed_ago_s: float | None
@@ -24,12 +28,12 @@
 
 
 def decide_verdict(view: Freshness, grace_s: float) -> Verdict:
-    """Decide whether to take new requests.
+    """Decide whether to accept new requests.
 
-    A node serves nothing before it has confirmed a head. After that, an outage of the table
-    stops nobody, since no bundle can be accepted during it; but a node that hears neither the
-    table nor any peer may be the only one that is cut off, and after a grace takes no new work.
-    A node that knows of a newer version than its own doesn't serve by the old one.
+    A node serves nothing before it has confirmed a head. After that, an outage of the table stops
+    no node, since no bundle can be accepted during it. But a node that reaches neither the table
+    nor any peer may be the only one that is cut off, so it accepts no new work after a grace period
+    of `grace_s`. A node that knows of a newer version than its own doesn't serve by the old one.
     """
     if view.version == 0 or view.confirmed_ago_s is None:
         return Verdict.UNCONFIRMED
