--- a/src/moledale/core/hashing.py
+++ b/src/moledale/core/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: the same order of candidates on every node, with no shared state."""
+"""Rendezvous hashing: every node orders candidates the same way, without shared state."""
 
 from collections.abc import Iterable
 from functools import lru_cache
@@ -8,10 +8,10 @@
 
 RING_KEY = "ring"
 RING_SIZE = 2**64
-"""Places of the ring: those of a 64-bit hash."""
+"""Positions on the hash ring: the range of a 64-bit hash."""
 
 POSITION_CACHE_SIZE = 4096
-"""Names whose places in the ring are kept: more than there are nodes."""
+"""Names whose ring positions are cached: more than there are nodes."""
 
 
 def weight(key: str, candidate: str) -> int:
@@ -20,19 +20,19 @@
 
 
 def ranked(key: str, candidates: Iterable[str]) -> list[str]:
-    """Return candidates with the heaviest first; ties are broken by name."""
+    """Return the candidates, the highest weight first; ties are broken by name."""
     return sorted(candidates, key=lambda name: (-weight(key, name), name))
 
 
 def first_ranked(key: str, candidates: Iterable[str]) -> str | None:
-    """Return the heaviest candidate, or None if there are none."""
+    """Return the candidate with the highest weight, or None if there are none."""
     return min(candidates, key=lambda name: (-weight(key, name), name), default=None)
 
 
-def ring_successors(own: str, candidates: Iterable[str], number: int) -> list[str]:
-    """Return the candidates next after a name in a ring that is the same on every node."""
-    place = _position(own)
-    return nsmallest(number, candidates, key=lambda name: (_position(name) - place) % RING_SIZE)
+def ring_successors(own: str, candidates: Iterable[str], count: int) -> list[str]:
+    """Return the `count` candidates that follow a name on a hash ring, the same on every node."""
+    position = _position(own)
+    return nsmallest(count, candidates, key=lambda name: (_position(name) - position) % RING_SIZE)
 
 
 @lru_cache(POSITION_CACHE_SIZE)
