--- a/src/moledale/core/leases.py
+++ b/src/moledale/core/leases.py
@@ -1,8 +1,8 @@
-"""Leases on table rows without trust in anyone's wall clock.
+"""Leases on table rows that don't depend on anyone's wall clock.
 
-A holder renews its row; a candidate takes it over only after it has seen the row unchanged
-for a whole time to live on its own monotonic clock. The holder counts its time from before it
-sent the renewal, so it stops believing before any candidate can begin.
+A holder renews its row; a candidate acquires the lease only after it has seen the row unchanged for
+a whole time to live (TTL) on its own monotonic clock. The holder counts the TTL from before it sent
+the renewal, so its lease ends before any candidate can acquire it.
 """
 
 from enum import StrEnum
@@ -14,15 +14,15 @@
 OBSERVED = "observed"
 HELD = "held"
 MARGIN_SHARE = 0.2
-"""Part of the time to live that a holder gives up early, against unequal clock rates."""
+"""Share of the TTL by which a holder stops early, to allow for unequal clock rates."""
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """What the table holds for a lease; `operation` names the write that put it there.
+    """A lease as stored in the table; `operation` identifies the write that stored it.
 
-    Where the table tells a steady clock, `renewed_s` is that clock's time, never earlier than the
-    holder began to count; a candidate then need not watch the row for the whole time to live.
-    `era` is that of the store as the writer knew it, 0 where there is none.
+    Where the table returns a steady clock, `renewed_s` is that clock's time, never earlier than the
+    time from which the holder counts; a candidate then need not watch the row for a whole TTL.
+    `era` is the store's era as known to the writer, 0 where there is none.
     """
 
     holder: str
@@ -42,7 +42,7 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """Proof of a held lease: orders carry its epoch, `until` is on the monotonic clock."""
+    """Proof of a held lease; orders carry its epoch. `until` and `since` are monotonic times."""
 
     name: str
     epoch: int
@@ -50,12 +50,12 @@
     since: float
 
     def valid(self, now: float) -> bool:
-        """Say whether the holder may still act."""
+        """Return whether the holder may still act."""
         return now < self.until
 
 
 class Lease:
-    """One node's view of one lease, driven by what it reads and by the outcome of its writes."""
+    """One node's view of one lease, updated by its reads and the outcome of its writes."""
 
     state: str
 
@@ -96,24 +96,24 @@
         return LeaseAction.READ
 
     def next_row(self, operation: str, min_epoch: int = 1) -> LeaseRow:
-        """Return the row to write when taking or renewing; taking raises the epoch."""
+        """Return the row to write to acquire or renew the lease; acquiring raises the epoch."""
         if self.state == HELD and self.row is not None:
             return LeaseRow(self._node, self.row.epoch, operation)
         epoch = self.row.epoch + 1 if self.row is not None else 1
         return LeaseRow(self._node, max(epoch, min_epoch), operation)
 
     def set_version(self, version: int) -> None:
-        """Note that the row to renew stands at another version than the last renewal left it."""
+        """Set the version to renew from, if the row changed since the last renewal."""
         self.version = version
 
     def reset(self) -> None:
-        """Forget the row: what was read of it holds no longer."""
+        """Discard what was read of the row, as it is no longer valid."""
         self.row = None
         self.version = 0
         self._vacate()  # type: ignore[attr-defined]
 
     def record_write(self, row: LeaseRow, version: int, sent_at: float) -> None:
-        """Note that this node's write, sent at `sent_at`, stands in the table."""
+        """Record that the table holds the row that this node sent at `sent_at`."""
         if self.state != HELD:
             self._held_since = sent_at
         self.row = row
@@ -122,7 +122,7 @@
         self._hold()  # type: ignore[attr-defined]
 
     def record_read(self, row: LeaseRow | None, version: int, now: float) -> None:
-        """Note what a read found; only a change of version starts the wait anew."""
+        """Record the result of a read; only a change of version restarts the wait for the TTL."""
         if row is None:
             self.reset()
             return
@@ -135,7 +135,7 @@
         self._observe()  # type: ignore[attr-defined]
 
     def grant(self, now: float) -> Grant | None:
-        """Return proof of the lease if it is held at `now`."""
+        """Return proof of the lease if it is held at `now`, else None."""
         if self.state != HELD or self.row is None or now >= self._held_until:
             return None
         return Grant(self.name, self.row.epoch, self._held_until, self._held_since)
@@ -144,11 +144,11 @@
 def may_send_order(
     grant: Grant, now: float, checks_fence: bool, ttl_s: float, order_max_s: float
 ) -> bool:
-    """Say whether a fenced order may be sent now.
+    """Return whether a fenced order may be sent now.
 
-    A server that checks fences refuses an old epoch itself. For one that doesn't, the order
-    must end inside the lease, and a new holder first waits out the longest order that the
-    holder before it may have sent at the end of its time.
+    A server that checks fences rejects an old epoch itself. For one that doesn't, the order must
+    end within the lease, and a new holder first waits for the longest order that the previous
+    holder may have sent at the end of its lease.
     """
     if not grant.valid(now):
         return False
