--- a/src/moledale/core/limits.py
+++ b/src/moledale/core/limits.py
@@ -1,4 +1,4 @@
-"""Limits: account rates shared over the nodes, and a budget that bounds retries."""
+"""Account rates shared between nodes, and a budget that limits retries."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 """Part of an equal share that a node keeps even without demand."""
 
 MIN_TOTAL_DEMAND = 1e-6
-"""Demand below which shares by demand would be rounding errors."""
+"""Total demand below which shares by demand would be rounding errors."""
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket: `rate` a second, at most `burst` at once."""
+    """A token bucket: `rate` tokens per second, at most `burst` at once."""
 
     rate: float
     burst: float
@@ -20,7 +20,7 @@
     updated_at: float
 
     def take(self, now: float) -> float:
-        """Take one; return 0.0, or the seconds until one is free."""
+        """Take one token; return 0.0, or the seconds until one is available."""
         self.level = min(self.burst, self.level + (now - self.updated_at) * self.rate)
         self.updated_at = now
         if self.level >= 1.0:
@@ -29,7 +29,7 @@
         return (1.0 - self.level) / self.rate if self.rate > 0 else float("inf")
 
     def set_rate(self, rate: float, burst: float, now: float) -> None:
-        """Change rate and burst; what is in the bucket stays, up to the new burst."""
+        """Change rate and burst; the tokens in the bucket stay, up to the new burst."""
         self.level = min(burst, self.level + (now - self.updated_at) * self.rate)
         self.updated_at = now
         self.rate = rate
@@ -37,10 +37,10 @@
 
 
 def node_rate(rate: float, own_demand: float, peer_demands: Iterable[float], nodes: int) -> float:
-    """Return this node's part of an account's rate.
+    """Return this node's part of an account's rate, in requests per second.
 
-    Each node keeps a floor; the rest follows demand, so what one node doesn't use another one
-    has. Peers that weren't heard of count as nodes without demand.
+    Each node keeps a minimum; the rest is divided by demand, so that what one node doesn't use is
+    available to others. Peers without a recent report count as nodes without demand.
     """
     nodes = max(1, nodes)
     floor = rate * FLOOR_SHARE / nodes
@@ -52,18 +52,18 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries as a share of requests: each request earns `share`, each retry costs one."""
+    """Limits retries to a share of requests: each request adds `share`, each retry costs one."""
 
     share: float = 0.2
     max_level: float = 20.0
     level: float = 20.0
 
     def record_request(self) -> None:
-        """Note a request."""
+        """Add the share that a request earns."""
         self.level = min(self.max_level, self.level + self.share)
 
     def try_spend(self) -> bool:
-        """Take a retry if the budget allows one."""
+        """Take one retry from the budget; return False if it is used up."""
         if self.level < 1.0:
             return False
         self.level -= 1.0
