--- a/src/moledale/core/pacing.py
+++ b/src/moledale/core/pacing.py
@@ -1,39 +1,45 @@
-"""Requests spaced so that a rate is kept in each span of time: the generic cell rate algorithm.
+"""Request pacing by the generic cell rate algorithm (ITU-T I.371, virtual scheduling).
 
-Times are seconds of one steady clock (ITU-T I.371, virtual scheduling). The next request is due one
-interval after the one before. It may come ahead of that by what was saved while none came, one
-interval or a little time's worth, and it may be taken ahead of time by one that waits for it.
+A rate is kept in each span of time by handing out slots. Times are seconds of one steady clock.
+Each slot is due one interval after the one before. It may be taken earlier by what was saved while
+no requests came, one interval or `BURST_S`, and it may be reserved in advance by a caller that
+waits for it.
 """
 
 import msgspec
 
 BURST_S = 0.25
-"""Requests of so much time may come at once, and two in any case: with none saved, a server of one
-a second stands idle from each place until somebody asks for the next."""
+"""Requests for this much time may come at once, and two in any case: without saved slots, a server
+of one request per second would be idle from each slot until the next caller asks."""
 
 MIN_RATE_PER_S = 0.1
-"""A rate of nothing is kept as this one: a server that named it would never be heard again."""
+"""Lower rates are raised to this one: a server that stated a rate of zero would get no request, so
+its next rate would never be learned."""
 
 STEEP_DROP_RATIO = 0.5
-"""A rate that falls below this part of what it was is taken for another one."""
+"""A rate that falls below this ratio of the previous one is treated as an unrelated one."""
 
 OVERBOOKING_FACTOR = 2.0
-"""Those that are turned away are told times for so many requests per place, since some of them
-don't come back."""
+"""Rejected callers are given retry times at this many requests per slot, since some of them don't
+return."""
 
 MAX_EXTRA_WAIT_S = 2.0
-"""Nobody is told to come back later than this after the next place is free: a rate may rise."""
+"""No caller is told to retry later than this after the next slot is free, since the rate may
+rise."""
 
 
 class SlotReservation(msgspec.Struct, frozen=True):
-    """A place that was taken, `wait_s` from now; or, if not `granted`, when to ask again."""
+    """A slot that was taken, `wait_s` from now; or, if not `granted`, when to ask again."""
 
     granted: bool
     wait_s: float
 
 
 class Pacer(msgspec.Struct):
-    """Places at a rate of `per_s`; `next_at` is when the next one is due."""
+    """Hands out slots at a rate of `per_s`.
+
+    `next_at` is when the next slot is due, `last_retry_at` the latest retry time given to a caller.
+    """
 
     per_s: float
     next_at: float
@@ -41,25 +47,25 @@
 
     @classmethod
     def without_credit(cls, per_s: float, now: float) -> "Pacer":
-        """Return one that has no place to give yet: who gave them before may just have done so."""
+        """Return a pacer without a free slot: another node may just have used the last ones."""
         pacer = cls(max(MIN_RATE_PER_S, per_s), now)
         pacer.next_at = now + pacer.interval_s + pacer.burst_tolerance_s
         return pacer
 
     @property
     def interval_s(self) -> float:
-        """Return the time between two places."""
+        """Return the time between two slots."""
         return 1.0 / self.per_s
 
     @property
     def burst_tolerance_s(self) -> float:
-        """Return how long before it is due a place may be taken."""
+        """Return how long before it is due a slot may be taken."""
         return max(self.interval_s, BURST_S - self.interval_s)
 
     def set_rate(self, per_s: float, now: float) -> None:
-        """Change the rate; the wait for the next place is as many intervals as before.
+        """Change the rate; the wait for the next slot is as many intervals as before.
 
-        After a steep fall there is no place at once, whatever was saved at the higher rate.
+        After a steep drop no slot is free at once, whatever was saved at the higher rate.
         """
         per_s = max(MIN_RATE_PER_S, per_s)
         if per_s == self.per_s:
@@ -67,28 +73,28 @@
         change = per_s / self.per_s
         self.per_s = per_s
         self.last_retry_at = min(self.last_retry_at, now)
-        most = now + self.interval_s + self.burst_tolerance_s
+        latest = now + self.interval_s + self.burst_tolerance_s
         if change < STEEP_DROP_RATIO:
-            self.next_at = most
+            self.next_at = latest
         elif self.next_at > now:
-            # Small changes may come each moment: were each a new beginning, no place would come.
-            self.next_at = min(most, now + (self.next_at - now) / change)
+            # Small changes may be frequent: restarting the wait on each would never free a slot.
+            self.next_at = min(latest, now + (self.next_at - now) / change)
 
-    def take(self, now: float, max_wait_s: float = 0.0, number: int = 1) -> SlotReservation:
-        """Take some places at once, the first within a wait; or be told when to ask again."""
+    def take(self, now: float, max_wait_s: float = 0.0, count: int = 1) -> SlotReservation:
+        """Reserve `count` slots, the first within `max_wait_s`; else return when to retry."""
         wait_s = max(0.0, self.next_at - self.burst_tolerance_s - now)
         if wait_s > max_wait_s:
             return SlotReservation(False, self._retry_after_s(wait_s, now))
-        self.next_at = max(self.next_at, now) + number * self.interval_s
+        self.next_at = max(self.next_at, now) + count * self.interval_s
         return SlotReservation(True, wait_s)
 
     def record_external(self, now: float) -> None:
-        """Count a request that took no place here; many hold the next one back a little only."""
-        most = now + MAX_EXTRA_WAIT_S + self.interval_s
-        self.next_at = max(self.next_at, min(most, max(self.next_at, now) + self.interval_s))
+        """Count a request sent without a slot; even many delay the next slot only a little."""
+        latest = now + MAX_EXTRA_WAIT_S + self.interval_s
+        self.next_at = max(self.next_at, min(latest, max(self.next_at, now) + self.interval_s))
 
     def _retry_after_s(self, wait_s: float, now: float) -> float:
-        """Return a time to ask again, one after the other for those that ask."""
+        """Return the seconds until a rejected caller may retry; callers get successive times."""
         first = now + wait_s
         self.last_retry_at = max(first, self.last_retry_at + self.interval_s / OVERBOOKING_FACTOR)
         return min(self.last_retry_at - now, wait_s + MAX_EXTRA_WAIT_S)
