--- a/src/moledale/core/queueing.py
+++ b/src/moledale/core/queueing.py
@@ -1,7 +1,7 @@
-"""The order in which waiting requests are dispatched, and which are refused at once.
+"""The order in which waiting requests are dispatched, and which are rejected or evicted.
 
-A request's rank is its arrival time plus an offset for its priority. So work that can wait
-ages: once it has waited longer than its offset it goes before newly arrived immediate work.
+A request's rank is its arrival time plus an offset for its priority. So low-priority work ages:
+once it has waited longer than its offset, it goes before newly arrived immediate work.
 """
 
 import heapq
@@ -13,7 +13,7 @@
 T = TypeVar("T")
 
 RANK_OFFSET_S = {Priority.IMMEDIATE: 0.0, Priority.NORMAL: 3.0, Priority.CAN_WAIT: 30.0}
-"""Seconds by which a priority stands behind immediate work that arrives together with it."""
+"""Seconds by which a priority ranks behind immediate work that arrives at the same time."""
 
 
 @dataclass(order=True, slots=True)
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OfferResult(Generic[T]):
-    """What became of an offer: whether it waits, and whom it pushed out."""
+    """The outcome of an offer: whether the item was queued, and which item it evicted."""
 
     accepted: bool
     evicted: T | None = None
 
 
 class WaitingQueue(Generic[T]):
-    """A bounded queue by rank; when full, lower-priority work gives way, newest first."""
+    """A bounded queue by rank; when full, it evicts lower-priority work, newest first."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -47,7 +47,7 @@
         return len(self._entries)
 
     def offer(self, item: T, priority: Priority, now: float, deadline: float) -> OfferResult[T]:
-        """Let an item wait, or refuse it if there is no room for its priority."""
+        """Add an item, or reject it if there is no room for its priority."""
         evicted: T | None = None
         if len(self._entries) >= self._capacity:
             victim = self._find_victim(priority)
@@ -62,24 +62,24 @@
         return OfferResult(True, evicted)
 
     def remove(self, item: T) -> None:
-        """Take an item out, wherever it stands."""
+        """Remove an item, wherever it is in the queue."""
         entry = self._entries.get(id(item))
         if entry is not None:
             self._drop(entry)
 
     def pop_expired(self, now: float) -> list[T]:
-        """Take out and return every item whose deadline has passed."""
+        """Remove and return every item whose deadline has passed."""
         late = [entry for entry in self._entries.values() if entry.deadline <= now]
         for entry in late:
             self._drop(entry)
         return [entry.item for entry in late]
 
     def in_order(self) -> list[T]:
-        """Return the waiting items, next first."""
+        """Return the waiting items in the order of dispatch."""
         return [entry.item for entry in sorted(self._entries.values())]
 
     def count_ahead(self, priority: Priority, now: float) -> int:
-        """Count the items that a new one of this priority would wait behind."""
+        """Return the number of items that a new one of this priority would wait behind."""
         rank = now + RANK_OFFSET_S[priority]
         return sum(1 for entry in self._entries.values() if entry.rank <= rank)
 
@@ -98,10 +98,10 @@
             heapq.heappop(self._heap)
 
 
-def estimated_wait_s(ahead: int, free_slots: int, slots: int, service_s: float) -> float:
-    """Estimate the wait of a request behind `ahead` others on `slots` slots in all."""
+def estimated_wait_s(queued_ahead: int, free_slots: int, slots: int, service_s: float) -> float:
+    """Estimate the wait of a request behind `queued_ahead` others on `slots` slots in all."""
     if slots == 0:
         return float("inf")
-    if ahead < free_slots:
+    if queued_ahead < free_slots:
         return 0.0
-    return (ahead - free_slots + 1) * service_s / slots
+    return (queued_ahead - free_slots + 1) * service_s / slots
