--- a/src/moledale/core/reclaim.py
+++ b/src/moledale/core/reclaim.py
@@ -1,18 +1,18 @@
-"""What becomes of each session on a server that is taken back: live streams and idle caches."""
+"""Plans how the live streams and idle caches of a reclaimed server are preserved."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import StrEnum
 
 NOTICE_MARGIN_S = 0.5
-"""Part of a notice that is never planned with."""
+"""Part of a notice that plans never use."""
 
 
 MAX_TRANSFER_TO_PREFILL_RATIO = 4.0
-"""A transfer may take this many times as long as computing again: it takes no server's time."""
+"""A transfer may take this many times as long as a new prefill, as it uses no server's compute."""
 
 IDLE_RETURN_SHARE = 0.5
-"""Part of the idle sessions that are taken to have another turn soon."""
+"""Share of the idle sessions that are expected to have another turn soon."""
 
 
 class ReclaimAction(StrEnum):
@@ -27,7 +27,7 @@
 class HeldSession:
     """A session on the leaving server; times in seconds, sizes in bytes.
 
-    An idle one has no stream now, only a cache that its next turn would use; for it, `PREFILL`
+    An idle session has no stream now, only a cache that its next turn would use; for it, `PREFILL`
     means that nothing is done.
     """
 
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReclaimView:
-    """What there is to work with until the server is gone.
+    """The time and bandwidth left until the server is gone.
 
-    `bandwidth_bytes_per_s` is this node's part of the link out of the server, in bytes a second;
-    `prefill_tokens_per_s` is the speed at which another server would compute the context anew.
+    `bandwidth_bytes_per_s` is this node's share of the link out of the server;
+    `prefill_tokens_per_s` is the speed at which another server would recompute the context.
     """
 
     notice_s: float
@@ -53,30 +53,31 @@
 
 
 def plan(streams: Sequence[HeldSession], view: ReclaimView) -> dict[str, ReclaimAction]:
-    """Choose a course for each stream.
+    """Choose an action for each session.
 
-    Streams that end within the notice stay. The others move in order of the value of what a
-    move saves for each second of the link, as long as their transfers fit in the notice; what
-    doesn't fit is prefilled elsewhere, which needs nothing from the leaving server.
+    Streams that finish within the notice stay. The others move in order of the prefill time that a
+    move saves per second of link time, weighted by priority and for idle caches by the chance of a
+    return, as long as their transfers fit in the notice. What doesn't fit is prefilled elsewhere,
+    which needs nothing from the leaving server.
     """
     usable_s = max(0.0, view.notice_s - NOTICE_MARGIN_S)
-    courses = {
+    actions = {
         stream.id: ReclaimAction.FINISH
         for stream in streams
         if not stream.idle and stream.remaining_s <= usable_s
     }
-    rest = [stream for stream in streams if stream.id not in courses]
+    rest = [stream for stream in streams if stream.id not in actions]
     rest.sort(key=lambda stream: (-_value_per_s(stream, view), stream.id))
-    spent_s = 0.0
+    link_used_s = 0.0
     for stream in rest:
         transfer_s = _transfer_s(stream, view)
-        fits = spent_s + transfer_s <= usable_s
+        fits = link_used_s + transfer_s <= usable_s
         if fits and transfer_s <= _prefill_s(stream, view) * MAX_TRANSFER_TO_PREFILL_RATIO:
-            courses[stream.id] = ReclaimAction.MOVE
-            spent_s += transfer_s
+            actions[stream.id] = ReclaimAction.MOVE
+            link_used_s += transfer_s
         else:
-            courses[stream.id] = ReclaimAction.PREFILL
-    return courses
+            actions[stream.id] = ReclaimAction.PREFILL
+    return actions
 
 
 def _transfer_s(stream: HeldSession, view: ReclaimView) -> float:
