--- a/src/moledale/core/renting.py
+++ b/src/moledale/core/renting.py
@@ -1,4 +1,4 @@
-"""Which instances to rent in which hall and class, from demand, prices and refusals."""
+"""Decides which instances to rent in which hall and class, from demand, prices and refusals."""
 
 import math
 from collections import Counter, defaultdict
@@ -8,15 +8,15 @@
 from moledale.bundle.schema import Bundle, InstanceClass, Market, Price
 
 HYSTERESIS_SHARE = 0.15
-"""Capacity over the need by less than this part is kept, so that counts don't swing."""
+"""Capacity that exceeds the need by less than this share is kept, to avoid oscillation."""
 
 MAX_ON_DEMAND_SHARE = 0.6
-"""Part that is on demand when only recomputed tokens count."""
+"""On-demand share of the need when only recomputed tokens count, and cost doesn't."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeldInstance:
-    """An instance that is rented now; `idle` means it has no requests."""
+    """An instance that is rented now; `idle` means that it has no requests."""
 
     id: str
     hall: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RentRefusal:
-    """A hall and class whose renting was refused lately; it isn't asked again for now."""
+    """A hall, class and market that refused a rent recently, and isn't asked for now."""
 
     hall: str
     instance_class: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RentView:
-    """Demand in generated tokens a second, what is held, and what was refused."""
+    """Demand in generated tokens per second, the rented instances, and recent refusals."""
 
     demand_tokens_per_s: float
     held: Sequence[HeldInstance]
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class _Fleet:
-    """Running totals while a plan is made."""
+    """Capacity of the fleet while a plan is made; the planned changes are included."""
 
     bundle: Bundle
     capacity: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))
@@ -70,29 +70,30 @@
     count: Counter[str] = field(default_factory=Counter)
 
     def add(self, hall: str, item: InstanceClass, market: Market, sign: int = 1) -> None:
-        """Count an instance in, or out."""
+        """Add an instance to the totals, or subtract it with a `sign` of -1."""
         self.capacity[hall] += sign * item.decode_tokens_per_s
         self.count[hall] += sign
         if market is Market.ON_DEMAND:
             self.on_demand += sign * item.decode_tokens_per_s
 
     def surviving_capacity(self) -> float:
-        """Return the capacity left when the largest halls that may go are gone."""
+        """Return the capacity left after the loss of as many halls as must be survived."""
         sizes = sorted(self.capacity.values(), reverse=True)
         return sum(sizes[self.bundle.renting.survive_halls :])
 
 
 def required_capacity(bundle: Bundle, demand_tokens_per_s: float) -> float:
-    """Return the capacity that must be left after a loss, in tokens a second."""
+    """Return the capacity that must be left after a loss, in tokens per second."""
     wanted = max(demand_tokens_per_s, bundle.renting.least_tokens_per_s)
     return wanted / bundle.renting.utilization
 
 
 def on_demand_share(bundle: Bundle) -> float:
-    """Return the part of the need that is rented on demand, where it can't be reclaimed.
+    """Return the share of the need that is rented on demand, where it can't be reclaimed.
 
-    On-demand instances cost more and lose no caches. So the weight of recomputed tokens against
-    that of cost decides, up to `MAX_ON_DEMAND_SHARE`, unless the bundle states the part.
+    On-demand instances cost more and lose no caches. So their share follows the weight of
+    recomputed tokens against that of cost, up to `MAX_ON_DEMAND_SHARE`, unless the bundle states
+    it.
     """
     stated = bundle.renting.on_demand_share
     if stated is not None:
@@ -102,7 +103,7 @@
 
 
 def plan(bundle: Bundle, view: RentView) -> list[Rent | Return]:
-    """Return the changes to make now: at most `most_changes`, rents before returns."""
+    """Return the changes to make now: at most `most_changes`; returns only without any rents."""
     fleet = _Fleet(bundle)
     for held in view.held:
         item = bundle.instance_class(held.instance_class)
@@ -126,7 +127,7 @@
 def _cheapest_rent(
     bundle: Bundle, fleet: _Fleet, refusals: frozenset[RentRefusal], target: float
 ) -> Rent | None:
-    """Return the cheapest rent that adds surviving capacity where it's least."""
+    """Return the rent with the lowest price for the surviving capacity that it adds."""
     market = _preferred_market(bundle, fleet, target)
     other = Market.ON_DEMAND if market is Market.RECLAIMABLE else Market.RECLAIMABLE
     for wanted in (market, other):
@@ -153,7 +154,7 @@
 
 
 def _rank(bundle: Bundle, fleet: _Fleet, price: Price, market: Market) -> tuple[float, str, str]:
-    """Rank by price for each surviving token a second that the rent adds."""
+    """Rank by price per token a second of surviving capacity that the rent adds."""
     item = bundle.instance_class(price.instance_class)
     assert item is not None
     asked = price.reclaimable if market is Market.RECLAIMABLE else price.on_demand
@@ -161,15 +162,15 @@
     fleet.add(price.hall, item, market)
     gained = fleet.surviving_capacity() - before
     fleet.add(price.hall, item, market, -1)
-    # A rent in the largest hall adds nothing that survives its loss; a smaller hall first.
-    worth = gained + 1e-3 * item.decode_tokens_per_s / (1.0 + fleet.capacity[price.hall])
-    return (asked / worth if worth > 0 else math.inf, price.hall, price.instance_class)
+    # A rent in the largest hall adds no surviving capacity; the small term prefers other halls.
+    added = gained + 1e-3 * item.decode_tokens_per_s / (1.0 + fleet.capacity[price.hall])
+    return (asked / added if added > 0 else math.inf, price.hall, price.instance_class)
 
 
 def _plan_returns(
     bundle: Bundle, fleet: _Fleet, held: Sequence[HeldInstance], target: float
 ) -> list[Rent | Return]:
-    """Return idle instances that the need can do without, dearest first."""
+    """Return idle instances that the need doesn't require, most expensive first."""
     found: list[Rent | Return] = []
     prices = {(price.hall, price.instance_class): price for price in bundle.prices}
 
