--- a/src/moledale/core/rollout_evidence.py
+++ b/src/moledale/core/rollout_evidence.py
@@ -1,14 +1,16 @@
-"""What is observed of a new version of a service's servers, and whether it is bad.
-
-Each answer counts under a series (a route, or a route's pace of events) and an arm: the old servers
-or the new ones. Times are kept as a histogram with buckets of equal ratio, so that what many nodes
-saw adds up to one. The old servers are the control: at the same moment and under the same load, so
-that neither a slow hour nor answers that always fail in part speak against the new version.
-
-An answer is bad if it failed, or came much later than the middle of the old ones. Whether there are
-more bad ones than among the old is judged by a sum of log-likelihood ratios that never falls below
-zero (CUSUM; Page, Biometrika 41, 1954): a version that turns bad after a good while is found as
-soon as one that is bad at once. docs/design/rollouts.md has what else was tried.
+"""Observations of a new version of a service's servers, and the test whether it is bad.
+
+Each answer counts under a series (a route, or the pace of a route's events) and an arm: the old
+servers or the new ones. Times are kept as a histogram with buckets of equal ratio, so that the
+counts of many nodes can be added up. The old servers are the control group: they are observed at
+the same moment and under the same load, so neither a slow hour nor answers that always fail in part
+count against the new version.
+
+An answer is bad if it failed, or took much longer than the median of the old servers. Whether the
+new servers have more bad answers than the old ones is tested by a sum of log-likelihood ratios that
+never falls below zero (CUSUM; Page, Biometrika 41, 1954): a version that turns bad after a long
+time is found as soon as one that is bad at once. docs/design/rollouts.md compares it with other
+methods.
 """
 
 from collections import deque
@@ -20,67 +22,69 @@
 
 BUCKETS_PER_DOUBLING = 4
 MAX_BUCKET = 60
-"""Buckets of time: a ratio of 1.19 each, 33,000 times as long at most (and as short)."""
+"""Times are counted in buckets with a ratio of 1.19, up to 33,000 s and down to 1/33,000 s."""
 
 SLOW_BUCKETS = 5
-"""An answer this many buckets above the middle of the old ones is slow: 2.4 times as long. Versions
-that are slow take several times as long; few answers of a sound one are that slow by chance."""
+"""An answer this many buckets above the control's median is slow: 2.4 times as long. Slow versions
+take several times as long, and few answers of a good one are that slow by chance."""
 
 MIN_SLOW_S = 0.02
-"""An answer that came sooner is never slow. Servers that a node has no connection to yet answer a
-few ms later, which is twice as long and more on a route whose answers take 2 ms."""
+"""An answer that took less is never slow. Servers to which a node has no connection yet answer a
+few ms later, which is twice as long or more on a route whose answers take 2 ms."""
 
 MIN_CONTROL_ANSWERS = 8
-"""Answers of the old servers before the middle of their times is trusted."""
+"""Answers of the old servers that are needed before their median time is used."""
 
 RECENT_CONTROL_ANSWERS = 30
-"""The middle is that of about so many answers of late. Were it that of all, a good version would be
-taken for bad once all servers turn slower."""
+"""The median is that of about this many recent answers. With a median of all answers, a good
+version would look bad once all servers become slower."""
 
 PRIOR_BAD_SHARE = 0.05
 PRIOR_ANSWERS = 4.0
-"""Share of answers of the old servers that is taken to be bad, with the weight of so many."""
+"""Prior share of bad answers of the old servers, and its weight as a number of answers."""
 
 MIN_EXPECTED_BAD_SHARE = 0.03
-"""Share of bad answers that any version is expected to have. Where the old servers had none at all,
-a single answer lost to a crash would speak against a version as loudly as thirty good ones for it;
-with this two of two are needed, or about three of ten."""
+"""Share of bad answers that is expected of any version. Where the old servers had none at all, a
+single answer lost to a crash would otherwise count as much against a version as thirty good ones
+count for it; with this minimum two of two are needed, or about three of ten."""
 
 BAD_SHARE_OFFSET = 0.15
 BAD_SHARE_FACTOR = 1.6
-"""What a bad version is taken for: this share of bad answers more than this many times those of the
-old one. A version with less can't be told within the exposure that is allowed."""
+"""The alternative hypothesis: the share of bad answers of a bad version is `BAD_SHARE_OFFSET` plus
+`BAD_SHARE_FACTOR` times that of the old one. A smaller difference can't be detected within the
+exposure that is allowed."""
 
 MAX_BAD_SHARE = 0.95
 BASE_THRESHOLD = 3.0
 LOG_THRESHOLD_FACTOR = 0.65
-"""Sum that means a bad version, and what is added with the natural logarithm of the number of
-answers seen, since chance has more goes at a long series. What it costs in good versions that are
-stopped and bad ones that are missed is told in docs/design/rollouts.md."""
+"""The maximum share that is assumed for a bad version; the CUSUM that marks a version as bad; and
+its increase per natural logarithm of the number of answers, since a long series has more chances to
+exceed it. docs/design/rollouts.md lists the resulting rates of good versions stopped and bad ones
+missed."""
 
 
 class Arm(IntEnum):
-    """The servers that an answer came from."""
+    """The group of servers that an answer came from."""
 
     OLD = 0
     NEW = 1
 
 
 def bucket_of(took_s: float) -> int:
-    """Return the bucket of a time in seconds."""
-    place = floor(log2(max(took_s, 1e-9)) * BUCKETS_PER_DOUBLING)
-    return max(-MAX_BUCKET, min(MAX_BUCKET, place))
+    """Return the histogram bucket of a time in seconds."""
+    bucket = floor(log2(max(took_s, 1e-9)) * BUCKETS_PER_DOUBLING)
+    return max(-MAX_BUCKET, min(MAX_BUCKET, bucket))
 
 
 class Tally(msgspec.Struct, array_like=True):
-    """Answers counted: how many failed, and the others by bucket of their time."""
+    """Counted answers: how many failed, and the others by bucket of their time."""
 
     failed: int = 0
     times: dict[int, int] = {}
 
     @property
     def count(self) -> int:
-        """Return the answers counted."""
+        """Return the number of answers counted."""
         return self.failed + sum(self.times.values())
 
     def observe(self, failed: bool, took_s: float) -> None:
@@ -92,17 +96,20 @@
         self.times[bucket] = self.times.get(bucket, 0) + 1
 
     def add(self, other: "Tally") -> None:
-        """Count the answers of another tally."""
+        """Add the counts of another tally."""
         self.failed += other.failed
         for bucket, number in other.times.items():
             self.times[bucket] = self.times.get(bucket, 0) + number
 
     def copy(self) -> "Tally":
-        """Return the counts as they are, to compare later ones with."""
+        """Return a copy of the counts, to compare later ones with."""
         return Tally(self.failed, dict(self.times))
 
     def since(self, before: "Tally") -> "Tally":
-        """Return what was counted since; nothing of what a forgotten node had counted."""
+        """Return what was counted since `before`.
+
+        A count that fell, because a node was forgotten, yields none.
+        """
         times = {
             bucket: number - before.times.get(bucket, 0)
             for bucket, number in self.times.items()
@@ -111,7 +118,7 @@
         return Tally(max(0, self.failed - before.failed), times)
 
     def median_bucket(self) -> int | None:
-        """Return the bucket of the median time, None if too few answers were seen."""
+        """Return the bucket of the median time, or None if there are too few answers."""
         number = sum(self.times.values())
         if number < MIN_CONTROL_ANSWERS:
             return None
@@ -123,7 +130,7 @@
         return None
 
     def count_bad(self, slow_bucket: int | None) -> int:
-        """Return the answers that failed, or lie in a bucket from `slow_bucket` up."""
+        """Return the number of answers that failed or are in bucket `slow_bucket` or above."""
         if slow_bucket is None:
             return self.failed
         slow = sum(number for bucket, number in self.times.items() if bucket >= slow_bucket)
@@ -131,7 +138,7 @@
 
 
 class Evidence(msgspec.Struct, array_like=True):
-    """Answers by series, of the old servers and of the new ones."""
+    """Answers by series, for the old servers and for the new ones."""
 
     old: dict[str, Tally] = {}
     new: dict[str, Tally] = {}
@@ -141,19 +148,19 @@
         self.tally(arm, series).observe(failed, took_s)
 
     def tally(self, arm: Arm, series: str) -> Tally:
-        """Return what is counted of a series, to count on."""
+        """Return the tally of a series, creating it if needed."""
         tallies = self.new if arm is Arm.NEW else self.old
         return tallies.setdefault(series, Tally())
 
     def add(self, other: "Evidence") -> None:
-        """Count what another node saw."""
+        """Add the counts of another node."""
         for arm, tallies in ((Arm.OLD, other.old), (Arm.NEW, other.new)):
             for series, tally in tallies.items():
                 self.tally(arm, series).add(tally)
 
 
 def merged(parts: Iterable[Evidence]) -> Evidence:
-    """Return what several nodes saw together."""
+    """Return the sum of what several nodes counted."""
     whole = Evidence()
     for part in parts:
         whole.add(part)
@@ -161,10 +168,10 @@
 
 
 class Control(msgspec.Struct):
-    """The old servers' answers of a series: the middle of those of late, the bad ones of all.
+    """The control group of a series: the median time of recent answers, the bad ones of all.
 
-    The middle follows within some answers when all servers turn slow; a share of bad ones needs
-    many answers to be known.
+    The median follows within a few answers when all servers become slow, while a share of bad
+    answers needs many answers to be known. Answers in `slow_bucket` or above are slow.
     """
 
     count: int = 0
@@ -174,7 +181,7 @@
     _snapshots: deque[Tally] = msgspec.field(default_factory=lambda: deque([Tally()]))
 
     def observe(self, now: Tally) -> None:
-        """Take over the counts as they are now."""
+        """Update from the counts as they are now."""
         fresh = now.since(self._snapshots[-1])
         if fresh.count <= 0:
             self.recent_bad_share = 0.0
@@ -196,20 +203,21 @@
 
     @property
     def bad_share(self) -> float:
-        """Return the share of bad answers over all that were seen."""
+        """Return the share of bad answers among all that were seen, including the prior."""
         return (self.bad + PRIOR_BAD_SHARE * PRIOR_ANSWERS) / (self.count + PRIOR_ANSWERS)
 
     @property
     def expected_bad_share(self) -> float:
-        """Return the share of bad answers that a good version has now.
+        """Return the share of bad answers expected of a good version now.
 
-        A moment in which everything stood still makes answers of both versions late together.
+        A pause of the whole system makes answers of both versions late together, so the latest
+        share of the old servers counts as well.
         """
         return max(MIN_EXPECTED_BAD_SHARE, self.bad_share, self.recent_bad_share)
 
 
 class SeriesJudge(msgspec.Struct):
-    """Follows one series of the new servers against the old ones."""
+    """Tests one series of the new servers against the old ones."""
 
     control: Control = msgspec.field(default_factory=Control)
     count: int = 0
@@ -217,7 +225,7 @@
     _seen: Tally = msgspec.field(default_factory=Tally)
 
     def observe(self, old: Tally, new: Tally, with_times: bool) -> bool:
-        """Take over the counts as they are now; say whether the version is bad."""
+        """Update from the counts as they are now; return whether the version is bad."""
         self.control.observe(old)
         fresh = new.since(self._seen)
         if fresh.count <= 0:
@@ -226,30 +234,30 @@
         self.count += fresh.count
         bad = fresh.count_bad(self.control.slow_bucket if with_times else None)
         expected = self.control.expected_bad_share
-        feared = min(MAX_BAD_SHARE, BAD_SHARE_OFFSET + BAD_SHARE_FACTOR * expected)
-        expected = min(expected, feared / BAD_SHARE_FACTOR)
-        step = bad * log(feared / expected)
-        step += (fresh.count - bad) * log((1.0 - feared) / (1.0 - expected))
+        assumed_bad = min(MAX_BAD_SHARE, BAD_SHARE_OFFSET + BAD_SHARE_FACTOR * expected)
+        expected = min(expected, assumed_bad / BAD_SHARE_FACTOR)
+        step = bad * log(assumed_bad / expected)
+        step += (fresh.count - bad) * log((1.0 - assumed_bad) / (1.0 - expected))
         self.cusum = max(0.0, self.cusum + step)
         return self.exceeds_threshold
 
     @property
     def exceeds_threshold(self) -> bool:
-        """Say whether chance alone would hardly bring as many bad answers."""
+        """Return whether so many bad answers are unlikely to be due to chance alone."""
         return self.cusum > BASE_THRESHOLD + LOG_THRESHOLD_FACTOR * log(1 + self.count)
 
 
 class Judge(msgspec.Struct):
-    """Follows a whole version; what it once found bad stays bad."""
+    """Tests a whole version over all its series; a version once found bad stays bad."""
 
     series: dict[str, SeriesJudge] = msgspec.field(default_factory=dict)
     bad: bool = False
 
     def observe(self, evidence: Evidence, with_times: bool = True) -> bool:
-        """Take over what all nodes saw until now; say whether the version is bad.
+        """Update from what all nodes counted until now; return whether the version is bad.
 
         Once the old servers bear less load than the new ones they are no control for times, and
-        only failures count.
+        only failures count: `with_times` is False then.
         """
         for name, new in evidence.new.items():
             judge = self.series.setdefault(name, SeriesJudge())
