--- a/src/moledale/core/routing.py
+++ b/src/moledale/core/routing.py
@@ -1,7 +1,7 @@
-"""Where a request runs: pure choice over server views, and the book that reserves with it.
+"""Chooses the server for a request, and tracks load including this node's own reservations.
 
-Reserving in the same step as the choice follows "Unified routing ablation: A (tighter affinity)
-+ B (decode-aware LMetric)"; docs/DESIGN.md says what else of it was tried and left out.
+Reserving in the same step as the choice follows "Unified routing ablation: A (tighter affinity) + B
+(decode-aware LMetric)"; docs/DESIGN.md lists the parts of it that were not adopted.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,11 +17,11 @@
 
 SET_ASIDE_KEY = "can-wait"
 LIGHT_LOAD_SHARE = 0.25
-"""Part of its slots below which a server is quiet, so that work that can wait may go there."""
+"""A server that uses less than this share of its slots may take work that can wait."""
 
 
 class Standing(StrEnum):
-    """Life cycle of a server as this node sees it."""
+    """State of a server as this node sees it."""
 
     LIVE = "live"
     BACKOFF = "backoff"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Speeds:
-    """Measured speeds of a class: tokens a second, and requests that run side by side."""
+    """Measured speeds of an instance class in tokens per second, and its concurrent requests."""
 
     prefill_tokens_per_s: float
     decode_tokens_per_s: float
@@ -40,7 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """What a request needs from a server; token counts are estimates."""
+    """What a request needs from a server; token counts are estimates.
+
+    With `wait_for_cache` it may wait for a slot on the server that has its session's cache.
+    """
 
     model: str
     prompt_tokens: int
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """What a dispatched request holds of a server until it ends."""
+    """The load that a dispatched request puts on a server until it ends."""
 
     id: int
     server: str
@@ -65,9 +68,9 @@
 
 @dataclass(eq=False)
 class ServerView:
-    """A server as this node sees it: the last report plus what this node did since.
+    """A server as this node sees it: the last report plus this node's changes since.
 
-    Its standing changes by the triggers of `SERVER_STATES` once a book follows it.
+    Once a `LoadTracker` follows it, its standing changes by the triggers of `SERVER_STATES`.
     """
 
     id: str
@@ -85,11 +88,11 @@
     retry_at: float = 0.0
 
     def cached_for(self, need: Need) -> int:
-        """Return how many prompt tokens the session's cache here should cover."""
+        """Return how many prompt tokens the session's cache on this server should cover."""
         return min(self.cached.get(need.session, 0), need.prompt_tokens)
 
     def uncached(self, need: Need) -> int:
-        """Return the prompt tokens that this server would have to compute."""
+        """Return the prompt tokens that this server would have to prefill."""
         return need.prompt_tokens - self.cached_for(need)
 
 
@@ -116,15 +119,15 @@
     ],
     ignore_invalid_triggers=True,
 )
-"""Life cycle of a server: one that is leaving never comes back under the same id.
+"""State machine of a server: one that is leaving never comes back under the same id.
 
-A server that turned an attempt away and stated when to retry is in backoff until then.
+A server that rejected an attempt and stated when to retry is in backoff until then.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingParams:
-    """Parameters of the choice; the bundle states them."""
+    """Parameters of the choice; `set_aside` is the share of servers kept for work that can wait."""
 
     cross_hall_s: float = 0.002
     set_aside: float = 0.2
@@ -132,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pick:
-    """The chosen server and why it was chosen."""
+    """The chosen server, whether it has the session's cache, and the tokens that this covers."""
 
     server: str
     affinity: bool
@@ -140,7 +143,7 @@
 
 
 def eligible(views: Iterable[ServerView], need: Need) -> list[ServerView]:
-    """Return live servers that hold the model and aren't excluded."""
+    """Return the live servers that hold the model and aren't excluded."""
     return [
         view
         for view in views
@@ -151,19 +154,19 @@
 
 
 def with_free_slot(views: Iterable[ServerView]) -> list[ServerView]:
-    """Return servers with a free slot."""
+    """Return the servers with a free slot."""
     return [view for view in views if view.running < view.speeds.slots]
 
 
 def servers_for_priority(
     live: Sequence[ServerView], need: Need, params: RoutingParams
 ) -> list[ServerView]:
-    """Return the servers with a free slot that this priority should use.
+    """Return the servers with a free slot that a request of this priority should use.
 
-    Long prompts that can wait slow every step of the batch they are in, so they have some
-    servers set aside, and go elsewhere only where little runs; immediate work keeps off these
-    servers while others have room. Which ones are set aside follows from a hash of the servers,
-    so nodes agree on it without talking.
+    Long prompts that can wait slow down every step of the batch they are in. So some servers are
+    set aside for them, and on others they run only if these are lightly loaded; immediate work
+    avoids the set-aside servers while others have room. A hash of the servers decides which ones
+    are set aside, so nodes agree without communicating.
     """
     room = with_free_slot(live)
     number = round(len(live) * params.set_aside)
@@ -177,31 +180,31 @@
 
 
 def is_lightly_loaded(view: ServerView) -> bool:
-    """Say whether little runs on a server and nothing waits for its prefill."""
+    """Return whether few requests run on a server and none waits for its prefill."""
     return view.prefill_tokens == 0 and view.running < LIGHT_LOAD_SHARE * view.speeds.slots
 
 
 def estimated_ttft_s(view: ServerView, need: Need) -> float:
-    """Estimate the seconds until the first token if the request went to this server."""
+    """Estimate the time to first token if the request went to this server."""
     work = view.prefill_tokens + view.uncached(need)
     share = view.running / view.speeds.slots
     return work / view.speeds.prefill_tokens_per_s * (1.0 + share)
 
 
 def cost_s(view: ServerView, need: Need, params: RoutingParams) -> float:
-    """Return the seconds that a choice costs: the wait, and the way to another hall."""
+    """Return the cost of a choice in seconds: time to first token plus latency to another hall."""
     away = params.cross_hall_s if need.hall and view.hall != need.hall else 0.0
     return estimated_ttft_s(view, need) + away
 
 
 def pick(views: Sequence[ServerView], need: Need, params: RoutingParams) -> Pick | None:
-    """Choose a server with a free slot, or None to wait for one.
+    """Choose a server with a free slot; return None to wait for one.
 
-    The server with most of the session's cache keeps it as long as it is there. Where it has no
-    free slot, immediate work goes elsewhere, and other work waits for it while it is patient:
-    what leaves its cache is computed again elsewhere, which takes more of the servers than it
-    saves when they are short. Without such a server the cheapest wins, and a rendezvous weight
-    breaks ties the same way on every node.
+    The server with most of the session's cache is preferred for as long as it is there. Where it
+    has no free slot, immediate work goes elsewhere, and other work waits for it with
+    `wait_for_cache`: a prompt that leaves its cache is recomputed elsewhere, which takes more
+    server time than it saves when servers are short. Without such a server the cheapest one wins,
+    and a rendezvous weight breaks ties the same way on every node.
     """
     live = eligible(views, need)
     home = cache_holder(live, need)
@@ -221,16 +224,16 @@
 
 
 def cache_holder(live: Sequence[ServerView], need: Need) -> ServerView | None:
-    """Return the server that holds most of the session's cache, if one holds any."""
+    """Return the server that holds most of the session's cache, or None if none holds any."""
     home = max(live, key=lambda view: view.cached_for(need), default=None)
     return home if home is not None and home.cached_for(need) > 0 else None
 
 
 class LoadTracker:
-    """The views of the servers a node follows, with this node's own reservations on top.
+    """Tracks the servers that a node follows, with its own reservations on top of their reports.
 
-    A reservation counts until a report that was made after it, and a release is taken off
-    until a report that was made after that; so a lagged report neither hides nor doubles it.
+    A reservation counts until a report that was made after it, and a release is subtracted until a
+    report that was made after that; so a delayed report neither hides nor doubles it.
     """
 
     def __init__(self, max_sessions: int) -> None:
@@ -243,7 +246,7 @@
         self._cached_sessions: dict[str, str] = {}
 
     def follow(self, view: ServerView) -> None:
-        """Start to follow a server, or take over its changed address and class."""
+        """Start following a server, or update its address, speeds and hall."""
         known = self.views.get(view.id)
         if known is None:
             self.views[view.id] = view
@@ -254,20 +257,20 @@
         known.hall = view.hall
 
     def back_off(self, server: str, until: float) -> None:
-        """Give a server nothing until some time, since it asked for that."""
+        """Send a server no requests until some time, as it asked for that."""
         view = self.views.get(server)
         if view is not None:
             view.retry_at = max(view.retry_at, until)
             view.note_backoff()  # type: ignore[attr-defined]
 
     def end_backoffs(self, now: float) -> None:
-        """Let servers have work again whose time is over."""
+        """Let servers have work again whose backoff is over."""
         for view in self.views.values():
             if view.standing is Standing.BACKOFF and view.retry_at <= now:
                 view.note_backoff_over()  # type: ignore[attr-defined]
 
     def retry_in_s(self, model: str, now: float) -> float | None:
-        """Return when the first server of a model may be retried, None if none asked for that."""
+        """Return the seconds until a model's first server ends its backoff, None without any."""
         waiting = (view for view in self.views.values() if view.standing is Standing.BACKOFF)
         waits = (view.retry_at - now for view in waiting if model in view.models)
         return min((max(0.0, wait_s) for wait_s in waits), default=None)
@@ -284,7 +287,7 @@
     def pick_and_reserve(
         self, need: Need, params: RoutingParams, now: float
     ) -> tuple[Pick, Reservation] | None:
-        """Choose and reserve in one step; there is no point between where another may choose."""
+        """Choose and reserve in one step, so that no other request can choose in between."""
         chosen = pick(list(self.views.values()), need, params)
         if chosen is None:
             return None
@@ -295,40 +298,42 @@
         view = self.views[server]
         self._next_id += 1
         uncached = view.uncached(need)
-        made = Reservation(self._next_id, server, uncached, need.prompt_tokens, now)
-        self._open[made.id] = made
-        self._unreported.setdefault(server, []).append(made.id)
-        _apply_reservation(view, made, 1)
-        return made
-
-    def record_first_token(self, made: Reservation) -> Reservation:
-        """Note that a request's prefill is done."""
-        if made.id not in self._open:
-            return made
-        view = self.views.get(made.server)
+        reservation = Reservation(self._next_id, server, uncached, need.prompt_tokens, now)
+        self._open[reservation.id] = reservation
+        self._unreported.setdefault(server, []).append(reservation.id)
+        _apply_reservation(view, reservation, 1)
+        return reservation
+
+    def record_first_token(self, reservation: Reservation) -> Reservation:
+        """Record that a request's prefill is complete; return its reservation without it."""
+        if reservation.id not in self._open:
+            return reservation
+        view = self.views.get(reservation.server)
         if view is not None:
-            view.prefill_tokens = max(0, view.prefill_tokens - made.prefill_tokens)
-        after = Reservation(made.id, made.server, 0, made.decode_tokens, made.made_at)
-        self._open[made.id] = after
+            view.prefill_tokens = max(0, view.prefill_tokens - reservation.prefill_tokens)
+        after = Reservation(
+            reservation.id, reservation.server, 0, reservation.decode_tokens, reservation.made_at
+        )
+        self._open[reservation.id] = after
         return after
 
-    def release(self, made: Reservation, now: float) -> None:
-        """Stop counting a request; releasing twice changes nothing."""
-        current = self._open.pop(made.id, None)
+    def release(self, reservation: Reservation, now: float) -> None:
+        """Stop counting a request; a second release has no effect."""
+        current = self._open.pop(reservation.id, None)
         if current is None:
             return
-        view = self.views.get(made.server)
+        view = self.views.get(reservation.server)
         if view is None:
             return
         _apply_reservation(view, current, -1)
-        unreported = self._unreported.get(made.server, [])
-        if made.id in unreported:
-            unreported.remove(made.id)
+        unreported = self._unreported.get(reservation.server, [])
+        if reservation.id in unreported:
+            unreported.remove(reservation.id)
         else:
-            self._released.setdefault(made.server, []).append((now, current))
+            self._released.setdefault(reservation.server, []).append((now, current))
 
     def apply_report(self, report: LoadReport, made_at: float, now: float) -> bool:
-        """Take over a report made at `made_at`; an older one than the last is ignored."""
+        """Apply a report made at `made_at`; return False if it is not newer than the last one."""
         view = self.views.get(report.server)
         if view is None or report.sequence <= view.sequence:
             return False
@@ -343,7 +348,7 @@
         return True
 
     def record_cache(self, session: str, server: str, tokens: int) -> None:
-        """Note that a server's cache covers `tokens` of a session; the newest place counts."""
+        """Record that a server caches `tokens` of a session; only the latest server is kept."""
         view = self.views.get(server)
         if not session or view is None:
             return
@@ -354,37 +359,41 @@
             self.forget_session(next(iter(self._cached_sessions)))
 
     def forget_session(self, session: str) -> None:
-        """Forget where a session's cache is."""
+        """Forget which server caches a session."""
         server = self._cached_sessions.pop(session, None)
         view = self.views.get(server) if server is not None else None
         if view is not None:
             view.cached.pop(session, None)
 
     def server_of(self, session: str) -> str | None:
-        """Return the server whose cache covers a session."""
+        """Return the server whose cache covers a session, if known."""
         return self._cached_sessions.get(session)
 
     def open_reservations(self) -> int:
-        """Return the number of requests that are counted now."""
+        """Return the number of open reservations."""
         return len(self._open)
 
     def _add_unreported(self, view: ServerView, made_at: float) -> None:
-        still = []
-        for identity in self._unreported.get(view.id, []):
-            made = self._open.get(identity)
-            if made is not None and made.made_at >= made_at:
-                still.append(identity)
-                _apply_reservation(view, made, 1)
-        self._unreported[view.id] = still
+        unreported = []
+        for reservation_id in self._unreported.get(view.id, []):
+            reservation = self._open.get(reservation_id)
+            if reservation is not None and reservation.made_at >= made_at:
+                unreported.append(reservation_id)
+                _apply_reservation(view, reservation, 1)
+        self._unreported[view.id] = unreported
 
     def _subtract_released(self, view: ServerView, made_at: float) -> None:
-        still = [(at, made) for at, made in self._released.get(view.id, []) if at >= made_at]
-        for _, made in still:
-            _apply_reservation(view, made, -1)
-        self._released[view.id] = still
+        unreported = [
+            (at, reservation)
+            for at, reservation in self._released.get(view.id, [])
+            if at >= made_at
+        ]
+        for _, reservation in unreported:
+            _apply_reservation(view, reservation, -1)
+        self._released[view.id] = unreported
 
 
-def _apply_reservation(view: ServerView, made: Reservation, sign: int) -> None:
+def _apply_reservation(view: ServerView, reservation: Reservation, sign: int) -> None:
     view.running = max(0, view.running + sign)
-    view.prefill_tokens = max(0, view.prefill_tokens + sign * made.prefill_tokens)
-    view.decode_tokens = max(0, view.decode_tokens + sign * made.decode_tokens)
+    view.prefill_tokens = max(0, view.prefill_tokens + sign * reservation.prefill_tokens)
+    view.decode_tokens = max(0, view.decode_tokens + sign * reservation.decode_tokens)
