--- a/src/moledale/core/subset.py
+++ b/src/moledale/core/subset.py
@@ -1,4 +1,4 @@
-"""Which servers a node follows, so that neither control traffic nor herds grow with the fleet."""
+"""Which servers a node follows, so that neither traffic nor herding grows with the fleet."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,26 +8,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Followable:
-    """A server that a node could follow."""
+    """A server that a node may follow."""
 
     id: str
     hall: str
 
 
 def select_followed(
-    node: str, hall: str, servers: Sequence[Followable], most: int, away_share: float = 0.25
+    node: str,
+    hall: str,
+    servers: Sequence[Followable],
+    max_servers: int,
+    remote_share: float = 0.25,
 ) -> set[str]:
-    """Return the servers that `node` follows: at most `most`, mostly of its own hall.
+    """Return the servers that `node` follows: at most `max_servers`, mostly in its own hall.
 
-    Servers are ranked by rendezvous hash of the node, so each server is followed by about the
-    same number of nodes, and when one server or node comes or goes only the sets that hold it
-    change, by one each.
+    Servers are ranked by rendezvous hash of the node, so each server is followed by about the same
+    number of nodes. When a server or node comes or goes, only the sets that contain it change, by
+    one server each.
     """
-    if len(servers) <= most:
+    if len(servers) <= max_servers:
         return {server.id for server in servers}
-    home = [server.id for server in servers if server.hall == hall]
-    away = [server.id for server in servers if server.hall != hall]
-    from_away = min(len(away), max(1, round(most * away_share)))
-    from_home = min(len(home), most - from_away)
-    from_away = min(len(away), most - from_home)
-    return set(ranked(node, home)[:from_home]) | set(ranked(node, away)[:from_away])
+    local = [server.id for server in servers if server.hall == hall]
+    remote = [server.id for server in servers if server.hall != hall]
+    remote_count = min(len(remote), max(1, round(max_servers * remote_share)))
+    local_count = min(len(local), max_servers - remote_count)
+    remote_count = min(len(remote), max_servers - local_count)
+    return set(ranked(node, local)[:local_count]) | set(ranked(node, remote)[:remote_count])
