--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -12,7 +12,7 @@
 from moledale.gateway.evacuation import Continuation, Engines, Evacuation, StreamRun
 from moledale.gateway.job import Attempt, Ending, Job
 from moledale.gateway.messages import AttemptFacts, InboundRequest, Refusal
-from moledale.gateway.permits import ANSWER_S, Permits, permits_alone
+from moledale.gateway.permits import PERMIT_TIMEOUT_S, Permits, permits_alone
 from moledale.gateway.placing import PlacementRequest, Placer
 from moledale.gateway.plan import Engine, Kind, Plan, PlanIndex
 from moledale.gateway.pool import ConnectionPool
@@ -201,7 +201,7 @@
     async def _place(self, job: Job) -> Placement | None:
         share = self._trial_share(job.service, job.route.name, not job.tried)
         max_wait_s = patience(job, self._now())
-        answer_s = min(ANSWER_S, ANSWER_SHARE * job.route.target_s)
+        answer_s = min(PERMIT_TIMEOUT_S, ANSWER_SHARE * job.route.target_s)
         engine = self._engine(job.service)
         return await self._placer.place(
             PlacementRequest(
--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -7,12 +7,12 @@
 from moledale.gateway.gossip import PlacementNews
 from moledale.gateway.peers import Membership, NodeState
 from moledale.gateway.permits import (
-    Grantors,
+    GrantorSelector,
     PermitAnswer,
     PermitAsk,
-    PermitDesk,
+    PermitIssuer,
     Permits,
-    limit_in,
+    limit_lookup,
 )
 from moledale.gateway.stated_limit import LimitNews
 from moledale.log import Event, emit
@@ -43,22 +43,22 @@
         self._tell = tell
         self._now = now
         self._told_at = now()
-        self._grantors = Grantors(own_id)
-        self._desk = PermitDesk(limit_in(balancer))
-        self.permits = Permits(self._desk, self._grantors, own_peer, tell, now)
+        self._grantors = GrantorSelector(own_id)
+        self._issuer = PermitIssuer(limit_lookup(balancer))
+        self.permits = Permits(self._issuer, self._grantors, own_peer, tell, now)
 
     def renew(self, serving: bool) -> None:
         """Take over which nodes serve; once a round is enough."""
         now = self._now()
         self._grantors.renew(self._own_hall, serving, self._members.alive(now))
-        self._desk.share = self._members.heard_share(now)
+        self._issuer.share = self._members.heard_share(now)
         if now - self._told_at >= TELL_S:
             self._log_counts(now - self._told_at)
             self._told_at = now
 
     def _log_counts(self, seconds: float) -> None:
         """Log how much of the limits was asked for and granted here."""
-        counts = self._desk.take_counts()
+        counts = self._issuer.take_counts()
         most = sorted(counts, key=lambda server: -counts[server].asked)[:MOST_TOLD]
         for server in most:
             view = self._balancer.views.get(server)
@@ -92,4 +92,4 @@
         if state is None or state.limits is not None:
             return
         for each in news.placed:
-            self._desk.spent_elsewhere(each.server, self._now())
+            self._issuer.spent_elsewhere(each.server, self._now())
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -19,23 +19,23 @@
 from moledale.gateway.peers import NodeState
 from moledale.gateway.server_view import ServerView
 
-ANSWER_S = 0.08
+PERMIT_TIMEOUT_S = 0.08
 """Wait for a node that grants: the way to another region and back, and a few turns of its loop."""
 
-SILENT_S = 0.3
+SILENT_GRANTOR_PAUSE_S = 0.3
 """A server whose granting node is silent gets nothing for so long: a round of news and more."""
 
 BATCH_S = 0.02
 """Permits of so much time are asked for at once, so that high limits don't cost a question each."""
 
-KEPT_S = 0.2
+PERMIT_TTL_S = 0.2
 """Permits that were not used for so long are void: the server was idle for them."""
 
-MOST_PACED = 2_048
+MAX_PACED_SERVERS = 2_048
 """Servers that one node grants for, about twice as many as a large deployment has."""
 
 
-LimitOf = Callable[[str, float], float | None]
+LimitLookup = Callable[[str, float], float | None]
 """Returns a server's limit, None if it names none any more; the number is for one not listed."""
 
 
@@ -77,7 +77,7 @@
     granted: int = 0
 
 
-class PermitDesk:
+class PermitIssuer:
     """Grants permits for servers that this node is drawn for.
 
     `limit_of` returns a server's limit as it is known here, of one that isn't known what is asked
@@ -85,14 +85,14 @@
     be cut off and have a node that grants among them.
     """
 
-    def __init__(self, limit_of: LimitOf) -> None:
+    def __init__(self, limit_of: LimitLookup) -> None:
         self.share = 1.0
         self._limit_of = limit_of
-        self._pacers: LRUCache[str, Pacer] = LRUCache(MOST_PACED)
+        self._pacers: LRUCache[str, Pacer] = LRUCache(MAX_PACED_SERVERS)
         self._counts: dict[str, PermitCounts] = {}
 
     def ask(
-        self, server: str, asked_per_s: float, number: int, most_wait_s: float, now: float
+        self, server: str, asked_per_s: float, number: int, max_wait_s: float, now: float
     ) -> SlotReservation:
         """Grant permits, or say when to ask again; all are granted where the limit has ended.
 
@@ -107,7 +107,7 @@
         if pacer is None:
             pacer = self._pacers[server] = Pacer.without_credit(rate, now)
         pacer.set_rate(rate, now)
-        reservation = pacer.take(now, most_wait_s, number)
+        reservation = pacer.take(now, max_wait_s, number)
         counts = self._counts.setdefault(server, PermitCounts())
         counts.asked += number
         counts.granted += number if reservation.granted else 0
@@ -125,7 +125,7 @@
             pacer.record_external(now)
 
 
-class Grantors:
+class GrantorSelector:
     """Draws the node that grants for a server, among those that serve, its hall's first.
 
     Nodes whose state says nothing of limits don't grant.
@@ -165,14 +165,14 @@
 
     def __init__(
         self,
-        desk: PermitDesk,
-        grantors: Grantors,
+        issuer: PermitIssuer,
+        grantors: GrantorSelector,
         own_peer: str = "",
         tell: Callable[[PermitAsk, str], None] = lambda _ask, _address: None,
         now: Callable[[], float] = monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
-        self._desk = desk
+        self._issuer = issuer
         self._grantors = grantors
         self._own_peer = own_peer
         self._tell = tell
@@ -180,10 +180,10 @@
         self._sleep = sleep
         self._serial = 0
         self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
-        self._left: LRUCache[str, LeftPermits] = LRUCache(MOST_PACED)
+        self._left: LRUCache[str, LeftPermits] = LRUCache(MAX_PACED_SERVERS)
 
     async def take(
-        self, view: ServerView, most_wait_s: float = 0.0, answer_s: float = ANSWER_S
+        self, view: ServerView, max_wait_s: float = 0.0, timeout_s: float = PERMIT_TIMEOUT_S
     ) -> bool:
         """Return whether a request may be sent to a server now, after a wait of its turn at most.
 
@@ -193,19 +193,19 @@
         if limit is None or self._take_left(view.server.id, limit):
             return True
         # What is granted for a later moment would be used before it by those that don't wait.
-        number = 1 if most_wait_s else max(1, int(limit * BATCH_S))
+        number = 1 if max_wait_s else max(1, int(limit * BATCH_S))
         asked_at = self._now()
-        view.hold_back(asked_at + answer_s)
-        answer = await self._ask(view, limit, number, most_wait_s, answer_s)
+        view.hold_back(asked_at + timeout_s)
+        answer = await self._ask(view, limit, number, max_wait_s, timeout_s)
         now = self._now()
         if answer is None:
-            view.hold_back(now + SILENT_S)
+            view.hold_back(now + SILENT_GRANTOR_PAUSE_S)
             return False
         if not answer.number:
             view.hold_back(now + answer.wait_s)
             return False
         if answer.number > 1:
-            self._left[view.server.id] = LeftPermits(answer.number - 1, now + KEPT_S, limit)
+            self._left[view.server.id] = LeftPermits(answer.number - 1, now + PERMIT_TTL_S, limit)
         view.hold_back(0.0)
         if answer.wait_s > 0:
             await self._sleep(answer.wait_s)
@@ -219,7 +219,7 @@
 
     def grant(self, ask: PermitAsk) -> PermitAnswer:
         """Answer another node's question."""
-        reservation = self._desk.ask(
+        reservation = self._issuer.ask(
             ask.server, ask.per_s, ask.number, ask.most_wait_s, self._now()
         )
         number = ask.number if reservation.granted else 0
@@ -235,13 +235,13 @@
         return left.until >= self._now() and left.per_s == limit_per_s
 
     async def _ask(
-        self, view: ServerView, limit: float, number: int, most_wait_s: float, answer_s: float
+        self, view: ServerView, limit: float, number: int, max_wait_s: float, timeout_s: float
     ) -> PermitAnswer | None:
         now = self._now()
         self._serial += 1
         age_s = now - view.standing.limit.heard_at
         ask = PermitAsk(
-            self._own_peer, self._serial, view.server.id, limit, age_s, number, most_wait_s
+            self._own_peer, self._serial, view.server.id, limit, age_s, number, max_wait_s
         )
         address = self._grantors.address(view)
         if address is None:
@@ -250,7 +250,7 @@
         self._waiting[ask.serial] = waiting
         self._tell(ask, address)
         try:
-            async with asyncio.timeout(answer_s):
+            async with asyncio.timeout(timeout_s):
                 return await waiting
         except TimeoutError:
             return None
@@ -260,10 +260,10 @@
 
 def permits_alone(balancer: LoadBalancer, now: Callable[[], float]) -> Permits:
     """Return permits of a node that knows of no other one."""
-    return Permits(PermitDesk(limit_in(balancer)), Grantors(""), now=now)
+    return Permits(PermitIssuer(limit_lookup(balancer)), GrantorSelector(""), now=now)
 
 
-def limit_in(balancer: LoadBalancer) -> LimitOf:
+def limit_lookup(balancer: LoadBalancer) -> LimitLookup:
     """Return what tells limits as a node's book has them."""
 
     def limit_of(server: str, asked_per_s: float) -> float | None:
--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -7,7 +7,7 @@
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.choice import Choice
 from moledale.gateway.messages import RequestFacts
-from moledale.gateway.permits import ANSWER_S, Permits
+from moledale.gateway.permits import PERMIT_TIMEOUT_S, Permits
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_view import Placement
 
@@ -32,7 +32,7 @@
     trial_share: float = 0.0
     moved: bool = False
     max_wait_s: float = 0.0
-    answer_s: float = ANSWER_S
+    answer_s: float = PERMIT_TIMEOUT_S
 
 
 class Placer:
@@ -55,7 +55,7 @@
                 break
             view = choice.view
             limited = view.limit_per_s is not None
-            if not limited or await self._permits.take(view, answer_s=request.answer_s):
+            if not limited or await self._permits.take(view, timeout_s=request.answer_s):
                 return self._reserve(choice, request, limited)
         return await self._wait_for_permit(request)
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -12,7 +12,13 @@
 from moledale.gateway.limit_sharing import TELL_S, LimitSharing
 from moledale.gateway.messages import Server
 from moledale.gateway.peers import Membership, Standing
-from moledale.gateway.permits import ANSWER_S, SILENT_S, Grantors, PermitAnswer, PermitAsk
+from moledale.gateway.permits import (
+    PERMIT_TIMEOUT_S,
+    SILENT_GRANTOR_PAUSE_S,
+    GrantorSelector,
+    PermitAnswer,
+    PermitAsk,
+)
 from moledale.gateway.server_standing import ServerStanding
 from moledale.gateway.server_view import ServerView
 from moledale.gateway.stated_limit import ENDED_TOLD_S, LimitNews, StatedLimit
@@ -157,7 +163,7 @@
             world.limit(1_000.0)
             node = world.others()[0]
             await node.sharing.permits.take(node.view())
-            self.assertTrue(await node.sharing.permits.take(node.view(), most_wait_s=0.1))
+            self.assertTrue(await node.sharing.permits.take(node.view(), max_wait_s=0.1))
             asks = [each for each in world.sent if isinstance(each, PermitAsk)]
             self.assertEqual([each.number for each in asks], [20, 1])
             self.assertFalse(node.sharing.permits._left)
@@ -263,8 +269,10 @@
             world.silent.add(world.grantor().name)
             node = world.others()[0]
             self.assertFalse(await node.sharing.permits.take(node.view()))
-            self.assertTrue(node.view().standing.is_held(world.now + SILENT_S - 0.01))
-            self.assertFalse(node.view().standing.is_held(world.now + SILENT_S + 0.01))
+            self.assertTrue(node.view().standing.is_held(world.now + SILENT_GRANTOR_PAUSE_S - 0.01))
+            self.assertFalse(
+                node.view().standing.is_held(world.now + SILENT_GRANTOR_PAUSE_S + 0.01)
+            )
 
         play(work)
 
@@ -274,7 +282,7 @@
             world.limit(10.0)
             grantor, node = world.grantor(), world.others()[0]
             world.silent.add(grantor.name)
-            await node.sharing.permits.take(node.view(), answer_s=ANSWER_S / 8)
+            await node.sharing.permits.take(node.view(), timeout_s=PERMIT_TIMEOUT_S / 8)
             node.sharing.heard(PermitAnswer(1, 1, 0.0))
             self.assertTrue(node.view().standing.is_held(world.now + 0.01))
 
@@ -318,7 +326,7 @@
     """Who grants is drawn among nodes that serve and know of limits."""
 
     def test_builds_that_know_no_limits_and_nodes_in_reserve_do_not_grant(self) -> None:
-        grantors = Grantors("n0")
+        grantors = GrantorSelector("n0")
         grantors.renew(
             "a",
             True,
@@ -331,14 +339,14 @@
             self.assertIsNone(grantors.address(ServerView(server)))
 
     def test_node_that_does_not_serve_asks_one_that_does(self) -> None:
-        grantors = Grantors("n0")
+        grantors = GrantorSelector("n0")
         grantors.renew("a", False, [state("n1", serving=True, limits={})])
         self.assertEqual(grantors.address(ServerView(SERVERS[0])), "n1:2")
         grantors.renew("a", False, [])
         self.assertIsNone(grantors.address(ServerView(SERVERS[0])))
 
     def test_nodes_of_the_servers_hall_come_first(self) -> None:
-        grantors = Grantors("n0")
+        grantors = GrantorSelector("n0")
         near = [state(f"m{each}", serving=True, limits={}, hall="b") for each in range(3)]
         grantors.renew("a", True, near)
         for each in range(20):
@@ -374,7 +382,7 @@
             node.view().hold_back(0.0)
             world.now = 10.0
             for _ in range(3):
-                node.sharing._desk.spent_elsewhere("s0", world.now)
+                node.sharing._issuer.spent_elsewhere("s0", world.now)
             world.now = 10.1
             self.assertFalse(await node.sharing.permits.take(node.view()))
 
