--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -47,10 +47,10 @@
         self._issuer = PermitIssuer(limit_lookup(balancer))
         self.permits = Permits(self._issuer, self._grantors, own_peer, tell, now)
 
-    def renew(self, serving: bool) -> None:
+    def refresh(self, serving: bool) -> None:
         """Take over which nodes serve; once a round is enough."""
         now = self._now()
-        self._grantors.renew(self._own_hall, serving, self._members.alive(now))
+        self._grantors.refresh(self._own_hall, serving, self._members.alive(now))
         self._issuer.share = self._members.heard_share(now)
         if now - self._told_at >= TELL_S:
             self._log_counts(now - self._told_at)
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -440,7 +440,7 @@
                 self.forwarder.begin_limits_anew()
             self._tell_state(everyone=changed)
             self.sharing.take_over(self.balancer)
-            self.server_limits.renew(self.neighbours.serving)
+            self.server_limits.refresh(self.neighbours.serving)
             self.rollouts.step()
             self.forwarder.guard.decide()
             self.fleet.drop_lapsed()
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -50,7 +50,7 @@
         for name in names:
             told = state(name, serving=True, **{"limits": {}, **more})
             self.members.heard(told, now)
-        self.sharing.renew(serving=True)
+        self.sharing.refresh(serving=True)
 
 
 class World:
@@ -72,7 +72,7 @@
             for member in node.members.members.values():
                 if member.heard_at >= self.heard_from:
                     member.heard_at = self.now
-            node.sharing.renew(serving=True)
+            node.sharing.refresh(serving=True)
 
     def clock(self) -> float:
         """Return the time."""
@@ -222,8 +222,8 @@
                 world.now += 0.6
             world.now = TELL_S
             with logbook.TestHandler().applicationbound() as handler:
-                node.sharing.renew(serving=True)
-                node.sharing.renew(serving=True)
+                node.sharing.refresh(serving=True)
+                node.sharing.refresh(serving=True)
             lines = [record.message for record in handler.records]
             self.assertEqual([line[:4] for line in lines], ["E426"])
             fields = json.loads(lines[0][lines[0].index("{") :])
@@ -244,7 +244,7 @@
                     for other in others:
                         told = state(other, sequence=9, serving=True, limits={})
                         world.nodes[name].members.heard(told, 2.0)
-                    world.nodes[name].sharing.renew(serving=True)
+                    world.nodes[name].sharing.refresh(serving=True)
             granted = 0
             world.heard_from = 2.0
             for _ in range(400):
@@ -297,7 +297,7 @@
                 if name not in (before.name, node.name):
                     told = state(name, sequence=9, serving=True, limits={})
                     node.members.heard(told, 5.0)
-            node.sharing.renew(serving=True)
+            node.sharing.refresh(serving=True)
         view = before.view()
         left = [node for node in world.nodes.values() if node is not before]
         asked = {node.sharing._grantors.address(view) for node in left}
@@ -327,7 +327,7 @@
 
     def test_builds_that_know_no_limits_and_nodes_in_reserve_do_not_grant(self) -> None:
         grantors = GrantorSelector("n0")
-        grantors.renew(
+        grantors.refresh(
             "a",
             True,
             [
@@ -340,15 +340,15 @@
 
     def test_node_that_does_not_serve_asks_one_that_does(self) -> None:
         grantors = GrantorSelector("n0")
-        grantors.renew("a", False, [state("n1", serving=True, limits={})])
+        grantors.refresh("a", False, [state("n1", serving=True, limits={})])
         self.assertEqual(grantors.address(ServerView(SERVERS[0])), "n1:2")
-        grantors.renew("a", False, [])
+        grantors.refresh("a", False, [])
         self.assertIsNone(grantors.address(ServerView(SERVERS[0])))
 
     def test_nodes_of_the_servers_hall_come_first(self) -> None:
         grantors = GrantorSelector("n0")
         near = [state(f"m{each}", serving=True, limits={}, hall="b") for each in range(3)]
-        grantors.renew("a", True, near)
+        grantors.refresh("a", True, near)
         for each in range(20):
             server = Server(f"t{each}", "plain", "h:1", "b", 4)
             self.assertIn(grantors.address(ServerView(server)), {"m0:2", "m1:2", "m2:2"})
