--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -12,7 +12,7 @@
 from moledale.gateway.evacuation import Continuation, Engines, Evacuation, StreamRun
 from moledale.gateway.job import Attempt, Ending, Job
 from moledale.gateway.messages import AttemptFacts, InboundRequest, Refusal
-from moledale.gateway.permits import PERMIT_TIMEOUT_S, Permits, permits_alone
+from moledale.gateway.permits import PERMIT_TIMEOUT_S, PermitClient, permits_alone
 from moledale.gateway.placing import PlacementRequest, Placer
 from moledale.gateway.plan import Engine, Kind, Plan, PlanIndex
 from moledale.gateway.pool import ConnectionPool
@@ -72,7 +72,7 @@
         first_start: bool = False,
         trial_share: Callable[[str, str, bool], float] = _no_trial,
         starters: Callable[[], int] = lambda: 1,
-        permits: Permits | None = None,
+        permits: PermitClient | None = None,
     ) -> None:
         limits = AccountLimits(
             first_start, sharing.limit_window_s, sharing.limit_tolerance, starters
--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -10,8 +10,8 @@
     GrantorSelector,
     PermitAnswer,
     PermitAsk,
+    PermitClient,
     PermitIssuer,
-    Permits,
     limit_lookup,
 )
 from moledale.gateway.stated_limit import LimitNews
@@ -45,7 +45,7 @@
         self._told_at = now()
         self._grantors = GrantorSelector(own_id)
         self._issuer = PermitIssuer(limit_lookup(balancer))
-        self.permits = Permits(self._issuer, self._grantors, own_peer, tell, now)
+        self.permits = PermitClient(self._issuer, self._grantors, own_peer, tell, now)
 
     def refresh(self, serving: bool) -> None:
         """Take over which nodes serve; once a round is enough."""
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -62,11 +62,11 @@
     wait_s: float
 
 
-class LeftPermits(msgspec.Struct):
+class UnusedPermits(msgspec.Struct):
     """Permits that were asked for together and not used yet, for a limit of `per_s`."""
 
     number: int
-    until: float
+    expires_at: float
     per_s: float
 
 
@@ -135,9 +135,9 @@
         self._own_id = own_id
         self._peers: dict[str, str] = {}
         self._halls: dict[str, str] = {}
-        self._drawn: dict[str, str] = {}
+        self._selected: dict[str, str] = {}
 
-    def renew(self, own_hall: str, serving: bool, alive: Iterable[NodeState]) -> None:
+    def refresh(self, own_hall: str, serving: bool, alive: Iterable[NodeState]) -> None:
         """Take over which nodes serve."""
         may = [each for each in alive if each.serving and each.limits is not None]
         peers = {each.id: each.peer for each in may}
@@ -145,22 +145,22 @@
         if serving or not halls:
             halls[self._own_id] = own_hall
         if peers != self._peers or halls != self._halls:
-            self._peers, self._halls, self._drawn = peers, halls, {}
+            self._peers, self._halls, self._selected = peers, halls, {}
 
     def address(self, view: ServerView) -> str | None:
         """Return where to ask for a server, None if this node grants."""
-        name = self._drawn.get(view.server.id)
+        name = self._selected.get(view.server.id)
         if name is None:
-            name = self._draw(view)
-            self._drawn[view.server.id] = name
+            name = self._select(view)
+            self._selected[view.server.id] = name
         return self._peers.get(name)
 
-    def _draw(self, view: ServerView) -> str:
+    def _select(self, view: ServerView) -> str:
         near = [name for name, hall in self._halls.items() if hall == view.server.hall]
         return first_ranked(view.server.id, near or self._halls) or self._own_id
 
 
-class Permits:
+class PermitClient:
     """Asks for permits, for all requests of a node; `tell` sends a question to an address."""
 
     def __init__(
@@ -180,7 +180,7 @@
         self._sleep = sleep
         self._serial = 0
         self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
-        self._left: LRUCache[str, LeftPermits] = LRUCache(MAX_PACED_SERVERS)
+        self._unused: LRUCache[str, UnusedPermits] = LRUCache(MAX_PACED_SERVERS)
 
     async def take(
         self, view: ServerView, max_wait_s: float = 0.0, timeout_s: float = PERMIT_TIMEOUT_S
@@ -190,7 +190,7 @@
         While a question is under way, no other request of this node chooses the server.
         """
         limit = view.limit_per_s
-        if limit is None or self._take_left(view.server.id, limit):
+        if limit is None or self._take_unused(view.server.id, limit):
             return True
         # What is granted for a later moment would be used before it by those that don't wait.
         number = 1 if max_wait_s else max(1, int(limit * BATCH_S))
@@ -205,7 +205,9 @@
             view.hold_back(now + answer.wait_s)
             return False
         if answer.number > 1:
-            self._left[view.server.id] = LeftPermits(answer.number - 1, now + PERMIT_TTL_S, limit)
+            self._unused[view.server.id] = UnusedPermits(
+                answer.number - 1, now + PERMIT_TTL_S, limit
+            )
         view.hold_back(0.0)
         if answer.wait_s > 0:
             await self._sleep(answer.wait_s)
@@ -225,14 +227,14 @@
         number = ask.number if reservation.granted else 0
         return PermitAnswer(ask.serial, number, reservation.wait_s)
 
-    def _take_left(self, server: str, limit_per_s: float) -> bool:
-        left = self._left.get(server)
+    def _take_unused(self, server: str, limit_per_s: float) -> bool:
+        left = self._unused.get(server)
         if left is None:
             return False
         left.number -= 1
-        if left.number <= 0 or left.until < self._now() or left.per_s != limit_per_s:
-            del self._left[server]
-        return left.until >= self._now() and left.per_s == limit_per_s
+        if left.number <= 0 or left.expires_at < self._now() or left.per_s != limit_per_s:
+            del self._unused[server]
+        return left.expires_at >= self._now() and left.per_s == limit_per_s
 
     async def _ask(
         self, view: ServerView, limit: float, number: int, max_wait_s: float, timeout_s: float
@@ -258,9 +260,9 @@
             del self._waiting[ask.serial]
 
 
-def permits_alone(balancer: LoadBalancer, now: Callable[[], float]) -> Permits:
+def permits_alone(balancer: LoadBalancer, now: Callable[[], float]) -> PermitClient:
     """Return permits of a node that knows of no other one."""
-    return Permits(PermitIssuer(limit_lookup(balancer)), GrantorSelector(""), now=now)
+    return PermitClient(PermitIssuer(limit_lookup(balancer)), GrantorSelector(""), now=now)
 
 
 def limit_lookup(balancer: LoadBalancer) -> LimitLookup:
--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -7,7 +7,7 @@
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.choice import Choice
 from moledale.gateway.messages import RequestFacts
-from moledale.gateway.permits import PERMIT_TIMEOUT_S, Permits
+from moledale.gateway.permits import PERMIT_TIMEOUT_S, PermitClient
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_view import Placement
 
@@ -38,7 +38,9 @@
 class Placer:
     """Chooses a server for each request and counts the request there."""
 
-    def __init__(self, balancer: LoadBalancer, permits: Permits, now: Callable[[], float]) -> None:
+    def __init__(
+        self, balancer: LoadBalancer, permits: PermitClient, now: Callable[[], float]
+    ) -> None:
         self._balancer = balancer
         self._permits = permits
         self._now = now
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -166,7 +166,7 @@
             self.assertTrue(await node.sharing.permits.take(node.view(), max_wait_s=0.1))
             asks = [each for each in world.sent if isinstance(each, PermitAsk)]
             self.assertEqual([each.number for each in asks], [20, 1])
-            self.assertFalse(node.sharing.permits._left)
+            self.assertFalse(node.sharing.permits._unused)
 
         play(work)
 
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -46,7 +46,7 @@
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.outside import StateRow
 from moledale.gateway.peers import LeaseNews, Membership
-from moledale.gateway.permits import GrantorSelector, Permits
+from moledale.gateway.permits import GrantorSelector, PermitClient
 from moledale.gateway.placing import Placer
 from moledale.gateway.plan import PlanIndex
 from moledale.gateway.quarantine_sharing import QuarantineSharing
@@ -303,7 +303,7 @@
     ("others ask a full server later", ServerNotices, "peers_declined", lambda *_: None, NOTICES),
     ("callers come back when any server is free", Refusals, "wait_s", lambda *_: None, NOTICES),
     ("servers that turn away are made up for", ServerGroup, "unavailable", lambda *_: 0, NOTICES),
-    ("requests to a limited server need a permit", Permits, "take", _grant_all, SERVER_LIMITS),
+    ("requests to a limited server need a permit", PermitClient, "take", _grant_all, SERVER_LIMITS),
     ("one node grants for a server", GrantorSelector, "address", lambda *_: None, PERMITS),
     ("halves of a cut grant a part", Membership, "heard_share", lambda *_: 1.0, PERMITS),
     ("others hear which limits servers name", ServerNotices, "peer_limits", lambda *_: None,
