--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -74,7 +74,7 @@
     def heard(self, message: PermitAsk | PermitAnswer) -> None:
         """Answer a question of another node, or take over an answer to one of this node."""
         if isinstance(message, PermitAnswer):
-            self.permits.answered(message)
+            self.permits.on_answer(message)
             return
         # The node that asks may have heard the limit a moment before its state tells it.
         asked_by = LimitNews(message.per_s, message.age_s)
