--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -25,7 +25,7 @@
 
 
 class LimitSharing:
-    """A node's part in limits that hold for all nodes; `tell` sends a message to an address."""
+    """A node's part in limits that hold for all nodes; `send` sends a message to an address."""
 
     def __init__(
         self,
@@ -34,24 +34,24 @@
         own_peer: str,
         balancer: LoadBalancer,
         members: Membership,
-        tell: Callable[[PermitAsk | PermitAnswer, str], None],
+        send: Callable[[PermitAsk | PermitAnswer, str], None],
         now: Callable[[], float] = monotonic,
     ) -> None:
         self._own_hall = own_hall
         self._balancer = balancer
         self._members = members
-        self._tell = tell
+        self._send = send
         self._now = now
         self._told_at = now()
         self._grantors = GrantorSelector(own_id)
         self._issuer = PermitIssuer(limit_lookup(balancer))
-        self.permits = PermitClient(self._issuer, self._grantors, own_peer, tell, now)
+        self.permits = PermitClient(self._issuer, self._grantors, own_peer, send, now)
 
     def refresh(self, serving: bool) -> None:
         """Take over which nodes serve; once a round is enough."""
         now = self._now()
         self._grantors.refresh(self._own_hall, serving, self._members.alive(now))
-        self._issuer.share = self._members.heard_share(now)
+        self._issuer.reachable_share = self._members.heard_share(now)
         if now - self._told_at >= TELL_S:
             self._log_counts(now - self._told_at)
             self._told_at = now
@@ -79,7 +79,7 @@
         # The node that asks may have heard the limit a moment before its state tells it.
         asked_by = LimitNews(message.per_s, message.age_s)
         self._balancer.notices.peer_limits({message.server: asked_by}, message.peer, self._now())
-        self._tell(self.permits.grant(message), message.peer)
+        self._send(self.permits.grant(message), message.peer)
 
     def heard_state(self, state: NodeState) -> None:
         """Take over the limits that a node heard itself."""
@@ -92,4 +92,4 @@
         if state is None or state.limits is not None:
             return
         for each in news.placed:
-            self._issuer.spent_elsewhere(each.server, self._now())
+            self._issuer.record_unpermitted(each.server, self._now())
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -86,23 +86,23 @@
     """
 
     def __init__(self, limit_of: LimitLookup) -> None:
-        self.share = 1.0
+        self.reachable_share = 1.0
         self._limit_of = limit_of
         self._pacers: LRUCache[str, Pacer] = LRUCache(MAX_PACED_SERVERS)
         self._counts: dict[str, PermitCounts] = {}
 
-    def ask(
-        self, server: str, asked_per_s: float, number: int, max_wait_s: float, now: float
+    def reserve(
+        self, server: str, reported_per_s: float, number: int, max_wait_s: float, now: float
     ) -> SlotReservation:
         """Grant permits, or say when to ask again; all are granted where the limit has ended.
 
-        `asked_per_s` is the limit as the node that asks knows it.
+        `reported_per_s` is the limit as the node that asks knows it.
         """
-        limit_per_s = self._limit_of(server, asked_per_s)
+        limit_per_s = self._limit_of(server, reported_per_s)
         if limit_per_s is None:
             self._pacers.pop(server, None)
             return SlotReservation(True, 0.0)
-        rate = limit_per_s * self.share
+        rate = limit_per_s * self.reachable_share
         pacer = self._pacers.get(server)
         if pacer is None:
             pacer = self._pacers[server] = Pacer.without_credit(rate, now)
@@ -118,7 +118,7 @@
         counts, self._counts = self._counts, {}
         return counts
 
-    def spent_elsewhere(self, server: str, now: float) -> None:
+    def record_unpermitted(self, server: str, now: float) -> None:
         """Count a request that a node sent without asking, as builds do that know no limits."""
         pacer = self._pacers.get(server)
         if pacer is not None:
@@ -161,25 +161,25 @@
 
 
 class PermitClient:
-    """Asks for permits, for all requests of a node; `tell` sends a question to an address."""
+    """Asks for permits, for all requests of a node; `send` sends a question to an address."""
 
     def __init__(
         self,
         issuer: PermitIssuer,
         grantors: GrantorSelector,
         own_peer: str = "",
-        tell: Callable[[PermitAsk, str], None] = lambda _ask, _address: None,
+        send: Callable[[PermitAsk, str], None] = lambda _ask, _address: None,
         now: Callable[[], float] = monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self._issuer = issuer
         self._grantors = grantors
         self._own_peer = own_peer
-        self._tell = tell
+        self._send = send
         self._now = now
         self._sleep = sleep
         self._serial = 0
-        self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
+        self._pending: dict[int, asyncio.Future[PermitAnswer]] = {}
         self._unused: LRUCache[str, UnusedPermits] = LRUCache(MAX_PACED_SERVERS)
 
     async def take(
@@ -213,15 +213,15 @@
             await self._sleep(answer.wait_s)
         return True
 
-    def answered(self, answer: PermitAnswer) -> None:
+    def on_answer(self, answer: PermitAnswer) -> None:
         """Take over an answer; one that comes too late is void."""
-        waiting = self._waiting.get(answer.serial)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(answer)
+        future = self._pending.get(answer.serial)
+        if future is not None and not future.done():
+            future.set_result(answer)
 
     def grant(self, ask: PermitAsk) -> PermitAnswer:
         """Answer another node's question."""
-        reservation = self._issuer.ask(
+        reservation = self._issuer.reserve(
             ask.server, ask.per_s, ask.number, ask.most_wait_s, self._now()
         )
         number = ask.number if reservation.granted else 0
@@ -248,16 +248,16 @@
         address = self._grantors.address(view)
         if address is None:
             return self.grant(ask)
-        waiting: asyncio.Future[PermitAnswer] = asyncio.get_running_loop().create_future()
-        self._waiting[ask.serial] = waiting
-        self._tell(ask, address)
+        future: asyncio.Future[PermitAnswer] = asyncio.get_running_loop().create_future()
+        self._pending[ask.serial] = future
+        self._send(ask, address)
         try:
             async with asyncio.timeout(timeout_s):
-                return await waiting
+                return await future
         except TimeoutError:
             return None
         finally:
-            del self._waiting[ask.serial]
+            del self._pending[ask.serial]
 
 
 def permits_alone(balancer: LoadBalancer, now: Callable[[], float]) -> PermitClient:
@@ -268,8 +268,8 @@
 def limit_lookup(balancer: LoadBalancer) -> LimitLookup:
     """Return what tells limits as a node's book has them."""
 
-    def limit_of(server: str, asked_per_s: float) -> float | None:
+    def limit_of(server: str, reported_per_s: float) -> float | None:
         view = balancer.views.get(server)
-        return view.limit_per_s if view is not None else asked_per_s
+        return view.limit_per_s if view is not None else reported_per_s
 
     return limit_of
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -382,7 +382,7 @@
             node.view().hold_back(0.0)
             world.now = 10.0
             for _ in range(3):
-                node.sharing._issuer.spent_elsewhere("s0", world.now)
+                node.sharing._issuer.record_unpermitted("s0", world.now)
             world.now = 10.1
             self.assertFalse(await node.sharing.permits.take(node.view()))
 
