--- a/src/moledale/gateway/evacuation.py
+++ b/src/moledale/gateway/evacuation.py
@@ -15,7 +15,7 @@
 from moledale.clock import monotonic
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import RequestFacts, Server
-from moledale.gateway.permits import permits_alone
+from moledale.gateway.permits import standalone_permit_client
 from moledale.gateway.placing import PlacementRequest, Placer
 from moledale.gateway.plan import Engine, PlanIndex
 from moledale.gateway.server_view import Placement
@@ -135,7 +135,7 @@
         now: Callable[[], float] = monotonic,
         placer: Placer | None = None,
     ) -> None:
-        self._placer = placer or Placer(balancer, permits_alone(balancer, now), now)
+        self._placer = placer or Placer(balancer, standalone_permit_client(balancer, now), now)
         self.runs: set[StreamRun] = set()
         self._engines = engines
         self._balancer = balancer
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -12,7 +12,7 @@
 from moledale.gateway.evacuation import Continuation, Engines, Evacuation, StreamRun
 from moledale.gateway.job import Attempt, Ending, Job
 from moledale.gateway.messages import AttemptFacts, InboundRequest, Refusal
-from moledale.gateway.permits import PERMIT_TIMEOUT_S, PermitClient, permits_alone
+from moledale.gateway.permits import PERMIT_TIMEOUT_S, PermitClient, standalone_permit_client
 from moledale.gateway.placing import PlacementRequest, Placer
 from moledale.gateway.plan import Engine, Kind, Plan, PlanIndex
 from moledale.gateway.pool import ConnectionPool
@@ -84,7 +84,7 @@
         balancer.on_silent = pool.forget
         self._pool = pool
         self._sharing = sharing
-        self._permits = permits or permits_alone(balancer, now)
+        self._permits = permits or standalone_permit_client(balancer, now)
         self._placer = Placer(balancer, self._permits, now)
         self.evacuation = Evacuation(
             engines, balancer, lambda: self.index, sharing.leave_s, now, self._placer
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -260,7 +260,7 @@
             del self._pending[ask.serial]
 
 
-def permits_alone(balancer: LoadBalancer, now: Callable[[], float]) -> PermitClient:
+def standalone_permit_client(balancer: LoadBalancer, now: Callable[[], float]) -> PermitClient:
     """Return permits of a node that knows of no other one."""
     return PermitClient(PermitIssuer(limit_lookup(balancer)), GrantorSelector(""), now=now)
 
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -14,7 +14,7 @@
 from moledale.gateway.job import Job
 from moledale.gateway.messages import Caller, InboundRequest, RequestFacts, RequestHead, Server
 from moledale.gateway.peers import Membership
-from moledale.gateway.permits import PermitAnswer, PermitAsk, permits_alone
+from moledale.gateway.permits import PermitAnswer, PermitAsk, standalone_permit_client
 from moledale.gateway.placing import PlacementRequest, Placer
 from moledale.gateway.plan import Engine, Kind, Route, Share
 from moledale.gateway.reply import Reply
@@ -202,7 +202,7 @@
             balancer.apply([Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(6)])
             limits = {name: LimitNews(1.0, 0.0) for name in balancer.views}
             balancer.notices.peer_limits(limits, "n2", monotonic())
-            permits = permits_alone(balancer, monotonic)
+            permits = standalone_permit_client(balancer, monotonic)
             with mock.patch.object(
                 permits, "grant", side_effect=lambda ask: grant_only("s3", ask)
             ) as asked:
@@ -219,7 +219,7 @@
             balancer = LoadBalancer("a")
             balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(3)])
             balancer.notices.peer_limits({"s1": LimitNews(0.1, 0.0)}, "n2", monotonic())
-            placer = Placer(balancer, permits_alone(balancer, monotonic), monotonic)
+            placer = Placer(balancer, standalone_permit_client(balancer, monotonic), monotonic)
             engine = Engine(4, 100_000, 1, 1000.0, moves=True, event_tokens=3)
             for number in range(6):
                 facts = RequestFacts(id=f"r{number}", prompt_tokens=50)
