--- a/src/moledale/gateway/stated_limit.py
+++ b/src/moledale/gateway/stated_limit.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-ENDED_TOLD_S = 3.0
+REMOVAL_BROADCAST_S = 3.0
 """Other nodes are told for so long that a limit is named no more: fifteen rounds of news."""
 
 
@@ -71,6 +71,6 @@
         if not self.first_hand:
             return None
         age_s = now - self.heard_at
-        if self.per_s is None and age_s > ENDED_TOLD_S:
+        if self.per_s is None and age_s > REMOVAL_BROADCAST_S:
             return None
         return LimitNews(self.per_s, round(age_s, 3))
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -21,7 +21,7 @@
 )
 from moledale.gateway.server_standing import ServerStanding
 from moledale.gateway.server_view import ServerView
-from moledale.gateway.stated_limit import ENDED_TOLD_S, LimitNews, StatedLimit
+from moledale.gateway.stated_limit import REMOVAL_BROADCAST_S, LimitNews, StatedLimit
 from tests.gateway_states import state
 from tests.gateway_world import quietly
 
@@ -416,7 +416,7 @@
         limit.heard(2.0, 1.0, 1.0)
         limit.heard(None, 2.0, 2.0)
         self.assertEqual(limit.news(2.5), LimitNews(None, 0.5))
-        self.assertIsNone(limit.news(2.1 + ENDED_TOLD_S))
+        self.assertIsNone(limit.news(2.1 + REMOVAL_BROADCAST_S))
 
     def test_limit_outlasts_a_lapse_of_the_entry_but_no_new_life(self) -> None:
         balancer = LoadBalancer("a")
