--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -96,7 +96,9 @@
         elif not not_run:
             view.accepted(sent_at)
         limit = view.standing.limit
-        if not stated.limit_unreadable and limit.heard(stated.limit_per_s, sent_at, now):
+        if not stated.limit_unreadable and limit.update_from_answer(
+            stated.limit_per_s, sent_at, now
+        ):
             self._limit_changed(view, "answer")
 
     def _back_off(self, view: ServerView, retry_after_s: float | None, now: float) -> None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -394,12 +394,12 @@
 
     def test_lower_counts_at_once_and_higher_from_later_requests_only(self) -> None:
         limit = StatedLimit()
-        self.assertTrue(limit.heard(2.0, 9.0, 10.0))
-        self.assertFalse(limit.heard(5.0, 9.5, 10.1))
-        self.assertFalse(limit.heard(None, 9.5, 10.1))
-        self.assertTrue(limit.heard(1.0, 9.5, 10.2))
-        self.assertTrue(limit.heard(5.0, 10.3, 10.4))
-        self.assertTrue(limit.heard(None, 10.5, 10.6))
+        self.assertTrue(limit.update_from_answer(2.0, 9.0, 10.0))
+        self.assertFalse(limit.update_from_answer(5.0, 9.5, 10.1))
+        self.assertFalse(limit.update_from_answer(None, 9.5, 10.1))
+        self.assertTrue(limit.update_from_answer(1.0, 9.5, 10.2))
+        self.assertTrue(limit.update_from_answer(5.0, 10.3, 10.4))
+        self.assertTrue(limit.update_from_answer(None, 10.5, 10.6))
         self.assertIsNone(limit.per_s)
 
     def test_newer_word_of_others_counts_and_is_not_told_on(self) -> None:
@@ -413,15 +413,15 @@
 
     def test_end_of_a_limit_is_told_for_a_while(self) -> None:
         limit = StatedLimit()
-        limit.heard(2.0, 1.0, 1.0)
-        limit.heard(None, 2.0, 2.0)
+        limit.update_from_answer(2.0, 1.0, 1.0)
+        limit.update_from_answer(None, 2.0, 2.0)
         self.assertEqual(limit.news(2.5), LimitNews(None, 0.5))
         self.assertIsNone(limit.news(2.1 + REMOVAL_BROADCAST_S))
 
     def test_limit_outlasts_a_lapse_of_the_entry_but_no_new_life(self) -> None:
         balancer = LoadBalancer("a")
         balancer.apply(SERVERS)
-        balancer.views["s0"].standing.limit.heard(2.0, 1.0, 1.0)
+        balancer.views["s0"].standing.limit.update_from_answer(2.0, 1.0, 1.0)
         balancer.apply(SERVERS[1:])
         balancer.apply(SERVERS)
         self.assertEqual(balancer.views["s0"].limit_per_s, 2.0)
