--- a/src/moledale/gateway/stated_limit.py
+++ b/src/moledale/gateway/stated_limit.py
@@ -32,7 +32,7 @@
         """Say whether any limit, or the end of one, was heard."""
         return self.heard_at > -math.inf
 
-    def heard(self, per_s: float | None, sent_at: float, now: float) -> bool:
+    def update_from_answer(self, per_s: float | None, sent_at: float, now: float) -> bool:
         """Take over what an answer named; say whether the limit changed.
 
         Answers overtake each other. One to a request from before the limit was heard last can
