--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -125,7 +125,7 @@
         """Take over the limits that another node heard."""
         for name, news in limits.items():
             view = self._views.get(name)
-            if view is not None and view.standing.limit.told(news, now):
+            if view is not None and view.standing.limit.update_from_peer(news, now):
                 self._limit_changed(view, source)
 
     def note_leaving(self, name: str) -> Server | None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -404,11 +404,11 @@
 
     def test_newer_word_of_others_counts_and_is_not_told_on(self) -> None:
         limit = StatedLimit()
-        self.assertTrue(limit.told(LimitNews(2.0, 0.1), 10.0))
+        self.assertTrue(limit.update_from_peer(LimitNews(2.0, 0.1), 10.0))
         self.assertIsNone(limit.news(10.0))
-        self.assertFalse(limit.told(LimitNews(7.0, 0.5), 10.0))
-        self.assertTrue(limit.told(LimitNews(None, 0.0), 10.1))
-        self.assertFalse(limit.told(LimitNews(2.0, 0.3), 10.2))
+        self.assertFalse(limit.update_from_peer(LimitNews(7.0, 0.5), 10.0))
+        self.assertTrue(limit.update_from_peer(LimitNews(None, 0.0), 10.1))
+        self.assertFalse(limit.update_from_peer(LimitNews(2.0, 0.3), 10.2))
         self.assertIsNone(limit.per_s)
 
     def test_end_of_a_limit_is_told_for_a_while(self) -> None:
