--- a/src/moledale/gateway/stated_limit.py
+++ b/src/moledale/gateway/stated_limit.py
@@ -44,7 +44,7 @@
             return False
         return self._believe(per_s, now, True)
 
-    def told(self, news: LimitNews, now: float) -> bool:
+    def update_from_peer(self, news: LimitNews, now: float) -> bool:
         """Take over what another node heard, if that is newer; say whether the limit changed."""
         heard_at = now - max(0.0, news.age_s)
         if heard_at <= self.heard_at:
