--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -55,7 +55,7 @@
     def told(self, now: float) -> list[ServerView]:
         """Return those of which other nodes are to hear that they name a limit, or none."""
         limits = {name: view.standing.limit for name, view in self._heard.items()}
-        for name in [name for name, limit in limits.items() if limit.news(now) is None]:
+        for name in [name for name, limit in limits.items() if limit.to_broadcast(now) is None]:
             del self._heard[name]
         return list(self._heard.values())
 
--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -118,7 +118,9 @@
         """
         views = [view for group in groups for view in group.limited.told(now)]
         views.sort(key=lambda view: -view.standing.limit.heard_at)
-        told = ((view.server.id, view.standing.limit.news(now)) for view in views[:MOST_TOLD])
+        told = (
+            (view.server.id, view.standing.limit.to_broadcast(now)) for view in views[:MOST_TOLD]
+        )
         return {name: news for name, news in told if news is not None}
 
     def peer_limits(self, limits: dict[str, LimitNews], source: str, now: float) -> None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -405,7 +405,7 @@
     def test_newer_word_of_others_counts_and_is_not_told_on(self) -> None:
         limit = StatedLimit()
         self.assertTrue(limit.update_from_peer(LimitNews(2.0, 0.1), 10.0))
-        self.assertIsNone(limit.news(10.0))
+        self.assertIsNone(limit.to_broadcast(10.0))
         self.assertFalse(limit.update_from_peer(LimitNews(7.0, 0.5), 10.0))
         self.assertTrue(limit.update_from_peer(LimitNews(None, 0.0), 10.1))
         self.assertFalse(limit.update_from_peer(LimitNews(2.0, 0.3), 10.2))
@@ -415,8 +415,8 @@
         limit = StatedLimit()
         limit.update_from_answer(2.0, 1.0, 1.0)
         limit.update_from_answer(None, 2.0, 2.0)
-        self.assertEqual(limit.news(2.5), LimitNews(None, 0.5))
-        self.assertIsNone(limit.news(2.1 + REMOVAL_BROADCAST_S))
+        self.assertEqual(limit.to_broadcast(2.5), LimitNews(None, 0.5))
+        self.assertIsNone(limit.to_broadcast(2.1 + REMOVAL_BROADCAST_S))
 
     def test_limit_outlasts_a_lapse_of_the_entry_but_no_new_life(self) -> None:
         balancer = LoadBalancer("a")
