--- a/src/moledale/gateway/server_standing.py
+++ b/src/moledale/gateway/server_standing.py
@@ -120,7 +120,7 @@
 
     def asked_for(self) -> "ServerStanding | None":
         """Return what outlasts a lapse of the server's entry, None if it asked for nothing."""
-        if not self.retry_at and not self.limit.was_heard:
+        if not self.retry_at and not self.limit.is_known:
             return None
         return ServerStanding(
             retry_at=self.retry_at, declined_until=self.retry_at, limit=self.limit
--- a/src/moledale/gateway/stated_limit.py
+++ b/src/moledale/gateway/stated_limit.py
@@ -18,19 +18,19 @@
 class StatedLimit(msgspec.Struct):
     """Requests a second that a server takes from all nodes together, None if it names no limit.
 
-    What was heard last counts, at `heard_at`; `since` is when the first of the limits in a row was
+    What was heard last counts, at `observed_at`; `since` is when the first of the limits in a row was
     heard. Times are monotonic seconds.
     """
 
     per_s: float | None = None
-    heard_at: float = -math.inf
+    observed_at: float = -math.inf
     since: float = 0.0
     first_hand: bool = False
 
     @property
-    def was_heard(self) -> bool:
+    def is_known(self) -> bool:
         """Say whether any limit, or the end of one, was heard."""
-        return self.heard_at > -math.inf
+        return self.observed_at > -math.inf
 
     def update_from_answer(self, per_s: float | None, sent_at: float, now: float) -> bool:
         """Take over what an answer named; say whether the limit changed.
@@ -38,7 +38,7 @@
         Answers overtake each other. One to a request from before the limit was heard last can
         lower it, but neither raise nor end it.
         """
-        if self._loosens(per_s) and sent_at < self.heard_at:
+        if self._loosens(per_s) and sent_at < self.observed_at:
             return False
         if per_s is None and self.per_s is None:
             return False
@@ -46,31 +46,31 @@
 
     def update_from_peer(self, news: LimitNews, now: float) -> bool:
         """Take over what another node heard, if that is newer; say whether the limit changed."""
-        heard_at = now - max(0.0, news.age_s)
-        if heard_at <= self.heard_at:
+        observed_at = now - max(0.0, news.age_s)
+        if observed_at <= self.observed_at:
             return False
-        return self._believe(news.per_s, heard_at, False)
+        return self._believe(news.per_s, observed_at, False)
 
     def _loosens(self, per_s: float | None) -> bool:
         return self.per_s is not None and (per_s is None or per_s > self.per_s)
 
-    def _believe(self, per_s: float | None, heard_at: float, first_hand: bool) -> bool:
+    def _believe(self, per_s: float | None, observed_at: float, first_hand: bool) -> bool:
         changed = per_s != self.per_s
         if self.per_s is None:
-            self.since = heard_at
+            self.since = observed_at
         self.per_s = per_s
-        self.heard_at = heard_at
+        self.observed_at = observed_at
         self.first_hand = first_hand
         return changed
 
-    def news(self, now: float) -> LimitNews | None:
+    def to_broadcast(self, now: float) -> LimitNews | None:
         """Return what to tell other nodes, None if there is nothing that this one heard itself.
 
         What others told isn't told on: it would seem a little newer with each telling.
         """
         if not self.first_hand:
             return None
-        age_s = now - self.heard_at
+        age_s = now - self.observed_at
         if self.per_s is None and age_s > REMOVAL_BROADCAST_S:
             return None
         return LimitNews(self.per_s, round(age_s, 3))
