--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -241,7 +241,7 @@
     ) -> PermitAnswer | None:
         now = self._now()
         self._serial += 1
-        age_s = now - view.standing.limit.heard_at
+        age_s = now - view.standing.limit.observed_at
         ask = PermitAsk(
             self._own_peer, self._serial, view.server.id, limit, age_s, number, max_wait_s
         )
