--- a/src/moledale/gateway/stated_limit.py
+++ b/src/moledale/gateway/stated_limit.py
@@ -18,13 +18,13 @@
 class StatedLimit(msgspec.Struct):
     """Requests a second that a server takes from all nodes together, None if it names no limit.
 
-    What was heard last counts, at `observed_at`; `since` is when the first of the limits in a row was
+    What was heard last counts, at `observed_at`; `limited_since` is when the first of the limits in a row was
     heard. Times are monotonic seconds.
     """
 
     per_s: float | None = None
     observed_at: float = -math.inf
-    since: float = 0.0
+    limited_since: float = 0.0
     first_hand: bool = False
 
     @property
@@ -57,7 +57,7 @@
     def _believe(self, per_s: float | None, observed_at: float, first_hand: bool) -> bool:
         changed = per_s != self.per_s
         if self.per_s is None:
-            self.since = observed_at
+            self.limited_since = observed_at
         self.per_s = per_s
         self.observed_at = observed_at
         self.first_hand = first_hand
