--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -68,7 +68,7 @@
         lasting = [
             view
             for view in self._views.values()
-            if not view.server.leaving and now - view.standing.limit.since > longer_than_s
+            if not view.server.leaving and now - view.standing.limit.limited_since > longer_than_s
         ]
         taken = ((view.limit_per_s or 0.0) / usual_per_s for view in lasting)
         return int(sum(max(0.0, 1.0 - share) for share in taken))
