--- a/src/moledale/gateway/stated_limit.py
+++ b/src/moledale/gateway/stated_limit.py
@@ -42,19 +42,19 @@
             return False
         if per_s is None and self.per_s is None:
             return False
-        return self._believe(per_s, now, True)
+        return self._set(per_s, now, True)
 
     def update_from_peer(self, news: LimitNews, now: float) -> bool:
         """Take over what another node heard, if that is newer; say whether the limit changed."""
         observed_at = now - max(0.0, news.age_s)
         if observed_at <= self.observed_at:
             return False
-        return self._believe(news.per_s, observed_at, False)
+        return self._set(news.per_s, observed_at, False)
 
     def _loosens(self, per_s: float | None) -> bool:
         return self.per_s is not None and (per_s is None or per_s > self.per_s)
 
-    def _believe(self, per_s: float | None, observed_at: float, first_hand: bool) -> bool:
+    def _set(self, per_s: float | None, observed_at: float, first_hand: bool) -> bool:
         changed = per_s != self.per_s
         if self.per_s is None:
             self.limited_since = observed_at
