--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -17,10 +17,10 @@
 from moledale.gateway.stated_limit import LimitNews
 from moledale.log import Event, emit
 
-TELL_S = 5.0
+LOG_INTERVAL_S = 5.0
 """Time between two log lines of the permits of a server."""
 
-MOST_TOLD = 32
+MAX_LOGGED_SERVERS = 32
 """Servers of which the permits are logged at a time, those that were asked for most."""
 
 
@@ -42,7 +42,7 @@
         self._members = members
         self._send = send
         self._now = now
-        self._told_at = now()
+        self._logged_at = now()
         self._grantors = GrantorSelector(own_id)
         self._issuer = PermitIssuer(limit_lookup(balancer))
         self.permits = PermitClient(self._issuer, self._grantors, own_peer, send, now)
@@ -52,14 +52,14 @@
         now = self._now()
         self._grantors.refresh(self._own_hall, serving, self._members.alive(now))
         self._issuer.reachable_share = self._members.heard_share(now)
-        if now - self._told_at >= TELL_S:
-            self._log_counts(now - self._told_at)
-            self._told_at = now
+        if now - self._logged_at >= LOG_INTERVAL_S:
+            self._log_counts(now - self._logged_at)
+            self._logged_at = now
 
     def _log_counts(self, seconds: float) -> None:
         """Log how much of the limits was asked for and granted here."""
         counts = self._issuer.take_counts()
-        most = sorted(counts, key=lambda server: -counts[server].asked)[:MOST_TOLD]
+        most = sorted(counts, key=lambda server: -counts[server].asked)[:MAX_LOGGED_SERVERS]
         for server in most:
             view = self._balancer.views.get(server)
             emit(
@@ -71,7 +71,7 @@
                 seconds=round(seconds, 1),
             )
 
-    def heard(self, message: PermitAsk | PermitAnswer) -> None:
+    def on_message(self, message: PermitAsk | PermitAnswer) -> None:
         """Answer a question of another node, or take over an answer to one of this node."""
         if isinstance(message, PermitAnswer):
             self.permits.on_answer(message)
@@ -81,12 +81,12 @@
         self._balancer.notices.peer_limits({message.server: asked_by}, message.peer, self._now())
         self._send(self.permits.grant(message), message.peer)
 
-    def heard_state(self, state: NodeState) -> None:
+    def on_state(self, state: NodeState) -> None:
         """Take over the limits that a node heard itself."""
         if state.limits:
             self._balancer.notices.peer_limits(state.limits, state.id, self._now())
 
-    def heard_placed(self, news: PlacementNews) -> None:
+    def on_placed(self, news: PlacementNews) -> None:
         """Count what a build that knows no limits sent to servers that this node grants for."""
         state = self._members.life_of(news.id, news.life, news.sequence)
         if state is None or state.limits is not None:
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -457,10 +457,10 @@
             self.quarantine.heard(message)
             return
         if isinstance(message, PermitAsk | PermitAnswer):
-            self.server_limits.heard(message)
+            self.server_limits.on_message(message)
             return
         if isinstance(message, PlacementNews):
-            self.server_limits.heard_placed(message)
+            self.server_limits.on_placed(message)
             self.sharing.heard_placed(message, self.balancer, self._engine_of)
             return
         if isinstance(message, PackedState):
@@ -483,7 +483,7 @@
         for name in state.leaving:
             self.forwarder.server_leaves(name, source=state.id)
         self.balancer.notices.peers_declined(state.declined, now)
-        self.server_limits.heard_state(state)
+        self.server_limits.on_state(state)
         self.rollouts.merge(state.rollouts)
         self.neighbours.addresses.add(state.peer, now)
         for address in message.addresses:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -9,7 +9,7 @@
 import logbook
 
 from moledale.gateway.balance import LoadBalancer
-from moledale.gateway.limit_sharing import TELL_S, LimitSharing
+from moledale.gateway.limit_sharing import LOG_INTERVAL_S, LimitSharing
 from moledale.gateway.messages import Server
 from moledale.gateway.peers import Membership, Standing
 from moledale.gateway.permits import (
@@ -87,7 +87,7 @@
         self.sent.append(message)
         node = self.nodes[address.partition(":")[0]]
         if node.name not in self.silent:
-            node.sharing.heard(message)
+            node.sharing.on_message(message)
 
     def limit(self, per_s: float, server: str = "s0") -> None:
         """Let all nodes hear of a limit from an answer."""
@@ -220,7 +220,7 @@
             for _ in range(3):
                 await node.sharing.permits.take(node.view())
                 world.now += 0.6
-            world.now = TELL_S
+            world.now = LOG_INTERVAL_S
             with logbook.TestHandler().applicationbound() as handler:
                 node.sharing.refresh(serving=True)
                 node.sharing.refresh(serving=True)
@@ -283,7 +283,7 @@
             grantor, node = world.grantor(), world.others()[0]
             world.silent.add(grantor.name)
             await node.sharing.permits.take(node.view(), timeout_s=PERMIT_TIMEOUT_S / 8)
-            node.sharing.heard(PermitAnswer(1, 1, 0.0))
+            node.sharing.on_message(PermitAnswer(1, 1, 0.0))
             self.assertTrue(node.view().standing.is_held(world.now + 0.01))
 
         play(work)
