--- a/src/moledale/gateway/ended_servers.py
+++ b/src/moledale/gateway/ended_servers.py
@@ -11,7 +11,7 @@
 
 from moledale.gateway.messages import Server
 
-MOST_ENDED = 2_000
+MAX_REMEMBERED_SERVERS = 2_000
 """Servers that are remembered: more than a large system has."""
 
 
@@ -26,7 +26,7 @@
     """Ends that this node saw, and those that the entries of a restored store contradict."""
 
     def __init__(self) -> None:
-        self._seen: LRUCache[str, Ended] = LRUCache(MOST_ENDED)
+        self._seen: LRUCache[str, Ended] = LRUCache(MAX_REMEMBERED_SERVERS)
         self._contradicted: dict[str, Ended] = {}
 
     def follow(self, before: Iterable[str], listed: Mapping[str, Server]) -> None:
