--- a/src/moledale/gateway/ended_servers.py
+++ b/src/moledale/gateway/ended_servers.py
@@ -15,7 +15,7 @@
 """Servers that are remembered: more than a large system has."""
 
 
-class Ended(msgspec.Struct, frozen=True):
+class Departure(msgspec.Struct, frozen=True):
     """What was known of a server's end: `gone`, or leaving with the time left if that was told."""
 
     gone: bool
@@ -26,21 +26,21 @@
     """Ends that this node saw, and those that the entries of a restored store contradict."""
 
     def __init__(self) -> None:
-        self._seen: LRUCache[str, Ended] = LRUCache(MAX_REMEMBERED_SERVERS)
-        self._contradicted: dict[str, Ended] = {}
+        self._seen: LRUCache[str, Departure] = LRUCache(MAX_REMEMBERED_SERVERS)
+        self._contradicted: dict[str, Departure] = {}
 
     def follow(self, before: Iterable[str], listed: Mapping[str, Server]) -> None:
         """Note the ends that the next list of the same era tells."""
         for name in before:
             if name not in listed:
-                self.note(name, Ended(gone=True))
+                self.note(name, Departure(gone=True))
         for name, server in listed.items():
             if server.leaving:
-                self.note(name, Ended(gone=False, leaves_s=server.leaves_s))
+                self.note(name, Departure(gone=False, leaves_s=server.leaves_s))
             else:
                 self._seen.pop(name, None)
 
-    def note(self, server: str, ended: Ended) -> None:
+    def note(self, server: str, ended: Departure) -> None:
         """Note the end of a server."""
         self._seen[server] = ended
 
@@ -48,7 +48,7 @@
         """Compare the first list of a restored store with the ends that were seen before."""
         self._contradicted = {name: self._seen[name] for name in listed if name in self._seen}
 
-    def of(self, server: str) -> Ended | None:
+    def of(self, server: str) -> Departure | None:
         """Return a server's end that its entry does not tell, if there is one."""
         return self._contradicted.get(server)
 
--- a/src/moledale/gateway/server_list.py
+++ b/src/moledale/gateway/server_list.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from moledale.gateway.ended_servers import Ended, EndedServers
+from moledale.gateway.ended_servers import Departure, EndedServers
 from moledale.gateway.messages import Server
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion
 
@@ -157,7 +157,7 @@
                 result.append(_as_leaving(server, Leaving(name, end.leaves_s)))
         return result
 
-    def _end_of(self, server: str) -> Ended | None:
+    def _end_of(self, server: str) -> Departure | None:
         """Return what is known of a server's end beyond the list."""
         mark = self._marks.get(server)
         if mark is None:
@@ -352,10 +352,10 @@
     return msgspec.structs.replace(server, leaving=True, leaves_s=leaving.leaves_s)
 
 
-def _as_ended(mark: _Mark) -> Ended:
+def _as_ended(mark: _Mark) -> Departure:
     if mark.leaving is None:
-        return Ended(gone=True)
-    return Ended(gone=False, leaves_s=mark.leaving.leaves_s)
+        return Departure(gone=True)
+    return Departure(gone=False, leaves_s=mark.leaving.leaves_s)
 
 
 def _encoded(servers: dict[str, Server]) -> bytes:
