--- a/src/moledale/gateway/ended_servers.py
+++ b/src/moledale/gateway/ended_servers.py
@@ -22,7 +22,7 @@
     leaves_s: float | None = None
 
 
-class EndedServers:
+class DepartureLog:
     """Ends that this node saw, and those that the entries of a restored store contradict."""
 
     def __init__(self) -> None:
--- a/src/moledale/gateway/server_list.py
+++ b/src/moledale/gateway/server_list.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from moledale.gateway.ended_servers import Departure, EndedServers
+from moledale.gateway.ended_servers import Departure, DepartureLog
 from moledale.gateway.messages import Server
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion
 
@@ -136,7 +136,7 @@
     raw: bytes = b""
     servers: dict[str, Server] = msgspec.field(default_factory=dict)
     _marks: dict[str, _Mark] = msgspec.field(default_factory=dict)
-    _ended: EndedServers = msgspec.field(default_factory=EndedServers)
+    _departure_log: DepartureLog = msgspec.field(default_factory=DepartureLog)
     _parts: dict[int, ServerChange] = msgspec.field(default_factory=dict)
     _parts_of: tuple[int, int] = (0, 0)
     _parts_version: EraVersion = EraVersion()
@@ -161,7 +161,7 @@
         """Return what is known of a server's end beyond the list."""
         mark = self._marks.get(server)
         if mark is None:
-            return self._ended.of(server)
+            return self._departure_log.of(server)
         return _as_ended(mark)
 
     def read(self, servers: Iterable[Server], at: EraVersion) -> Difference | None:
@@ -195,7 +195,7 @@
 
         Return whether that changes anything.
         """
-        return self._ended.believe_entries()
+        return self._departure_log.believe_entries()
 
     def is_outdated(self, head: ListHead) -> bool:
         """Say whether a head is of an era before that of this list."""
@@ -264,7 +264,7 @@
             known = self._marks.get(name)
             if known is None or known.version < version:
                 self._marks[name] = mark
-                self._ended.note(name, _as_ended(mark))
+                self._departure_log.note(name, _as_ended(mark))
                 news = True
         return news
 
@@ -282,14 +282,14 @@
         digest = digest_of(raw)
         differs = digest != self.digest or self.version < 0 or bool(self._marks)
         if at.era == self.at.era:
-            self._ended.follow(self.servers, servers)
+            self._departure_log.follow(self.servers, servers)
         self.servers, self.raw, self.digest = servers, raw, digest
         self._note_version(at)
         return differs
 
     def _note_version(self, at: EraVersion) -> None:
         if at.is_restored_since(self.at):
-            self._ended.restored(self.servers)
+            self._departure_log.restored(self.servers)
         self.at = at
         self._marks = {name: mark for name, mark in self._marks.items() if mark.version > at}
 
