--- a/src/moledale/gateway/ended_servers.py
+++ b/src/moledale/gateway/ended_servers.py
@@ -29,20 +29,20 @@
         self._seen: LRUCache[str, Departure] = LRUCache(MAX_REMEMBERED_SERVERS)
         self._contradicted: dict[str, Departure] = {}
 
-    def follow(self, before: Iterable[str], listed: Mapping[str, Server]) -> None:
+    def observe(self, before: Iterable[str], listed: Mapping[str, Server]) -> None:
         """Note the ends that the next list of the same era tells."""
         for name in before:
             if name not in listed:
-                self.note(name, Departure(gone=True))
+                self.record(name, Departure(gone=True))
         for name, server in listed.items():
             if server.leaving:
-                self.note(name, Departure(gone=False, leaves_s=server.leaves_s))
+                self.record(name, Departure(gone=False, leaves_s=server.leaves_s))
             else:
                 self._seen.pop(name, None)
 
-    def note(self, server: str, ended: Departure) -> None:
+    def record(self, server: str, departure: Departure) -> None:
         """Note the end of a server."""
-        self._seen[server] = ended
+        self._seen[server] = departure
 
     def restored(self, listed: Mapping[str, Server]) -> None:
         """Compare the first list of a restored store with the ends that were seen before."""
--- a/src/moledale/gateway/server_list.py
+++ b/src/moledale/gateway/server_list.py
@@ -282,7 +282,7 @@
         digest = digest_of(raw)
         differs = digest != self.digest or self.version < 0 or bool(self._marks)
         if at.era == self.at.era:
-            self._departure_log.follow(self.servers, servers)
+            self._departure_log.observe(self.servers, servers)
         self.servers, self.raw, self.digest = servers, raw, digest
         self._note_version(at)
         return differs
