--- a/src/moledale/gateway/server_list.py
+++ b/src/moledale/gateway/server_list.py
@@ -264,7 +264,7 @@
             known = self._marks.get(name)
             if known is None or known.version < version:
                 self._marks[name] = mark
-                self._departure_log.note(name, _as_ended(mark))
+                self._departure_log.record(name, _as_ended(mark))
                 news = True
         return news
 
