--- a/src/moledale/gateway/ended_servers.py
+++ b/src/moledale/gateway/ended_servers.py
@@ -44,11 +44,11 @@
         """Note the end of a server."""
         self._seen[server] = departure
 
-    def restored(self, listed: Mapping[str, Server]) -> None:
+    def on_store_restored(self, listed: Mapping[str, Server]) -> None:
         """Compare the first list of a restored store with the ends that were seen before."""
         self._contradicted = {name: self._seen[name] for name in listed if name in self._seen}
 
-    def of(self, server: str) -> Departure | None:
+    def contradicted_departure(self, server: str) -> Departure | None:
         """Return a server's end that its entry does not tell, if there is one."""
         return self._contradicted.get(server)
 
--- a/src/moledale/gateway/server_list.py
+++ b/src/moledale/gateway/server_list.py
@@ -161,7 +161,7 @@
         """Return what is known of a server's end beyond the list."""
         mark = self._marks.get(server)
         if mark is None:
-            return self._departure_log.of(server)
+            return self._departure_log.contradicted_departure(server)
         return _as_ended(mark)
 
     def read(self, servers: Iterable[Server], at: EraVersion) -> Difference | None:
@@ -289,7 +289,7 @@
 
     def _note_version(self, at: EraVersion) -> None:
         if at.is_restored_since(self.at):
-            self._departure_log.restored(self.servers)
+            self._departure_log.on_store_restored(self.servers)
         self.at = at
         self._marks = {name: mark for name, mark in self._marks.items() if mark.version > at}
 
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -323,7 +323,7 @@
     ("answers of the store name its era", store, "count_in", lambda *_: None, RESTORED),
     ("a list read in vain is followed by a pause", FleetWatch, "_read_in_vain", lambda *_: None,
      "tests.test_server_list"),
-    ("servers that had ended are not used again", DepartureLog, "of", lambda *_: None,
+    ("servers that had ended are not used again", DepartureLog, "contradicted_departure", lambda *_: None,
      "tests.test_server_list"),
     ("fences are numbered by era", lease_keeper, "FENCES_PER_ERA", 0, LEASE),
     ("a holder goes on over a return of the store", LeaseKeeper, "_schedule_renewal",
