--- a/src/moledale/gateway/ended_servers.py
+++ b/src/moledale/gateway/ended_servers.py
@@ -52,7 +52,7 @@
         """Return a server's end that its entry does not tell, if there is one."""
         return self._contradicted.get(server)
 
-    def believe_entries(self) -> bool:
+    def trust_entries(self) -> bool:
         """Believe all entries from now on; say whether that changes anything."""
         changes = bool(self._contradicted)
         self._contradicted = {}
--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -32,11 +32,11 @@
 from moledale.gateway.outside import Store
 from moledale.gateway.server_list import (
     NEVER_S,
-    Difference,
     ListHead,
     ServerChange,
+    ServerDelta,
     ServerList,
-    packets,
+    split_into_packets,
 )
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion
 from moledale.gateway.store_health import StoreHealth
@@ -136,7 +136,7 @@
         self.fetch = DocumentFetch(
             SERVERS_PATH,
             self.archive,
-            lambda: self.list.at,
+            lambda: self.list.era_version,
             self._fetched,
             self._read_for_want_of_peers,
         )
@@ -178,7 +178,7 @@
         """Return which list this node has, for others."""
         if not self.known:
             return None
-        at = self.list.at
+        at = self.list.era_version
         return ListHead(at.number, self.list.digest, self._read_s, self._returned_s, at.era)
 
     async def watch(self) -> None:
@@ -224,39 +224,39 @@
 
     def heard_head(self, head: ListHead, control: str, power: float) -> None:
         """Take over which list another node has; a newer one is fetched from there."""
-        if self.list.is_outdated(head):
+        if self.list.is_from_older_era(head):
             return
         self._note_return(head)
         self._note_head(head)
-        if self.list.confirmed(head):
+        if self.list.confirm_head(head):
             self._follow_era()
             self._confirmed(head)
-        elif head.at > self.list.at:
-            self.fetch.heard(control, head.at, power, self._now())
+        elif head.era_version > self.list.era_version:
+            self.fetch.heard(control, head.era_version, power, self._now())
 
     def heard(self, change: ServerChange) -> None:
         """Take over a change that another node told, and pass it on the first time."""
-        if self.list.is_outdated(change.head):
+        if self.list.is_from_older_era(change.head):
             return
         self._note_return(change.head)
         self._note_head(change.head)
-        heard = self.list.hear(change)
+        heard = self.list.apply_change(change)
         self._follow_era()
         if heard.confirmed:
             self._confirmed(change.head)
-        if heard.differs:
+        if heard.servers_differ:
             self._changed(from_store=False)
-        if heard.new:
+        if heard.is_new:
             source = self._control if heard.confirmed else change.source
             self._tell([msgspec.structs.replace(change, source=source)], False)
-        if heard.missing:
-            self.fetch.heard(change.source, change.head.at, 1.0, self._now())
+        if heard.needs_fetch:
+            self.fetch.heard(change.source, change.head.era_version, 1.0, self._now())
 
     def drop_lapsed(self) -> None:
         """Take servers that are still missing as gone; called often, as lists come seldom."""
         lapsed = self._keeps_lapsed and self._now() - self._returned_at >= RETURN_S
         if self._now() - self._restored_at >= LAPSE_S:
-            lapsed = self.list.believe_entries() or lapsed
+            lapsed = self.list.trust_entries() or lapsed
         if lapsed:
             self._believe()
 
@@ -282,21 +282,21 @@
         self._health.answered()
         listed = outcome.ok_value
         self._true_time.record_store_clock(listed.store_s, sent_at, self._now())
-        if listed.at < self.list.at:
+        if listed.at < self.list.era_version:
             self._read_in_vain(listed)
             return False
         if self._failed_at > self._fresh_at and sent_at - self._fresh_at > OUTAGE_S:
             self._returned_at, self._returned_s = sent_at, listed.store_s
         base = self.list.digest
         unchanged = before is not None and not listed.changed and base == digest
-        difference = None if unchanged else self.list.read(listed.servers, listed.at)
-        marks_fell = unchanged and self.list.unchanged(listed.at)
+        difference = None if unchanged else self.list.update_from_store(listed.servers, listed.at)
+        marks_fell = unchanged and self.list.confirm_version(listed.at)
         self._follow_era()
         self._note_fresh(sent_at, listed.store_s)
         if marks_fell:
             self._believe()
         if difference is None:
-            self.archive.renew(self.list.at)
+            self.archive.renew(self.list.era_version)
             self.drop_lapsed()
             self._tell_unchanged()
         else:
@@ -310,7 +310,7 @@
         if self._is_fresh():
             return
         if now - self._futile_at > FAILED_KEPT_S:
-            emit(Event.LIST_OLDER, read=listed.at, here=self.list.at)
+            emit(Event.LIST_OLDER, read=listed.at, here=self.list.era_version)
         self._futile_at = now
 
     def _follow_era(self) -> None:
@@ -318,12 +318,12 @@
 
         Entries of servers that started since the copy are missing until these write again.
         """
-        known, self._era = self._era, self.list.at.era
-        if not self.list.at.is_restored_since(EraVersion(known)):
+        known, self._era = self._era, self.list.era_version.era
+        if not self.list.era_version.is_restored_since(EraVersion(known)):
             return
         self._restored_at = self._returned_at = self._now()
         self._read_s = self._returned_s = NEVER_S
-        if self._newest_head is not None and self.list.is_outdated(self._newest_head):
+        if self._newest_head is not None and self.list.is_from_older_era(self._newest_head):
             self._newest_head = None
         self._believe()
 
@@ -331,7 +331,7 @@
         """Return the list that is here, to be told only what changed since."""
         if not self.known:
             return None
-        at, servers = self.list.at, tuple(self.list.servers.values())
+        at, servers = self.list.era_version, tuple(self.list.servers.values())
         return StoredList(servers, at.number, self._read_s, era=at.era)
 
     async def _read_for_want_of_peers(self) -> bool:
@@ -342,22 +342,22 @@
         if head is not None:
             self._confirm(ServerChange(head, head.digest, self._control))
 
-    def _tell_difference(self, base: int, difference: Difference) -> None:
+    def _tell_difference(self, base: int, difference: ServerDelta) -> None:
         head = self.head()
         if head is not None:
-            self._tell(packets(head, base, self._control, difference), True)
+            self._tell(split_into_packets(head, base, self._control, difference), True)
 
     def _fetched(self, version: EraVersion, raw: bytes) -> None:
         """Take over a list that another node passed on whole."""
         try:
-            differs = self.list.fetched(raw, version)
+            differs = self.list.update_from_peer(raw, version)
         except ValueError as error:
             emit(Event.PEER_FETCH_FAILED, what="servers", version=version, why=str(error))
             return
         self._follow_era()
         if differs:
             self._changed(from_store=False)
-        if self._newest_head is not None and self.list.confirmed(self._newest_head):
+        if self._newest_head is not None and self.list.confirm_head(self._newest_head):
             self._confirmed(self._newest_head)
 
     def _note_head(self, head: ListHead) -> None:
@@ -367,7 +367,7 @@
             self._newest_head = head
 
     def _confirmed(self, head: ListHead) -> None:
-        self.archive.renew(self.list.at)
+        self.archive.renew(self.list.era_version)
         read_at = self._true_time.to_local(head.read_s)
         if read_at is not None:
             self._note_fresh(min(read_at, self._now()), head.read_s)
@@ -390,7 +390,7 @@
         A node that had a list all the time knows better.
         """
         returned_at = self._true_time.to_local(head.returned_s)
-        if head.era > self.list.at.era > UNKNOWN_ERA:
+        if head.era > self.list.era_version.era > UNKNOWN_ERA:
             return
         if returned_at is not None and head.read_s - self._read_s > OUTAGE_S:
             self._returned_at = max(self._returned_at, returned_at)
@@ -398,11 +398,11 @@
 
     def _changed(self, from_store: bool) -> None:
         """Hand on a list that differs from the one before."""
-        self.archive.keep(self.list.at, self.list.raw)
+        self.archive.keep(self.list.era_version, self.list.raw)
         self._believe()
         emit(
             Event.SERVERS_CHANGED,
-            era=self.list.at.era,
+            era=self.list.era_version.era,
             version=self.list.version,
             from_store=from_store,
             there=len(self._believed),
--- a/src/moledale/gateway/server_list.py
+++ b/src/moledale/gateway/server_list.py
@@ -15,11 +15,11 @@
 from moledale.gateway.messages import Server
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion
 
-PACKET_BYTES = 1_200
+MAX_PACKET_BYTES = 1_200
 """Size of a change on the wire, so that it fits one packet of Ethernet (1,500 bytes) with all
 headers: a datagram in pieces is lost with any one of them."""
 
-MOST_PACKETS = 4
+MAX_PACKETS = 4
 """A change of more packets is fetched instead; servers that leave or are gone are always told."""
 
 NEVER_S = -1e9
@@ -42,7 +42,7 @@
     era: int = UNKNOWN_ERA
 
     @property
-    def at(self) -> EraVersion:
+    def era_version(self) -> EraVersion:
         """Return the version with its era."""
         return EraVersion(self.era, self.version)
 
@@ -77,7 +77,7 @@
         return not (self.leaving or self.gone or self.changed)
 
 
-class Difference(msgspec.Struct):
+class ServerDelta(msgspec.Struct):
     """Servers that leave, that are gone, and that are new or changed otherwise."""
 
     leaving: list[Leaving] = msgspec.field(default_factory=list)
@@ -110,18 +110,18 @@
         return result
 
 
-class Heard(msgspec.Struct):
-    """What a change meant: `new` if it was not heard before, `confirmed` if this node has the list
-    that it tells of, `differs` if servers are believed to be other than before, `missing` if the
+class ChangeResult(msgspec.Struct):
+    """What a change meant: `is_new` if it was not heard before, `confirmed` if this node has the list
+    that it tells of, `differs` if servers are believed to be other than before, `needs_fetch` if the
     list has to be fetched."""
 
-    new: bool = False
+    is_new: bool = False
     confirmed: bool = False
-    differs: bool = False
-    missing: bool = False
+    servers_differ: bool = False
+    needs_fetch: bool = False
 
 
-class _Mark(msgspec.Struct, frozen=True):
+class _DepartureMark(msgspec.Struct, frozen=True):
     """A server that leaves, or is gone (None), as of a version."""
 
     version: EraVersion
@@ -131,167 +131,173 @@
 class ServerList(msgspec.Struct):
     """The newest list that is known, and what is known beyond it."""
 
-    at: EraVersion = EraVersion()
+    era_version: EraVersion = EraVersion()
     digest: int = 0
     raw: bytes = b""
     servers: dict[str, Server] = msgspec.field(default_factory=dict)
-    _marks: dict[str, _Mark] = msgspec.field(default_factory=dict)
+    _departure_marks: dict[str, _DepartureMark] = msgspec.field(default_factory=dict)
     _departure_log: DepartureLog = msgspec.field(default_factory=DepartureLog)
     _parts: dict[int, ServerChange] = msgspec.field(default_factory=dict)
-    _parts_of: tuple[int, int] = (0, 0)
+    _parts_key: tuple[int, int] = (0, 0)
     _parts_version: EraVersion = EraVersion()
 
     @property
     def version(self) -> int:
         """Return the version within its era, -1 while there is no list."""
-        return self.at.number
+        return self.era_version.number
 
     def usable(self) -> list[Server]:
         """Return the servers that are there, with those that leave marked so."""
         result = []
         for name, server in self.servers.items():
-            end = self._end_of(name)
+            end = self._departure_of(name)
             if end is None:
                 result.append(server)
             elif not end.gone:
                 result.append(_as_leaving(server, Leaving(name, end.leaves_s)))
         return result
 
-    def _end_of(self, server: str) -> Departure | None:
+    def _departure_of(self, server: str) -> Departure | None:
         """Return what is known of a server's end beyond the list."""
-        mark = self._marks.get(server)
+        mark = self._departure_marks.get(server)
         if mark is None:
             return self._departure_log.contradicted_departure(server)
-        return _as_ended(mark)
+        return _to_departure(mark)
 
-    def read(self, servers: Iterable[Server], at: EraVersion) -> Difference | None:
+    def update_from_store(
+        self, servers: Iterable[Server], era_version: EraVersion
+    ) -> ServerDelta | None:
         """Take the list as this node read it; return the difference from the one before, if any.
 
         A server's time left is kept as it was first told, since it runs down by itself.
         """
-        if at < self.at:
+        if era_version < self.era_version:
             return None
         before = self.servers
-        listed = {server.id: self._as_first_told(server) for server in servers}
-        if not self._take(listed, at):
+        listed = {server.id: self._with_first_leaves_s(server) for server in servers}
+        if not self._replace(listed, era_version):
             return None
-        return _difference(before, listed)
+        return _delta_between(before, listed)
 
-    def unchanged(self, at: EraVersion) -> bool:
+    def confirm_version(self, era_version: EraVersion) -> bool:
         """Note that the store's list is still this one; say whether marks fell away."""
-        marked = len(self._marks)
-        self._note_version(max(at, self.at))
-        return len(self._marks) < marked
+        marked = len(self._departure_marks)
+        self._advance_to(max(era_version, self.era_version))
+        return len(self._departure_marks) < marked
 
-    def fetched(self, raw: bytes, at: EraVersion) -> bool:
+    def update_from_peer(self, raw: bytes, era_version: EraVersion) -> bool:
         """Take a list as another node has it; say whether it differs. ValueError if unreadable."""
         servers = msgspec.msgpack.decode(raw, type=list[Server])
-        if at < self.at:
+        if era_version < self.era_version:
             return False
-        return self._take({server.id: server for server in servers}, at)
+        return self._replace({server.id: server for server in servers}, era_version)
 
-    def believe_entries(self) -> bool:
+    def trust_entries(self) -> bool:
         """Believe entries of a restored store that contradict what was seen before.
 
         Return whether that changes anything.
         """
-        return self._departure_log.believe_entries()
+        return self._departure_log.trust_entries()
 
-    def is_outdated(self, head: ListHead) -> bool:
+    def is_from_older_era(self, head: ListHead) -> bool:
         """Say whether a head is of an era before that of this list."""
-        return UNKNOWN_ERA < head.era < self.at.era
+        return UNKNOWN_ERA < head.era < self.era_version.era
 
-    def confirmed(self, head: ListHead) -> bool:
+    def confirm_head(self, head: ListHead) -> bool:
         """Say whether a node that told this head has the same list as this one."""
-        if head.digest != self.digest or self.version < 0 or self.is_outdated(head):
+        if head.digest != self.digest or self.version < 0 or self.is_from_older_era(head):
             return False
-        self._note_version(max(self.at, head.at))
+        self._advance_to(max(self.era_version, head.era_version))
         return True
 
-    def hear(self, change: ServerChange) -> Heard:
+    def apply_change(self, change: ServerChange) -> ChangeResult:
         """Take over a part of a change."""
         head = change.head
-        if self.confirmed(head):
-            return Heard(confirmed=True)
-        told_at = self._comparable(head)
-        if told_at <= self.at:
-            return Heard()
+        if self.confirm_head(head):
+            return ChangeResult(confirmed=True)
+        told_at = self._comparable_version(head)
+        if told_at <= self.era_version:
+            return ChangeResult()
         # A list whose era is unknown can't be fetched in place of one whose era is known.
-        can_fetch = head.at > self.at
+        can_fetch = head.era_version > self.era_version
         if change.empty:
-            return Heard(missing=can_fetch)
-        if not self._keep_part(change):
-            return Heard()
-        differs = self._mark(change, told_at)
-        if change.base == self.digest and self._complete(head):
-            return Heard(new=True, confirmed=True, differs=True)
-        return Heard(new=True, differs=differs, missing=change.last and can_fetch)
-
-    def _comparable(self, head: ListHead) -> EraVersion:
+            return ChangeResult(needs_fetch=can_fetch)
+        if not self._store_part(change):
+            return ChangeResult()
+        differs = self._mark_departures(change, told_at)
+        if change.base == self.digest and self._assemble(head):
+            return ChangeResult(is_new=True, confirmed=True, servers_differ=True)
+        return ChangeResult(
+            is_new=True, servers_differ=servers_differ, needs_fetch=change.last and can_fetch
+        )
+
+    def _comparable_version(self, head: ListHead) -> EraVersion:
         """Return a head's version; one without an era counts as of the era of this list."""
-        return EraVersion(head.era or self.at.era, head.version)
+        return EraVersion(head.era or self.era_version.era, head.version)
 
-    def _keep_part(self, change: ServerChange) -> bool:
+    def _store_part(self, change: ServerChange) -> bool:
         """Keep a part with the others of its change; False if it is there or older than these."""
         name = (change.head.digest, change.base)
-        if name != self._parts_of:
-            version = self._comparable(change.head)
+        if name != self._parts_key:
+            version = self._comparable_version(change.head)
             if version < self._parts_version:
                 return False
-            self._parts_of, self._parts_version, self._parts = name, version, {}
+            self._parts_key, self._parts_version, self._parts = name, version, {}
         if change.part in self._parts:
             return False
         self._parts[change.part] = change
         return True
 
-    def _complete(self, head: ListHead) -> bool:
+    def _assemble(self, head: ListHead) -> bool:
         """Make the new list out of the parts that came; say whether they are all."""
-        difference = Difference()
+        difference = ServerDelta()
         for part in self._parts.values():
             difference.add(part)
         servers = difference.applied_to(self.servers)
-        if digest_of(_encoded(servers)) != head.digest:
+        if digest_of(_encode(servers)) != head.digest:
             return False
-        self._take(servers, max(self.at, head.at))
+        self._replace(servers, max(self.era_version, head.era_version))
         return True
 
-    def _mark(self, change: ServerChange, version: EraVersion) -> bool:
+    def _mark_departures(self, change: ServerChange, version: EraVersion) -> bool:
         """Mark servers that leave or are gone; say whether that is news."""
-        marks = {each.id: _Mark(version, each) for each in change.leaving}
-        marks.update((name, _Mark(version, None)) for name in change.gone)
+        marks = {each.id: _DepartureMark(version, each) for each in change.leaving}
+        marks.update((name, _DepartureMark(version, None)) for name in change.gone)
         news = False
         for name, mark in marks.items():
-            known = self._marks.get(name)
+            known = self._departure_marks.get(name)
             if known is None or known.version < version:
-                self._marks[name] = mark
-                self._departure_log.record(name, _as_ended(mark))
+                self._departure_marks[name] = mark
+                self._departure_log.record(name, _to_departure(mark))
                 news = True
         return news
 
-    def _as_first_told(self, server: Server) -> Server:
+    def _with_first_leaves_s(self, server: Server) -> Server:
         known = self.servers.get(server.id)
-        mark = self._marks.get(server.id)
+        mark = self._departure_marks.get(server.id)
         if server.leaving and known is not None and known.leaving:
             return msgspec.structs.replace(server, leaves_s=known.leaves_s)
         if server.leaving and mark is not None and mark.leaving is not None:
             return msgspec.structs.replace(server, leaves_s=mark.leaving.leaves_s)
         return server
 
-    def _take(self, servers: dict[str, Server], at: EraVersion) -> bool:
-        raw = _encoded(servers)
+    def _replace(self, servers: dict[str, Server], era_version: EraVersion) -> bool:
+        raw = _encode(servers)
         digest = digest_of(raw)
-        differs = digest != self.digest or self.version < 0 or bool(self._marks)
-        if at.era == self.at.era:
+        differs = digest != self.digest or self.version < 0 or bool(self._departure_marks)
+        if era_version.era == self.era_version.era:
             self._departure_log.observe(self.servers, servers)
         self.servers, self.raw, self.digest = servers, raw, digest
-        self._note_version(at)
+        self._advance_to(era_version)
         return differs
 
-    def _note_version(self, at: EraVersion) -> None:
-        if at.is_restored_since(self.at):
+    def _advance_to(self, era_version: EraVersion) -> None:
+        if era_version.is_restored_since(self.era_version):
             self._departure_log.on_store_restored(self.servers)
-        self.at = at
-        self._marks = {name: mark for name, mark in self._marks.items() if mark.version > at}
+        self.era_version = era_version
+        self._departure_marks = {
+            name: mark for name, mark in self._departure_marks.items() if mark.version > era_version
+        }
 
 
 def digest_of(raw: bytes) -> int:
@@ -299,32 +305,34 @@
     return xxhash.xxh3_64_intdigest(raw)
 
 
-def packets(head: ListHead, base: int, source: str, difference: Difference) -> list[ServerChange]:
+def split_into_packets(
+    head: ListHead, base: int, source: str, difference: ServerDelta
+) -> list[ServerChange]:
     """Return a change in parts that fit a packet each, what matters most first.
 
-    Where the whole change would be more than `MOST_PACKETS`, only servers that leave or are gone
+    Where the whole change would be more than `MAX_PACKETS`, only servers that leave or are gone
     are told; nodes see by the digest that they miss the rest.
     """
     empty = ServerChange(head, base, source)
     urgent: list[Leaving | str | Server] = [*difference.leaving, *difference.gone]
-    chosen = _filled(empty, [*urgent, *difference.changed])
-    if len(chosen) > MOST_PACKETS:
-        chosen = _filled(empty, urgent)
+    chosen = _pack(empty, [*urgent, *difference.changed])
+    if len(chosen) > MAX_PACKETS:
+        chosen = _pack(empty, urgent)
     return [
         msgspec.structs.replace(part, part=number, last=number == len(chosen) - 1)
         for number, part in enumerate(chosen)
     ]
 
 
-def _filled(empty: ServerChange, items: Iterable[Leaving | str | Server]) -> list[ServerChange]:
+def _pack(empty: ServerChange, items: Iterable[Leaving | str | Server]) -> list[ServerChange]:
     """Fill packets one after the other."""
-    room = PACKET_BYTES - len(msgspec.msgpack.encode(empty))
-    parts = [Difference()]
+    room = MAX_PACKET_BYTES - len(msgspec.msgpack.encode(empty))
+    parts = [ServerDelta()]
     left = room
     for item in items:
         size = len(msgspec.msgpack.encode(item))
         if size > left:
-            parts.append(Difference())
+            parts.append(ServerDelta())
             left = room
         parts[-1].append(item)
         left -= size
@@ -334,8 +342,8 @@
     ]
 
 
-def _difference(before: dict[str, Server], after: dict[str, Server]) -> Difference:
-    result = Difference(gone=[name for name in before if name not in after])
+def _delta_between(before: dict[str, Server], after: dict[str, Server]) -> ServerDelta:
+    result = ServerDelta(gone=[name for name in before if name not in after])
     for name, server in after.items():
         known = before.get(name)
         leaving = Leaving(name, server.leaves_s)
@@ -352,12 +360,12 @@
     return msgspec.structs.replace(server, leaving=True, leaves_s=leaving.leaves_s)
 
 
-def _as_ended(mark: _Mark) -> Departure:
+def _to_departure(mark: _DepartureMark) -> Departure:
     if mark.leaving is None:
         return Departure(gone=True)
     return Departure(gone=False, leaves_s=mark.leaving.leaves_s)
 
 
-def _encoded(servers: dict[str, Server]) -> bytes:
+def _encode(servers: dict[str, Server]) -> bytes:
     """Return a list's bytes, the same for the same servers on all nodes."""
     return msgspec.msgpack.encode([servers[name] for name in sorted(servers)])
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -122,7 +122,7 @@
         if source is None or not source.alive or world.cut(source.name, self.node.name):
             return
         self.fetched += 1
-        self.node.watch._fetched(source.watch.list.at, source.watch.list.raw)
+        self.node.watch._fetched(source.watch.list.era_version, source.watch.list.raw)
 
     def behind(self, _now: float) -> bool:
         """Say whether a newer list is on its way."""
@@ -268,7 +268,7 @@
     def _introduce(self) -> None:
         """Let all nodes have the list, and know of each other what they would have heard."""
         finished(self.nodes[0].watch._read())
-        raw, version = self.nodes[0].watch.list.raw, self.nodes[0].watch.list.at
+        raw, version = self.nodes[0].watch.list.raw, self.nodes[0].watch.list.era_version
         for node in self.nodes:
             node.watch._fetched(version, raw)
             node.watch._note_fresh(0.0, STORE_STARTED_S)
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -19,15 +19,15 @@
 from moledale.gateway.outside import ServerList as StoredList
 from moledale.gateway.outside import Trouble
 from moledale.gateway.server_list import (
-    MOST_PACKETS,
-    PACKET_BYTES,
-    Difference,
-    Heard,
+    MAX_PACKET_BYTES,
+    MAX_PACKETS,
+    ChangeResult,
     Leaving,
     ListHead,
     ServerChange,
+    ServerDelta,
     ServerList,
-    packets,
+    split_into_packets,
 )
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.usage import TrueTime
@@ -58,16 +58,16 @@
 def told(before: ServerList, servers: list[Server], version: int) -> list[ServerChange]:
     """Let a node read a list and return what it tells."""
     base = before.digest
-    difference = before.read(servers, at(version))
-    head = ListHead(before.version, before.digest, 0.0, era=before.at.era)
-    return packets(head, base, "n1:3", difference or Difference())
+    difference = before.update_from_store(servers, at(version))
+    head = ListHead(before.version, before.digest, 0.0, era=before.era_version.era)
+    return split_into_packets(head, base, "n1:3", difference or ServerDelta())
 
 
 class PacketsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.servers = [a_server(number) for number in range(TARGET_SERVERS)]
         self.list = ServerList()
-        self.list.read(self.servers, at(1))
+        self.list.update_from_store(self.servers, at(1))
 
     def leave(self, gone: bool, hall: str) -> list[Server]:
         result = []
@@ -86,23 +86,23 @@
             with self.subTest(gone=gone):
                 self.setUp()
                 parts = told(self.list, self.leave(gone, "hall-3"), 2)
-                self.assertLessEqual(len(parts), MOST_PACKETS)
-                self.assertLessEqual(max(map(size_of, parts)), PACKET_BYTES)
+                self.assertLessEqual(len(parts), MAX_PACKETS)
+                self.assertLessEqual(max(map(size_of, parts)), MAX_PACKET_BYTES)
                 other = ServerList()
-                other.read(self.servers, at(1))
+                other.update_from_store(self.servers, at(1))
                 for part in reversed(parts):
-                    other.hear(part)
+                    other.apply_change(part)
                 self.assertEqual(other.raw, self.list.raw)
 
     def test_servers_that_leave_are_told_though_the_rest_is_too_much(self) -> None:
         new = [a_server(number) for number in range(5_000, 5_400)]
         listed = [*self.leave(False, "hall-3"), *new]
         parts = told(self.list, listed, 2)
-        self.assertLessEqual(max(map(size_of, parts)), PACKET_BYTES)
+        self.assertLessEqual(max(map(size_of, parts)), MAX_PACKET_BYTES)
         other = ServerList()
-        other.read(self.servers, at(1))
-        heard = [other.hear(part) for part in parts]
-        self.assertTrue(heard[-1].missing)
+        other.update_from_store(self.servers, at(1))
+        heard = [other.apply_change(part) for part in parts]
+        self.assertTrue(heard[-1].needs_fetch)
         left = {server.id for server in listed if server.leaving}
         self.assertEqual({server.id for server in other.usable() if server.leaving}, left)
 
@@ -111,9 +111,9 @@
     def setUp(self) -> None:
         self.servers = {each.id: each for each in map(a_server, range(8))}
         self.reader = ServerList()
-        self.reader.read(self.servers.values(), at(1))
+        self.reader.update_from_store(self.servers.values(), at(1))
         self.other = ServerList()
-        self.other.read(self.servers.values(), at(1))
+        self.other.update_from_store(self.servers.values(), at(1))
 
     def leave(self, number: int) -> None:
         server = a_server(number)
@@ -121,35 +121,37 @@
 
     def test_time_left_stays_as_it_was_first_told(self) -> None:
         self.leave(1)
-        self.reader.read(self.servers.values(), at(2))
+        self.reader.update_from_store(self.servers.values(), at(2))
         before = self.reader.digest
         name = a_server(1).id
         self.servers[name] = msgspec.structs.replace(self.servers[name], leaves_s=1.0)
-        self.assertIsNone(self.reader.read(self.servers.values(), at(3)))
+        self.assertIsNone(self.reader.update_from_store(self.servers.values(), at(3)))
         self.assertEqual((self.reader.digest, self.reader.version), (before, 3))
 
     def test_marked_server_counts_as_leaving_until_a_list_as_new_comes(self) -> None:
         lost = told(self.reader, list(self.servers.values())[1:], 2)
         self.leave(2)
-        heard = self.other.hear(told(self.reader, list(self.servers.values())[1:], 3)[0])
-        self.assertTrue(heard.differs and heard.missing)
+        heard = self.other.apply_change(told(self.reader, list(self.servers.values())[1:], 3)[0])
+        self.assertTrue(heard.servers_differ and heard.needs_fetch)
         self.assertIn(a_server(0).id, {server.id for server in self.other.usable()})
-        self.assertTrue(self.other.hear(lost[0]).new is False, "an older change counts no more")
+        self.assertTrue(
+            self.other.apply_change(lost[0]).is_new is False, "an older change counts no more"
+        )
         leaving = [server.id for server in self.other.usable() if server.leaving]
         self.assertEqual(leaving, [a_server(2).id])
-        self.assertTrue(self.other.fetched(self.reader.raw, self.reader.at))
+        self.assertTrue(self.other.update_from_peer(self.reader.raw, self.reader.era_version))
         self.assertEqual(self.other.usable(), self.reader.usable())
 
     def test_older_list_is_not_taken(self) -> None:
-        raw, version = self.reader.raw, self.reader.at
+        raw, version = self.reader.raw, self.reader.era_version
         self.leave(1)
-        self.reader.read(self.servers.values(), at(5))
-        self.assertFalse(self.reader.fetched(raw, version))
+        self.reader.update_from_store(self.servers.values(), at(5))
+        self.assertFalse(self.reader.update_from_peer(raw, version))
         self.assertTrue(any(server.leaving for server in self.reader.usable()))
 
     def test_unreadable_list_is_refused(self) -> None:
         with self.assertRaises(ValueError):
-            self.other.fetched(b"\x91\x01", at(9))
+            self.other.update_from_peer(b"\x91\x01", at(9))
 
     # `tools.without` runs a test several times in one process, each time in a new TestCase.
     @settings(
@@ -164,8 +166,8 @@
     ) -> None:
         servers = {each.id: each for each in map(a_server, range(12))}
         reader, other = ServerList(), ServerList()
-        reader.read(servers.values(), at(1))
-        other.read(servers.values(), at(1))
+        reader.update_from_store(servers.values(), at(1))
+        other.update_from_store(servers.values(), at(1))
         waiting: list[ServerChange] = []
         left: dict[str, int] = {}
         for version in range(2, 12):
@@ -180,13 +182,13 @@
             for index in order[: data.draw(st.integers(0, len(waiting)))]:
                 before = other.version
                 change = waiting[index]
-                other.hear(change)
+                other.apply_change(change)
                 self.assertGreaterEqual(other.version, before)
                 for server in other.usable():
                     known = left.get(server.id, 99)
                     self.assertFalse(not server.leaving and known <= other.version)
             if data.draw(st.booleans()):
-                other.fetched(reader.raw, reader.at)
+                other.update_from_peer(reader.raw, reader.era_version)
                 self.assertEqual(other.usable(), reader.usable())
 
 
@@ -196,7 +198,7 @@
     def setUp(self) -> None:
         self.servers = {each.id: each for each in map(a_server, range(4))}
         self.list = ServerList()
-        self.list.read(self.servers.values(), at(100))
+        self.list.update_from_store(self.servers.values(), at(100))
 
     def leave(self, number: int) -> Server:
         return msgspec.structs.replace(a_server(number), leaving=True, leaves_s=3.0)
@@ -205,64 +207,64 @@
         return {server.id: server.leaving for server in self.list.usable()}
 
     def test_list_of_the_new_era_is_taken_though_its_version_is_lower(self) -> None:
-        difference = self.list.read([a_server(0), self.leave(1)], at(60, era=2))
+        difference = self.list.update_from_store([a_server(0), self.leave(1)], at(60, era=2))
         assert difference is not None
         self.assertEqual([each.id for each in difference.leaving], [a_server(1).id])
-        self.assertEqual(self.list.at, at(60, era=2))
+        self.assertEqual(self.list.era_version, at(60, era=2))
 
     def test_list_of_the_former_era_is_dropped_though_its_version_is_higher(self) -> None:
         former = ServerList()
-        former.read([self.leave(0)], at(200))
-        self.list.read(self.servers.values(), at(60, era=2))
-        self.assertFalse(self.list.fetched(former.raw, former.at))
+        former.update_from_store([self.leave(0)], at(200))
+        self.list.update_from_store(self.servers.values(), at(60, era=2))
+        self.assertFalse(self.list.update_from_peer(former.raw, former.era_version))
         change = told(former, [], 201)[0]
-        self.assertEqual(self.list.hear(change), Heard())
-        self.assertFalse(self.list.confirmed(ListHead(99, self.list.digest, 0.0, era=1)))
+        self.assertEqual(self.list.apply_change(change), ChangeResult())
+        self.assertFalse(self.list.confirm_head(ListHead(99, self.list.digest, 0.0, era=1)))
         self.assertEqual(set(self.usable()), set(self.servers))
 
     def test_server_that_had_left_is_not_believed_to_be_back_until_entries_lapsed(self) -> None:
-        self.list.read([self.leave(1), a_server(2), a_server(3)], at(101))
-        self.list.read(self.servers.values(), at(60, era=2))
+        self.list.update_from_store([self.leave(1), a_server(2), a_server(3)], at(101))
+        self.list.update_from_store(self.servers.values(), at(60, era=2))
         gone, leaving = a_server(0).id, a_server(1).id
         self.assertNotIn(gone, self.usable())
         self.assertTrue(self.usable()[leaving])
-        self.assertTrue(self.list.believe_entries())
+        self.assertTrue(self.list.trust_entries())
         self.assertEqual(self.usable(), dict.fromkeys(self.servers, False))
 
     def test_server_marked_as_leaving_stays_so_over_the_stores_return(self) -> None:
         head = ListHead(101, 1, 0.0, era=1)
         marked = [Leaving(a_server(1).id, 2.0)]
-        self.list.hear(ServerChange(head, 0, "n2:3", gone=[a_server(0).id], leaving=marked))
-        self.list.read(self.servers.values(), at(60, era=2))
+        self.list.apply_change(ServerChange(head, 0, "n2:3", gone=[a_server(0).id], leaving=marked))
+        self.list.update_from_store(self.servers.values(), at(60, era=2))
         self.assertNotIn(a_server(0).id, self.usable())
         self.assertTrue(self.usable()[a_server(1).id])
 
     def test_server_that_was_back_before_the_stores_return_is_used(self) -> None:
-        self.list.read([a_server(0)], at(101))
-        self.list.read(self.servers.values(), at(102))
-        self.list.read(self.servers.values(), at(60, era=2))
+        self.list.update_from_store([a_server(0)], at(101))
+        self.list.update_from_store(self.servers.values(), at(102))
+        self.list.update_from_store(self.servers.values(), at(60, era=2))
         self.assertEqual(set(self.usable()), set(self.servers))
 
     def test_changes_that_tell_no_era_count_but_take_no_version_over(self) -> None:
         former = ServerList()
-        former.read(self.servers.values(), EraVersion(0, 100))
+        former.update_from_store(self.servers.values(), EraVersion(0, 100))
         head_of = ListHead(101, 0, 0.0)
         listed = [a_server(0), a_server(2), a_server(3)]
-        difference = former.read(listed, EraVersion(0, 101))
+        difference = former.update_from_store(listed, EraVersion(0, 101))
         assert difference is not None
         head_of = ListHead(101, former.digest, 0.0)
         base = self.list.digest
-        heard = self.list.hear(packets(head_of, base, "n2:3", difference)[0])
+        heard = self.list.apply_change(split_into_packets(head_of, base, "n2:3", difference)[0])
         self.assertTrue(heard.confirmed)
         self.assertEqual(set(self.usable()), {each.id for each in listed})
-        self.assertEqual(self.list.at, at(100))
+        self.assertEqual(self.list.era_version, at(100))
 
     def test_list_that_tells_no_era_is_not_fetched_in_place_of_one_that_does(self) -> None:
-        heard = self.list.hear(ServerChange(ListHead(900, 5, 0.0), 4, "n2:3"))
-        self.assertFalse(heard.missing)
+        heard = self.list.apply_change(ServerChange(ListHead(900, 5, 0.0), 4, "n2:3"))
+        self.assertFalse(heard.needs_fetch)
         former = ServerList()
-        former.read([a_server(9)], EraVersion(0, 900))
-        self.assertFalse(self.list.fetched(former.raw, former.at))
+        former.update_from_store([a_server(9)], EraVersion(0, 900))
+        self.assertFalse(self.list.update_from_peer(former.raw, former.era_version))
 
 
 class SpreadTest(unittest.TestCase):
@@ -485,7 +487,7 @@
         self.true_time.record_store_clock(self.now, self.now, self.now)
         self.store.version = 5
         peer = ServerList()
-        peer.read([a_server(1)], at(5))
+        peer.update_from_store([a_server(1)], at(5))
         self.watch.heard_head(ListHead(5, peer.digest, self.now - 0.3, era=1), "n2:3", 1.0)
         self.watch._fetched(at(5), peer.raw)
         self.assertTrue(self.current())
