--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -66,7 +66,7 @@
         """Read an answer's head, decide what it means, and read or pass on the rest."""
         placement = run.placement
         head = await self._head(job, connection, placement)
-        placement.view.heard_at = self._now()
+        placement.view.last_data_at = self._now()
         facts = self._dialect.read_answer(head)
         if facts.closes:
             connection.usable = False
@@ -220,7 +220,7 @@
         first = True
         view = placement.view
         while (data := await self._unless_silent(job, view, connection.chunk)) is not None:
-            view.heard_at = self._now()
+            view.last_data_at = self._now()
             if first:
                 first = False
                 self._balancer.record_first_event(placement, self._now())
--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -21,7 +21,7 @@
 from moledale.gateway.server_notices import ServerNotices
 from moledale.gateway.server_order import quantize
 from moledale.gateway.server_standing import FIRST_PAUSE_S
-from moledale.gateway.server_view import ENGINE_SLOTS, Placement, ServerView
+from moledale.gateway.server_view import MIN_ENGINE_SLOTS, Placement, ServerView
 from moledale.gateway.stated_limit import LimitNews
 
 MIN_EXPECTED_S = 0.01
@@ -125,7 +125,7 @@
 
     def _load_delay_s(self, view: ServerView, now: float) -> float:
         """Estimate the delay of a request of usual size, by which servers are ordered."""
-        if view.server.slots < ENGINE_SLOTS:
+        if view.server.slots < MIN_ENGINE_SLOTS:
             return plain_cost_s(view, self._hall)
         speed = self.estimator(view.server.service).last_speed
         return load_delay_s(view, speed, now) + FAILURE_PENALTY_S * view.failed_share
@@ -153,7 +153,7 @@
             view = self.views.get(name)
             was, now = before.get(name, (0, 0)), loads.get(name, (0, 0))
             if view is not None and was != now:
-                view.add_others(now[0] - was[0], now[1] - was[1])
+                view.add_peer_load(now[0] - was[0], now[1] - was[1])
 
     def _add_peer_loads(self, view: ServerView) -> None:
         """Add the load of peers to a server that is new here."""
@@ -161,7 +161,7 @@
             loads[view.server.id] for loads in self._peer_loads.values() if view.server.id in loads
         ]
         if peer_loads:
-            view.add_others(
+            view.add_peer_load(
                 sum(each[0] for each in peer_loads), sum(each[1] for each in peer_loads)
             )
 
@@ -243,7 +243,7 @@
             key=lambda view: (
                 quantize(plain_cost_s(view, self._hall)),
                 not self.has_connection(view.server.id),
-                view.all_running,
+                view.total_running,
                 self._rng.random(),
             ),
         )
@@ -265,7 +265,7 @@
                     + FAILURE_PENALTY_S * view.failed_share
                 ),
                 not self.has_connection(view.server.id),
-                view.all_running,
+                view.total_running,
                 view.server.id != home,
                 -weight(key, view.server.id),
             ),
@@ -278,7 +278,7 @@
         service = view.server.service
         cached = view.covers(facts.parts)
         fetched, fetching_s = 0, 0.0
-        if chosen.costs.should_fetch(cached, view.all_running):
+        if chosen.costs.should_fetch(cached, view.total_running):
             fetched, fetching_s = chosen.prefix.tokens - cached, chosen.costs.fetch_cost_s(cached)
             cached = chosen.prefix.tokens
         work = prefill_work(facts.prompt_tokens, cached)
@@ -324,7 +324,7 @@
         waited_for_slot = placement.beside >= placement.view.server.slots
         if not placement.fetched and not waited_for_slot:
             unqueued = PrefillSample(placement.work, placement.ahead, took_s, now, placement.beside)
-            tracker = placement.view.reading
+            tracker = placement.view.prefill_times
             sample = tracker.on_first_event(placement.sent_at, placement.through, unqueued)
             if sample is not None:
                 estimator.add_sample(sample)
@@ -385,12 +385,12 @@
         view = self.views.get(placed.server)
         if view is None:
             return
-        view.reading.record_placed(placed.work)
+        view.prefill_times.record_placed(placed.work)
         if engine is not None:
             self.group(view.server.service).record_cached_parts(
                 view, placed.parts, engine.cache_tokens
             )
-        view.add_others(placed.running - before[0], placed.prefill - before[1])
+        view.add_peer_load(placed.running - before[0], placed.prefill - before[1])
 
     def tick(self, now: float) -> None:
         """Pause servers that are silent although they should have sent something.
@@ -409,10 +409,10 @@
         if not view.running:
             view.busy_since = now
         placement = Placement(
-            view, prefill, now, prefill, prefill, view.all_prefill, view.all_running
+            view, prefill, now, prefill, prefill, view.total_prefill, view.total_running
         )
-        placement.through = view.reading.record_placed(prefill)
+        placement.through = view.prefill_times.record_placed(prefill)
         view.running += 1
         view.prefill_tokens += prefill
-        view.changed()
+        view.notify_change()
         return placement
--- a/src/moledale/gateway/choice.py
+++ b/src/moledale/gateway/choice.py
@@ -41,7 +41,7 @@
 
 def plain_cost_s(view: ServerView, hall: str) -> float:
     """Estimate the time until the answer of a plain service."""
-    queue_factor = 1 + view.all_running / max(1, view.server.slots)
+    queue_factor = 1 + view.total_running / max(1, view.server.slots)
     cross_hall_s = CROSS_HALL_RTT_S if view.server.hall != hall else 0.0
     return view.answer_s * queue_factor + cross_hall_s + FAILURE_PENALTY_S * view.failed_share
 
--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -57,8 +57,8 @@
     An idle and healthy server has a delay of zero, whatever the estimated speed. So a change of the
     estimate keeps the order of such servers, and only those with work are estimated anew.
     """
-    concurrent = view.all_running
-    work = speed.remaining_work(view.all_prefill) + speed.residual_work
+    concurrent = view.total_running
+    work = speed.remaining_work(view.total_prefill) + speed.residual_work
     took_s = speed.prefill_s(work, concurrent) * view.slowness.factor(now)
     alone_s = speed.prefill_s(speed.residual_work)
     return took_s - alone_s + slot_wait_s(concurrent, view.server.slots, speed.hold_s)
@@ -102,8 +102,8 @@
         cached = view.covers(self.facts.parts)
         if is_home and not cached:
             cached = sum(part.tokens for part in self.facts.parts[:-1]) // 2
-        concurrent = view.all_running
-        queued = self.speed.remaining_work(view.all_prefill)
+        concurrent = view.total_running
+        queued = self.speed.remaining_work(view.total_prefill)
         took_s = self.speed.prefill_s(queued, concurrent) + self.prefill_s(cached, concurrent)
         slots_s = slot_wait_s(concurrent, self.engine.slots, self.speed.hold_s)
         return took_s * view.slowness.factor(now) + slots_s
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -120,7 +120,7 @@
             rising_elapsed=in_phase_s / duration_s,
             moving_s=in_phase_s,
             new_ready=sum(1 for view in new if not view.server.leaving),
-            old_running=sum(view.all_running for view in old),
+            old_running=sum(view.total_running for view in old),
             tried=rollout.tried,
             untested_routes=_count_lacking_routes(rollout),
         )
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -124,7 +124,7 @@
         """Update counts and order after a change of a server's load or standing."""
         name = view.server.id
         running, prefill = self._counted_load.get(name, (0, 0))
-        self._counted_load[name] = counted = (view.all_running, view.all_prefill)
+        self._counted_load[name] = counted = (view.total_running, view.total_prefill)
         self.running += counted[0] - running
         self.prefill_tokens += counted[1] - prefill
         if view.running:
--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -75,7 +75,7 @@
         asked_for = self._asked_for.pop((view.server.id, view.server.address), None)
         if asked_for is not None:
             view.standing = asked_for
-            view.changed()
+            view.notify_change()
 
     def answered(
         self,
--- a/src/moledale/gateway/server_view.py
+++ b/src/moledale/gateway/server_view.py
@@ -9,23 +9,23 @@
 from moledale.gateway.server_model import PrefillTracker, Slowness
 from moledale.gateway.server_standing import ServerStanding
 
-SMOOTHING = 0.2
+EWMA_WEIGHT = 0.2
 """Weight of a new answer in a server's answer time and share of failures: about the last five
 count."""
 
-SILENT_ENGINE_S = 0.8
+ENGINE_SILENCE_S = 0.8
 """An engine with several requests is silent after this time: its steps take 3 to 20 ms. Not derived
 from the pauses that routes allow (0.25 to 0.5 s), which are over by then."""
 
-SILENT_ALONE_S = 2.5
+SINGLE_REQUEST_SILENCE_S = 2.5
 """One request alone may be a long prompt, so an engine with one is given more time, unless another
 request has left it for its silence already."""
 
-SILENT_PLAIN_S = 0.3
-SILENT_X = 6.0
+MIN_PLAIN_SILENCE_S = 0.3
+PLAIN_SILENCE_FACTOR = 6.0
 """A plain server is silent after this many of its usual answer times."""
 
-ENGINE_SLOTS = 16
+MIN_ENGINE_SLOTS = 16
 """Servers with as many slots run batches, whose tokens come all the time."""
 
 
@@ -38,54 +38,54 @@
     server: Server
     running: int = 0
     prefill_tokens: int = 0
-    others_running: int = 0
-    others_prefill: int = 0
+    peers_running: int = 0
+    peers_prefill: int = 0
     failed_share: float = 0.0
     answer_s: float = 0.02
     standing: ServerStanding = msgspec.field(default_factory=ServerStanding)
-    heard_at: float = 0.0
+    last_data_at: float = 0.0
     busy_since: float = 0.0
     cached: OrderedDict[str, int] = msgspec.field(default_factory=OrderedDict)
     cached_tokens: int = 0
     slowness: Slowness = msgspec.field(default_factory=Slowness)
-    reading: PrefillTracker = msgspec.field(default_factory=PrefillTracker)
+    prefill_times: PrefillTracker = msgspec.field(default_factory=PrefillTracker)
     on_change: Callable[["ServerView"], None] | None = None
 
-    def changed(self) -> None:
+    def notify_change(self) -> None:
         """Tell that the load or the standing of the server changed."""
         if self.on_change is not None:
             self.on_change(self)
 
-    def add_others(self, running: int, prefill: int) -> None:
+    def add_peer_load(self, running: int, prefill: int) -> None:
         """Count more, or less, that other nodes have there."""
-        self.others_running += running
-        self.others_prefill += prefill
-        self.changed()
+        self.peers_running += running
+        self.peers_prefill += prefill
+        self.notify_change()
 
     def pause(self, until: float) -> None:
         """Take the server for silent until some time."""
         self.standing.pause(until)
-        self.changed()
+        self.notify_change()
 
     def hold_back(self, until: float) -> None:
         """Choose the server for no request before some time: there is no permit for it."""
         self.standing.held_until = until
-        self.changed()
+        self.notify_change()
 
     def decline(self, now: float, retry_after_s: float | None) -> None:
         """Learn that the server turned a request away; it may say when to retry."""
         self.standing.decline(now, retry_after_s)
-        self.changed()
+        self.notify_change()
 
     def accepted(self, sent_at: float) -> None:
         """Learn that the server took a request that was sent at some time."""
         if self.standing.accepted(sent_at):
-            self.changed()
+            self.notify_change()
 
     def peers_decline(self, now: float, until: float) -> None:
         """Learn that the server turned requests of other nodes away."""
         self.standing.peers_decline(now, until)
-        self.changed()
+        self.notify_change()
 
     @property
     def limit_per_s(self) -> float | None:
@@ -105,29 +105,29 @@
         return self.standing.is_set_aside(now)
 
     @property
-    def all_running(self) -> int:
+    def total_running(self) -> int:
         """Return the requests that all nodes have there.
 
         News may overtake each other, so what others have may seem below zero for a moment.
         """
-        return max(0, self.running + self.others_running)
+        return max(0, self.running + self.peers_running)
 
     @property
-    def all_prefill(self) -> int:
+    def total_prefill(self) -> int:
         """Return the prompt tokens that all nodes have waiting there."""
-        return max(0, self.prefill_tokens + self.others_prefill)
+        return max(0, self.prefill_tokens + self.peers_prefill)
 
     def silent_s(self, now: float) -> float:
         """Return for how long nothing came while requests were waiting there."""
-        return now - max(self.heard_at, self.busy_since) if self.running else 0.0
+        return now - max(self.last_data_at, self.busy_since) if self.running else 0.0
 
     def is_silent(self, now: float) -> bool:
         """Say whether nothing came for so long that the server may be dark."""
-        if self.server.slots < ENGINE_SLOTS:
-            limit = max(SILENT_PLAIN_S, SILENT_X * self.answer_s)
+        if self.server.slots < MIN_ENGINE_SLOTS:
+            limit = max(MIN_PLAIN_SILENCE_S, PLAIN_SILENCE_FACTOR * self.answer_s)
         else:
             known = self.running > 1 or self.standing.failures
-            limit = SILENT_ENGINE_S if known else SILENT_ALONE_S
+            limit = ENGINE_SILENCE_S if known else SINGLE_REQUEST_SILENCE_S
         return self.silent_s(now) > limit
 
     def remember(self, parts: tuple[PromptPart, ...], capacity: int) -> list[str]:
@@ -190,7 +190,7 @@
         if self.prefill:
             self.view.prefill_tokens -= self.prefill
             self.prefill = 0
-            self.view.changed()
+            self.view.notify_change()
 
     def end(self) -> None:
         """Stop counting the request; a second call changes nothing."""
@@ -200,19 +200,19 @@
         self.view.prefill_tokens -= self.prefill
         self.prefill = 0
         self.view.running -= 1
-        self.view.changed()
+        self.view.notify_change()
 
 
 def note_answer(view: ServerView, failed: bool, took_s: float) -> None:
     """Learn from an answer."""
     view.standing.failures = 0
-    view.failed_share += SMOOTHING * (float(failed) - view.failed_share)
-    view.answer_s += SMOOTHING * (min(took_s, 2.0) - view.answer_s)
-    view.changed()
+    view.failed_share += EWMA_WEIGHT * (float(failed) - view.failed_share)
+    view.answer_s += EWMA_WEIGHT * (min(took_s, 2.0) - view.answer_s)
+    view.notify_change()
 
 
 def note_silence(view: ServerView, now: float) -> None:
     """Learn from a server that can't be reached or broke off: pause it, longer each time."""
     view.standing.failed(now)
-    view.failed_share += SMOOTHING * (1.0 - view.failed_share)
-    view.changed()
+    view.failed_share += EWMA_WEIGHT * (1.0 - view.failed_share)
+    view.notify_change()
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -579,7 +579,7 @@
                 await world.server("s1", "model", streams, slots=16)
                 await world.server("s2", "model", streams, slots=16)
                 view = world.balancer.views["s1"]
-                view.running, view.heard_at, view.busy_since = 2, -100.0, -100.0
+                view.running, view.last_data_at, view.busy_since = 2, -100.0, -100.0
                 route = next(each for each in a_plan().routes if each.name == "review")
                 waits = 0
 
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -68,8 +68,8 @@
         assert placed is not None
         self.two.hear(self.one.news())
         view = self.two.balancer.views[placed.view.server.id]
-        self.assertEqual(view.all_running, 1)
-        self.assertEqual(view.all_prefill, placed.prefill)
+        self.assertEqual(view.total_running, 1)
+        self.assertEqual(view.total_prefill, placed.prefill)
 
     def test_next_state_counts_nothing_twice(self) -> None:
         placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
@@ -77,7 +77,7 @@
         self.two.hear(self.one.news())
         self.two.members.heard(self.one.state(), 1.0)
         self.two.sharing.take_over(self.two.balancer)
-        self.assertEqual(self.two.balancer.views[placed.view.server.id].all_running, 1)
+        self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 1)
 
     def test_prompt_follows_its_shared_part_to_where_another_node_placed_it(self) -> None:
         home = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
@@ -96,8 +96,8 @@
 
     def test_news_that_overtake_each_other_count_no_less_than_nothing(self) -> None:
         view = self.one.balancer.views["s0"]
-        view.others_running, view.others_prefill = -3, -9_000
-        self.assertEqual((view.all_running, view.all_prefill), (0, 0))
+        view.peers_running, view.peers_prefill = -3, -9_000
+        self.assertEqual((view.total_running, view.total_prefill), (0, 0))
 
     def test_news_of_a_former_life_or_older_than_the_state_change_nothing(self) -> None:
         placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
@@ -107,7 +107,7 @@
         self.two.hear(news)
         self.two.hear(PlacementNews("n1", 2, 99, news.placed))
         self.two.hear(PlacementNews("n9", 1, 99, news.placed))
-        self.assertEqual(self.two.balancer.views[placed.view.server.id].all_running, 0)
+        self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 0)
 
     def test_placements_are_told_once(self) -> None:
         self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -161,7 +161,7 @@
         left = [view.server.id for view in balancer.group("plain").candidates(10.5, frozenset())]
         self.assertEqual(len(left), 1)
         self.assertNotIn(first.view.server.id, left)
-        first.view.heard_at = 10.6
+        first.view.last_data_at = 10.6
         self.assertEqual(first.view.silent_s(10.6), 0.0)
 
     def test_ended_placement_ends_once(self) -> None:
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -127,9 +127,9 @@
     def test_lightest_servers_of_each_hall_are_candidates(self) -> None:
         balancer = a_book(40)
         for view in balancer.views.values():
-            view.add_others(20, 200_000)
+            view.add_peer_load(20, 200_000)
         for name in ("model4", "model9", "model38"):
-            balancer.views[name].add_others(-20, -200_000)
+            balancer.views[name].add_peer_load(-20, -200_000)
         found = {view.server.id for view in balancer.group("model").candidates(1.0, frozenset())}
         self.assertLessEqual({"model4", "model9", "model38"}, found)
 
@@ -161,7 +161,7 @@
         group = balancer.group("model")
         for name, other in balancer.views.items():
             if name != "model0":
-                other.add_others(1, 5_000)
+                other.add_peer_load(1, 5_000)
         self.assertNotIn(view, group.candidates(1.1, frozenset()))
         balancer.tick(40.0)
         self.assertIn(view, group.candidates(40.0, frozenset()))
@@ -217,19 +217,19 @@
                 running, prefill = loads.get(name, (0, 0))
                 balancer.apply_peer_loads(peer, loads)
                 loads[name] = (running + 1, prefill + 50)
-                balancer.views[name].add_others(1, 50) if name in balancer.views else None
+                balancer.views[name].add_peer_load(1, 50) if name in balancer.views else None
             elif what == "gone":
                 balancer.apply(each for each in listed if each.id != name)
             else:
                 balancer.apply(listed)
             views = list(balancer.views.values())
-            self.assertEqual(balancer.running("model"), sum(view.all_running for view in views))
+            self.assertEqual(balancer.running("model"), sum(view.total_running for view in views))
             self.assertEqual(
-                balancer.queued_tokens("model"), sum(view.all_prefill for view in views)
+                balancer.queued_tokens("model"), sum(view.total_prefill for view in views)
             )
             for view in views:
                 others = [loads.get(view.server.id, (0, 0)) for loads in told.values()]
-                self.assertEqual(view.others_running, sum(each[0] for each in others))
+                self.assertEqual(view.peers_running, sum(each[0] for each in others))
             busy = {view.server.id for view in views if view.running}
             self.assertEqual(set(balancer.loads()), busy)
 
