--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -195,20 +195,20 @@
         # What is granted for a later moment would be used before it by those that don't wait.
         number = 1 if max_wait_s else max(1, int(limit * BATCH_S))
         asked_at = self._now()
-        view.hold_back(asked_at + timeout_s)
+        view.hold_until(asked_at + timeout_s)
         answer = await self._ask(view, limit, number, max_wait_s, timeout_s)
         now = self._now()
         if answer is None:
-            view.hold_back(now + SILENT_GRANTOR_PAUSE_S)
+            view.hold_until(now + SILENT_GRANTOR_PAUSE_S)
             return False
         if not answer.number:
-            view.hold_back(now + answer.wait_s)
+            view.hold_until(now + answer.wait_s)
             return False
         if answer.number > 1:
             self._unused[view.server.id] = UnusedPermits(
                 answer.number - 1, now + PERMIT_TTL_S, limit
             )
-        view.hold_back(0.0)
+        view.hold_until(0.0)
         if answer.wait_s > 0:
             await self._sleep(answer.wait_s)
         return True
--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -108,7 +108,7 @@
 
     def _limit_changed(self, view: ServerView, source: str) -> None:
         # A time that was told for another limit may be long past what this one asks for.
-        view.hold_back(0.0)
+        view.hold_until(0.0)
         emit(Event.SERVER_LIMIT, server=view.server.id, limit_per_s=view.limit_per_s, source=source)
 
     def limits(self, groups: Iterable[ServerGroup], now: float) -> dict[str, LimitNews]:
--- a/src/moledale/gateway/server_view.py
+++ b/src/moledale/gateway/server_view.py
@@ -67,7 +67,7 @@
         self.standing.pause(until)
         self.notify_change()
 
-    def hold_back(self, until: float) -> None:
+    def hold_until(self, until: float) -> None:
         """Choose the server for no request before some time: there is no permit for it."""
         self.standing.held_until = until
         self.notify_change()
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -193,7 +193,7 @@
             granted = 0
             for _ in range(100):
                 world.pass_time(0.1)
-                asker.view().hold_back(0.0)
+                asker.view().hold_until(0.0)
                 granted += await asker.sharing.permits.take(asker.view())
             self.assertIn(granted, range(8, 13))
 
@@ -379,7 +379,7 @@
             node = world.nodes["n0"]
             world.limit(1.0)
             await node.sharing.permits.take(node.view())
-            node.view().hold_back(0.0)
+            node.view().hold_until(0.0)
             world.now = 10.0
             for _ in range(3):
                 node.sharing._issuer.record_unpermitted("s0", world.now)
@@ -437,7 +437,7 @@
         limits = {name: LimitNews(1.0, 0.0) for name in balancer.views}
         balancer.notices.peer_limits(limits, "n1", 10.0)
         for number, view in enumerate(balancer.views.values()):
-            view.hold_back(11.0 + number)
+            view.hold_until(11.0 + number)
         group = balancer.group("plain")
         with mock.patch.object(
             ServerStanding, "is_held", autospec=True, side_effect=ServerStanding.is_held
@@ -453,7 +453,7 @@
         balancer.apply(SERVERS[:1])
         view = balancer.views["s0"]
         balancer.notices.peer_limits({"s0": LimitNews(0.2, 0.0)}, "n1", 10.0)
-        view.hold_back(15.0)
+        view.hold_until(15.0)
         group = balancer.group("plain")
         self.assertEqual(group.candidates(10.1, frozenset()), [])
         self.assertEqual(group.retry_in_s(10.1), 15.0 - 10.1)
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -138,7 +138,7 @@
     def permit_is_refused(self, name: str, wait_s: float) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is not None and view.limit_per_s is not None:
-            view.hold_back(self.now + wait_s)
+            view.hold_until(self.now + wait_s)
             self.held_until[view.server.id] = self.now + wait_s
 
     @rule(seconds=st.floats(0.01, 3.0))
