--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -102,7 +102,7 @@
             self._limit_changed(view, "answer")
 
     def _back_off(self, view: ServerView, retry_after_s: float | None, now: float) -> None:
-        view.decline(now, retry_after_s)
+        view.record_decline(now, retry_after_s)
         if retry_after_s is not None:
             emit(Event.SERVER_BACKOFF, server=view.server.id, retry_after_s=retry_after_s)
 
--- a/src/moledale/gateway/server_standing.py
+++ b/src/moledale/gateway/server_standing.py
@@ -70,7 +70,7 @@
         self.failures += 1
         self.paused_until = now + doubled(FIRST_PAUSE_S, self.failures, LONGEST_PAUSE_S)
 
-    def decline(self, now: float, retry_after_s: float | None) -> None:
+    def record_decline(self, now: float, retry_after_s: float | None) -> None:
         """Learn that the server turned a request away; it may say when to retry."""
         self._note_decline(now)
         self.declines += 1
@@ -82,7 +82,7 @@
             self.retry_at = max(self.retry_at, now + retry_after_s)
             self.declined_until = max(self.declined_until, self.retry_at)
 
-    def accepted(self, sent_at: float) -> bool:
+    def record_accepted(self, sent_at: float) -> bool:
         """Learn that the server took a request; one from before it declined says nothing.
 
         Return whether that changed anything.
--- a/src/moledale/gateway/server_view.py
+++ b/src/moledale/gateway/server_view.py
@@ -72,14 +72,14 @@
         self.standing.held_until = until
         self.notify_change()
 
-    def decline(self, now: float, retry_after_s: float | None) -> None:
+    def record_decline(self, now: float, retry_after_s: float | None) -> None:
         """Learn that the server turned a request away; it may say when to retry."""
-        self.standing.decline(now, retry_after_s)
+        self.standing.record_decline(now, retry_after_s)
         self.notify_change()
 
-    def accepted(self, sent_at: float) -> None:
+    def record_accepted(self, sent_at: float) -> None:
         """Learn that the server took a request that was sent at some time."""
-        if self.standing.accepted(sent_at):
+        if self.standing.record_accepted(sent_at):
             self.notify_change()
 
     def peers_decline(self, now: float, until: float) -> None:
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -83,7 +83,7 @@
     def turns_a_request_away(self, name: str, wait_s: float | None) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is not None:
-            view.decline(self.now, wait_s)
+            view.record_decline(self.now, wait_s)
             until = self.now + (wait_s or 0.0)
             self.retry_at[view.server.id] = max(until, self.retry_at.get(view.server.id, 0.0))
 
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -364,7 +364,7 @@
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
         for expected in (0.25, 0.5, 1.0, 2.0, 3.0, 3.0):
             now = view.standing.declined_until
-            view.decline(now, None)
+            view.record_decline(now, None)
             self.assertAlmostEqual(view.standing.declined_until - now, expected)
         view.accepted(view.standing.declined_at - 0.1)
         self.assertTrue(view.is_set_aside(view.standing.declined_at))
@@ -373,8 +373,8 @@
 
     def test_time_that_was_stated_outlasts_an_answer_to_an_earlier_request(self) -> None:
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
-        view.decline(10.0, 3.0)
-        view.decline(10.5, 1.0)
+        view.record_decline(10.0, 3.0)
+        view.record_decline(10.5, 1.0)
         view.accepted(9.0)
         view.accepted(11.0)
         self.assertFalse(view.is_open(12.9))
@@ -383,7 +383,7 @@
     def test_servers_that_fail_for_hours_do_no_harm(self) -> None:
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
         for each in range(5_000):
-            view.decline(float(each), None)
+            view.record_decline(float(each), None)
             note_silence(view, float(each))
         self.assertEqual(view.standing.declined_until, 4_999.0 + 3.0)
         self.assertEqual(view.standing.paused_until, 4_999.0 + 3.0)
@@ -404,8 +404,8 @@
         balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(4)])
         group = balancer.group("model")
         for name in ("s0", "s1"):
-            balancer.views[name].decline(10.0, 3.0)
-        balancer.views["s0"].decline(13.0, 3.0)
+            balancer.views[name].record_decline(10.0, 3.0)
+        balancer.views["s0"].record_decline(13.0, 3.0)
         self.assertEqual(group.unavailable(13.0, 4.0), 1)
         self.assertEqual(group.unavailable(16.5, 4.0), 0)
         renting = Renting(0, 8, 4.0, 0.25, {"a": 1.0, "b": 1.0})
@@ -454,7 +454,7 @@
         names = [f"s{each}" for each in range(100)]
         balancer.apply([Server(name, "model", "h:1", "a", 64) for name in names])
         for name in names[:50]:
-            balancer.views[name].decline(1.0, 5.0)
+            balancer.views[name].record_decline(1.0, 5.0)
         for name in names[50:]:
             balancer.notices.note_leaving(name)
         self.assertEqual(len(balancer.declined(1.0)), MOST_TOLD)
