--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -94,7 +94,7 @@
         if status == TURNED_AWAY and (not_run or stated.retry_after_s is not None):
             self._back_off(view, stated.retry_after_s, now)
         elif not not_run:
-            view.accepted(sent_at)
+            view.record_accepted(sent_at)
         limit = view.standing.limit
         if not stated.limit_unreadable and limit.update_from_answer(
             stated.limit_per_s, sent_at, now
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -91,7 +91,7 @@
     def takes_a_request(self, name: str, sent_ago_s: float) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is not None:
-            view.accepted(self.now - sent_ago_s)
+            view.record_accepted(self.now - sent_ago_s)
 
     @rule(name=NAMES)
     def breaks_off(self, name: str) -> None:
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -366,17 +366,17 @@
             now = view.standing.declined_until
             view.record_decline(now, None)
             self.assertAlmostEqual(view.standing.declined_until - now, expected)
-        view.accepted(view.standing.declined_at - 0.1)
+        view.record_accepted(view.standing.declined_at - 0.1)
         self.assertTrue(view.is_set_aside(view.standing.declined_at))
-        view.accepted(view.standing.declined_at + 0.1)
+        view.record_accepted(view.standing.declined_at + 0.1)
         self.assertFalse(view.is_set_aside(view.standing.declined_at))
 
     def test_time_that_was_stated_outlasts_an_answer_to_an_earlier_request(self) -> None:
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
         view.record_decline(10.0, 3.0)
         view.record_decline(10.5, 1.0)
-        view.accepted(9.0)
-        view.accepted(11.0)
+        view.record_accepted(9.0)
+        view.record_accepted(11.0)
         self.assertFalse(view.is_open(12.9))
         self.assertTrue(view.is_open(13.0))
 
