--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -163,4 +163,4 @@
         for name, wait_s in declined.items():
             view = self._views.get(name)
             if view is not None:
-                view.peers_decline(now, now + wait_s + ASKED_LATER_S)
+                view.record_peer_decline(now, now + wait_s + ASKED_LATER_S)
--- a/src/moledale/gateway/server_standing.py
+++ b/src/moledale/gateway/server_standing.py
@@ -93,7 +93,7 @@
         self.declined_until = self.peers_declined_until = 0.0
         return True
 
-    def peers_decline(self, now: float, until: float) -> None:
+    def record_peer_decline(self, now: float, until: float) -> None:
         """Learn that the server turned requests of other nodes away."""
         self._note_decline(now)
         self.peers_declined_until = max(self.peers_declined_until, until)
--- a/src/moledale/gateway/server_view.py
+++ b/src/moledale/gateway/server_view.py
@@ -82,9 +82,9 @@
         if self.standing.record_accepted(sent_at):
             self.notify_change()
 
-    def peers_decline(self, now: float, until: float) -> None:
+    def record_peer_decline(self, now: float, until: float) -> None:
         """Learn that the server turned requests of other nodes away."""
-        self.standing.peers_decline(now, until)
+        self.standing.record_peer_decline(now, until)
         self.notify_change()
 
     @property
