--- a/src/moledale/gateway/server_standing.py
+++ b/src/moledale/gateway/server_standing.py
@@ -65,7 +65,7 @@
         """Take the server for silent until some time."""
         self.paused_until = max(self.paused_until, until)
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Learn that the server can't be reached or broke off: pause it, longer each time."""
         self.failures += 1
         self.paused_until = now + doubled(FIRST_PAUSE_S, self.failures, LONGEST_PAUSE_S)
