--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -13,7 +13,7 @@
 from moledale.gateway.reply import CHUNKED, Reply
 from moledale.gateway.request_guard import RequestGuard
 from moledale.gateway.server_notices import WRONG_SERVER
-from moledale.gateway.server_view import Placement, ServerView, note_answer, note_silence
+from moledale.gateway.server_view import Placement, ServerView, record_answer, record_silence
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.upstream import AnswerCut, Cut, UpstreamConnection
 
@@ -168,7 +168,7 @@
         body, whole = await self._read_some(connection)
         now = self._now()
         failed = head.status >= 500
-        note_answer(placement.view, failed, now - placement.sent_at)
+        record_answer(placement.view, failed, now - placement.sent_at)
         self._balancer.record_outcome(placement, failed, now - placement.sent_at)
         job.may_have_run = True
         self._count(job)
@@ -226,7 +226,7 @@
                 self._balancer.record_first_event(placement, self._now())
                 job.may_have_run = True
                 self._count(job)
-                note_answer(placement.view, False, self._now() - placement.sent_at)
+                record_answer(placement.view, False, self._now() - placement.sent_at)
             passed = job.cutter.passed
             whole = job.cutter.feed(data)
             if whole:
@@ -251,7 +251,7 @@
     def cut(self, job: Job, placement: Placement, cut: Cut) -> Attempt:
         """An answer ended early: the request may have run."""
         job.may_have_run = True
-        note_silence(placement.view, self._now())
+        record_silence(placement.view, self._now())
         if cut in ENDED_BY_SERVER:
             self._guard.broke_off(job, placement)
         else:
--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -276,7 +276,7 @@
     ) -> Placement:
         """Count a prompt on a server, without the prefix that the server has cached or fetches."""
         service = view.server.service
-        cached = view.covers(facts.parts)
+        cached = view.cached_prefix_tokens(facts.parts)
         fetched, fetching_s = 0, 0.0
         if chosen.costs.should_fetch(cached, view.total_running):
             fetched, fetching_s = chosen.prefix.tokens - cached, chosen.costs.fetch_cost_s(cached)
@@ -308,24 +308,26 @@
 
     def record_first_event(self, placement: Placement, now: float) -> None:
         """Update the speed estimates and the outcome with the first event of a stream."""
-        placement.first_token()
+        placement.on_first_token()
         placement.first_at = now
         took_s = now - placement.sent_at
         if not placement.work:
-            placement.judged = True
+            placement.outcome_recorded = True
             return
         estimator = self.estimator(placement.view.server.service)
         speed = estimator.speed(now)
-        tokens = placement.work + speed.remaining_work(placement.ahead)
-        expected_s = speed.start_s + speed.prefill_s(tokens, placement.beside)
+        tokens = placement.work + speed.remaining_work(placement.queued_ahead)
+        expected_s = speed.start_s + speed.prefill_s(tokens, placement.concurrent)
         placement.view.slowness.observe(took_s, expected_s, now)
         expected_with_fetch_s = max(MIN_EXPECTED_S, expected_s + placement.fetching_s)
         self.record_outcome(placement, False, took_s / expected_with_fetch_s)
-        waited_for_slot = placement.beside >= placement.view.server.slots
+        waited_for_slot = placement.concurrent >= placement.view.server.slots
         if not placement.fetched and not waited_for_slot:
-            unqueued = PrefillSample(placement.work, placement.ahead, took_s, now, placement.beside)
+            unqueued = PrefillSample(
+                placement.work, placement.queued_ahead, took_s, now, placement.concurrent
+            )
             tracker = placement.view.prefill_times
-            sample = tracker.on_first_event(placement.sent_at, placement.through, unqueued)
+            sample = tracker.on_first_event(placement.sent_at, placement.cumulative_work, unqueued)
             if sample is not None:
                 estimator.add_sample(sample)
 
@@ -342,14 +344,14 @@
 
     def record_broken_answer(self, placement: Placement, now: float) -> None:
         """Report an answer that broke off as a failure of the server's version."""
-        if placement.judged:
+        if placement.outcome_recorded:
             self.on_outcome(placement, placement.route + PACE_SUFFIX, True, 0.0)
         self.record_outcome(placement, True, now - placement.sent_at)
 
     def record_outcome(self, placement: Placement, failed: bool, took: float) -> None:
         """Report an answer, or that there was none, unless the placement was reported already."""
-        if not placement.judged:
-            placement.judged = True
+        if not placement.outcome_recorded:
+            placement.outcome_recorded = True
             self.on_outcome(placement, placement.route, failed, took)
 
     def speeds(self, now: float) -> dict[str, Speed]:
@@ -411,7 +413,7 @@
         placement = Placement(
             view, prefill, now, prefill, prefill, view.total_prefill, view.total_running
         )
-        placement.through = view.prefill_times.record_placed(prefill)
+        placement.cumulative_work = view.prefill_times.record_placed(prefill)
         view.running += 1
         view.prefill_tokens += prefill
         view.notify_change()
--- a/src/moledale/gateway/choice.py
+++ b/src/moledale/gateway/choice.py
@@ -56,9 +56,9 @@
     best = CachedPrefix()
     for view in holders:
         is_backing_off = view.standing.retry_at > now
-        if view.is_set_aside(now) or is_backing_off or view.standing.failures:
+        if view.is_deprioritized(now) or is_backing_off or view.standing.failures:
             continue
-        tokens = view.covers(facts.parts)
+        tokens = view.cached_prefix_tokens(facts.parts)
         if tokens > best.tokens:
             best = CachedPrefix(tokens, view)
     return best
--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -99,7 +99,7 @@
         If the home server of a prompt has nothing of it cached, half of its shared parts count as
         cached, so that prompts with a common prefix go to the same server.
         """
-        cached = view.covers(self.facts.parts)
+        cached = view.cached_prefix_tokens(self.facts.parts)
         if is_home and not cached:
             cached = sum(part.tokens for part in self.facts.parts[:-1]) // 2
         concurrent = view.total_running
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -19,7 +19,7 @@
 from moledale.gateway.refusals import NO_SERVER, NOT_RUN_AGAIN_S, Refusals
 from moledale.gateway.reply import Reply
 from moledale.gateway.request_guard import RequestGuard
-from moledale.gateway.server_view import Placement, note_silence
+from moledale.gateway.server_view import Placement, record_silence
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.turns import ANSWER_SHARE, Turns, patience
 from moledale.gateway.upstream import AnswerCut, ConnectFailed, UpstreamConnection
@@ -155,8 +155,8 @@
             tokens=job.facts.prompt_tokens,
             uncached=placement.uncached,
             fetched=placement.fetched,
-            ahead=placement.ahead,
-            beside=placement.beside,
+            ahead=placement.queued_ahead,
+            beside=placement.concurrent,
             first_ms=round((first - job.request.arrived_at) * 1000),
             target_ms=round(job.route.target_s * 1000),
             pause_ms=round(job.longest_pause_s * 1000),
@@ -252,7 +252,7 @@
             try:
                 connection = await self._pool.take(server.id, server.address)
             except ConnectFailed as error:
-                note_silence(view, self._now())
+                record_silence(view, self._now())
                 emit(Event.CONNECT_FAILED, request=job.facts.id, server=server.id, why=str(error))
                 return Attempt(Ending.NOT_SENT, why="no connection")
             if moved is None and not view.is_open(self._now()):
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -149,7 +149,7 @@
     def _update_degraded(self, view: ServerView) -> None:
         """Track a server if its estimate changes with time alone."""
         slow = view.slowness.factor(self._now) - 1.0 > RECOVERED_RATIO
-        waits = view.standing.opens_in_s(self._now) > 0 or view.is_set_aside(self._now)
+        waits = view.standing.opens_in_s(self._now) > 0 or view.is_deprioritized(self._now)
         if slow or view.failed_share > RECOVERED_RATIO or waits:
             self._degraded.add(view.server.id)
         else:
@@ -173,7 +173,7 @@
     ) -> None:
         """Record that a prompt's parts are now cached by a server."""
         new = [part.id for part in parts if part.tokens > 0 and part.id not in view.cached]
-        evicted = view.remember(parts, capacity)
+        evicted = view.record_cached(parts, capacity)
         if self.views.get(view.server.id) is not view:
             return
         for part in dict.fromkeys(new):
@@ -288,7 +288,7 @@
         return self.allows(view.server.version)
 
     def _is_available(self, view: ServerView) -> bool:
-        return not view.is_closed(self._now) and not view.is_set_aside(self._now)
+        return not view.is_closed(self._now) and not view.is_deprioritized(self._now)
 
     def candidates(
         self,
@@ -339,7 +339,7 @@
         if not allowed and (self._rule.only_target or not self._rule.target):
             rejected = self._rule.rejected
             allowed = [view for view in staying if view.server.version not in rejected]
-        return [view for view in allowed if not view.is_set_aside(self._now)] or allowed
+        return [view for view in allowed if not view.is_deprioritized(self._now)] or allowed
 
     def retry_in_s(self, now: float) -> float | None:
         """Return the time until a server may get a request, or None if there is no server.
--- a/src/moledale/gateway/server_standing.py
+++ b/src/moledale/gateway/server_standing.py
@@ -106,7 +106,7 @@
         """Return until when the server is set aside since it turned requests of any node away."""
         return max(self.declined_until, self.peers_declined_until)
 
-    def is_set_aside(self, now: float) -> bool:
+    def is_deprioritized(self, now: float) -> bool:
         """Say whether the server gets requests only if no other one may."""
         return max(self.paused_until, self.declines_until()) > now
 
--- a/src/moledale/gateway/server_view.py
+++ b/src/moledale/gateway/server_view.py
@@ -100,9 +100,9 @@
         """Say whether the server gets no request of this node now, whatever others do."""
         return not self.is_open(now) or self.standing.is_held(now)
 
-    def is_set_aside(self, now: float) -> bool:
+    def is_deprioritized(self, now: float) -> bool:
         """Say whether the server gets requests only if no other one may."""
-        return self.standing.is_set_aside(now)
+        return self.standing.is_deprioritized(now)
 
     @property
     def total_running(self) -> int:
@@ -130,7 +130,7 @@
             limit = ENGINE_SILENCE_S if known else SINGLE_REQUEST_SILENCE_S
         return self.silent_s(now) > limit
 
-    def remember(self, parts: tuple[PromptPart, ...], capacity: int) -> list[str]:
+    def record_cached(self, parts: tuple[PromptPart, ...], capacity: int) -> list[str]:
         """Note that a prompt's parts lie in the server's memory now; return those that gave way."""
         for part in parts:
             if part.tokens <= 0:
@@ -146,7 +146,7 @@
             evicted.append(name)
         return evicted
 
-    def covers(self, parts: tuple[PromptPart, ...]) -> int:
+    def cached_prefix_tokens(self, parts: tuple[PromptPart, ...]) -> int:
         """Return the tokens at the front of a prompt that lie in the server's memory."""
         tokens = 0
         for part in parts:
@@ -161,10 +161,10 @@
 class Placement(msgspec.Struct):
     """A request counted on a server until it ends.
 
-    `work`, `uncached`, `ahead` (prompt tokens) and `beside` (requests) are what the choice
-    believed; `through` is all the work that was placed there up to and with it. From
+    `work`, `uncached`, `queued_ahead` (prompt tokens) and `concurrent` (requests) are what the choice
+    believed; `cumulative_work` is all the work that was placed there up to and with it. From
     `fetch_from`, the address of another server, it takes `fetched` tokens of the prompt's front.
-    It is `judged` once its answer, or that there was none, counted for its server's version, and
+    It is `outcome_recorded` once its answer, or that there was none, counted for its server's version, and
     `permitted` if the server named a limit and one of its places was granted.
     """
 
@@ -173,19 +173,19 @@
     sent_at: float
     work: int = 0
     uncached: int = 0
-    ahead: int = 0
-    beside: int = 0
-    through: float = 0.0
+    queued_ahead: int = 0
+    concurrent: int = 0
+    cumulative_work: float = 0.0
     fetch_from: str = ""
     fetched: int = 0
     fetching_s: float = 0.0
     first_at: float = 0.0
     route: str = ""
-    judged: bool = False
+    outcome_recorded: bool = False
     permitted: bool = False
     ended: bool = False
 
-    def first_token(self) -> None:
+    def on_first_token(self) -> None:
         """Note that the prompt was read."""
         if self.prefill:
             self.view.prefill_tokens -= self.prefill
@@ -203,7 +203,7 @@
         self.view.notify_change()
 
 
-def note_answer(view: ServerView, failed: bool, took_s: float) -> None:
+def record_answer(view: ServerView, failed: bool, took_s: float) -> None:
     """Learn from an answer."""
     view.standing.failures = 0
     view.failed_share += EWMA_WEIGHT * (float(failed) - view.failed_share)
@@ -211,8 +211,8 @@
     view.notify_change()
 
 
-def note_silence(view: ServerView, now: float) -> None:
+def record_silence(view: ServerView, now: float) -> None:
     """Learn from a server that can't be reached or broke off: pause it, longer each time."""
-    view.standing.failed(now)
+    view.standing.record_failure(now)
     view.failed_share += EWMA_WEIGHT * (1.0 - view.failed_share)
     view.notify_change()
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -17,7 +17,7 @@
 from moledale.gateway.peers import Membership, NodeState, Standing
 from moledale.gateway.plan import Engine
 from moledale.gateway.server_model import PRIOR
-from moledale.gateway.server_view import Placement, note_answer, note_silence
+from moledale.gateway.server_view import Placement, record_answer, record_silence
 from moledale.gateway.settings import Bounds
 from moledale.gateway.sharing import Sharing
 from moledale.platform.headers import PlatformHeaders
@@ -86,8 +86,8 @@
         elsewhere = self.one.balancer.place("model", prompt("a", "y"), ENGINE, 1.0, away)
         assert elsewhere is not None
         self.two.hear(self.one.news())
-        home.first_token()
-        elsewhere.first_token()
+        home.on_first_token()
+        elsewhere.on_first_token()
         self.two.members.heard(self.one.state(), 1.0)
         self.two.sharing.take_over(self.two.balancer)
         found = self.two.balancer.place("model", prompt("a", "z"), ENGINE, 1.0)
@@ -231,7 +231,7 @@
         balancer.apply(SERVERS)
         first = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
         assert first is not None
-        first.first_token()
+        first.on_first_token()
         again = balancer.place("model", prompt("a", "y"), FAST_LINKS, 1.0)
         assert again is not None
         self.assertEqual((again.view, again.fetch_from), (first.view, ""))
@@ -242,11 +242,11 @@
         home = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
         assert home is not None
         away = frozenset({home.view.server.id})
-        note_silence(home.view, 1.0)
+        record_silence(home.view, 1.0)
         silent = balancer.place("model", prompt("a", "y"), FAST_LINKS, 1.0, away)
         assert silent is not None
         self.assertEqual(silent.fetch_from, "")
-        note_answer(home.view, False, 0.1)
+        record_answer(home.view, False, 0.1)
         balancer.apply([server for server in SERVERS if server.id not in away])
         balancer.views[silent.view.server.id].cached.clear()
         gone = balancer.place("model", prompt("a", "z"), FAST_LINKS, 9.0)
@@ -305,12 +305,12 @@
         view.apply(SERVERS[:1])
         server = view.views["s0"]
         for number in range(1_000):
-            server.remember((PromptPart(f"empty-{number}", 0),), 1_000)
-            server.remember((PromptPart(f"less-{number}", -5),), 1_000)
+            server.record_cached((PromptPart(f"empty-{number}", 0),), 1_000)
+            server.record_cached((PromptPart(f"less-{number}", -5),), 1_000)
         self.assertEqual(len(server.cached), 0)
         parts = (PromptPart("empty", 0), PromptPart("a", 70))
-        server.remember(parts, 1_000)
-        self.assertEqual(server.covers(parts), 70)
+        server.record_cached(parts, 1_000)
+        self.assertEqual(server.cached_prefix_tokens(parts), 70)
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -21,7 +21,7 @@
     chosen_service,
 )
 from moledale.gateway.server_list import ServerChange
-from moledale.gateway.server_view import note_silence
+from moledale.gateway.server_view import record_silence
 from moledale.gateway.usage import TrueTime, UsageCounts, total_counts
 from tests.gateway_states import state
 from tests.list_world import finished
@@ -144,10 +144,10 @@
 
     def test_silent_server_is_paused_unless_it_is_the_only_one(self) -> None:
         balancer = self.balancer(2)
-        note_silence(balancer.views["s0"], 0.0)
+        record_silence(balancer.views["s0"], 0.0)
         ready = balancer.group("model").candidates(0.1, frozenset())
         self.assertEqual([view.server.id for view in ready], ["s1"])
-        note_silence(balancer.views["s1"], 0.0)
+        record_silence(balancer.views["s1"], 0.0)
         self.assertEqual(len(balancer.group("model").candidates(0.1, frozenset())), 2)
 
     def test_server_that_says_nothing_gets_no_more(self) -> None:
@@ -168,7 +168,7 @@
         balancer = self.balancer(1)
         placement = balancer.place("model", self.facts("s", "o"), self.engine, 0.0)
         assert placement is not None
-        placement.first_token()
+        placement.on_first_token()
         placement.end()
         placement.end()
         view = balancer.views["s0"]
--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -31,7 +31,9 @@
     def test_nothing_of_the_life_before_holds(self) -> None:
         self.assertEqual([server.id for server in self.gone], ["a#1"])
         view = self.balancer.views["a#2"]
-        self.assertEqual((view.covers(PARTS), view.running, view.total_prefill), (0, 0, 0))
+        self.assertEqual(
+            (view.cached_prefix_tokens(PARTS), view.running, view.total_prefill), (0, 0, 0)
+        )
         self.assertEqual(self.balancer.group("model").holders(PARTS), [])
         self.assertEqual(self.balancer.running("model"), 0)
 
@@ -44,7 +46,9 @@
         self.balancer.apply_peer_placement("n2", {}, Placed("a#1", 3, 4_000, PARTS, 4_000), ENGINE)
         self.balancer.apply_peer_loads("n3", {"a#1": (5, 9_000)})
         view = self.balancer.views["a#2"]
-        self.assertEqual((view.covers(PARTS), view.total_running, view.total_prefill), (0, 0, 0))
+        self.assertEqual(
+            (view.cached_prefix_tokens(PARTS), view.total_running, view.total_prefill), (0, 0, 0)
+        )
 
 
 class NodeTest(unittest.TestCase):
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -9,7 +9,7 @@
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import Server, ServerStatement
 from moledale.gateway.server_standing import LONGEST_DECLINE_S, LONGEST_PAUSE_S
-from moledale.gateway.server_view import note_silence
+from moledale.gateway.server_view import record_silence
 from moledale.gateway.stated_limit import LimitNews
 
 SERVICE = "plain"
@@ -97,7 +97,7 @@
     def breaks_off(self, name: str) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is not None:
-            note_silence(view, self.now)
+            record_silence(view, self.now)
 
     @rule(name=NAMES, wait_s=st.floats(0.0, MOST_TOLD_S))
     def other_nodes_were_turned_away(self, name: str, wait_s: float) -> None:
@@ -177,7 +177,7 @@
         later = self.now + 3 * MOST_TOLD_S + LONGEST_DECLINE_S + LONGEST_PAUSE_S
         for view in self.balancer.views.values():
             if view.server.id not in self.said_leaving and not view.server.leaving:
-                assert not view.is_closed(later) and not view.is_set_aside(later)
+                assert not view.is_closed(later) and not view.is_deprioritized(later)
 
     @invariant()
     def told_time_is_the_first(self) -> None:
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -20,7 +20,7 @@
     OTHER_HALL_CANDIDATES,
 )
 from moledale.gateway.server_order import HashRing, quantize
-from moledale.gateway.server_view import Placement, ServerView, note_silence
+from moledale.gateway.server_view import Placement, ServerView, record_silence
 from tests.gateway_states import state
 
 ENGINE = Engine(64, 500_000, 327_680, 270_000.0, moves=True)
@@ -84,7 +84,7 @@
         live.append(placed)
         if len(live) > 60:
             ended = live.pop(chance.randrange(len(live)))
-            ended.first_token()
+            ended.on_first_token()
             ended.end()
 
 
@@ -146,7 +146,7 @@
 
     def test_paused_server_is_a_candidate_again_after_its_pause(self) -> None:
         balancer = a_book(4)
-        note_silence(balancer.views["model1"], 1.0)
+        record_silence(balancer.views["model1"], 1.0)
         group = balancer.group("model")
         self.assertNotIn(balancer.views["model1"], group.candidates(1.1, frozenset()))
         balancer.tick(3.0)
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -13,7 +13,7 @@
 from moledale.gateway.plan import Renting
 from moledale.gateway.renting import RentingPlanner
 from moledale.gateway.server_notices import ASKED_LATER_S, MOST_TOLD
-from moledale.gateway.server_view import ServerView, note_silence
+from moledale.gateway.server_view import ServerView, record_silence
 from moledale.gateway.upstream import UpstreamConnection
 from moledale.platform.headers import PlatformHeaders
 from standins.rows import Mood
@@ -367,9 +367,9 @@
             view.record_decline(now, None)
             self.assertAlmostEqual(view.standing.declined_until - now, expected)
         view.record_accepted(view.standing.declined_at - 0.1)
-        self.assertTrue(view.is_set_aside(view.standing.declined_at))
+        self.assertTrue(view.is_deprioritized(view.standing.declined_at))
         view.record_accepted(view.standing.declined_at + 0.1)
-        self.assertFalse(view.is_set_aside(view.standing.declined_at))
+        self.assertFalse(view.is_deprioritized(view.standing.declined_at))
 
     def test_time_that_was_stated_outlasts_an_answer_to_an_earlier_request(self) -> None:
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
@@ -384,7 +384,7 @@
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
         for each in range(5_000):
             view.record_decline(float(each), None)
-            note_silence(view, float(each))
+            record_silence(view, float(each))
         self.assertEqual(view.standing.declined_until, 4_999.0 + 3.0)
         self.assertEqual(view.standing.paused_until, 4_999.0 + 3.0)
 
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -296,7 +296,7 @@
      lambda _, servers: servers, NOTICES),
     ("a time to come back is kept", ServerView, "is_open",
      lambda self, _: not self.server.leaving, NOTICES),
-    ("a full server is asked last", ServerView, "is_set_aside",
+    ("a full server is asked last", ServerView, "is_deprioritized",
      lambda self, now: self.standing.paused_until > now, NOTICES),
     ("others hear which servers leave", ServerNotices, "leaving_beyond_the_list", lambda _: [],
      NOTICES),
