--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -20,7 +20,7 @@
 from moledale.gateway.server_model import PrefillSample, Speed, SpeedEstimator
 from moledale.gateway.server_notices import ServerNotices
 from moledale.gateway.server_order import quantize
-from moledale.gateway.server_standing import FIRST_PAUSE_S
+from moledale.gateway.server_standing import FAILURE_PAUSE_INITIAL_S
 from moledale.gateway.server_view import MIN_ENGINE_SLOTS, Placement, ServerView
 from moledale.gateway.stated_limit import LimitNews
 
@@ -403,7 +403,7 @@
         for group in self._groups.values():
             for name in list(group.busy):
                 if group.views[name].is_silent(now):
-                    group.views[name].pause(now + FIRST_PAUSE_S)
+                    group.views[name].pause(now + FAILURE_PAUSE_INITIAL_S)
                     self.on_silent(name)
             group.tick(now)
 
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -373,9 +373,10 @@
         """
         views = (self.views[name] for name in self._degraded)
         standings = (view.standing for view in views if not view.server.leaving)
-        rejecting = (each for each in standings if each.declines_until() > now)
+        rejecting = (each for each in standings if each.combined_declined_until() > now)
         return sum(
-            each.declines_until() - each.declined_since > longer_than_s for each in rejecting
+            each.combined_declined_until() - each.declined_since > longer_than_s
+            for each in rejecting
         )
 
     def has_alternative(self, now: float, tried: frozenset[str]) -> bool:
--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -66,15 +66,15 @@
 
     def keep(self, view: ServerView) -> None:
         """Remember what a server asked for whose entry is gone: it may be back in a moment."""
-        asked_for = view.standing.asked_for()
-        if asked_for is not None:
-            self._asked_for[view.server.id, view.server.address] = asked_for
+        lasting_statements = view.standing.lasting_statements()
+        if lasting_statements is not None:
+            self._asked_for[view.server.id, view.server.address] = lasting_statements
 
     def restore(self, view: ServerView) -> None:
         """Hold what a server that is listed again asked for before its entry was gone."""
-        asked_for = self._asked_for.pop((view.server.id, view.server.address), None)
-        if asked_for is not None:
-            view.standing = asked_for
+        lasting_statements = self._asked_for.pop((view.server.id, view.server.address), None)
+        if lasting_statements is not None:
+            view.standing = lasting_statements
             view.notify_change()
 
     def answered(
--- a/src/moledale/gateway/server_standing.py
+++ b/src/moledale/gateway/server_standing.py
@@ -23,28 +23,28 @@
 
 from moledale.gateway.stated_limit import StatedLimit
 
-FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 3.0
+FAILURE_PAUSE_INITIAL_S = 0.5
+FAILURE_PAUSE_MAX_S = 3.0
 """A server that is silent gets no work for the first time, and at most for the second."""
 
-FIRST_DECLINE_S = 0.25
-LONGEST_DECLINE_S = 3.0
+DECLINE_PAUSE_INITIAL_S = 0.25
+DECLINE_PAUSE_MAX_S = 3.0
 """A server that turned a request away without a time to come back is asked last for the first time,
 twice as long with each further one, and at most for the second. A server that turns everything away
 looks idle, so without this it draws requests."""
 
-MOST_DOUBLED = 32
+MAX_DOUBLINGS = 32
 """Pauses double so many times at most: no pause gets longer after that, whatever its first is."""
 
-DECLINE_GAP_S = 1.0
+DECLINE_STREAK_GAP_S = 1.0
 """A server that turned requests away is taken to go on with it until it takes one, or until it was
 not asked for this long: the time between two requests of a node to a service is less."""
 
 
-def doubled(first_s: float, times: int, most_s: float) -> float:
+def exponential_pause_s(first_s: float, times: int, most_s: float) -> float:
     """Return a pause that doubles each time, up to a most; `times` may be any number from 1."""
     # A power of two beyond a float's range raises an error, and a server may fail for hours.
-    return min(first_s * 2.0 ** min(times - 1, MOST_DOUBLED), most_s)
+    return min(first_s * 2.0 ** min(times - 1, MAX_DOUBLINGS), most_s)
 
 
 class ServerStanding(msgspec.Struct):
@@ -53,7 +53,7 @@
     failures: int = 0
     paused_until: float = 0.0
     retry_at: float = 0.0
-    declines: int = 0
+    decline_streak: int = 0
     declined_at: float = 0.0
     declined_since: float = 0.0
     declined_until: float = 0.0
@@ -68,15 +68,19 @@
     def record_failure(self, now: float) -> None:
         """Learn that the server can't be reached or broke off: pause it, longer each time."""
         self.failures += 1
-        self.paused_until = now + doubled(FIRST_PAUSE_S, self.failures, LONGEST_PAUSE_S)
+        self.paused_until = now + exponential_pause_s(
+            FAILURE_PAUSE_INITIAL_S, self.failures, FAILURE_PAUSE_MAX_S
+        )
 
     def record_decline(self, now: float, retry_after_s: float | None) -> None:
         """Learn that the server turned a request away; it may say when to retry."""
-        self._note_decline(now)
-        self.declines += 1
+        self._update_streak_start(now)
+        self.decline_streak += 1
         self.declined_at = now
         if retry_after_s is None:
-            pause_s = doubled(FIRST_DECLINE_S, self.declines, LONGEST_DECLINE_S)
+            pause_s = exponential_pause_s(
+                DECLINE_PAUSE_INITIAL_S, self.decline_streak, DECLINE_PAUSE_MAX_S
+            )
             self.declined_until = max(self.declined_until, now + pause_s)
         else:
             self.retry_at = max(self.retry_at, now + retry_after_s)
@@ -87,28 +91,28 @@
 
         Return whether that changed anything.
         """
-        if not self.declines or sent_at <= self.declined_at:
+        if not self.decline_streak or sent_at <= self.declined_at:
             return False
-        self.declines = 0
+        self.decline_streak = 0
         self.declined_until = self.peers_declined_until = 0.0
         return True
 
     def record_peer_decline(self, now: float, until: float) -> None:
         """Learn that the server turned requests of other nodes away."""
-        self._note_decline(now)
+        self._update_streak_start(now)
         self.peers_declined_until = max(self.peers_declined_until, until)
 
-    def _note_decline(self, now: float) -> None:
-        if now - self.declines_until() > DECLINE_GAP_S:
+    def _update_streak_start(self, now: float) -> None:
+        if now - self.combined_declined_until() > DECLINE_STREAK_GAP_S:
             self.declined_since = now
 
-    def declines_until(self) -> float:
+    def combined_declined_until(self) -> float:
         """Return until when the server is set aside since it turned requests of any node away."""
         return max(self.declined_until, self.peers_declined_until)
 
     def is_deprioritized(self, now: float) -> bool:
         """Say whether the server gets requests only if no other one may."""
-        return max(self.paused_until, self.declines_until()) > now
+        return max(self.paused_until, self.combined_declined_until()) > now
 
     def is_held(self, now: float) -> bool:
         """Say whether no permit is to be had for the server yet."""
@@ -118,7 +122,7 @@
         """Return how long the server gets no requests of this node."""
         return max(0.0, self.retry_at - now, self.held_until - now)
 
-    def asked_for(self) -> "ServerStanding | None":
+    def lasting_statements(self) -> "ServerStanding | None":
         """Return what outlasts a lapse of the server's entry, None if it asked for nothing."""
         if not self.retry_at and not self.limit.is_known:
             return None
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -8,7 +8,7 @@
 
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import Server, ServerStatement
-from moledale.gateway.server_standing import LONGEST_DECLINE_S, LONGEST_PAUSE_S
+from moledale.gateway.server_standing import DECLINE_PAUSE_MAX_S, FAILURE_PAUSE_MAX_S
 from moledale.gateway.server_view import record_silence
 from moledale.gateway.stated_limit import LimitNews
 
@@ -174,7 +174,7 @@
     @invariant()
     def none_is_lost_for_good(self) -> None:
         """What servers asked for ends: later each that stays is as good as any other."""
-        later = self.now + 3 * MOST_TOLD_S + LONGEST_DECLINE_S + LONGEST_PAUSE_S
+        later = self.now + 3 * MOST_TOLD_S + DECLINE_PAUSE_MAX_S + FAILURE_PAUSE_MAX_S
         for view in self.balancer.views.values():
             if view.server.id not in self.said_leaving and not view.server.leaving:
                 assert not view.is_closed(later) and not view.is_deprioritized(later)
