--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -12,7 +12,7 @@
 from moledale.gateway.plan import Kind
 from moledale.gateway.reply import CHUNKED, Reply
 from moledale.gateway.request_guard import RequestGuard
-from moledale.gateway.server_notices import WRONG_SERVER
+from moledale.gateway.server_notices import MISDIRECTED_REQUEST
 from moledale.gateway.server_view import Placement, ServerView, record_answer, record_silence
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.upstream import AnswerCut, Cut, UpstreamConnection
@@ -85,10 +85,10 @@
             return
         view = placement.view
         stated = facts.statement
-        self._balancer.notices.answered(
+        self._balancer.notices.handle_answer(
             view, status, facts.not_run, stated, placement.sent_at, self._now()
         )
-        if stated.leaving and status != WRONG_SERVER:
+        if stated.leaving and status != MISDIRECTED_REQUEST:
             self._leaves(view.server.id)
 
     async def _read_rest(
--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -92,11 +92,11 @@
             listed.add(server.id)
         gone = [view.server for name, view in self.views.items() if name not in listed]
         for server in gone:
-            self.notices.keep(self.views.pop(server.id))
+            self.notices.retain_statements(self.views.pop(server.id))
         for service, here in by_service.items():
             for view in self.group(service).apply(here.values()):
                 self.views[view.server.id] = view
-                self.notices.restore(view)
+                self.notices.restore_statements(view)
                 self._add_peer_loads(view)
         return gone
 
@@ -105,11 +105,11 @@
 
         The value is the time in seconds for which a server is set aside.
         """
-        return self.notices.declined(self._groups.values(), now)
+        return self.notices.declines_to_broadcast(self._groups.values(), now)
 
     def limits(self, now: float) -> dict[str, LimitNews]:
         """Return the limits that servers stated to this node, to send to peers."""
-        return self.notices.limits(self._groups.values(), now)
+        return self.notices.limits_to_broadcast(self._groups.values(), now)
 
     def limited_count(self) -> int:
         """Return the number of servers that state a limit."""
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -120,7 +120,7 @@
 
     def server_leaves(self, name: str, source: str = "answer") -> None:
         """Give a server that said that it leaves no new work, and move its streams in time."""
-        server = self._balancer.notices.note_leaving(name)
+        server = self._balancer.notices.record_leaving(name)
         if server is not None:
             emit(Event.SERVER_LEAVING, server=name, source=source)
             self.evacuation.servers_changed()
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -361,7 +361,7 @@
             rollouts=self.rollouts.updates(),
             trials=self.rollouts.trial_counts(),
             blocks=self.quarantine.digest(),
-            leaving=self.balancer.notices.leaving_beyond_the_list(),
+            leaving=self.balancer.notices.leaving_ahead_of_list(),
             declined=self.balancer.declined(now),
             limits=self.balancer.limits(now),
             formats=FORMATS,
--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -18,23 +18,23 @@
 from moledale.gateway.stated_limit import LimitNews
 from moledale.log import Event, emit
 
-TURNED_AWAY = 503
+SERVICE_UNAVAILABLE = 503
 """Status of a server that takes no more requests for now."""
 
-WRONG_SERVER = 421
+MISDIRECTED_REQUEST = 421
 """Status of a server that is not the one that was meant: that one is gone from its address."""
 
-WRONG_SERVER_S = 4.0
+MISDIRECTED_PAUSE_S = 4.0
 """A server that is gone from its address gets no requests for this long, until its entry has lapsed
 (three heartbeats of 1.2 s) and the list was read."""
 
-MOST_REMEMBERED = 2_048
+MAX_REMEMBERED_SERVERS = 2_048
 """Servers that said that they leave, about twice as many as a large deployment has: 0.2 MB."""
 
-MOST_TOLD = 32
+MAX_BROADCAST_SERVERS = 32
 """Servers that one state tells other nodes of, of each kind: 0.6 KB at most."""
 
-ASKED_LATER_S = 0.5
+PEER_RETRY_DELAY_S = 0.5
 """A server that turned another node's requests away is asked this much later than by that node: two
 rounds of news, in which it tells how the server answered."""
 
@@ -48,36 +48,40 @@
     def __init__(self, views: dict[str, ServerView], group: Callable[[str], ServerGroup]) -> None:
         self._views = views
         self._group = group
-        self._address_of: LRUCache[str, str] = LRUCache(MOST_REMEMBERED)
-        self._beyond_the_list: set[str] = set()
-        self._asked_for: LRUCache[tuple[str, str], ServerStanding] = LRUCache(MOST_REMEMBERED)
+        self._leaving_addresses: LRUCache[str, str] = LRUCache(MAX_REMEMBERED_SERVERS)
+        self._leaving_ahead_of_list: set[str] = set()
+        self._lasting_statements: LRUCache[tuple[str, str], ServerStanding] = LRUCache(
+            MAX_REMEMBERED_SERVERS
+        )
 
     def applied_to(self, servers: Iterable[Server]) -> list[Server]:
         """Return a list of servers with those marked that said that they leave."""
-        self._beyond_the_list = set()
-        return [self._as_said(server) for server in servers]
+        self._leaving_ahead_of_list = set()
+        return [self._with_leaving_statement(server) for server in servers]
 
-    def _as_said(self, server: Server) -> Server:
+    def _with_leaving_statement(self, server: Server) -> Server:
         # A server under the same id at another address is another life of it.
-        if server.leaving or self._address_of.get(server.id) != server.address:
+        if server.leaving or self._leaving_addresses.get(server.id) != server.address:
             return server
-        self._beyond_the_list.add(server.id)
+        self._leaving_ahead_of_list.add(server.id)
         return msgspec.structs.replace(server, leaving=True)
 
-    def keep(self, view: ServerView) -> None:
+    def retain_statements(self, view: ServerView) -> None:
         """Remember what a server asked for whose entry is gone: it may be back in a moment."""
         lasting_statements = view.standing.lasting_statements()
         if lasting_statements is not None:
-            self._asked_for[view.server.id, view.server.address] = lasting_statements
+            self._lasting_statements[view.server.id, view.server.address] = lasting_statements
 
-    def restore(self, view: ServerView) -> None:
+    def restore_statements(self, view: ServerView) -> None:
         """Hold what a server that is listed again asked for before its entry was gone."""
-        lasting_statements = self._asked_for.pop((view.server.id, view.server.address), None)
+        lasting_statements = self._lasting_statements.pop(
+            (view.server.id, view.server.address), None
+        )
         if lasting_statements is not None:
             view.standing = lasting_statements
             view.notify_change()
 
-    def answered(
+    def handle_answer(
         self,
         view: ServerView,
         status: int,
@@ -87,11 +91,11 @@
         now: float,
     ) -> None:
         """Take over what an answer says of its server, but for its word that it leaves."""
-        if status == WRONG_SERVER:
-            self._back_off(view, WRONG_SERVER_S, now)
+        if status == MISDIRECTED_REQUEST:
+            self._back_off(view, MISDIRECTED_PAUSE_S, now)
             # Another server at the address says nothing of the one that was meant.
             return
-        if status == TURNED_AWAY and (not_run or stated.retry_after_s is not None):
+        if status == SERVICE_UNAVAILABLE and (not_run or stated.retry_after_s is not None):
             self._back_off(view, stated.retry_after_s, now)
         elif not not_run:
             view.record_accepted(sent_at)
@@ -111,7 +115,9 @@
         view.hold_until(0.0)
         emit(Event.SERVER_LIMIT, server=view.server.id, limit_per_s=view.limit_per_s, source=source)
 
-    def limits(self, groups: Iterable[ServerGroup], now: float) -> dict[str, LimitNews]:
+    def limits_to_broadcast(
+        self, groups: Iterable[ServerGroup], now: float
+    ) -> dict[str, LimitNews]:
         """Return the limits that servers named in answers to this node, for other nodes.
 
         Those that were heard last come first, where there are more than one state tells.
@@ -119,7 +125,8 @@
         views = [view for group in groups for view in group.limited.told(now)]
         views.sort(key=lambda view: -view.standing.limit.observed_at)
         told = (
-            (view.server.id, view.standing.limit.to_broadcast(now)) for view in views[:MOST_TOLD]
+            (view.server.id, view.standing.limit.to_broadcast(now))
+            for view in views[:MAX_BROADCAST_SERVERS]
         )
         return {name: news for name, news in told if news is not None}
 
@@ -130,29 +137,29 @@
             if view is not None and view.standing.limit.update_from_peer(news, now):
                 self._limit_changed(view, source)
 
-    def note_leaving(self, name: str) -> Server | None:
+    def record_leaving(self, name: str) -> Server | None:
         """Take over a server's word that it leaves; return the server if that is news here."""
         view = self._views.get(name)
         if view is None:
             return None
-        self._address_of[name] = view.server.address
+        self._leaving_addresses[name] = view.server.address
         if view.server.leaving:
             return None
-        self._beyond_the_list.add(name)
+        self._leaving_ahead_of_list.add(name)
         self._group(view.server.service).mark_leaving(name)
         return view.server
 
-    def leaving_beyond_the_list(self) -> list[str]:
+    def leaving_ahead_of_list(self) -> list[str]:
         """Return the servers that said that they leave while the list doesn't, for other nodes."""
-        return sorted(self._beyond_the_list)[:MOST_TOLD]
+        return sorted(self._leaving_ahead_of_list)[:MAX_BROADCAST_SERVERS]
 
-    def declined(self, groups: Iterable[ServerGroup], now: float) -> dict[str, float]:
+    def declines_to_broadcast(self, groups: Iterable[ServerGroup], now: float) -> dict[str, float]:
         """Return the servers that turned this node's requests away, with the seconds for which they
         are set aside, for other nodes."""
         declined = [view for group in groups for view in group.declined(now)]
         return {
             view.server.id: round(view.standing.declined_until - now, 2)
-            for view in declined[:MOST_TOLD]
+            for view in declined[:MAX_BROADCAST_SERVERS]
         }
 
     def peers_declined(self, declined: dict[str, float], now: float) -> None:
@@ -163,4 +170,4 @@
         for name, wait_s in declined.items():
             view = self._views.get(name)
             if view is not None:
-                view.record_peer_decline(now, now + wait_s + ASKED_LATER_S)
+                view.record_peer_decline(now, now + wait_s + PEER_RETRY_DELAY_S)
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -76,7 +76,7 @@
     @rule(name=NAMES, by_peer=st.booleans())
     def says_that_it_leaves(self, name: str, by_peer: bool) -> None:
         if name in self.listed:
-            self.balancer.notices.note_leaving(self.id_of(name))
+            self.balancer.notices.record_leaving(self.id_of(name))
             self.said_leaving.add(self.id_of(name))
 
     @rule(name=NAMES, wait_s=WAITS)
@@ -111,7 +111,7 @@
         if view is None:
             return
         sent_at = self.now - sent_ago_s
-        self.balancer.notices.answered(
+        self.balancer.notices.handle_answer(
             view, 200, False, ServerStatement(limit_per_s=limit), sent_at, self.now
         )
         known, heard_at = self.limits.get(view.server.id, (None, -1e9))
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -245,7 +245,7 @@
         # 0.9, 0.8, none and 1 of them are missing.
         self.assertEqual(group.limited.lost(15.0, usual_per_s, boot_s), 2)
         self.assertEqual(group.limited.lost(15.0, 0.0, boot_s), 1)
-        balancer.notices.note_leaving("s3")
+        balancer.notices.record_leaving("s3")
         self.assertEqual(group.limited.lost(15.0, usual_per_s, boot_s), 1)
 
     def test_requests_of_all_nodes_tell_what_is_usual(self) -> None:
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -12,7 +12,7 @@
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.plan import Renting
 from moledale.gateway.renting import RentingPlanner
-from moledale.gateway.server_notices import ASKED_LATER_S, MOST_TOLD
+from moledale.gateway.server_notices import MAX_BROADCAST_SERVERS, PEER_RETRY_DELAY_S
 from moledale.gateway.server_view import ServerView, record_silence
 from moledale.gateway.upstream import UpstreamConnection
 from moledale.platform.headers import PlatformHeaders
@@ -189,7 +189,7 @@
         balancer = LoadBalancer("a")
         ready = Server("s1", "model", "h:1", "a", 64)
         balancer.apply([msgspec.structs.replace(ready, leaving=True)])
-        self.assertIsNone(balancer.notices.note_leaving("s1"))
+        self.assertIsNone(balancer.notices.record_leaving("s1"))
         balancer.apply([ready])
         self.assertTrue(balancer.views["s1"].server.leaving)
 
@@ -224,7 +224,7 @@
                     self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
                 self.assertFalse(world.balancer.views["s1"].server.leaving)
-                self.assertEqual(world.balancer.notices.leaving_beyond_the_list(), [])
+                self.assertEqual(world.balancer.notices.leaving_ahead_of_list(), [])
 
         quietly(work())
 
@@ -441,7 +441,7 @@
             await until(lambda: second.balancer.views["s1"].standing.peers_declined_until > now)
             view = second.balancer.views["s1"]
             self.assertGreater(view.standing.peers_declined_until, now + RETRY_AFTER_S)
-            latest = monotonic() + RETRY_AFTER_S + ASKED_LATER_S
+            latest = monotonic() + RETRY_AFTER_S + PEER_RETRY_DELAY_S
             self.assertLessEqual(view.standing.peers_declined_until, latest)
             # It is the only server, and has asked this node for nothing.
             cluster.backend.script = fine
@@ -456,15 +456,15 @@
         for name in names[:50]:
             balancer.views[name].record_decline(1.0, 5.0)
         for name in names[50:]:
-            balancer.notices.note_leaving(name)
-        self.assertEqual(len(balancer.declined(1.0)), MOST_TOLD)
-        self.assertEqual(len(balancer.notices.leaving_beyond_the_list()), MOST_TOLD)
+            balancer.notices.record_leaving(name)
+        self.assertEqual(len(balancer.declined(1.0)), MAX_BROADCAST_SERVERS)
+        self.assertEqual(len(balancer.notices.leaving_ahead_of_list()), MAX_BROADCAST_SERVERS)
 
     def test_what_the_list_says_is_not_told(self) -> None:
         balancer = LoadBalancer("a")
         ready = Server("s1", "model", "h:1", "a", 64)
         balancer.apply([ready])
-        balancer.notices.note_leaving("s1")
-        self.assertEqual(balancer.notices.leaving_beyond_the_list(), ["s1"])
+        balancer.notices.record_leaving("s1")
+        self.assertEqual(balancer.notices.leaving_ahead_of_list(), ["s1"])
         balancer.apply([msgspec.structs.replace(ready, leaving=True)])
-        self.assertEqual(balancer.notices.leaving_beyond_the_list(), [])
+        self.assertEqual(balancer.notices.leaving_ahead_of_list(), [])
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -298,7 +298,7 @@
      lambda self, _: not self.server.leaving, NOTICES),
     ("a full server is asked last", ServerView, "is_deprioritized",
      lambda self, now: self.standing.paused_until > now, NOTICES),
-    ("others hear which servers leave", ServerNotices, "leaving_beyond_the_list", lambda _: [],
+    ("others hear which servers leave", ServerNotices, "leaving_ahead_of_list", lambda _: [],
      NOTICES),
     ("others ask a full server later", ServerNotices, "peers_declined", lambda *_: None, NOTICES),
     ("callers come back when any server is free", Refusals, "wait_s", lambda *_: None, NOTICES),
