--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -78,13 +78,15 @@
             return
         # The node that asks may have heard the limit a moment before its state tells it.
         asked_by = LimitNews(message.per_s, message.age_s)
-        self._balancer.notices.peer_limits({message.server: asked_by}, message.peer, self._now())
+        self._balancer.notices.merge_peer_limits(
+            {message.server: asked_by}, message.peer, self._now()
+        )
         self._send(self.permits.grant(message), message.peer)
 
     def on_state(self, state: NodeState) -> None:
         """Take over the limits that a node heard itself."""
         if state.limits:
-            self._balancer.notices.peer_limits(state.limits, state.id, self._now())
+            self._balancer.notices.merge_peer_limits(state.limits, state.id, self._now())
 
     def on_placed(self, news: PlacementNews) -> None:
         """Count what a build that knows no limits sent to servers that this node grants for."""
--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -130,7 +130,7 @@
         )
         return {name: news for name, news in told if news is not None}
 
-    def peer_limits(self, limits: dict[str, LimitNews], source: str, now: float) -> None:
+    def merge_peer_limits(self, limits: dict[str, LimitNews], source: str, now: float) -> None:
         """Take over the limits that another node heard."""
         for name, news in limits.items():
             view = self._views.get(name)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -92,7 +92,7 @@
     def limit(self, per_s: float, server: str = "s0") -> None:
         """Let all nodes hear of a limit from an answer."""
         for node in self.nodes.values():
-            node.balancer.notices.peer_limits({server: LimitNews(per_s, 0.0)}, "x", self.now)
+            node.balancer.notices.merge_peer_limits({server: LimitNews(per_s, 0.0)}, "x", self.now)
 
     def grantor(self, server: str = "s0") -> Node:
         """Return the node that grants for a server."""
@@ -205,7 +205,7 @@
         async def work() -> None:
             world = World("n0", "n1", "n2")
             asker = world.others()[0]
-            asker.balancer.notices.peer_limits({"s0": LimitNews(1.0, 0.0)}, "x", world.now)
+            asker.balancer.notices.merge_peer_limits({"s0": LimitNews(1.0, 0.0)}, "x", world.now)
             world.now += 0.1
             self.assertFalse(await asker.sharing.permits.take(asker.view()))
             self.assertEqual(world.grantor().view().limit_per_s, 1.0)
@@ -435,7 +435,7 @@
         balancer = LoadBalancer("a")
         balancer.apply([Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(3_000)])
         limits = {name: LimitNews(1.0, 0.0) for name in balancer.views}
-        balancer.notices.peer_limits(limits, "n1", 10.0)
+        balancer.notices.merge_peer_limits(limits, "n1", 10.0)
         for number, view in enumerate(balancer.views.values()):
             view.hold_until(11.0 + number)
         group = balancer.group("plain")
@@ -452,12 +452,12 @@
         balancer = LoadBalancer("a")
         balancer.apply(SERVERS[:1])
         view = balancer.views["s0"]
-        balancer.notices.peer_limits({"s0": LimitNews(0.2, 0.0)}, "n1", 10.0)
+        balancer.notices.merge_peer_limits({"s0": LimitNews(0.2, 0.0)}, "n1", 10.0)
         view.hold_until(15.0)
         group = balancer.group("plain")
         self.assertEqual(group.candidates(10.1, frozenset()), [])
         self.assertEqual(group.retry_in_s(10.1), 15.0 - 10.1)
-        balancer.notices.peer_limits({"s0": LimitNews(None, 0.0)}, "n1", 10.2)
+        balancer.notices.merge_peer_limits({"s0": LimitNews(None, 0.0)}, "n1", 10.2)
         self.assertEqual(group.candidates(10.2, frozenset()), [view])
 
 
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -123,7 +123,7 @@
     @rule(name=NAMES, limit=LIMITS, age_s=st.floats(0.0, 3.0))
     def other_node_tells_a_limit(self, name: str, limit: float | None, age_s: float) -> None:
         server = self.id_of(name)
-        self.balancer.notices.peer_limits({server: LimitNews(limit, age_s)}, "n2", self.now)
+        self.balancer.notices.merge_peer_limits({server: LimitNews(limit, age_s)}, "n2", self.now)
         heard_at = self.now - age_s
         if server in self.balancer.views and heard_at > self.limits.get(server, (None, -1e9))[1]:
             self.believe(server, limit, heard_at)
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -145,7 +145,7 @@
                 await world.add(first, "plain")
                 await world.add(limited_server("s2", 0.1), "plain")
                 limit = {"s2": LimitNews(0.1, 0.0)}
-                world.balancer.notices.peer_limits(limit, "n2", monotonic())
+                world.balancer.notices.merge_peer_limits(limit, "n2", monotonic())
                 self.assertEqual((await world.ask("/check/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
 
@@ -162,7 +162,7 @@
                     connection = await take(server, address)
                     if server == "s1":
                         limit = {"s1": LimitNews(0.1, 0.0)}
-                        world.balancer.notices.peer_limits(limit, "n2", monotonic())
+                        world.balancer.notices.merge_peer_limits(limit, "n2", monotonic())
                     return connection
 
                 world.pool.take = take_slowly  # type: ignore[method-assign]
@@ -201,7 +201,7 @@
             balancer = LoadBalancer("a")
             balancer.apply([Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(6)])
             limits = {name: LimitNews(1.0, 0.0) for name in balancer.views}
-            balancer.notices.peer_limits(limits, "n2", monotonic())
+            balancer.notices.merge_peer_limits(limits, "n2", monotonic())
             permits = standalone_permit_client(balancer, monotonic)
             with mock.patch.object(
                 permits, "grant", side_effect=lambda ask: grant_only("s3", ask)
@@ -218,7 +218,7 @@
         async def work() -> None:
             balancer = LoadBalancer("a")
             balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(3)])
-            balancer.notices.peer_limits({"s1": LimitNews(0.1, 0.0)}, "n2", monotonic())
+            balancer.notices.merge_peer_limits({"s1": LimitNews(0.1, 0.0)}, "n2", monotonic())
             placer = Placer(balancer, standalone_permit_client(balancer, monotonic), monotonic)
             engine = Engine(4, 100_000, 1, 1000.0, moves=True, event_tokens=3)
             for number in range(6):
@@ -239,7 +239,7 @@
         balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(6)])
         group = balancer.group("model")
         for name, limit in (("s0", 0.5), ("s1", 1.0), ("s2", 50.0), ("s3", 0.0)):
-            balancer.notices.peer_limits({name: LimitNews(limit, 0.0)}, "n1", 10.0)
+            balancer.notices.merge_peer_limits({name: LimitNews(limit, 0.0)}, "n1", 10.0)
         usual_per_s, boot_s = 5.0, 4.0
         self.assertEqual(group.limited.lost(13.0, usual_per_s, boot_s), 0)
         # 0.9, 0.8, none and 1 of them are missing.
