--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -482,7 +482,7 @@
             self._gossip.tell(StateNews(self._state(), self.neighbours.hints(now)), [state.peer])
         for name in state.leaving:
             self.forwarder.server_leaves(name, source=state.id)
-        self.balancer.notices.peers_declined(state.declined, now)
+        self.balancer.notices.merge_peer_declines(state.declined, now)
         self.server_limits.on_state(state)
         self.rollouts.merge(state.rollouts)
         self.neighbours.addresses.add(state.peer, now)
--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -103,14 +103,14 @@
         if not stated.limit_unreadable and limit.update_from_answer(
             stated.limit_per_s, sent_at, now
         ):
-            self._limit_changed(view, "answer")
+            self._on_limit_change(view, "answer")
 
     def _back_off(self, view: ServerView, retry_after_s: float | None, now: float) -> None:
         view.record_decline(now, retry_after_s)
         if retry_after_s is not None:
             emit(Event.SERVER_BACKOFF, server=view.server.id, retry_after_s=retry_after_s)
 
-    def _limit_changed(self, view: ServerView, source: str) -> None:
+    def _on_limit_change(self, view: ServerView, source: str) -> None:
         # A time that was told for another limit may be long past what this one asks for.
         view.hold_until(0.0)
         emit(Event.SERVER_LIMIT, server=view.server.id, limit_per_s=view.limit_per_s, source=source)
@@ -135,7 +135,7 @@
         for name, news in limits.items():
             view = self._views.get(name)
             if view is not None and view.standing.limit.update_from_peer(news, now):
-                self._limit_changed(view, source)
+                self._on_limit_change(view, source)
 
     def record_leaving(self, name: str) -> Server | None:
         """Take over a server's word that it leaves; return the server if that is news here."""
@@ -162,7 +162,7 @@
             for view in declined[:MAX_BROADCAST_SERVERS]
         }
 
-    def peers_declined(self, declined: dict[str, float], now: float) -> None:
+    def merge_peer_declines(self, declined: dict[str, float], now: float) -> None:
         """Take over which servers turned another node's requests away.
 
         That node asks them again first, so that others learn how it went before they do.
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -101,7 +101,7 @@
 
     @rule(name=NAMES, wait_s=st.floats(0.0, MOST_TOLD_S))
     def other_nodes_were_turned_away(self, name: str, wait_s: float) -> None:
-        self.balancer.notices.peers_declined({self.id_of(name): wait_s}, self.now)
+        self.balancer.notices.merge_peer_declines({self.id_of(name): wait_s}, self.now)
 
     @rule(name=NAMES, limit=LIMITS, sent_ago_s=st.floats(0.0, 3.0))
     def answers_with_a_limit_or_none(
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -393,10 +393,10 @@
         balancer = LoadBalancer("a")
         balancer.apply([Server("s1", "model", "h:1", "a", 64)])
         for step in range(20):
-            balancer.notices.peers_declined({"s1": 1.0}, 10.0 + 0.2 * step)
+            balancer.notices.merge_peer_declines({"s1": 1.0}, 10.0 + 0.2 * step)
         self.assertEqual(balancer.group("model").unavailable(13.8, 4.0), 1)
         self.assertEqual(balancer.declined(13.8), {})
-        balancer.notices.peers_declined({"s1": 1.0}, 30.0)
+        balancer.notices.merge_peer_declines({"s1": 1.0}, 30.0)
         self.assertEqual(balancer.group("model").unavailable(30.0, 4.0), 0)
 
     def test_servers_that_turn_away_for_longer_than_a_start_are_made_up_for(self) -> None:
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -300,7 +300,7 @@
      lambda self, now: self.standing.paused_until > now, NOTICES),
     ("others hear which servers leave", ServerNotices, "leaving_ahead_of_list", lambda _: [],
      NOTICES),
-    ("others ask a full server later", ServerNotices, "peers_declined", lambda *_: None, NOTICES),
+    ("others ask a full server later", ServerNotices, "merge_peer_declines", lambda *_: None, NOTICES),
     ("callers come back when any server is free", Refusals, "wait_s", lambda *_: None, NOTICES),
     ("servers that turn away are made up for", ServerGroup, "unavailable", lambda *_: 0, NOTICES),
     ("requests to a limited server need a permit", PermitClient, "take", _grant_all, SERVER_LIMITS),
