--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -16,7 +16,7 @@
 from moledale.gateway.job import Job
 from moledale.gateway.messages import InboundRequest
 from moledale.gateway.pool import ConnectionPool
-from moledale.gateway.server_ends import BrokenOff, EndWatch
+from moledale.gateway.server_ends import BrokenRequests, CrashDetector
 from moledale.gateway.server_view import Placement
 from moledale.log import Event, emit
 
@@ -55,7 +55,7 @@
         self.on_end: Callable[[EndSeen], None] = _nobody_hears
         self.on_cleared: Callable[[bytes], None] = _nobody_hears
         self.on_block: Callable[[Block], None] = _nobody_hears
-        self._watch = EndWatch(pool, self._looked, now)
+        self._watch = CrashDetector(pool, self._looked, now)
         self._now = now
         self._seen_here: set[bytes] = set()
 
@@ -79,7 +79,7 @@
         if placement.view.server.leaving:
             self._blame(placement)
         else:
-            self._watch.broke_off(placement, job.fingerprint)
+            self._watch.record_broken(placement, job.fingerprint)
 
     def served(self, job: Job) -> None:
         """Note that a server survived a request, which is not to blame for ends then."""
@@ -101,7 +101,7 @@
             self._tell_blocked(block)
         self._seen_here = {each for each in self._seen_here if self.quarantine.is_suspect(each)}
 
-    def _looked(self, broken: BrokenOff, ended: bool) -> None:
+    def _looked(self, broken: BrokenRequests, ended: bool) -> None:
         if not ended:
             for placement in broken.placements:
                 self._blame(placement)
--- a/src/moledale/gateway/server_ends.py
+++ b/src/moledale/gateway/server_ends.py
@@ -17,12 +17,12 @@
 from moledale.gateway.upstream import ConnectFailed
 from moledale.node.background import Background
 
-COLLECT_S = 0.02
+COLLECT_WINDOW_S = 0.02
 """All answers of a server that ends break off within this time: its connections are reset at the
 same moment (within 2 ms in the logs of 26 ends), and a node may be busy."""
 
 
-class BrokenOff(msgspec.Struct):
+class BrokenRequests(msgspec.Struct):
     """What broke off at a server, and when the first of it did (monotonic seconds)."""
 
     server: Server
@@ -31,38 +31,41 @@
     placements: list[Placement] = []
 
 
-Looked = Callable[[BrokenOff, bool], None]
+CrashCheckCallback = Callable[[BrokenRequests, bool], None]
 """Hears what broke off at a server, and whether the server has ended."""
 
 
-class EndWatch:
-    """Looks after servers whose answers broke off; `looked` hears what was found."""
+class CrashDetector:
+    """Looks after servers whose answers broke off; `on_checked` hears what was found."""
 
     def __init__(
-        self, pool: ConnectionPool, looked: Looked, now: Callable[[], float] = monotonic
+        self,
+        pool: ConnectionPool,
+        on_checked: CrashCheckCallback,
+        now: Callable[[], float] = monotonic,
     ) -> None:
         self._pool = pool
-        self._looked = looked
+        self._on_checked = on_checked
         self._now = now
-        self._broken: dict[str, BrokenOff] = {}
+        self._broken: dict[str, BrokenRequests] = {}
         self._background = Background("server ends")
 
-    def broke_off(self, placement: Placement, fingerprint: bytes) -> None:
+    def record_broken(self, placement: Placement, fingerprint: bytes) -> None:
         """Note that a request broke off."""
         server = placement.view.server
         broken = self._broken.get(server.id)
         if broken is None:
-            broken = self._broken[server.id] = BrokenOff(server, self._now())
-            self._background.start(self._look(server.id))
+            broken = self._broken[server.id] = BrokenRequests(server, self._now())
+            self._background.start(self._check(server.id))
         broken.requests.append(fingerprint)
         broken.placements.append(placement)
 
-    async def _look(self, server: str) -> None:
-        await asyncio.sleep(COLLECT_S)
+    async def _check(self, server: str) -> None:
+        await asyncio.sleep(COLLECT_WINDOW_S)
         broken = self._broken.pop(server)
-        self._looked(broken, await self._has_ended(broken.server))
+        self._on_checked(broken, await self._has_crashed(broken.server))
 
-    async def _has_ended(self, server: Server) -> bool:
+    async def _has_crashed(self, server: Server) -> bool:
         """Ask by a connection, which is kept for the next request if it comes about."""
         if self._pool.has_idle(server.id):
             return False
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -56,7 +56,7 @@
 from moledale.gateway.request_guard import RequestGuard
 from moledale.gateway.retries import RetryBudget
 from moledale.gateway.rollouts import ServiceRollout
-from moledale.gateway.server_ends import BrokenOff, EndWatch
+from moledale.gateway.server_ends import BrokenRequests, CrashDetector
 from moledale.gateway.server_group import ServerGroup
 from moledale.gateway.server_list import ServerList
 from moledale.gateway.server_model import Slowness, SpeedEstimator
@@ -219,7 +219,7 @@
     return True
 
 
-def _blame_each(self: RequestGuard, broken: BrokenOff, ended: bool) -> None:
+def _blame_each(self: RequestGuard, broken: BrokenRequests, ended: bool) -> None:
     """Hold each answer that broke off against the version."""
     for placement in broken.placements:
         self._blame(placement)
@@ -277,7 +277,7 @@
     ("routes with few requests are tried sooner", ServiceRollout, "is_undertested",
      lambda *_: False, VERSIONS),
     ("a request is known when it comes again", RequestGuard, "wait_s", lambda *_: 0.0, BLOCKS),
-    ("only servers that ended count", EndWatch, "_has_ended", _always_ended, BLOCKS),
+    ("only servers that ended count", CrashDetector, "_has_crashed", _always_ended, BLOCKS),
     ("ends at the same moment are shared out", Quarantine, "_strike_share", lambda *_: 1.0, BLAME),
     ("an answer clears its request", Quarantine, "record_served", lambda *_: False, BLAME),
     ("ends are told between nodes", QuarantineSharing, "_send_end", lambda *_: None, BLOCKS),
