--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -9,7 +9,7 @@
 from moledale.gateway.server_order import ServerPriorityQueue, quantize
 from moledale.gateway.server_view import ServerView
 
-LEAST_USUAL_PER_S = 1e-3
+MIN_USUAL_PER_S = 1e-3
 """Servers that get fewer requests a second lose nothing by a limit."""
 
 NONE_EXCLUDED: frozenset[str] = frozenset()
@@ -21,50 +21,50 @@
     def __init__(self) -> None:
         self.names: set[str] = set()
         self._views: dict[str, ServerView] = {}
-        self._heard: dict[str, ServerView] = {}
-        self._counted: dict[str, float] = {}
-        self._sum = 0.0
+        self._first_hand: dict[str, ServerView] = {}
+        self._counted_per_s: dict[str, float] = {}
+        self._total_per_s = 0.0
 
-    def note(self, view: ServerView) -> None:
+    def update(self, view: ServerView) -> None:
         """Take over what a server names."""
         name, limit = view.server.id, view.limit_per_s
         if view.standing.limit.first_hand:
-            self._heard[name] = view
+            self._first_hand[name] = view
         if limit is None:
             self._forget(name)
             return
         self.names.add(name)
         self._views[name] = view
-        self._sum += limit - self._counted.get(name, 0.0)
-        self._counted[name] = limit
+        self._total_per_s += limit - self._counted_per_s.get(name, 0.0)
+        self._counted_per_s[name] = limit
 
     def drop(self, name: str) -> None:
         """Forget a server that is there no more."""
         self._forget(name)
-        self._heard.pop(name, None)
+        self._first_hand.pop(name, None)
 
     def _forget(self, name: str) -> None:
         self.names.discard(name)
         self._views.pop(name, None)
-        self._sum -= self._counted.pop(name, 0.0)
+        self._total_per_s -= self._counted_per_s.pop(name, 0.0)
 
-    def sum_per_s(self) -> float:
+    def total_per_s(self) -> float:
         """Return the requests a second that they take together."""
-        return max(0.0, self._sum)
+        return max(0.0, self._total_per_s)
 
     def told(self, now: float) -> list[ServerView]:
         """Return those of which other nodes are to hear that they name a limit, or none."""
-        limits = {name: view.standing.limit for name, view in self._heard.items()}
+        limits = {name: view.standing.limit for name, view in self._first_hand.items()}
         for name in [name for name, limit in limits.items() if limit.to_broadcast(now) is None]:
-            del self._heard[name]
-        return list(self._heard.values())
+            del self._first_hand[name]
+        return list(self._first_hand.values())
 
-    def lost(self, now: float, usual_per_s: float, longer_than_s: float) -> int:
+    def lost_servers(self, now: float, usual_per_s: float, longer_than_s: float) -> int:
         """Return as how many servers less those count that name limits for longer than that.
 
         One that takes half of `usual_per_s`, what servers get that name none, is half a server.
         """
-        usual_per_s = max(usual_per_s, LEAST_USUAL_PER_S)
+        usual_per_s = max(usual_per_s, MIN_USUAL_PER_S)
         lasting = [
             view
             for view in self._views.values()
@@ -77,12 +77,12 @@
 class ClosedServers:
     """Those that leave, back off or are held back for want of a permit."""
 
-    def __init__(self, chance: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         self._closed: set[str] = set()
-        self._held = ServerPriorityQueue(chance)
-        self._backing_off = ServerPriorityQueue(chance)
+        self._held = ServerPriorityQueue(rng)
+        self._backing_off = ServerPriorityQueue(rng)
 
-    def note(self, view: ServerView, allowed: bool, now: float) -> None:
+    def update(self, view: ServerView, allowed: bool, now: float) -> None:
         """Take over how a server stands; `allowed` says whether its version gets work."""
         if view.is_closed(now):
             self._closed.add(view.server.id)
@@ -104,13 +104,13 @@
         self._held.drop(view)
         self._backing_off.drop(view)
 
-    def are_all(self, number: int) -> bool:
+    def all_closed(self, number: int) -> bool:
         """Say whether so many servers are all there are, and closed."""
         return len(self._closed) == number
 
-    def next_open(self, now: float) -> ServerView | None:
+    def next_reopened(self, now: float) -> ServerView | None:
         """Return a server that is open by now and was not noted so yet, None if there is none."""
-        for view in self._firsts():
+        for view in self._earliest():
             if not view.is_closed(now):
                 return view
         return None
@@ -122,8 +122,8 @@
 
     def opens_in_s(self, now: float) -> float | None:
         """Return when the first server opens, None if none is known to."""
-        return min((view.standing.opens_in_s(now) for view in self._firsts()), default=None)
+        return min((view.standing.opens_in_s(now) for view in self._earliest()), default=None)
 
-    def _firsts(self) -> list[ServerView]:
+    def _earliest(self) -> list[ServerView]:
         backing_off = self._backing_off.lowest(1, NONE_EXCLUDED)
         return self._held.lowest(1, NONE_EXCLUDED) + backing_off
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -55,7 +55,7 @@
         wait_s = self.wait_s(job)
         if wait_s is None:
             return NO_SERVER_AGAIN_S
-        limit_per_s = self._balancer.group(job.service).limited.sum_per_s()
+        limit_per_s = self._balancer.group(job.service).limited.total_per_s()
         if wait_s > 0 and limit_per_s:
             return self._turns.next_s(job.service, wait_s, limit_per_s)
         usual_s = NO_SERVER_AGAIN_S if last.ending is Ending.NOT_SENT else NOT_RUN_AGAIN_S
--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -71,7 +71,7 @@
         planner = self._planner(service)
         usual_per_s = self._sharing.requests_per_s(service, now) / max(1, len(servers))
         planner.unavailable = group.unavailable(now, renting.boot_s)
-        planner.unavailable += group.limited.lost(now, usual_per_s, renting.boot_s)
+        planner.unavailable += group.limited.lost_servers(now, usual_per_s, renting.boot_s)
         for order in planner.orders(renting, servers, now):
             grant = self._keeper.grant()
             if grant is None:
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -143,7 +143,7 @@
     def _reopen_closed(self, now: float) -> None:
         """Make servers available as soon as they may get requests, before the next tick."""
         self._now = max(self._now, now)
-        while view := self.closed.next_open(self._now):
+        while view := self.closed.next_reopened(self._now):
             self.update(view)
 
     def _update_degraded(self, view: ServerView) -> None:
@@ -328,7 +328,7 @@
         If no allowed version is present, any version that is not rejected counts, unless the rule
         keeps work from its target version.
         """
-        if self.closed.are_all(len(self.views)):
+        if self.closed.all_closed(len(self.views)):
             return []
         staying = [
             view
@@ -347,7 +347,7 @@
         It is 0 if one may get a request now.
         """
         self._reopen_closed(now)
-        if self.closed.are_all(len(self.views)):
+        if self.closed.all_closed(len(self.views)):
             return self.closed.opens_in_s(now)
         first = None
         for view in self.views.values():
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -444,7 +444,7 @@
         ) as asked:
             self.assertEqual(group.candidates(10.5, frozenset()), [])
             self.assertEqual(group.retry_in_s(10.5), 0.5)
-            self.assertEqual(group.limited.sum_per_s(), 3_000.0)
+            self.assertEqual(group.limited.total_per_s(), 3_000.0)
             self.assertEqual(len(group.candidates(11.1, frozenset())), 1)
         self.assertLess(asked.call_count, 20)
 
--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -169,7 +169,7 @@
         assert limits == heard
         limited = {name: limit for name, limit in heard.items() if limit is not None}
         assert group.limited.names == set(limited)
-        assert abs(group.limited.sum_per_s() - sum(limited.values())) < 1e-6
+        assert abs(group.limited.total_per_s() - sum(limited.values())) < 1e-6
 
     @invariant()
     def none_is_lost_for_good(self) -> None:
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -241,12 +241,12 @@
         for name, limit in (("s0", 0.5), ("s1", 1.0), ("s2", 50.0), ("s3", 0.0)):
             balancer.notices.merge_peer_limits({name: LimitNews(limit, 0.0)}, "n1", 10.0)
         usual_per_s, boot_s = 5.0, 4.0
-        self.assertEqual(group.limited.lost(13.0, usual_per_s, boot_s), 0)
+        self.assertEqual(group.limited.lost_servers(13.0, usual_per_s, boot_s), 0)
         # 0.9, 0.8, none and 1 of them are missing.
-        self.assertEqual(group.limited.lost(15.0, usual_per_s, boot_s), 2)
-        self.assertEqual(group.limited.lost(15.0, 0.0, boot_s), 1)
+        self.assertEqual(group.limited.lost_servers(15.0, usual_per_s, boot_s), 2)
+        self.assertEqual(group.limited.lost_servers(15.0, 0.0, boot_s), 1)
         balancer.notices.record_leaving("s3")
-        self.assertEqual(group.limited.lost(15.0, usual_per_s, boot_s), 1)
+        self.assertEqual(group.limited.lost_servers(15.0, usual_per_s, boot_s), 1)
 
     def test_requests_of_all_nodes_tell_what_is_usual(self) -> None:
         members = Membership("n0", 1)
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -314,7 +314,7 @@
     ("those that are refused come one after the other", Pacer, "_retry_after_s",
      lambda _, wait_s, __: wait_s, "tests.test_pacing"),
     ("requests wait for their turn", Placer, "_wait_for_permit", _no_turn, SERVER_LIMITS),
-    ("limits are made up for by renting", LimitedServers, "lost", lambda *_: 0, SERVER_LIMITS),
+    ("limits are made up for by renting", LimitedServers, "lost_servers", lambda *_: 0, SERVER_LIMITS),
     ("starting nodes tell all what they admit", Neighbours, "_spends_unheard",
      lambda *_: False, LIMITS),
     ("the holder's looks are reckoned with", rollouts, "POLLS_AFTER_RISE", 0,
