--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -230,7 +230,7 @@
             passed = job.cutter.passed
             whole = job.cutter.feed(data)
             if whole:
-                run.note_events(job.cutter.passed - passed, self._now())
+                run.record_events(job.cutter.passed - passed, self._now())
                 job.note_event(self._now())
                 self._begin_stream(job, head)
                 job.reply.send(whole)
@@ -241,7 +241,7 @@
         job.reply.send(job.cutter.rest())
         job.reply.finish()
         self._balancer.record_completion(placement, self._now())
-        self._balancer.record_pace(placement, run.events_here, self._now())
+        self._balancer.record_pace(placement, run.server_events, self._now())
         return Attempt(Ending.ANSWERED)
 
     def _begin_stream(self, job: Job, head: AnswerHead) -> None:
--- a/src/moledale/gateway/evacuation.py
+++ b/src/moledale/gateway/evacuation.py
@@ -27,22 +27,22 @@
 END_MARGIN_S = 0.3
 """Streams are to have left a server this long before it ends: a few events of 30 ms and the way."""
 
-TWO_COPIES_X = 3.0
+PRECOPY_MIN_TIME_FACTOR = 3.0
 """A copy is made ahead if at least this many times the copy's time is left."""
 
-MOST_AT_ONCE = 3
+MAX_CONCURRENT_MOVES = 3
 """Moves from one server at once: they queue at its link, so more would not be quicker."""
 
-CALL_MARGIN_S = 1.0
+MOVE_TIMEOUT_MARGIN_S = 1.0
 """Time of a move beyond what its copy takes, for others that wait at the links."""
 
-FIRST_TOKEN_S = 0.3
+ASSUMED_FIRST_TOKEN_S = 0.3
 """Time to a first event that is assumed of a stream without any yet."""
 
-EVENT_S = 0.03
+ASSUMED_EVENT_INTERVAL_S = 0.03
 """Time between two events where none was seen yet."""
 
-OTHER_HALL_X = 2.0
+CROSS_HALL_COPY_FACTOR = 2.0
 """A copy to another hall takes so many times as long as one within a hall."""
 
 
@@ -90,29 +90,29 @@
     placement: Placement
     event_tokens: int = 1
     events: int = 0
-    events_here: int = 0
+    server_events: int = 0
     stopping: bool = False
     done: bool = False
     first_event_at: float = 0.0
     last_event_at: float = 0.0
-    next: asyncio.Future[Continuation | None] = msgspec.field(
+    continuation: asyncio.Future[Continuation | None] = msgspec.field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
 
-    def note_events(self, number: int, now: float) -> None:
+    def record_events(self, number: int, now: float) -> None:
         """Note that events came; those of an earlier server tell nothing of this one's pace."""
-        if not self.events_here:
+        if not self.server_events:
             self.first_event_at = now
         self.events += number
-        self.events_here += number
+        self.server_events += number
         self.last_event_at = now
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Estimate the time until the stream ends."""
         most = max(1, self.facts.answer_tokens // self.event_tokens)
-        if self.events_here < 2:
-            return FIRST_TOKEN_S + most * EVENT_S
-        pace = (self.last_event_at - self.first_event_at) / (self.events_here - 1)
+        if self.server_events < 2:
+            return ASSUMED_FIRST_TOKEN_S + most * ASSUMED_EVENT_INTERVAL_S
+        pace = (self.last_event_at - self.first_event_at) / (self.server_events - 1)
         return max(0, most - self.events) * pace - (now - self.last_event_at)
 
     def tokens(self) -> int:
@@ -123,7 +123,7 @@
 class Evacuation:
     """Watches for servers that leave, and moves this node's streams away from them.
 
-    `notice_s` is the time that a server has left where the list doesn't tell.
+    `default_notice_s` is the time that a server has left where the list doesn't tell.
     """
 
     def __init__(
@@ -131,7 +131,7 @@
         engines: Engines,
         balancer: LoadBalancer,
         index: Callable[[], PlanIndex | None],
-        notice_s: float,
+        default_notice_s: float,
         now: Callable[[], float] = monotonic,
         placer: Placer | None = None,
     ) -> None:
@@ -140,7 +140,7 @@
         self._engines = engines
         self._balancer = balancer
         self._index = index
-        self._notice_s = notice_s
+        self._default_notice_s = default_notice_s
         self._now = now
         self._ends: dict[str, float] = {}
         self._planned: set[StreamRun] = set()
@@ -164,34 +164,34 @@
             if engine is None or not engine.moves or name in self._ends:
                 continue
             told = server.leaves_s
-            left = self._notice_s if told is None else max(0.0, told - LIST_AGE_S)
-            self._begin(server, engine, now + left)
+            left = self._default_notice_s if told is None else max(0.0, told - LIST_AGE_S)
+            self._start(server, engine, now + left)
 
-    def empty_by(self, servers: Iterable[Server], ends: float) -> None:
+    def evacuate_by(self, servers: Iterable[Server], ends: float) -> None:
         """Begin to empty servers that end at a known time, as those of a former version do."""
         for server in servers:
             engine = self._engine(server.service)
             if engine is not None and engine.moves and server.id not in self._ends:
-                self._begin(server, engine, ends)
+                self._start(server, engine, ends)
 
-    def _begin(self, server: Server, engine: Engine, ends: float) -> None:
+    def _start(self, server: Server, engine: Engine, ends: float) -> None:
         self._ends[server.id] = ends
         if any(run.placement.view.server.id == server.id for run in self.runs):
-            task = asyncio.get_running_loop().create_task(self._empty(server, engine))
+            task = asyncio.get_running_loop().create_task(self._evacuate(server, engine))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def end(self, run: StreamRun) -> None:
+    def forget(self, run: StreamRun) -> None:
         """Forget a stream that has ended here."""
         run.done = True
         self.runs.discard(run)
         self._planned.discard(run)
-        if run.next.done() and not run.next.cancelled():
-            unused = run.next.result()
+        if run.continuation.done() and not run.continuation.cancelled():
+            unused = run.continuation.result()
             if unused is not None and not unused.placement.ended:
-                self._free(unused)
+                self._release_unused(unused)
 
-    def _free(self, unused: Continuation) -> None:
+    def _release_unused(self, unused: Continuation) -> None:
         """Give back the place of a copy that is not used, since its caller left."""
         unused.placement.end()
         task = asyncio.get_running_loop().create_task(
@@ -200,13 +200,13 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _empty(self, server: Server, engine: Engine) -> None:
+    async def _evacuate(self, server: Server, engine: Engine) -> None:
         """Move what would not end in time, the most urgent and the smallest first."""
-        limit = asyncio.Semaphore(MOST_AT_ONCE)
+        limit = asyncio.Semaphore(MAX_CONCURRENT_MOVES)
         staying = [run for run in self.runs if run.placement.view.server.id == server.id]
         ends = self._ends[server.id]
         now = self._now()
-        late = [run for run in staying if now + run.left_s(now) > ends - END_MARGIN_S]
+        late = [run for run in staying if now + run.remaining_s(now) > ends - END_MARGIN_S]
         late.sort(key=StreamRun.tokens)
         emit(
             Event.EVACUATION,
@@ -240,35 +240,35 @@
         address = target.view.server.address
         copy_s = run.tokens() * engine.token_bytes * 8e-6 / max(1.0, engine.link_mbps)
         if target.view.server.hall != server.hall:
-            copy_s *= OTHER_HALL_X
+            copy_s *= CROSS_HALL_COPY_FACTOR
         left = self._ends.get(server.id, self._now()) - self._now()
-        timeout_s = max(left, copy_s) + CALL_MARGIN_S
-        if left > TWO_COPIES_X * copy_s:
+        timeout_s = max(left, copy_s) + MOVE_TIMEOUT_MARGIN_S
+        if left > PRECOPY_MIN_TIME_FACTOR * copy_s:
             ahead = await self._engines.move(
                 server.address, run.facts.id, address, False, timeout_s
             )
             if isinstance(ahead, Err) or run.done:
-                self._tell(run, server, target, "no copy")
+                self._log_move(run, server, target, "no copy")
                 return False
         run.stopping = True
         outcome = await self._engines.move(server.address, run.facts.id, address, True, timeout_s)
         if isinstance(outcome, Err):
-            self._settle(run, None)
-            self._tell(run, server, target, outcome.err_value.detail)
+            self._resolve(run, None)
+            self._log_move(run, server, target, outcome.err_value.detail)
             return False
         moved = Continuation(target, server.address, outcome.ok_value.handle)
-        self._tell(run, server, target, "moved")
+        self._log_move(run, server, target, "moved")
         if run.done:
-            self._free(moved)
+            self._release_unused(moved)
             return True
-        self._settle(run, moved)
+        self._resolve(run, moved)
         return True
 
-    def _settle(self, run: StreamRun, result: Continuation | None) -> None:
-        if not run.next.done():
-            run.next.set_result(result)
+    def _resolve(self, run: StreamRun, result: Continuation | None) -> None:
+        if not run.continuation.done():
+            run.continuation.set_result(result)
 
-    def _tell(self, run: StreamRun, server: Server, target: Placement, outcome: str) -> None:
+    def _log_move(self, run: StreamRun, server: Server, target: Placement, outcome: str) -> None:
         emit(
             Event.STREAM_SENT_ON,
             request=run.facts.id,
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -322,10 +322,10 @@
         """Return where a stream goes on that was stopped to be moved, or None."""
         if not run.stopping:
             return None
-        found = await run.next
+        found = await run.continuation
         if found is None:
             return None
-        run.next = asyncio.get_running_loop().create_future()
+        run.continuation = asyncio.get_running_loop().create_future()
         job.cutter.start_again()
         job.may_have_run = True
         return Attempt(Ending.MOVED, why="moved", next=found)
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -521,7 +521,7 @@
         ends = max(now, began_at + OLD_END_SHARE * order.duration_s)
         views = self.balancer.group(order.service).views.values()
         old = [view.server for view in views if view.server.version != order.target]
-        self.forwarder.evacuation.empty_by(old, ends)
+        self.forwarder.evacuation.evacuate_by(old, ends)
 
     def _serving_count(self) -> int:
         """Return how many nodes serve, 0 if this one does not."""
