--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -21,7 +21,7 @@
 from moledale.gateway.request_guard import RequestGuard
 from moledale.gateway.server_view import Placement, record_silence
 from moledale.gateway.sharing import Sharing
-from moledale.gateway.turns import ANSWER_SHARE, Turns, patience
+from moledale.gateway.turns import PERMIT_TIMEOUT_SHARE, RetryScheduler, max_queue_wait_s
 from moledale.gateway.upstream import AnswerCut, ConnectFailed, UpstreamConnection
 from moledale.log import Event, emit
 
@@ -93,7 +93,7 @@
         self._now = now
         self._list_is_current = list_is_current
         self._trial_share = trial_share
-        self._refusals = Refusals(dialect, balancer, Turns(starters, now), now)
+        self._refusals = Refusals(dialect, balancer, RetryScheduler(starters, now), now)
         self.refuse = self._refusals.refuse
         self._answers = AnswerReader(
             dialect, balancer, sharing, self.refuse, now, self.guard, self.server_leaves
@@ -200,8 +200,8 @@
 
     async def _place(self, job: Job) -> Placement | None:
         share = self._trial_share(job.service, job.route.name, not job.tried)
-        max_wait_s = patience(job, self._now())
-        answer_s = min(PERMIT_TIMEOUT_S, ANSWER_SHARE * job.route.target_s)
+        max_wait_s = max_queue_wait_s(job, self._now())
+        answer_s = min(PERMIT_TIMEOUT_S, PERMIT_TIMEOUT_SHARE * job.route.target_s)
         engine = self._engine(job.service)
         return await self._placer.place(
             PlacementRequest(
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -9,7 +9,7 @@
 from moledale.gateway.job import Attempt, Ending, Job
 from moledale.gateway.messages import InboundRequest, Refusal
 from moledale.gateway.reply import Reply
-from moledale.gateway.turns import Turns
+from moledale.gateway.turns import RetryScheduler
 from moledale.log import Event, emit
 
 NO_SERVER_AGAIN_S = 0.6
@@ -28,7 +28,11 @@
     """Tells callers why their request was not served."""
 
     def __init__(
-        self, dialect: Dialect, balancer: LoadBalancer, turns: Turns, now: Callable[[], float]
+        self,
+        dialect: Dialect,
+        balancer: LoadBalancer,
+        turns: RetryScheduler,
+        now: Callable[[], float],
     ) -> None:
         self._dialect = dialect
         self._balancer = balancer
@@ -57,7 +61,7 @@
             return NO_SERVER_AGAIN_S
         limit_per_s = self._balancer.group(job.service).limited.total_per_s()
         if wait_s > 0 and limit_per_s:
-            return self._turns.next_s(job.service, wait_s, limit_per_s)
+            return self._turns.next_retry_s(job.service, wait_s, limit_per_s)
         usual_s = NO_SERVER_AGAIN_S if last.ending is Ending.NOT_SENT else NOT_RUN_AGAIN_S
         return wait_s if wait_s > 0 else usual_s
 
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -21,7 +21,7 @@
 from moledale.gateway.settings import Bounds
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.stated_limit import LimitNews
-from moledale.gateway.turns import patience
+from moledale.gateway.turns import max_queue_wait_s
 from moledale.gateway.upstream import UpstreamConnection
 from moledale.platform.headers import PlatformHeaders
 from tests.gateway_states import state
@@ -185,14 +185,14 @@
             Reply(None, close=False),  # type: ignore[arg-type]
             EventCutter(""),
         )
-        self.assertAlmostEqual(patience(job, 100.2), 0.8)
-        self.assertEqual(patience(job, 101.5), 0.0)
+        self.assertAlmostEqual(max_queue_wait_s(job, 100.2), 0.8)
+        self.assertEqual(max_queue_wait_s(job, 101.5), 0.0)
         job.note_event(105.0)
-        self.assertAlmostEqual(patience(job, 105.1), 0.9)
+        self.assertAlmostEqual(max_queue_wait_s(job, 105.1), 0.9)
         job.ends_at = 105.5
-        self.assertAlmostEqual(patience(job, 105.1), 0.4)
+        self.assertAlmostEqual(max_queue_wait_s(job, 105.1), 0.4)
         job.caller.priority = 4
-        self.assertAlmostEqual(patience(job, 105.1), 0.1)
+        self.assertAlmostEqual(max_queue_wait_s(job, 105.1), 0.1)
 
     def test_place_is_found_where_most_servers_have_none(self) -> None:
         """All servers name limits; only one of six has a place, and nobody knows which."""
