--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -132,8 +132,8 @@
         else:
             self.busy.discard(name)
         self._update_degraded(view)
-        self.limited.note(view)
-        self.closed.note(view, self.allows(view.server.version), self._now)
+        self.limited.update(view)
+        self.closed.update(view, self.allows(view.server.version), self._now)
         queue = self._queue(view.server.hall)
         if not self.is_eligible(view, NONE_EXCLUDED):
             queue.drop(view)
