--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -52,7 +52,7 @@
         """Return the requests a second that they take together."""
         return max(0.0, self._total_per_s)
 
-    def told(self, now: float) -> list[ServerView]:
+    def servers_to_broadcast(self, now: float) -> list[ServerView]:
         """Return those of which other nodes are to hear that they name a limit, or none."""
         limits = {name: view.standing.limit for name, view in self._first_hand.items()}
         for name in [name for name, limit in limits.items() if limit.to_broadcast(now) is None]:
