--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -122,7 +122,7 @@
 
         Those that were heard last come first, where there are more than one state tells.
         """
-        views = [view for group in groups for view in group.limited.told(now)]
+        views = [view for group in groups for view in group.limited.servers_to_broadcast(now)]
         views.sort(key=lambda view: -view.standing.limit.observed_at)
         told = (
             (view.server.id, view.standing.limit.to_broadcast(now))
