--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -240,7 +240,7 @@
         try:
             return await self._send_and_read(job, run, moved)
         finally:
-            self.evacuation.end(run)
+            self.evacuation.forget(run)
 
     async def _send_and_read(self, job: Job, run: StreamRun, moved: Continuation | None) -> Attempt:
         placement = run.placement
