--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -157,7 +157,7 @@
         view = balancer.views["model0"]
         for _ in range(20):
             view.slowness.observe(2.0, 0.1, 1.0)
-        view.changed()
+        view.notify_change()
         group = balancer.group("model")
         for name, other in balancer.views.items():
             if name != "model0":
