--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -45,7 +45,7 @@
             moves = Evacuation(
                 PlatformEngines(), LoadBalancer("a"), lambda: None, sharing.leave_s, lambda: 0.0
             )
-            self.assertEqual(moves._notice_s, factor * self.bounds.leave_s)
+            self.assertEqual(moves._default_notice_s, factor * self.bounds.leave_s)
             self.assertAlmostEqual(least_stop_s(bounds), factor * least_stop_s(self.bounds))
 
     def test_age_of_a_list_that_may_be_used_follows(self) -> None:
