--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -1,7 +1,7 @@
-"""Servers of a service that get no requests for now, and those that name limits.
+"""Servers of a service that get no requests for now, and those that state a limit.
 
-They are known as they change, in the order in which they open again: where all are closed, no
-request has to walk over them to find that out.
+They are tracked as they change, in the order in which they open again, so that no request has to
+scan them to find that all are closed.
 """
 
 import random
@@ -10,13 +10,13 @@
 from moledale.gateway.server_view import ServerView
 
 MIN_USUAL_PER_S = 1e-3
-"""Servers that get fewer requests a second lose nothing by a limit."""
+"""Servers that get fewer requests per second than this lose nothing by a limit."""
 
 NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
 class LimitedServers:
-    """Those that name a limit of requests from all nodes together."""
+    """The servers that state a limit of requests from all nodes together."""
 
     def __init__(self) -> None:
         self.names: set[str] = set()
@@ -26,7 +26,7 @@
         self._total_per_s = 0.0
 
     def update(self, view: ServerView) -> None:
-        """Take over what a server names."""
+        """Record the limit that a server states, or that it states none."""
         name, limit = view.server.id, view.limit_per_s
         if view.standing.limit.first_hand:
             self._first_hand[name] = view
@@ -39,7 +39,7 @@
         self._counted_per_s[name] = limit
 
     def drop(self, name: str) -> None:
-        """Forget a server that is there no more."""
+        """Forget a server that was removed."""
         self._forget(name)
         self._first_hand.pop(name, None)
 
@@ -49,20 +49,21 @@
         self._total_per_s -= self._counted_per_s.pop(name, 0.0)
 
     def total_per_s(self) -> float:
-        """Return the requests a second that they take together."""
+        """Return the sum of the limits, in requests per second."""
         return max(0.0, self._total_per_s)
 
     def servers_to_broadcast(self, now: float) -> list[ServerView]:
-        """Return those of which other nodes are to hear that they name a limit, or none."""
+        """Return the servers whose limit, or its removal, is to be sent to other nodes."""
         limits = {name: view.standing.limit for name, view in self._first_hand.items()}
         for name in [name for name, limit in limits.items() if limit.to_broadcast(now) is None]:
             del self._first_hand[name]
         return list(self._first_hand.values())
 
     def lost_servers(self, now: float, usual_per_s: float, longer_than_s: float) -> int:
-        """Return as how many servers less those count that name limits for longer than that.
+        """Return the capacity lost to limits older than `longer_than_s`, in whole servers.
 
-        One that takes half of `usual_per_s`, what servers get that name none, is half a server.
+        `usual_per_s` is what a server without a limit gets; one that is limited to half of it
+        counts as half a server lost.
         """
         usual_per_s = max(usual_per_s, MIN_USUAL_PER_S)
         lasting = [
@@ -70,12 +71,12 @@
             for view in self._views.values()
             if not view.server.leaving and now - view.standing.limit.limited_since > longer_than_s
         ]
-        taken = ((view.limit_per_s or 0.0) / usual_per_s for view in lasting)
-        return int(sum(max(0.0, 1.0 - share) for share in taken))
+        usable_shares = ((view.limit_per_s or 0.0) / usual_per_s for view in lasting)
+        return int(sum(max(0.0, 1.0 - share) for share in usable_shares))
 
 
 class ClosedServers:
-    """Those that leave, back off or are held back for want of a permit."""
+    """The servers that are leaving, back off or are on hold for lack of a permit."""
 
     def __init__(self, rng: random.Random) -> None:
         self._closed: set[str] = set()
@@ -83,7 +84,7 @@
         self._backing_off = ServerPriorityQueue(rng)
 
     def update(self, view: ServerView, allowed: bool, now: float) -> None:
-        """Take over how a server stands; `allowed` says whether its version gets work."""
+        """Record a server's standing; `allowed` states whether its version gets requests."""
         if view.is_closed(now):
             self._closed.add(view.server.id)
         else:
@@ -99,29 +100,29 @@
             self._held.drop(view)
 
     def drop(self, view: ServerView) -> None:
-        """Forget a server that is there no more."""
+        """Forget a server that was removed."""
         self._closed.discard(view.server.id)
         self._held.drop(view)
         self._backing_off.drop(view)
 
-    def all_closed(self, number: int) -> bool:
-        """Say whether so many servers are all there are, and closed."""
-        return len(self._closed) == number
+    def all_closed(self, total: int) -> bool:
+        """Return whether all of `total` servers are closed."""
+        return len(self._closed) == total
 
     def next_reopened(self, now: float) -> ServerView | None:
-        """Return a server that is open by now and was not noted so yet, None if there is none."""
+        """Return a server that is open by now and not updated since, or None."""
         for view in self._earliest():
             if not view.is_closed(now):
                 return view
         return None
 
     def first_permitted(self, excluded: frozenset[str]) -> ServerView | None:
-        """Return the server for which a permit may be had first."""
+        """Return the server on hold for which a permit may be granted first."""
         found = self._held.lowest(1, excluded)
         return found[0] if found else None
 
     def opens_in_s(self, now: float) -> float | None:
-        """Return when the first server opens, None if none is known to."""
+        """Return the seconds until the first server opens, or None if none is known to."""
         return min((view.standing.opens_in_s(now) for view in self._earliest()), default=None)
 
     def _earliest(self) -> list[ServerView]:
