--- a/src/moledale/gateway/evacuation.py
+++ b/src/moledale/gateway/evacuation.py
@@ -1,8 +1,8 @@
-"""Moving live streams from servers that leave: each node plans for its own.
+"""Moves live streams off servers that are leaving; each node plans for its own.
 
-A stream that should end before its server does is left alone. Any other is moved with what its
-server has in memory: first a copy while it runs, then, with the run stopped, what is new, so that
-the caller sees a short pause; then the same run goes on at the other server within one answer.
+A stream that should end before its server does is left alone. Any other is moved with its KV cache:
+first a copy while it runs, then, with the run stopped, the rest, so that the caller sees only a
+short pause. The same run then goes on at the other server within one answer.
 """
 
 import asyncio
@@ -22,39 +22,41 @@
 from moledale.log import Event, emit
 
 LIST_AGE_S = 0.5
-"""The list's word of a server's time is about this old when it is read."""
+"""About how old a server's time left in the list is when it is read."""
 
 END_MARGIN_S = 0.3
-"""Streams are to have left a server this long before it ends: a few events of 30 ms and the way."""
+"""Streams should have left a server this long before it ends: a few events of 30 ms and the
+latency."""
 
 PRECOPY_MIN_TIME_FACTOR = 3.0
-"""A copy is made ahead if at least this many times the copy's time is left."""
+"""A first copy is made while the run goes on if at least this many times the copy's time is
+left."""
 
 MAX_CONCURRENT_MOVES = 3
-"""Moves from one server at once: they queue at its link, so more would not be quicker."""
+"""Maximum concurrent moves from one server: they queue at its link, so more would not be faster."""
 
 MOVE_TIMEOUT_MARGIN_S = 1.0
-"""Time of a move beyond what its copy takes, for others that wait at the links."""
+"""Timeout of a move beyond the time of its copy, for other moves that queue at the links."""
 
 ASSUMED_FIRST_TOKEN_S = 0.3
-"""Time to a first event that is assumed of a stream without any yet."""
+"""Assumed time to the first event of a stream without any yet."""
 
 ASSUMED_EVENT_INTERVAL_S = 0.03
-"""Time between two events where none was seen yet."""
+"""Assumed time between two events where none was seen yet."""
 
 CROSS_HALL_COPY_FACTOR = 2.0
-"""A copy to another hall takes so many times as long as one within a hall."""
+"""A copy to another hall takes this many times as long as one within a hall."""
 
 
 class Moved(msgspec.Struct, frozen=True):
-    """A copy that a run may go on from; `handle` names it at its source."""
+    """A copy that a run can continue from; `handle` names it at its source."""
 
     handle: str
     events: int = 0
 
 
 class MoveRefused(msgspec.Struct, frozen=True):
-    """No copy was made; with `handle` the run was stopped and its source still has the memory."""
+    """No copy was made; with `handle` the run was stopped and its source still has the cache."""
 
     detail: str
     handle: str = ""
@@ -66,16 +68,16 @@
     async def move(
         self, source: str, run: str, target: str, last: bool, timeout_s: float
     ) -> Result[Moved, MoveRefused]:
-        """Copy a run's memory between two addresses; with `last` the run stops first."""
+        """Copy a run's KV cache between two addresses; with `last` the run is stopped first."""
         ...
 
     async def release(self, source: str, handle: str) -> None:
-        """Free a copy that nobody will use."""
+        """Free a copy that will not be used."""
         ...
 
 
 class Continuation(msgspec.Struct):
-    """Where a run goes on: a server it is already counted on, and what it goes on from."""
+    """Where a run continues: a placement that already counts it, and the copy it continues from."""
 
     placement: Placement
     source: str
@@ -83,7 +85,7 @@
 
 
 class StreamRun(msgspec.Struct, eq=False):
-    """A stream under way; `next` is known once it was stopped to be moved."""
+    """A stream in flight; `continuation` is resolved once the run was stopped to be moved."""
 
     facts: RequestFacts
     service: str
@@ -100,7 +102,7 @@
     )
 
     def record_events(self, number: int, now: float) -> None:
-        """Note that events came; those of an earlier server tell nothing of this one's pace."""
+        """Record new events; those of an earlier server don't count for the pace of this one."""
         if not self.server_events:
             self.first_event_at = now
         self.events += number
@@ -109,21 +111,21 @@
 
     def remaining_s(self, now: float) -> float:
         """Estimate the time until the stream ends."""
-        most = max(1, self.facts.answer_tokens // self.event_tokens)
+        max_events = max(1, self.facts.answer_tokens // self.event_tokens)
         if self.server_events < 2:
-            return ASSUMED_FIRST_TOKEN_S + most * ASSUMED_EVENT_INTERVAL_S
+            return ASSUMED_FIRST_TOKEN_S + max_events * ASSUMED_EVENT_INTERVAL_S
         pace = (self.last_event_at - self.first_event_at) / (self.server_events - 1)
-        return max(0, most - self.events) * pace - (now - self.last_event_at)
+        return max(0, max_events - self.events) * pace - (now - self.last_event_at)
 
     def tokens(self) -> int:
-        """Return the tokens in the server's memory."""
+        """Return the tokens in the server's KV cache."""
         return self.facts.prompt_tokens + self.events * self.event_tokens
 
 
 class Evacuation:
-    """Watches for servers that leave, and moves this node's streams away from them.
+    """Watches for servers that are leaving, and moves this node's streams off them.
 
-    `default_notice_s` is the time that a server has left where the list doesn't tell.
+    `default_notice_s` is the time that a server has left if the list doesn't state it.
     """
 
     def __init__(
@@ -147,9 +149,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def servers_changed(self, gone: Iterable[Server] = ()) -> None:
-        """Begin to empty servers that leave; some just go from the list and serve on for a while.
+        """Start to evacuate servers that are leaving or `gone`.
 
-        Servers that crashed go from the list as well; moves from them fail at once.
+        Some just disappear from the list and serve on for a while. Servers that crashed disappear
+        from it as well; moves from them fail at once.
         """
         now = self._now()
         leaving = {
@@ -163,26 +166,26 @@
             engine = self._engine(server.service)
             if engine is None or not engine.moves or name in self._ends:
                 continue
-            told = server.leaves_s
-            left = self._default_notice_s if told is None else max(0.0, told - LIST_AGE_S)
-            self._start(server, engine, now + left)
+            leaves_s = server.leaves_s
+            left_s = self._default_notice_s if leaves_s is None else max(0.0, leaves_s - LIST_AGE_S)
+            self._start(server, engine, now + left_s)
 
-    def evacuate_by(self, servers: Iterable[Server], ends: float) -> None:
-        """Begin to empty servers that end at a known time, as those of a former version do."""
+    def evacuate_by(self, servers: Iterable[Server], ends_at: float) -> None:
+        """Start to evacuate servers that end at a known time, as those of a former version do."""
         for server in servers:
             engine = self._engine(server.service)
             if engine is not None and engine.moves and server.id not in self._ends:
-                self._start(server, engine, ends)
+                self._start(server, engine, ends_at)
 
-    def _start(self, server: Server, engine: Engine, ends: float) -> None:
-        self._ends[server.id] = ends
+    def _start(self, server: Server, engine: Engine, ends_at: float) -> None:
+        self._ends[server.id] = ends_at
         if any(run.placement.view.server.id == server.id for run in self.runs):
             task = asyncio.get_running_loop().create_task(self._evacuate(server, engine))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def forget(self, run: StreamRun) -> None:
-        """Forget a stream that has ended here."""
+        """Forget a stream that has ended on this node, and release a copy it did not use."""
         run.done = True
         self.runs.discard(run)
         self._planned.discard(run)
@@ -192,7 +195,7 @@
                 self._release_unused(unused)
 
     def _release_unused(self, unused: Continuation) -> None:
-        """Give back the place of a copy that is not used, since its caller left."""
+        """Release a copy that is not used, since its caller left."""
         unused.placement.end()
         task = asyncio.get_running_loop().create_task(
             self._engines.release(unused.source, unused.handle)
@@ -201,26 +204,26 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _evacuate(self, server: Server, engine: Engine) -> None:
-        """Move what would not end in time, the most urgent and the smallest first."""
-        limit = asyncio.Semaphore(MAX_CONCURRENT_MOVES)
-        staying = [run for run in self.runs if run.placement.view.server.id == server.id]
-        ends = self._ends[server.id]
+        """Move the streams that would not end in time, the smallest first."""
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_MOVES)
+        affected = [run for run in self.runs if run.placement.view.server.id == server.id]
+        ends_at = self._ends[server.id]
         now = self._now()
-        late = [run for run in staying if now + run.remaining_s(now) > ends - END_MARGIN_S]
+        late = [run for run in affected if now + run.remaining_s(now) > ends_at - END_MARGIN_S]
         late.sort(key=StreamRun.tokens)
         emit(
             Event.EVACUATION,
             server=server.id,
-            streams=len(staying),
+            streams=len(affected),
             to_move=len(late),
-            left_s=round(ends - now, 2),
+            left_s=round(ends_at - now, 2),
         )
-        await asyncio.gather(*(self._move(run, server, engine, limit) for run in late))
+        await asyncio.gather(*(self._move(run, server, engine, semaphore) for run in late))
 
     async def _move(
-        self, run: StreamRun, server: Server, engine: Engine, limit: asyncio.Semaphore
+        self, run: StreamRun, server: Server, engine: Engine, semaphore: asyncio.Semaphore
     ) -> None:
-        async with limit:
+        async with semaphore:
             if run.done or run in self._planned:
                 return
             self._planned.add(run)
@@ -236,18 +239,21 @@
     async def _copy(
         self, run: StreamRun, server: Server, engine: Engine, target: Placement
     ) -> bool:
-        """Copy ahead if there is time, then stop the run and copy the rest; say if it moved."""
+        """Copy while the run goes on if time allows, then stop it and copy the rest.
+
+        Return whether the stream moved.
+        """
         address = target.view.server.address
         copy_s = run.tokens() * engine.token_bytes * 8e-6 / max(1.0, engine.link_mbps)
         if target.view.server.hall != server.hall:
             copy_s *= CROSS_HALL_COPY_FACTOR
-        left = self._ends.get(server.id, self._now()) - self._now()
-        timeout_s = max(left, copy_s) + MOVE_TIMEOUT_MARGIN_S
-        if left > PRECOPY_MIN_TIME_FACTOR * copy_s:
-            ahead = await self._engines.move(
+        left_s = self._ends.get(server.id, self._now()) - self._now()
+        timeout_s = max(left_s, copy_s) + MOVE_TIMEOUT_MARGIN_S
+        if left_s > PRECOPY_MIN_TIME_FACTOR * copy_s:
+            precopy = await self._engines.move(
                 server.address, run.facts.id, address, False, timeout_s
             )
-            if isinstance(ahead, Err) or run.done:
+            if isinstance(precopy, Err) or run.done:
                 self._log_move(run, server, target, "no copy")
                 return False
         run.stopping = True
