--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -1,4 +1,4 @@
-"""How nodes keep together the limits that servers name: who grants, and what nodes tell of them."""
+"""How nodes keep the limits that servers state together: who grants, and what they exchange."""
 
 from collections.abc import Callable
 
@@ -18,10 +18,10 @@
 from moledale.log import Event, emit
 
 LOG_INTERVAL_S = 5.0
-"""Time between two log lines of the permits of a server."""
+"""Interval between two log lines on the permits of a server."""
 
 MAX_LOGGED_SERVERS = 32
-"""Servers of which the permits are logged at a time, those that were asked for most."""
+"""Maximum servers whose permits are logged at a time, those with the most requests for permits."""
 
 
 class LimitSharing:
@@ -48,7 +48,7 @@
         self.permits = PermitClient(self._issuer, self._grantors, own_peer, send, now)
 
     def refresh(self, serving: bool) -> None:
-        """Take over which nodes serve; once a round is enough."""
+        """Update which nodes serve; once a gossip round is enough."""
         now = self._now()
         self._grantors.refresh(self._own_hall, serving, self._members.alive(now))
         self._issuer.reachable_share = self._members.heard_share(now)
@@ -57,10 +57,10 @@
             self._logged_at = now
 
     def _log_counts(self, seconds: float) -> None:
-        """Log how much of the limits was asked for and granted here."""
+        """Log how many permits were requested and granted here."""
         counts = self._issuer.take_counts()
-        most = sorted(counts, key=lambda server: -counts[server].asked)[:MAX_LOGGED_SERVERS]
-        for server in most:
+        busiest = sorted(counts, key=lambda server: -counts[server].asked)[:MAX_LOGGED_SERVERS]
+        for server in busiest:
             view = self._balancer.views.get(server)
             emit(
                 Event.PERMITS,
@@ -72,24 +72,24 @@
             )
 
     def on_message(self, message: PermitAsk | PermitAnswer) -> None:
-        """Answer a question of another node, or take over an answer to one of this node."""
+        """Answer another node's request for permits, or handle the answer to one of this node."""
         if isinstance(message, PermitAnswer):
             self.permits.on_answer(message)
             return
-        # The node that asks may have heard the limit a moment before its state tells it.
-        asked_by = LimitNews(message.per_s, message.age_s)
+        # The asking node may have observed the limit a moment before its state is broadcast.
+        reported = LimitNews(message.per_s, message.age_s)
         self._balancer.notices.merge_peer_limits(
-            {message.server: asked_by}, message.peer, self._now()
+            {message.server: reported}, message.peer, self._now()
         )
         self._send(self.permits.grant(message), message.peer)
 
     def on_state(self, state: NodeState) -> None:
-        """Take over the limits that a node heard itself."""
+        """Merge the limits that a node observed itself."""
         if state.limits:
             self._balancer.notices.merge_peer_limits(state.limits, state.id, self._now())
 
     def on_placed(self, news: PlacementNews) -> None:
-        """Count what a build that knows no limits sent to servers that this node grants for."""
+        """Count requests that a build without limits sent to servers that this node grants for."""
         state = self._members.life_of(news.id, news.life, news.sequence)
         if state is None or state.limits is not None:
             return
