--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -1,9 +1,10 @@
-"""Permits to send to a server that names a limit of requests from all nodes together.
+"""Permits to send requests to servers that state a rate limit shared by all nodes.
 
-One node grants for each such server, drawn by a hash that is the same at all nodes, so the sum is
-kept wherever requests come in. A node asks it before each send; one that is turned away gives the
-server no work until the time it was told. Nobody grants for a node that can't be reached: the
-server gets nothing from it for a moment, and another node is drawn once the silent one is missed.
+For each such server one node, the grantor, issues the permits. It is selected by a hash that is the
+same on all nodes, so the limit is kept whichever nodes receive the requests. A node asks the
+grantor before each send; after a rejection it sends the server nothing until the stated time. If
+the grantor can't be reached, no other node stands in for it: the server gets nothing from the
+asking node for a moment, and another grantor is selected once the silent one counts as gone.
 """
 
 import asyncio
@@ -20,29 +21,34 @@
 from moledale.gateway.server_view import ServerView
 
 PERMIT_TIMEOUT_S = 0.08
-"""Wait for a node that grants: the way to another region and back, and a few turns of its loop."""
+"""Timeout for the grantor's answer: a round trip to another region and a few iterations of its
+event loop."""
 
 SILENT_GRANTOR_PAUSE_S = 0.3
-"""A server whose granting node is silent gets nothing for so long: a round of news and more."""
+"""A server whose grantor did not answer gets nothing for this long: more than one gossip round."""
 
 BATCH_S = 0.02
-"""Permits of so much time are asked for at once, so that high limits don't cost a question each."""
+"""Permits for this much time are requested at once, so that high limits don't cost a call per
+request."""
 
 PERMIT_TTL_S = 0.2
-"""Permits that were not used for so long are void: the server was idle for them."""
+"""Unused permits expire after this time, since the server was idle meanwhile."""
 
 MAX_PACED_SERVERS = 2_048
-"""Servers that one node grants for, about twice as many as a large deployment has."""
+"""Maximum servers that one node issues permits for, about twice as many as a large deployment
+has."""
 
 
 LimitLookup = Callable[[str, float], float | None]
-"""Returns a server's limit, None if it names none any more; the number is for one not listed."""
+"""Return a server's limit, or None if it states none any more. The number is the limit to return
+for a server that is not listed."""
 
 
 class PermitAsk(msgspec.Struct, array_like=True, tag="ask-permit"):
-    """A node asks for permits; `per_s` is the limit as it knows it, heard `age_s` ago.
+    """A request for permits; `per_s` is the limit as the sender observed it `age_s` ago.
 
-    The answer goes to `peer` with the same `serial`. The first permit may come `most_wait_s` later.
+    The answer goes to `peer` with the same `serial`. The first permit may be for a moment up to
+    `most_wait_s` from now.
     """
 
     peer: str
@@ -55,7 +61,8 @@
 
 
 class PermitAnswer(msgspec.Struct, array_like=True, tag="permit"):
-    """How many permits are granted from `wait_s` on; if none, when to ask again."""
+    """How many permits are granted, valid after `wait_s`; if none, `wait_s` is when to ask
+    again."""
 
     serial: int
     number: int
@@ -63,7 +70,7 @@
 
 
 class UnusedPermits(msgspec.Struct):
-    """Permits that were asked for together and not used yet, for a limit of `per_s`."""
+    """Permits of one answer that were not used yet, granted for a limit of `per_s`."""
 
     number: int
     expires_at: float
@@ -71,18 +78,19 @@
 
 
 class PermitCounts(msgspec.Struct):
-    """Permits of a server that were asked for and granted since this was told last."""
+    """Permits for a server that were requested and granted since the counts were last taken."""
 
     asked: int = 0
     granted: int = 0
 
 
 class PermitIssuer:
-    """Grants permits for servers that this node is drawn for.
+    """Issues permits for the servers that this node is the grantor of.
 
-    `limit_of` returns a server's limit as it is known here, of one that isn't known what is asked
-    for. `share` is the part of the nodes that serve which this one hears: those that it doesn't may
-    be cut off and have a node that grants among them.
+    `limit_of` returns a server's limit as known here, and for an unknown server the limit that the
+    asking node reported. `reachable_share` is the share of serving nodes that this node hears from.
+    The others may be cut off by a partition and have a grantor of their own, so only this share of
+    a limit is granted.
     """
 
     def __init__(self, limit_of: LimitLookup) -> None:
@@ -94,9 +102,10 @@
     def reserve(
         self, server: str, reported_per_s: float, number: int, max_wait_s: float, now: float
     ) -> SlotReservation:
-        """Grant permits, or say when to ask again; all are granted where the limit has ended.
+        """Reserve permits, or return when to ask again.
 
-        `reported_per_s` is the limit as the node that asks knows it.
+        All are granted if the server has no limit any more. `reported_per_s` is the limit as the
+        asking node knows it.
         """
         limit_per_s = self._limit_of(server, reported_per_s)
         if limit_per_s is None:
@@ -114,21 +123,21 @@
         return reservation
 
     def take_counts(self) -> dict[str, PermitCounts]:
-        """Return what was counted since the last call, by server."""
+        """Return the counts by server since the last call."""
         counts, self._counts = self._counts, {}
         return counts
 
     def record_unpermitted(self, server: str, now: float) -> None:
-        """Count a request that a node sent without asking, as builds do that know no limits."""
+        """Count a request that a node sent without a permit, as builds without limits do."""
         pacer = self._pacers.get(server)
         if pacer is not None:
             pacer.record_external(now)
 
 
 class GrantorSelector:
-    """Draws the node that grants for a server, among those that serve, its hall's first.
+    """Selects the node that grants for a server among the serving nodes, those of its hall first.
 
-    Nodes whose state says nothing of limits don't grant.
+    Nodes whose state carries no limits don't grant.
     """
 
     def __init__(self, own_id: str) -> None:
@@ -138,30 +147,30 @@
         self._selected: dict[str, str] = {}
 
     def refresh(self, own_hall: str, serving: bool, alive: Iterable[NodeState]) -> None:
-        """Take over which nodes serve."""
-        may = [each for each in alive if each.serving and each.limits is not None]
-        peers = {each.id: each.peer for each in may}
-        halls = {each.id: each.hall for each in may}
+        """Update which nodes serve."""
+        eligible = [each for each in alive if each.serving and each.limits is not None]
+        peers = {each.id: each.peer for each in eligible}
+        halls = {each.id: each.hall for each in eligible}
         if serving or not halls:
             halls[self._own_id] = own_hall
         if peers != self._peers or halls != self._halls:
             self._peers, self._halls, self._selected = peers, halls, {}
 
     def address(self, view: ServerView) -> str | None:
-        """Return where to ask for a server, None if this node grants."""
-        name = self._selected.get(view.server.id)
-        if name is None:
-            name = self._select(view)
-            self._selected[view.server.id] = name
-        return self._peers.get(name)
+        """Return the address of a server's grantor, or None if this node is the grantor."""
+        node = self._selected.get(view.server.id)
+        if node is None:
+            node = self._select(view)
+            self._selected[view.server.id] = node
+        return self._peers.get(node)
 
     def _select(self, view: ServerView) -> str:
-        near = [name for name, hall in self._halls.items() if hall == view.server.hall]
-        return first_ranked(view.server.id, near or self._halls) or self._own_id
+        same_hall = [name for name, hall in self._halls.items() if hall == view.server.hall]
+        return first_ranked(view.server.id, same_hall or self._halls) or self._own_id
 
 
 class PermitClient:
-    """Asks for permits, for all requests of a node; `send` sends a question to an address."""
+    """Requests permits for all requests of a node; `send` sends a message to an address."""
 
     def __init__(
         self,
@@ -185,14 +194,14 @@
     async def take(
         self, view: ServerView, max_wait_s: float = 0.0, timeout_s: float = PERMIT_TIMEOUT_S
     ) -> bool:
-        """Return whether a request may be sent to a server now, after a wait of its turn at most.
+        """Return whether a request may be sent to a server, after a wait of up to `max_wait_s`.
 
-        While a question is under way, no other request of this node chooses the server.
+        While the call is in flight, no other request of this node selects the server.
         """
         limit = view.limit_per_s
         if limit is None or self._take_unused(view.server.id, limit):
             return True
-        # What is granted for a later moment would be used before it by those that don't wait.
+        # A batch for a later moment would be used before then by requests that don't wait.
         number = 1 if max_wait_s else max(1, int(limit * BATCH_S))
         asked_at = self._now()
         view.hold_until(asked_at + timeout_s)
@@ -214,13 +223,13 @@
         return True
 
     def on_answer(self, answer: PermitAnswer) -> None:
-        """Take over an answer; one that comes too late is void."""
+        """Complete the call that an answer belongs to; an answer after the timeout is ignored."""
         future = self._pending.get(answer.serial)
         if future is not None and not future.done():
             future.set_result(answer)
 
     def grant(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer another node's question."""
+        """Answer a request for permits as the grantor."""
         reservation = self._issuer.reserve(
             ask.server, ask.per_s, ask.number, ask.most_wait_s, self._now()
         )
@@ -228,13 +237,13 @@
         return PermitAnswer(ask.serial, number, reservation.wait_s)
 
     def _take_unused(self, server: str, limit_per_s: float) -> bool:
-        left = self._unused.get(server)
-        if left is None:
+        unused = self._unused.get(server)
+        if unused is None:
             return False
-        left.number -= 1
-        if left.number <= 0 or left.expires_at < self._now() or left.per_s != limit_per_s:
+        unused.number -= 1
+        if unused.number <= 0 or unused.expires_at < self._now() or unused.per_s != limit_per_s:
             del self._unused[server]
-        return left.expires_at >= self._now() and left.per_s == limit_per_s
+        return unused.expires_at >= self._now() and unused.per_s == limit_per_s
 
     async def _ask(
         self, view: ServerView, limit: float, number: int, max_wait_s: float, timeout_s: float
@@ -261,12 +270,12 @@
 
 
 def standalone_permit_client(balancer: LoadBalancer, now: Callable[[], float]) -> PermitClient:
-    """Return permits of a node that knows of no other one."""
+    """Return a permit client for a node without peers."""
     return PermitClient(PermitIssuer(limit_lookup(balancer)), GrantorSelector(""), now=now)
 
 
 def limit_lookup(balancer: LoadBalancer) -> LimitLookup:
-    """Return what tells limits as a node's book has them."""
+    """Return a lookup of the limits in a node's book of servers."""
 
     def limit_of(server: str, reported_per_s: float) -> float | None:
         view = balancer.views.get(server)
