--- a/src/moledale/gateway/server_ends.py
+++ b/src/moledale/gateway/server_ends.py
@@ -1,8 +1,9 @@
-"""Finding out whether a server has ended where an answer of it broke off.
+"""Detection of a crashed server after an answer of it broke off.
 
-An answer may break off though its server lives: a connection was reset, or the answer was spoilt.
-Only a server that takes no connection any more has ended, and only then do the requests that ran
-there count as suspects. What this node had there is looked at together.
+An answer may break off though its server is alive: a connection was reset, or the answer was
+corrupt. Only a server that accepts no connection any more has crashed, and only then do the
+requests that ran there count as suspects. All requests of this node that broke off there are
+checked together.
 """
 
 import asyncio
@@ -18,12 +19,12 @@
 from moledale.node.background import Background
 
 COLLECT_WINDOW_S = 0.02
-"""All answers of a server that ends break off within this time: its connections are reset at the
-same moment (within 2 ms in the logs of 26 ends), and a node may be busy."""
+"""All answers of a crashed server break off within this time: its connections are reset at the same
+moment (within 2 ms in the logs of 26 crashes), and a node may be busy."""
 
 
 class BrokenRequests(msgspec.Struct):
-    """What broke off at a server, and when the first of it did (monotonic seconds)."""
+    """Requests that broke off at a server, and when the first of them did (monotonic seconds)."""
 
     server: Server
     at: float
@@ -32,11 +33,11 @@
 
 
 CrashCheckCallback = Callable[[BrokenRequests, bool], None]
-"""Hears what broke off at a server, and whether the server has ended."""
+"""Receives the requests that broke off at a server, and whether the server has crashed."""
 
 
 class CrashDetector:
-    """Looks after servers whose answers broke off; `on_checked` hears what was found."""
+    """Checks servers whose answers broke off; `on_checked` receives the result."""
 
     def __init__(
         self,
@@ -51,7 +52,7 @@
         self._background = Background("server ends")
 
     def record_broken(self, placement: Placement, fingerprint: bytes) -> None:
-        """Note that a request broke off."""
+        """Record that a request broke off; the first one starts a check of its server."""
         server = placement.view.server
         broken = self._broken.get(server.id)
         if broken is None:
@@ -66,7 +67,7 @@
         self._on_checked(broken, await self._has_crashed(broken.server))
 
     async def _has_crashed(self, server: Server) -> bool:
-        """Ask by a connection, which is kept for the next request if it comes about."""
+        """Try to connect; a new connection is kept for the next request."""
         if self._pool.has_idle(server.id):
             return False
         try:
