--- a/src/moledale/gateway/server_list.py
+++ b/src/moledale/gateway/server_list.py
@@ -1,9 +1,9 @@
 """The list of backend servers as a node holds it, and how it follows the store's.
 
-One node reads the list and tells the others what changed since the one before: servers that leave
-or are gone by their ids, the others whole. A list has a digest over all of it, so a node that
-missed a change knows it, whatever it missed. Servers that leave or are gone count at once, also
-where the rest of a change is missing: they are marked until a list arrives that is as new.
+One node reads the list and broadcasts the delta from the previous one: servers that are leaving or
+gone by their ids, the others whole. A digest over the whole list lets a node detect that it missed
+a change, whichever it was. Departures take effect at once, even if other parts of a change are
+missing: the servers are marked until a list arrives that is at least as new.
 """
 
 from collections.abc import Iterable
@@ -16,23 +16,23 @@
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion
 
 MAX_PACKET_BYTES = 1_200
-"""Size of a change on the wire, so that it fits one packet of Ethernet (1,500 bytes) with all
-headers: a datagram in pieces is lost with any one of them."""
+"""Maximum size of an encoded change. It fits one Ethernet packet (1,500 bytes) with all headers,
+since a fragmented datagram is lost with any one of its fragments."""
 
 MAX_PACKETS = 4
-"""A change of more packets is fetched instead; servers that leave or are gone are always told."""
+"""A change of more packets is fetched instead; departures are always broadcast."""
 
 NEVER_S = -1e9
-"""Before any time that is told."""
+"""A time before any that is sent."""
 
 
 class ListHead(msgspec.Struct, frozen=True, array_like=True):
-    """Which list a node has: its version and digest, and when it was last read from the store.
+    """Identifies a node's list: its version and digest, and when it was last read from the store.
 
-    `read_s` is that time and `returned_s` when the store was last back from an outage, both on the
-    store's steady clock: an age would grow younger by the way of each message, and a list that
-    nobody reads any more would pass for new among nodes that tell each other of it. `era` is that
-    of the version, unknown in heads that earlier builds tell.
+    `read_s` is that time, and `returned_s` is when the store last came back from an outage. Both
+    are on the store's steady clock: an age would lose the transit time of each message, so a list
+    that nobody reads any more would seem fresh among nodes that pass it to each other. `era` is the
+    era of the version, unknown in heads from earlier builds.
     """
 
     version: int
@@ -48,17 +48,17 @@
 
 
 class Leaving(msgspec.Struct, frozen=True, array_like=True):
-    """A server that leaves, and the time it has left if that is told."""
+    """A server that is leaving, and the time it has left if known."""
 
     id: str
     leaves_s: float | None = None
 
 
 class ServerChange(msgspec.Struct, frozen=True, array_like=True, tag="servers"):
-    """A part of what makes the list `head` out of the one with the digest `base`.
+    """One part of the delta from the list with the digest `base` to the list `head`.
 
-    `source` is the control address of a node that has the list. A change in several parts numbers
-    them. Without any servers and with the list's own digest as its base it tells that nothing
+    `source` is the control address of a node that has the new list. `part` numbers the parts of a
+    change. Without any servers and with the list's own digest as `base`, it confirms that nothing
     changed.
     """
 
@@ -73,12 +73,12 @@
 
     @property
     def empty(self) -> bool:
-        """Say whether it tells of no servers."""
+        """Return whether it contains no servers."""
         return not (self.leaving or self.gone or self.changed)
 
 
 class ServerDelta(msgspec.Struct):
-    """Servers that leave, that are gone, and that are new or changed otherwise."""
+    """Servers that are leaving, that are gone, and that are new or changed otherwise."""
 
     leaving: list[Leaving] = msgspec.field(default_factory=list)
     gone: list[str] = msgspec.field(default_factory=list)
@@ -91,7 +91,7 @@
         self.changed += part.changed
 
     def append(self, item: Leaving | str | Server) -> None:
-        """Add a server that leaves, the id of one that is gone, or one that changed."""
+        """Add a server that is leaving, the id of one that is gone, or one that changed."""
         if isinstance(item, Leaving):
             self.leaving.append(item)
         elif isinstance(item, str):
@@ -100,7 +100,7 @@
             self.changed.append(item)
 
     def applied_to(self, servers: dict[str, Server]) -> dict[str, Server]:
-        """Return the list that this makes of another one."""
+        """Return the list that results from applying the delta to `servers`."""
         result = {name: server for name, server in servers.items() if name not in self.gone}
         for each in self.leaving:
             known = result.get(each.id)
@@ -111,9 +111,12 @@
 
 
 class ChangeResult(msgspec.Struct):
-    """What a change meant: `is_new` if it was not heard before, `confirmed` if this node has the list
-    that it tells of, `differs` if servers are believed to be other than before, `needs_fetch` if the
-    list has to be fetched."""
+    """The effect of one part of a change.
+
+    With `is_new` it was not received before. With `confirmed` this node has the list that the
+    change leads to. With `servers_differ` the usable servers are other than before. With
+    `needs_fetch` the list has to be fetched.
+    """
 
     is_new: bool = False
     confirmed: bool = False
@@ -122,14 +125,14 @@
 
 
 class _DepartureMark(msgspec.Struct, frozen=True):
-    """A server that leaves, or is gone (None), as of a version."""
+    """A server that is leaving, or gone (None), as of a version."""
 
     version: EraVersion
     leaving: Leaving | None
 
 
 class ServerList(msgspec.Struct):
-    """The newest list that is known, and what is known beyond it."""
+    """The newest known list, and departures that are known beyond it."""
 
     era_version: EraVersion = EraVersion()
     digest: int = 0
@@ -143,22 +146,22 @@
 
     @property
     def version(self) -> int:
-        """Return the version within its era, -1 while there is no list."""
+        """Return the version within its era, or -1 while there is no list."""
         return self.era_version.number
 
     def usable(self) -> list[Server]:
-        """Return the servers that are there, with those that leave marked so."""
+        """Return the servers that are not gone, with those that are leaving marked so."""
         result = []
         for name, server in self.servers.items():
-            end = self._departure_of(name)
-            if end is None:
+            departure = self._departure_of(name)
+            if departure is None:
                 result.append(server)
-            elif not end.gone:
-                result.append(_as_leaving(server, Leaving(name, end.leaves_s)))
+            elif not departure.gone:
+                result.append(_as_leaving(server, Leaving(name, departure.leaves_s)))
         return result
 
     def _departure_of(self, server: str) -> Departure | None:
-        """Return what is known of a server's end beyond the list."""
+        """Return a server's departure that is known beyond the list, if any."""
         mark = self._departure_marks.get(server)
         if mark is None:
             return self._departure_log.contradicted_departure(server)
@@ -167,9 +170,9 @@
     def update_from_store(
         self, servers: Iterable[Server], era_version: EraVersion
     ) -> ServerDelta | None:
-        """Take the list as this node read it; return the difference from the one before, if any.
+        """Adopt the list as read from the store; return the delta from the one before, if any.
 
-        A server's time left is kept as it was first told, since it runs down by itself.
+        A server's time left is kept as first reported, since it counts down by itself.
         """
         if era_version < self.era_version:
             return None
@@ -180,51 +183,51 @@
         return _delta_between(before, listed)
 
     def confirm_version(self, era_version: EraVersion) -> bool:
-        """Note that the store's list is still this one; say whether marks fell away."""
-        marked = len(self._departure_marks)
+        """Adopt the version of an unchanged list; return whether that removed any marks."""
+        marks_before = len(self._departure_marks)
         self._advance_to(max(era_version, self.era_version))
-        return len(self._departure_marks) < marked
+        return len(self._departure_marks) < marks_before
 
     def update_from_peer(self, raw: bytes, era_version: EraVersion) -> bool:
-        """Take a list as another node has it; say whether it differs. ValueError if unreadable."""
+        """Adopt a peer's encoded list; return whether it differs. ValueError if unreadable."""
         servers = msgspec.msgpack.decode(raw, type=list[Server])
         if era_version < self.era_version:
             return False
         return self._replace({server.id: server for server in servers}, era_version)
 
     def trust_entries(self) -> bool:
-        """Believe entries of a restored store that contradict what was seen before.
+        """Trust entries of a restored store that contradict departures seen before.
 
         Return whether that changes anything.
         """
         return self._departure_log.trust_entries()
 
     def is_from_older_era(self, head: ListHead) -> bool:
-        """Say whether a head is of an era before that of this list."""
+        """Return whether a head is of an era before that of this list."""
         return UNKNOWN_ERA < head.era < self.era_version.era
 
     def confirm_head(self, head: ListHead) -> bool:
-        """Say whether a node that told this head has the same list as this one."""
+        """Return whether a head is of this list; if so, adopt its version where that is newer."""
         if head.digest != self.digest or self.version < 0 or self.is_from_older_era(head):
             return False
         self._advance_to(max(self.era_version, head.era_version))
         return True
 
     def apply_change(self, change: ServerChange) -> ChangeResult:
-        """Take over a part of a change."""
+        """Apply a part of a change."""
         head = change.head
         if self.confirm_head(head):
             return ChangeResult(confirmed=True)
-        told_at = self._comparable_version(head)
-        if told_at <= self.era_version:
+        version = self._comparable_version(head)
+        if version <= self.era_version:
             return ChangeResult()
-        # A list whose era is unknown can't be fetched in place of one whose era is known.
+        # A list of an unknown era can't replace one whose era is known.
         can_fetch = head.era_version > self.era_version
         if change.empty:
             return ChangeResult(needs_fetch=can_fetch)
         if not self._store_part(change):
             return ChangeResult()
-        differs = self._mark_departures(change, told_at)
+        servers_differ = self._mark_departures(change, version)
         if change.base == self.digest and self._assemble(head):
             return ChangeResult(is_new=True, confirmed=True, servers_differ=True)
         return ChangeResult(
@@ -232,45 +235,45 @@
         )
 
     def _comparable_version(self, head: ListHead) -> EraVersion:
-        """Return a head's version; one without an era counts as of the era of this list."""
+        """Return a head's version; without an era it counts as of the era of this list."""
         return EraVersion(head.era or self.era_version.era, head.version)
 
     def _store_part(self, change: ServerChange) -> bool:
-        """Keep a part with the others of its change; False if it is there or older than these."""
-        name = (change.head.digest, change.base)
-        if name != self._parts_key:
+        """Keep a part with the others of its change; return False if it is known or outdated."""
+        key = (change.head.digest, change.base)
+        if key != self._parts_key:
             version = self._comparable_version(change.head)
             if version < self._parts_version:
                 return False
-            self._parts_key, self._parts_version, self._parts = name, version, {}
+            self._parts_key, self._parts_version, self._parts = key, version, {}
         if change.part in self._parts:
             return False
         self._parts[change.part] = change
         return True
 
     def _assemble(self, head: ListHead) -> bool:
-        """Make the new list out of the parts that came; say whether they are all."""
-        difference = ServerDelta()
+        """Adopt the list that results from the received parts; return False if any is missing."""
+        delta = ServerDelta()
         for part in self._parts.values():
-            difference.add(part)
-        servers = difference.applied_to(self.servers)
+            delta.add(part)
+        servers = delta.applied_to(self.servers)
         if digest_of(_encode(servers)) != head.digest:
             return False
         self._replace(servers, max(self.era_version, head.era_version))
         return True
 
     def _mark_departures(self, change: ServerChange, version: EraVersion) -> bool:
-        """Mark servers that leave or are gone; say whether that is news."""
+        """Mark servers that are leaving or gone; return whether any mark is new."""
         marks = {each.id: _DepartureMark(version, each) for each in change.leaving}
         marks.update((name, _DepartureMark(version, None)) for name in change.gone)
-        news = False
+        any_new = False
         for name, mark in marks.items():
             known = self._departure_marks.get(name)
             if known is None or known.version < version:
                 self._departure_marks[name] = mark
                 self._departure_log.record(name, _to_departure(mark))
-                news = True
-        return news
+                any_new = True
+        return any_new
 
     def _with_first_leaves_s(self, server: Server) -> Server:
         known = self.servers.get(server.id)
@@ -306,36 +309,36 @@
 
 
 def split_into_packets(
-    head: ListHead, base: int, source: str, difference: ServerDelta
+    head: ListHead, base: int, source: str, delta: ServerDelta
 ) -> list[ServerChange]:
-    """Return a change in parts that fit a packet each, what matters most first.
+    """Split a delta into parts that fit a packet each, departures first.
 
-    Where the whole change would be more than `MAX_PACKETS`, only servers that leave or are gone
-    are told; nodes see by the digest that they miss the rest.
+    If it takes more than `MAX_PACKETS`, only the departures are included; receivers detect by the
+    digest that they lack the rest.
     """
     empty = ServerChange(head, base, source)
-    urgent: list[Leaving | str | Server] = [*difference.leaving, *difference.gone]
-    chosen = _pack(empty, [*urgent, *difference.changed])
-    if len(chosen) > MAX_PACKETS:
-        chosen = _pack(empty, urgent)
+    departures: list[Leaving | str | Server] = [*delta.leaving, *delta.gone]
+    parts = _pack(empty, [*departures, *delta.changed])
+    if len(parts) > MAX_PACKETS:
+        parts = _pack(empty, departures)
     return [
-        msgspec.structs.replace(part, part=number, last=number == len(chosen) - 1)
-        for number, part in enumerate(chosen)
+        msgspec.structs.replace(part, part=number, last=number == len(parts) - 1)
+        for number, part in enumerate(parts)
     ]
 
 
 def _pack(empty: ServerChange, items: Iterable[Leaving | str | Server]) -> list[ServerChange]:
     """Fill packets one after the other."""
-    room = MAX_PACKET_BYTES - len(msgspec.msgpack.encode(empty))
+    capacity = MAX_PACKET_BYTES - len(msgspec.msgpack.encode(empty))
     parts = [ServerDelta()]
-    left = room
+    free = capacity
     for item in items:
         size = len(msgspec.msgpack.encode(item))
-        if size > left:
+        if size > free:
             parts.append(ServerDelta())
-            left = room
+            free = capacity
         parts[-1].append(item)
-        left -= size
+        free -= size
     return [
         msgspec.structs.replace(empty, leaving=part.leaving, gone=part.gone, changed=part.changed)
         for part in parts
@@ -367,5 +370,5 @@
 
 
 def _encode(servers: dict[str, Server]) -> bytes:
-    """Return a list's bytes, the same for the same servers on all nodes."""
+    """Encode a list; the same servers give the same bytes on all nodes."""
     return msgspec.msgpack.encode([servers[name] for name in sorted(servers)])
