--- a/src/moledale/gateway/server_view.py
+++ b/src/moledale/gateway/server_view.py
@@ -1,4 +1,4 @@
-"""A backend server as a node sees it, and what is learnt of it from answers and silence."""
+"""A backend server as one node sees it, and what answers and silence tell about it."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -10,29 +10,32 @@
 from moledale.gateway.server_standing import ServerStanding
 
 EWMA_WEIGHT = 0.2
-"""Weight of a new answer in a server's answer time and share of failures: about the last five
-count."""
+"""Weight of a new answer in the moving averages of a server's answer time and share of failures:
+about the last five count."""
 
 ENGINE_SILENCE_S = 0.8
-"""An engine with several requests is silent after this time: its steps take 3 to 20 ms. Not derived
-from the pauses that routes allow (0.25 to 0.5 s), which are over by then."""
+"""An engine with several requests is silent after this time: its steps take 3 to 20 ms. It is not
+derived from the pauses that routes allow (0.25 to 0.5 s), which are over by then."""
 
 SINGLE_REQUEST_SILENCE_S = 2.5
-"""One request alone may be a long prompt, so an engine with one is given more time, unless another
-request has left it for its silence already."""
+"""An engine with a single request gets more time, since that may be a long prefill, unless a
+request has failed there for its silence already."""
 
 MIN_PLAIN_SILENCE_S = 0.3
 PLAIN_SILENCE_FACTOR = 6.0
-"""A plain server is silent after this many of its usual answer times."""
+"""A plain server is silent after this many of its average answer times, and not before
+`MIN_PLAIN_SILENCE_S`."""
 
 MIN_ENGINE_SLOTS = 16
-"""Servers with as many slots run batches, whose tokens come all the time."""
+"""Servers with at least this many slots are engines: they run batches and emit tokens all the
+time."""
 
 
 class ServerView(msgspec.Struct, eq=False):
-    """A server as this node sees it; `on_change` hears of each change of its load or standing.
+    """A server as this node sees it; `on_change` is called on each change of its load or standing.
 
-    `standing` is what is believed of its readiness. All times are monotonic seconds.
+    `standing` is what is known of its readiness. `peers_running` and `peers_prefill` are the
+    requests and prompt tokens that other nodes have there. All times are monotonic seconds.
     """
 
     server: Server
@@ -52,77 +55,77 @@
     on_change: Callable[["ServerView"], None] | None = None
 
     def notify_change(self) -> None:
-        """Tell that the load or the standing of the server changed."""
+        """Report that the load or the standing of the server changed."""
         if self.on_change is not None:
             self.on_change(self)
 
     def add_peer_load(self, running: int, prefill: int) -> None:
-        """Count more, or less, that other nodes have there."""
+        """Add to the load of other nodes there; the numbers may be negative."""
         self.peers_running += running
         self.peers_prefill += prefill
         self.notify_change()
 
     def pause(self, until: float) -> None:
-        """Take the server for silent until some time."""
+        """Treat the server as silent until some time."""
         self.standing.pause(until)
         self.notify_change()
 
     def hold_until(self, until: float) -> None:
-        """Choose the server for no request before some time: there is no permit for it."""
+        """Select the server for no request before some time, since there is no permit for it."""
         self.standing.held_until = until
         self.notify_change()
 
     def record_decline(self, now: float, retry_after_s: float | None) -> None:
-        """Learn that the server turned a request away; it may say when to retry."""
+        """Record that the server rejected a request, maybe with a time to retry."""
         self.standing.record_decline(now, retry_after_s)
         self.notify_change()
 
     def record_accepted(self, sent_at: float) -> None:
-        """Learn that the server took a request that was sent at some time."""
+        """Record that the server accepted a request that was sent at `sent_at`."""
         if self.standing.record_accepted(sent_at):
             self.notify_change()
 
     def record_peer_decline(self, now: float, until: float) -> None:
-        """Learn that the server turned requests of other nodes away."""
+        """Record that the server rejected requests of other nodes."""
         self.standing.record_peer_decline(now, until)
         self.notify_change()
 
     @property
     def limit_per_s(self) -> float | None:
-        """Return the requests a second that the server takes from all nodes together, if few."""
+        """Return the requests per second accepted from all nodes, None without a limit."""
         return self.standing.limit.per_s
 
     def is_open(self, now: float) -> bool:
-        """Say whether the server may get requests at all."""
+        """Return whether the server may get requests at all."""
         return not self.server.leaving and self.standing.retry_at <= now
 
     def is_closed(self, now: float) -> bool:
-        """Say whether the server gets no request of this node now, whatever others do."""
+        """Return whether this node may not send to the server now, even if no other one is open."""
         return not self.is_open(now) or self.standing.is_held(now)
 
     def is_deprioritized(self, now: float) -> bool:
-        """Say whether the server gets requests only if no other one may."""
+        """Return whether the server gets requests only if no other one may."""
         return self.standing.is_deprioritized(now)
 
     @property
     def total_running(self) -> int:
-        """Return the requests that all nodes have there.
+        """Return the requests that all nodes have running there.
 
-        News may overtake each other, so what others have may seem below zero for a moment.
+        Updates may arrive out of order, so the count of other nodes may be below zero for a moment.
         """
         return max(0, self.running + self.peers_running)
 
     @property
     def total_prefill(self) -> int:
-        """Return the prompt tokens that all nodes have waiting there."""
+        """Return the prompt tokens of all nodes that wait for prefill there."""
         return max(0, self.prefill_tokens + self.peers_prefill)
 
     def silent_s(self, now: float) -> float:
-        """Return for how long nothing came while requests were waiting there."""
+        """Return for how long no data came while requests were running there."""
         return now - max(self.last_data_at, self.busy_since) if self.running else 0.0
 
     def is_silent(self, now: float) -> bool:
-        """Say whether nothing came for so long that the server may be dark."""
+        """Return whether no data came for so long that the server may be unreachable."""
         if self.server.slots < MIN_ENGINE_SLOTS:
             limit = max(MIN_PLAIN_SILENCE_S, PLAIN_SILENCE_FACTOR * self.answer_s)
         else:
@@ -131,7 +134,7 @@
         return self.silent_s(now) > limit
 
     def record_cached(self, parts: tuple[PromptPart, ...], capacity: int) -> list[str]:
-        """Note that a prompt's parts lie in the server's memory now; return those that gave way."""
+        """Record a prompt's parts as cached at the server; return the ids of evicted parts."""
         for part in parts:
             if part.tokens <= 0:
                 continue
@@ -147,7 +150,7 @@
         return evicted
 
     def cached_prefix_tokens(self, parts: tuple[PromptPart, ...]) -> int:
-        """Return the tokens at the front of a prompt that lie in the server's memory."""
+        """Return the tokens of a prompt's prefix that is in the server's cache."""
         tokens = 0
         for part in parts:
             if part.tokens <= 0:
@@ -161,11 +164,11 @@
 class Placement(msgspec.Struct):
     """A request counted on a server until it ends.
 
-    `work`, `uncached`, `queued_ahead` (prompt tokens) and `concurrent` (requests) are what the choice
-    believed; `cumulative_work` is all the work that was placed there up to and with it. From
-    `fetch_from`, the address of another server, it takes `fetched` tokens of the prompt's front.
-    It is `outcome_recorded` once its answer, or that there was none, counted for its server's version, and
-    `permitted` if the server named a limit and one of its places was granted.
+    `work`, `uncached`, `queued_ahead` (prompt tokens) and `concurrent` (requests) are the estimates
+    at the time of the choice. `cumulative_work` is all work placed there up to and with it. It
+    fetches `fetched` tokens of its prefix from the server at `fetch_from`. `outcome_recorded` is
+    set once its answer, or the lack of one, counted for its server's version, and `permitted` if
+    the server states a limit and a permit was granted.
     """
 
     view: ServerView
@@ -186,7 +189,7 @@
     ended: bool = False
 
     def on_first_token(self) -> None:
-        """Note that the prompt was read."""
+        """Record that the prefill is done."""
         if self.prefill:
             self.view.prefill_tokens -= self.prefill
             self.prefill = 0
@@ -204,7 +207,7 @@
 
 
 def record_answer(view: ServerView, failed: bool, took_s: float) -> None:
-    """Learn from an answer."""
+    """Update a server's estimates by an answer."""
     view.standing.failures = 0
     view.failed_share += EWMA_WEIGHT * (float(failed) - view.failed_share)
     view.answer_s += EWMA_WEIGHT * (min(took_s, 2.0) - view.answer_s)
@@ -212,7 +215,7 @@
 
 
 def record_silence(view: ServerView, now: float) -> None:
-    """Learn from a server that can't be reached or broke off: pause it, longer each time."""
+    """Record that a server can't be reached or broke off: pause it, longer each time."""
     view.standing.record_failure(now)
     view.failed_share += EWMA_WEIGHT * (1.0 - view.failed_share)
     view.notify_change()
