--- a/src/moledale/gateway/stated_limit.py
+++ b/src/moledale/gateway/stated_limit.py
@@ -1,25 +1,25 @@
-"""The limit that a server named, as one node believes it, by answers and by other nodes' word."""
+"""The rate limit that a server stated, as one node knows it by answers and by other nodes."""
 
 import math
 
 import msgspec
 
 REMOVAL_BROADCAST_S = 3.0
-"""Other nodes are told for so long that a limit is named no more: fifteen rounds of news."""
+"""The removal of a limit is sent to other nodes for this long: fifteen gossip rounds."""
 
 
 class LimitNews(msgspec.Struct, frozen=True, array_like=True):
-    """A limit as a node heard it itself, `age_s` ago; None if the server names none any more."""
+    """A limit that a node observed itself `age_s` ago; None if there is none any more."""
 
     per_s: float | None
     age_s: float
 
 
 class StatedLimit(msgspec.Struct):
-    """Requests a second that a server takes from all nodes together, None if it names no limit.
+    """Requests per second that a server accepts from all nodes, None if it states no limit.
 
-    What was heard last counts, at `observed_at`; `limited_since` is when the first of the limits in a row was
-    heard. Times are monotonic seconds.
+    The last observation, at `observed_at`, counts; `limited_since` is when the first of the limits
+    in a row was observed. Times are monotonic seconds.
     """
 
     per_s: float | None = None
@@ -29,14 +29,14 @@
 
     @property
     def is_known(self) -> bool:
-        """Say whether any limit, or the end of one, was heard."""
+        """Return whether any limit, or the end of one, was observed."""
         return self.observed_at > -math.inf
 
     def update_from_answer(self, per_s: float | None, sent_at: float, now: float) -> bool:
-        """Take over what an answer named; say whether the limit changed.
+        """Apply what an answer stated; return whether the limit changed.
 
-        Answers overtake each other. One to a request from before the limit was heard last can
-        lower it, but neither raise nor end it.
+        Answers may arrive out of order. The answer to a request that was sent before the last
+        observation can lower the limit, but neither raise nor end it.
         """
         if self._loosens(per_s) and sent_at < self.observed_at:
             return False
@@ -44,12 +44,12 @@
             return False
         return self._set(per_s, now, True)
 
-    def update_from_peer(self, news: LimitNews, now: float) -> bool:
-        """Take over what another node heard, if that is newer; say whether the limit changed."""
-        observed_at = now - max(0.0, news.age_s)
+    def update_from_peer(self, update: LimitNews, now: float) -> bool:
+        """Apply what another node observed, if that is newer; return whether the limit changed."""
+        observed_at = now - max(0.0, update.age_s)
         if observed_at <= self.observed_at:
             return False
-        return self._set(news.per_s, observed_at, False)
+        return self._set(update.per_s, observed_at, False)
 
     def _loosens(self, per_s: float | None) -> bool:
         return self.per_s is not None and (per_s is None or per_s > self.per_s)
@@ -64,9 +64,10 @@
         return changed
 
     def to_broadcast(self, now: float) -> LimitNews | None:
-        """Return what to tell other nodes, None if there is nothing that this one heard itself.
+        """Return the update for other nodes, None if this node observed nothing itself.
 
-        What others told isn't told on: it would seem a little newer with each telling.
+        Updates from other nodes are not relayed, since each relay would make them seem a little
+        newer.
         """
         if not self.first_hand:
             return None
