--- a/src/moledale/gateway/admission.py
+++ b/src/moledale/gateway/admission.py
@@ -7,7 +7,7 @@
 
 from moledale.gateway.accounts import AccountLimits
 from moledale.gateway.dialect import Dialect
-from moledale.gateway.events import EventCutter
+from moledale.gateway.events import EventSplitter
 from moledale.gateway.job import Job
 from moledale.gateway.messages import Caller, InboundRequest, Refusal, RequestFacts
 from moledale.gateway.plan import Account, Plan, PlanIndex, Route, chosen_service
@@ -113,7 +113,7 @@
             chosen_service(route, self._random.random()),
             request.arrived_at + limit,
             reply,
-            EventCutter(facts.resumed_after),
+            EventSplitter(facts.resumed_after),
         )
 
     def _caller(
--- a/src/moledale/gateway/events.py
+++ b/src/moledale/gateway/events.py
@@ -3,7 +3,7 @@
 END_OF_EVENT = b"\n\n"
 
 
-class EventCutter:
+class EventSplitter:
     """Holds back the part of an event that has not come whole, and knows the last whole id."""
 
     def __init__(self, after: str = "") -> None:
--- a/src/moledale/gateway/job.py
+++ b/src/moledale/gateway/job.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from moledale.gateway.evacuation import Continuation
-from moledale.gateway.events import EventCutter
+from moledale.gateway.events import EventSplitter
 from moledale.gateway.fingerprint import fingerprint
 from moledale.gateway.messages import (
     AnswerHead,
@@ -55,7 +55,7 @@
     service: str
     ends_at: float
     reply: Reply
-    cutter: EventCutter
+    cutter: EventSplitter
     tried: frozenset[str] = frozenset()
     sends: int = 0
     may_have_run: bool = False
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -6,7 +6,7 @@
 from result import Err, Ok
 
 from moledale.gateway.balance import LoadBalancer
-from moledale.gateway.events import EventCutter
+from moledale.gateway.events import EventSplitter
 from moledale.gateway.fleet_watch import OUTAGE_S, FleetWatch
 from moledale.gateway.messages import PromptPart, RequestFacts, Server
 from moledale.gateway.outside import ServerList, Trouble
@@ -179,12 +179,12 @@
     def test_whole_events_at_every_cut(self) -> None:
         text = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: no id\n\nid: 30\ndata: c\n\n"
         for first in range(len(text)):
-            cutter = EventCutter()
+            cutter = EventSplitter()
             out = cutter.feed(text[:first]) + cutter.feed(text[first:])
             self.assertEqual((out + cutter.rest(), cutter.last_id), (text, "30"))
 
     def test_torn_part_is_dropped_before_going_on(self) -> None:
-        cutter = EventCutter()
+        cutter = EventSplitter()
         self.assertEqual(cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n")
         cutter.start_again()
         self.assertEqual(cutter.feed(b"id: 2\ndata: b\n\n"), b"id: 2\ndata: b\n\n")
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -10,7 +10,7 @@
 
 from moledale.clock import monotonic
 from moledale.gateway.balance import LoadBalancer
-from moledale.gateway.events import EventCutter
+from moledale.gateway.events import EventSplitter
 from moledale.gateway.job import Job
 from moledale.gateway.messages import Caller, InboundRequest, RequestFacts, RequestHead, Server
 from moledale.gateway.peers import Membership
@@ -183,7 +183,7 @@
             "model",
             109.0,
             Reply(None, close=False),  # type: ignore[arg-type]
-            EventCutter(""),
+            EventSplitter(""),
         )
         self.assertAlmostEqual(max_queue_wait_s(job, 100.2), 0.8)
         self.assertEqual(max_queue_wait_s(job, 101.5), 0.0)
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -36,7 +36,7 @@
 from moledale.gateway.ended_servers import DepartureLog
 from moledale.gateway.engine_costs import EngineCosts
 from moledale.gateway.evacuation import Evacuation
-from moledale.gateway.events import EventCutter
+from moledale.gateway.events import EventSplitter
 from moledale.gateway.fleet_watch import FleetWatch
 from moledale.gateway.forwarder import Forwarder
 from moledale.gateway.inbound import InboundConnection
@@ -134,7 +134,7 @@
     return True
 
 
-def _feed_all(self: EventCutter, data: bytes) -> bytes:
+def _feed_all(self: EventSplitter, data: bytes) -> bytes:
     """Pass torn events on."""
     self._note(data)
     return data
@@ -229,7 +229,7 @@
     ("surplus bytes end a connection", UpstreamConnection, "data_received", _ignore_surplus, BYTES),
     ("spoiled connections are not kept", UpstreamConnection, "finish", _keep_any, BYTES),
     ("the id of an answer is compared", PlatformHeaders, "read_answer", _no_id, BYTES),
-    ("only whole events pass", EventCutter, "feed", _feed_all, f"{BYTES} {STATE}"),
+    ("only whole events pass", EventSplitter, "feed", _feed_all, f"{BYTES} {STATE}"),
     ("a cut answer ends visibly", Reply, "break_off", _end_as_whole, BYTES),
     ("a caller that leaves is heeded", InboundConnection, "connection_lost", _stay, BYTES),
     ("what may have run is not repeated", Forwarder, "_may_repeat", lambda *_: True, BYTES),
