--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -175,7 +175,7 @@
         self.assertEqual((view.running, view.prefill_tokens), (0, 0))
 
 
-class EventCutterTest(unittest.TestCase):
+class EventSplitterTest(unittest.TestCase):
     def test_whole_events_at_every_cut(self) -> None:
         text = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: no id\n\nid: 30\ndata: c\n\n"
         for first in range(len(text)):
