--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -227,10 +227,10 @@
                 job.may_have_run = True
                 self._count(job)
                 record_answer(placement.view, False, self._now() - placement.sent_at)
-            passed = job.cutter.passed
-            whole = job.cutter.feed(data)
+            passed = job.splitter.passed
+            whole = job.splitter.feed(data)
             if whole:
-                run.record_events(job.cutter.passed - passed, self._now())
+                run.record_events(job.splitter.passed - passed, self._now())
                 job.note_event(self._now())
                 self._begin_stream(job, head)
                 job.reply.send(whole)
@@ -238,7 +238,7 @@
         if run.stopping and connection.ends_by_closing:
             raise AnswerCut(Cut.CLOSED)
         self._begin_stream(job, head)
-        job.reply.send(job.cutter.rest())
+        job.reply.send(job.splitter.rest())
         job.reply.finish()
         self._balancer.record_completion(placement, self._now())
         self._balancer.record_pace(placement, run.server_events, self._now())
@@ -258,7 +258,7 @@
             self._balancer.record_broken_answer(placement, self._now())
         if cut is Cut.SLOW:
             self._balancer.on_silent(placement.view.server.id)
-        job.cutter.start_again()
+        job.splitter.start_again()
         return Attempt(Ending.BROKEN, why=cut.value)
 
     def _count(self, job: Job) -> None:
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -236,7 +236,7 @@
         """Send the request to one server and pass its answer on."""
         engine = self._engine(job.service)
         event_tokens = engine.event_tokens if engine is not None else 1
-        run = StreamRun(job.facts, job.service, placement, event_tokens, events=job.cutter.passed)
+        run = StreamRun(job.facts, job.service, placement, event_tokens, events=job.splitter.passed)
         try:
             return await self._send_and_read(job, run, moved)
         finally:
@@ -326,7 +326,7 @@
         if found is None:
             return None
         run.continuation = asyncio.get_running_loop().create_future()
-        job.cutter.start_again()
+        job.splitter.start_again()
         job.may_have_run = True
         return Attempt(Ending.MOVED, why="moved", next=found)
 
@@ -342,9 +342,9 @@
             self._sharing.repeat(job.service, now)
         job.sends += 1
         job.offered = True
-        after = job.cutter.last_id if job.cutter.passed else ""
+        after = job.splitter.last_id if job.splitter.passed else ""
         if moved is not None:
-            after = job.cutter.last_id or NO_EVENT
+            after = job.splitter.last_id or NO_EVENT
         facts = AttemptFacts(
             placement.view.server.id,
             job.caller.account,
@@ -363,7 +363,9 @@
         """Give the final answer at once: a server's failure, or one of our own."""
         if job.reply.begun:
             job.reply.break_off()
-            emit(Event.STREAM_BROKEN, request=job.facts.id, events=job.cutter.passed, why=last.why)
+            emit(
+                Event.STREAM_BROKEN, request=job.facts.id, events=job.splitter.passed, why=last.why
+            )
         elif last.head is not None:
             self._answers.pass_on(job, last.head, last.body)
         elif job.may_have_run:
--- a/src/moledale/gateway/job.py
+++ b/src/moledale/gateway/job.py
@@ -55,7 +55,7 @@
     service: str
     ends_at: float
     reply: Reply
-    cutter: EventSplitter
+    splitter: EventSplitter
     tried: frozenset[str] = frozenset()
     sends: int = 0
     may_have_run: bool = False
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -179,16 +179,16 @@
     def test_whole_events_at_every_cut(self) -> None:
         text = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: no id\n\nid: 30\ndata: c\n\n"
         for first in range(len(text)):
-            cutter = EventSplitter()
-            out = cutter.feed(text[:first]) + cutter.feed(text[first:])
-            self.assertEqual((out + cutter.rest(), cutter.last_id), (text, "30"))
+            splitter = EventSplitter()
+            out = splitter.feed(text[:first]) + splitter.feed(text[first:])
+            self.assertEqual((out + splitter.rest(), splitter.last_id), (text, "30"))
 
     def test_torn_part_is_dropped_before_going_on(self) -> None:
-        cutter = EventSplitter()
-        self.assertEqual(cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n")
-        cutter.start_again()
-        self.assertEqual(cutter.feed(b"id: 2\ndata: b\n\n"), b"id: 2\ndata: b\n\n")
-        self.assertEqual((cutter.last_id, cutter.passed), ("2", 2))
+        splitter = EventSplitter()
+        self.assertEqual(splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n")
+        splitter.start_again()
+        self.assertEqual(splitter.feed(b"id: 2\ndata: b\n\n"), b"id: 2\ndata: b\n\n")
+        self.assertEqual((splitter.last_id, splitter.passed), ("2", 2))
 
 
 class ListedServers:
