--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -227,10 +227,10 @@
                 job.may_have_run = True
                 self._count(job)
                 record_answer(placement.view, False, self._now() - placement.sent_at)
-            passed = job.splitter.passed
+            passed = job.splitter.event_count
             whole = job.splitter.feed(data)
             if whole:
-                run.record_events(job.splitter.passed - passed, self._now())
+                run.record_events(job.splitter.event_count - passed, self._now())
                 job.note_event(self._now())
                 self._begin_stream(job, head)
                 job.reply.send(whole)
--- a/src/moledale/gateway/events.py
+++ b/src/moledale/gateway/events.py
@@ -8,7 +8,7 @@
 
     def __init__(self, after: str = "") -> None:
         self.last_id = after
-        self.passed = 0
+        self.event_count = 0
         self._tail = b""
 
     def feed(self, data: bytes) -> bytes:
@@ -32,7 +32,7 @@
         self._tail = b""
 
     def _note(self, whole: bytes) -> None:
-        self.passed += whole.count(END_OF_EVENT)
+        self.event_count += whole.count(END_OF_EVENT)
         begin = whole.rfind(b"\nid:")
         if begin < 0:
             if not whole.startswith(b"id:"):
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -236,7 +236,9 @@
         """Send the request to one server and pass its answer on."""
         engine = self._engine(job.service)
         event_tokens = engine.event_tokens if engine is not None else 1
-        run = StreamRun(job.facts, job.service, placement, event_tokens, events=job.splitter.passed)
+        run = StreamRun(
+            job.facts, job.service, placement, event_tokens, events=job.splitter.event_count
+        )
         try:
             return await self._send_and_read(job, run, moved)
         finally:
@@ -342,7 +344,7 @@
             self._sharing.repeat(job.service, now)
         job.sends += 1
         job.offered = True
-        after = job.splitter.last_id if job.splitter.passed else ""
+        after = job.splitter.last_id if job.splitter.event_count else ""
         if moved is not None:
             after = job.splitter.last_id or NO_EVENT
         facts = AttemptFacts(
@@ -364,7 +366,10 @@
         if job.reply.begun:
             job.reply.break_off()
             emit(
-                Event.STREAM_BROKEN, request=job.facts.id, events=job.splitter.passed, why=last.why
+                Event.STREAM_BROKEN,
+                request=job.facts.id,
+                events=job.splitter.event_count,
+                why=last.why,
             )
         elif last.head is not None:
             self._answers.pass_on(job, last.head, last.body)
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -188,7 +188,7 @@
         self.assertEqual(splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n")
         splitter.start_again()
         self.assertEqual(splitter.feed(b"id: 2\ndata: b\n\n"), b"id: 2\ndata: b\n\n")
-        self.assertEqual((splitter.last_id, splitter.passed), ("2", 2))
+        self.assertEqual((splitter.last_id, splitter.event_count), ("2", 2))
 
 
 class ListedServers:
