--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -258,7 +258,7 @@
             self._balancer.record_broken_answer(placement, self._now())
         if cut is Cut.SLOW:
             self._balancer.on_silent(placement.view.server.id)
-        job.splitter.start_again()
+        job.splitter.discard_partial()
         return Attempt(Ending.BROKEN, why=cut.value)
 
     def _count(self, job: Job) -> None:
--- a/src/moledale/gateway/events.py
+++ b/src/moledale/gateway/events.py
@@ -27,7 +27,7 @@
         rest, self._tail = self._tail, b""
         return rest
 
-    def start_again(self) -> None:
+    def discard_partial(self) -> None:
         """Drop the torn part of an event, since the stream goes on elsewhere."""
         self._tail = b""
 
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -328,7 +328,7 @@
         if found is None:
             return None
         run.continuation = asyncio.get_running_loop().create_future()
-        job.splitter.start_again()
+        job.splitter.discard_partial()
         job.may_have_run = True
         return Attempt(Ending.MOVED, why="moved", next=found)
 
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -186,7 +186,7 @@
     def test_torn_part_is_dropped_before_going_on(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n")
-        splitter.start_again()
+        splitter.discard_partial()
         self.assertEqual(splitter.feed(b"id: 2\ndata: b\n\n"), b"id: 2\ndata: b\n\n")
         self.assertEqual((splitter.last_id, splitter.event_count), ("2", 2))
 
