--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -238,7 +238,7 @@
         if run.stopping and connection.ends_by_closing:
             raise AnswerCut(Cut.CLOSED)
         self._begin_stream(job, head)
-        job.reply.send(job.splitter.rest())
+        job.reply.send(job.splitter.flush())
         job.reply.finish()
         self._balancer.record_completion(placement, self._now())
         self._balancer.record_pace(placement, run.server_events, self._now())
--- a/src/moledale/gateway/events.py
+++ b/src/moledale/gateway/events.py
@@ -9,29 +9,29 @@
     def __init__(self, after: str = "") -> None:
         self.last_id = after
         self.event_count = 0
-        self._tail = b""
+        self._partial = b""
 
     def feed(self, data: bytes) -> bytes:
         """Return the whole events that are at hand now."""
-        data = self._tail + data
+        data = self._partial + data
         end = data.rfind(END_OF_EVENT)
         if end < 0:
-            self._tail = data
+            self._partial = data
             return b""
-        whole, self._tail = data[: end + 2], data[end + 2 :]
-        self._note(whole)
+        whole, self._partial = data[: end + 2], data[end + 2 :]
+        self._record_events(whole)
         return whole
 
-    def rest(self) -> bytes:
+    def flush(self) -> bytes:
         """Return what is left when the stream has ended whole."""
-        rest, self._tail = self._tail, b""
+        rest, self._partial = self._partial, b""
         return rest
 
     def discard_partial(self) -> None:
         """Drop the torn part of an event, since the stream goes on elsewhere."""
-        self._tail = b""
+        self._partial = b""
 
-    def _note(self, whole: bytes) -> None:
+    def _record_events(self, whole: bytes) -> None:
         self.event_count += whole.count(END_OF_EVENT)
         begin = whole.rfind(b"\nid:")
         if begin < 0:
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -181,7 +181,7 @@
         for first in range(len(text)):
             splitter = EventSplitter()
             out = splitter.feed(text[:first]) + splitter.feed(text[first:])
-            self.assertEqual((out + splitter.rest(), splitter.last_id), (text, "30"))
+            self.assertEqual((out + splitter.flush(), splitter.last_id), (text, "30"))
 
     def test_torn_part_is_dropped_before_going_on(self) -> None:
         splitter = EventSplitter()
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -136,7 +136,7 @@
 
 def _feed_all(self: EventSplitter, data: bytes) -> bytes:
     """Pass torn events on."""
-    self._note(data)
+    self._record_events(data)
     return data
 
 
