--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -7,7 +7,7 @@
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.dialect import Dialect
 from moledale.gateway.evacuation import StreamRun
-from moledale.gateway.job import Attempt, Ending, Job
+from moledale.gateway.job import Attempt, AttemptOutcome, Job
 from moledale.gateway.messages import AnswerFacts, AnswerHead, InboundRequest, Refusal
 from moledale.gateway.plan import Kind
 from moledale.gateway.reply import CHUNKED, Reply
@@ -102,7 +102,7 @@
         """Read or pass on what follows an answer's head."""
         if facts.not_run:
             await self._read_whole(connection)
-            return Attempt(Ending.NOT_RUN, why=str(head.status))
+            return Attempt(AttemptOutcome.NOT_RUN, why=str(head.status))
         if not facts.signed:
             connection.usable = False
             return self.cut(job, run.placement, Cut.GARBLED)
@@ -173,14 +173,14 @@
         job.may_have_run = True
         self._count(job)
         if failed and job.reply.begun:
-            return Attempt(Ending.FAILED, head, body, why=str(head.status))
+            return Attempt(AttemptOutcome.FAILED, head, body, why=str(head.status))
         if failed and whole and job.route.repeatable and job.sends < job.route.max_servers:
-            return Attempt(Ending.FAILED, head, body, why=str(head.status))
+            return Attempt(AttemptOutcome.FAILED, head, body, why=str(head.status))
         if whole:
             self.pass_on(job, head, body)
         else:
             await self._pass_long(job, connection, head, body)
-        return Attempt(Ending.ANSWERED)
+        return Attempt(AttemptOutcome.ANSWERED)
 
     async def _read_some(self, connection: UpstreamConnection) -> tuple[bytes, bool]:
         """Read a body up to the bound; say whether that is all of it."""
@@ -242,7 +242,7 @@
         job.reply.finish()
         self._balancer.record_completion(placement, self._now())
         self._balancer.record_pace(placement, run.server_events, self._now())
-        return Attempt(Ending.ANSWERED)
+        return Attempt(AttemptOutcome.ANSWERED)
 
     def _begin_stream(self, job: Job, head: AnswerHead) -> None:
         if not job.reply.begun:
@@ -259,7 +259,7 @@
         if cut is Cut.SLOW:
             self._balancer.on_silent(placement.view.server.id)
         job.splitter.discard_partial()
-        return Attempt(Ending.BROKEN, why=cut.value)
+        return Attempt(AttemptOutcome.BROKEN, why=cut.value)
 
     def _count(self, job: Job) -> None:
         if not job.counted and job.caller.account is not None:
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -10,7 +10,7 @@
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.dialect import Dialect
 from moledale.gateway.evacuation import Continuation, Engines, Evacuation, StreamRun
-from moledale.gateway.job import Attempt, Ending, Job
+from moledale.gateway.job import Attempt, AttemptOutcome, Job
 from moledale.gateway.messages import AttemptFacts, InboundRequest, Refusal
 from moledale.gateway.permits import PERMIT_TIMEOUT_S, PermitClient, standalone_permit_client
 from moledale.gateway.placing import PlacementRequest, Placer
@@ -38,7 +38,7 @@
 def _list_too_old() -> Attempt:
     """Return the outcome of a request that another node can serve at once."""
     why = "the list of servers is out of date"
-    return Attempt(Ending.NOT_RUN, again_s=OTHER_NODE_AGAIN_S, why=why)
+    return Attempt(AttemptOutcome.NOT_RUN, again_s=OTHER_NODE_AGAIN_S, why=why)
 
 
 async def _always() -> bool:
@@ -169,7 +169,7 @@
     async def _carry(self, job: Job) -> None:
         """Try servers until one answers or no more may be tried."""
         self._sharing.request(job.service, self._now())
-        last = Attempt(Ending.NOT_SENT, why=NO_SERVER)
+        last = Attempt(AttemptOutcome.NOT_SENT, why=NO_SERVER)
         moved: Continuation | None = None
         while True:
             if moved is None and not await self._list_is_current():
@@ -182,16 +182,16 @@
             placement = await self._place(job) if moved is None else moved.placement
             if placement is None:
                 if last.why == NO_SERVER and self._refusals.wait_s(job):
-                    last = Attempt(Ending.NOT_SENT, why=self._refusals.why_none(job))
+                    last = Attempt(AttemptOutcome.NOT_SENT, why=self._refusals.why_none(job))
                 break
             placement.route = job.route.name
             attempt = await self._attempt(job, placement, moved)
             moved = attempt.next
-            if attempt.ending is Ending.ANSWERED:
+            if attempt.ending is AttemptOutcome.ANSWERED:
                 self.guard.served(job)
                 self._tell_served(job, placement, attempt)
                 return
-            if attempt.ending is Ending.MOVED:
+            if attempt.ending is AttemptOutcome.MOVED:
                 continue
             last = attempt
             if not self._may_repeat(job, attempt):
@@ -224,7 +224,7 @@
     def _may_repeat(self, job: Job, attempt: Attempt) -> bool:
         """Say whether another server may be tried."""
         server_left = job.sends < job.route.max_servers
-        if attempt.ending is Ending.NOT_SENT:
+        if attempt.ending is AttemptOutcome.NOT_SENT:
             return len(job.tried) - job.sends < MOST_UNREACHED
         if not server_left or (job.may_have_run and not job.route.repeatable):
             return False
@@ -256,16 +256,18 @@
             except ConnectFailed as error:
                 record_silence(view, self._now())
                 emit(Event.CONNECT_FAILED, request=job.facts.id, server=server.id, why=str(error))
-                return Attempt(Ending.NOT_SENT, why="no connection")
+                return Attempt(AttemptOutcome.NOT_SENT, why="no connection")
             if moved is None and not view.is_open(self._now()):
                 # Its word came while the connection was made.
                 self._pool.keep_new(server.id, connection)
                 connection = None
-                return Attempt(Ending.NOT_SENT, why="the server leaves or asked for a later retry")
+                return Attempt(
+                    AttemptOutcome.NOT_SENT, why="the server leaves or asked for a later retry"
+                )
             if moved is None and not await self._still_permitted(placement):
                 self._pool.keep_new(server.id, connection)
                 connection = None
-                return Attempt(Ending.NOT_SENT, why="the server named a limit")
+                return Attempt(AttemptOutcome.NOT_SENT, why="the server named a limit")
             self._send(job, connection, placement, moved)
             if job.route.kind is Kind.STREAM:
                 self.evacuation.runs.add(run)
@@ -275,7 +277,7 @@
                 attempt = await self._moved(job, run) or self._answers.cut(
                     job, placement, error.cut
                 )
-            if attempt.ending is not Ending.ANSWERED:
+            if attempt.ending is not AttemptOutcome.ANSWERED:
                 self._tell_ended(job, placement, attempt)
             self._pool.give_back(server.id, connection)
             connection = None
@@ -297,7 +299,7 @@
 
     def _tell_ended(self, job: Job, placement: Placement, attempt: Attempt) -> None:
         """Log a send that brought no answer; one that broke off with what was asked for."""
-        broken = attempt.ending is Ending.BROKEN
+        broken = attempt.ending is AttemptOutcome.BROKEN
         emit(
             Event.ATTEMPT_ENDED,
             request=job.facts.id,
@@ -330,7 +332,7 @@
         run.continuation = asyncio.get_running_loop().create_future()
         job.splitter.discard_partial()
         job.may_have_run = True
-        return Attempt(Ending.MOVED, why="moved", next=found)
+        return Attempt(AttemptOutcome.MOVED, why="moved", next=found)
 
     def _send(
         self,
--- a/src/moledale/gateway/job.py
+++ b/src/moledale/gateway/job.py
@@ -18,7 +18,7 @@
 from moledale.gateway.reply import Reply
 
 
-class Ending(StrEnum):
+class AttemptOutcome(StrEnum):
     """How an attempt ended."""
 
     ANSWERED = "answered"
@@ -36,7 +36,7 @@
     where that is known.
     """
 
-    ending: Ending
+    ending: AttemptOutcome
     head: AnswerHead | None = None
     body: bytes = b""
     why: str = ""
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -6,7 +6,7 @@
 from moledale.gateway.admission import spread
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.dialect import Dialect
-from moledale.gateway.job import Attempt, Ending, Job
+from moledale.gateway.job import Attempt, AttemptOutcome, Job
 from moledale.gateway.messages import InboundRequest, Refusal
 from moledale.gateway.reply import Reply
 from moledale.gateway.turns import RetryScheduler
@@ -62,7 +62,7 @@
         limit_per_s = self._balancer.group(job.service).limited.total_per_s()
         if wait_s > 0 and limit_per_s:
             return self._turns.next_retry_s(job.service, wait_s, limit_per_s)
-        usual_s = NO_SERVER_AGAIN_S if last.ending is Ending.NOT_SENT else NOT_RUN_AGAIN_S
+        usual_s = NO_SERVER_AGAIN_S if last.ending is AttemptOutcome.NOT_SENT else NOT_RUN_AGAIN_S
         return wait_s if wait_s > 0 else usual_s
 
     def wait_s(self, job: Job) -> float | None:
