--- a/src/moledale/gateway/job.py
+++ b/src/moledale/gateway/job.py
@@ -40,7 +40,7 @@
     head: AnswerHead | None = None
     body: bytes = b""
     why: str = ""
-    next: Continuation | None = None
+    continuation: Continuation | None = None
     statement: ServerStatement = ServerStatement()
     again_s: float | None = None
 
