--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -186,7 +186,7 @@
                 break
             placement.route = job.route.name
             attempt = await self._attempt(job, placement, moved)
-            moved = attempt.next
+            moved = attempt.continuation
             if attempt.ending is AttemptOutcome.ANSWERED:
                 self.guard.served(job)
                 self._tell_served(job, placement, attempt)
@@ -332,7 +332,7 @@
         run.continuation = asyncio.get_running_loop().create_future()
         job.splitter.discard_partial()
         job.may_have_run = True
-        return Attempt(AttemptOutcome.MOVED, why="moved", next=found)
+        return Attempt(AttemptOutcome.MOVED, why="moved", continuation=found)
 
     def _send(
         self,
