--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -231,7 +231,7 @@
             whole = job.splitter.feed(data)
             if whole:
                 run.record_events(job.splitter.event_count - passed, self._now())
-                job.note_event(self._now())
+                job.record_event(self._now())
                 self._begin_stream(job, head)
                 job.reply.send(whole)
                 await job.reply.drained()
@@ -262,6 +262,6 @@
         return Attempt(AttemptOutcome.BROKEN, why=cut.value)
 
     def _count(self, job: Job) -> None:
-        if not job.counted and job.caller.account is not None:
-            job.counted = True
+        if not job.usage_counted and job.caller.account is not None:
+            job.usage_counted = True
             self._sharing.started(job.caller.account)
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -319,7 +319,7 @@
     def _note_unanswered(self, job: Job, placement: Placement) -> None:
         """Hold it against a server's version if nothing came of it within the target."""
         waited_s = self._now() - placement.sent_at
-        if job.offered and waited_s >= job.route.target_s:
+        if job.was_sent and waited_s >= job.route.target_s:
             self._balancer.record_outcome(placement, True, waited_s)
 
     async def _moved(self, job: Job, run: StreamRun) -> Attempt | None:
@@ -345,7 +345,7 @@
         if job.sends:
             self._sharing.repeat(job.service, now)
         job.sends += 1
-        job.offered = True
+        job.was_sent = True
         after = job.splitter.last_id if job.splitter.event_count else ""
         if moved is not None:
             after = job.splitter.last_id or NO_EVENT
@@ -386,6 +386,6 @@
                 job.reply.break_off()
                 emit(Event.STREAM_BROKEN, request=job.facts.id, why=refusal.reason)
             return
-        if not job.offered and refusal.status == 504:
+        if not job.was_sent and refusal.status == 504:
             refusal = Refusal(503, refusal.reason, NOT_RUN_AGAIN_S)
         self.refuse(job.reply, job.request, refusal, job.facts.id)
--- a/src/moledale/gateway/job.py
+++ b/src/moledale/gateway/job.py
@@ -53,15 +53,15 @@
     route: Route
     caller: Caller
     service: str
-    ends_at: float
+    deadline_at: float
     reply: Reply
     splitter: EventSplitter
     tried: frozenset[str] = frozenset()
     sends: int = 0
     may_have_run: bool = False
-    counted: bool = False
-    offered: bool = False
-    event_at: float | None = None
+    usage_counted: bool = False
+    was_sent: bool = False
+    last_event_at: float | None = None
     longest_pause_s: float = 0.0
     _fingerprint: bytes = b""
 
@@ -72,12 +72,12 @@
             self._fingerprint = fingerprint(self.request, self.caller.account)
         return self._fingerprint
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note that events were passed on, for the longest pause between two."""
-        if self.event_at is not None:
-            self.longest_pause_s = max(self.longest_pause_s, now - self.event_at)
-        self.event_at = now
+        if self.last_event_at is not None:
+            self.longest_pause_s = max(self.longest_pause_s, now - self.last_event_at)
+        self.last_event_at = now
 
     def left_s(self, now: float) -> float:
         """Return the time left."""
-        return self.ends_at - now
+        return self.deadline_at - now
--- a/src/moledale/gateway/turns.py
+++ b/src/moledale/gateway/turns.py
@@ -27,7 +27,7 @@
     """
     rank = DEFAULT_RANK if job.caller.priority is None else max(0, job.caller.priority)
     max_s = QUEUE_WAIT_SHARE * job.route.target_s / (rank + 1)
-    since = job.request.arrived_at if job.event_at is None else job.event_at
+    since = job.request.arrived_at if job.last_event_at is None else job.last_event_at
     return max(0.0, min(max_s - (now - since), job.left_s(now)))
 
 
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -187,9 +187,9 @@
         )
         self.assertAlmostEqual(max_queue_wait_s(job, 100.2), 0.8)
         self.assertEqual(max_queue_wait_s(job, 101.5), 0.0)
-        job.note_event(105.0)
+        job.record_event(105.0)
         self.assertAlmostEqual(max_queue_wait_s(job, 105.1), 0.9)
-        job.ends_at = 105.5
+        job.deadline_at = 105.5
         self.assertAlmostEqual(max_queue_wait_s(job, 105.1), 0.4)
         job.caller.priority = 4
         self.assertAlmostEqual(max_queue_wait_s(job, 105.1), 0.1)
