--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -63,11 +63,11 @@
 
     def request(self, service: str, now: float) -> None:
         """Count a caller's request for a service."""
-        self._budget(service).request(now)
+        self._budget(service).record_request(now)
 
     def repeat(self, service: str, now: float) -> None:
         """Count a send after a request's first one."""
-        self._budget(service).repeat(now)
+        self._budget(service).record_retry(now)
 
     def may_repeat(self, service: str, now: float) -> bool:
         """Say whether the budget of all nodes allows one more repeat."""
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -179,11 +179,11 @@
             now = step * 0.05
             counts = [budget.counts(now) for budget in budgets]
             for number, budget in enumerate(budgets):
-                budget.request(now)
+                budget.record_request(now)
                 requests += 1
                 others = [each for other, each in enumerate(counts) if other != number]
                 if budget.allows(now, others, 9):
-                    budget.repeat(now)
+                    budget.record_retry(now)
                     repeats += 1
         self.assertLessEqual(repeats, 0.2 * requests + 20)
         self.assertGreater(repeats, 0.05 * requests)
@@ -191,7 +191,7 @@
     def test_old_requests_give_no_room(self) -> None:
         budget = RetryBudget(0.2, 0.0, 10.0)
         for _ in range(100):
-            budget.request(0.0)
+            budget.record_request(0.0)
         self.assertTrue(budget.allows(1.0, [], 1))
         self.assertFalse(budget.allows(12.0, [], 1))
 
--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -82,10 +82,10 @@
             bounds = scaled(self.bounds, factor)
             budget = RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
             for _ in range(int(100 * factor)):
-                budget.request(0.0)
+                budget.record_request(0.0)
             allowed = 0
             while budget.allows(0.0, [], 1):
-                budget.repeat(0.0)
+                budget.record_retry(0.0)
                 allowed += 1
             self.assertEqual(allowed, 24 * factor)
 
