--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -12,7 +12,7 @@
 from moledale.gateway.turns import RetryScheduler
 from moledale.log import Event, emit
 
-NO_SERVER_AGAIN_S = 0.6
+NO_SERVER_RETRY_S = 0.6
 """Time to come back where no server takes a connection: a pause of silent ones ends after 0.5 s."""
 
 NOT_RUN_AGAIN_S = 0.3
@@ -58,11 +58,11 @@
             return last.again_s
         wait_s = self.wait_s(job)
         if wait_s is None:
-            return NO_SERVER_AGAIN_S
+            return NO_SERVER_RETRY_S
         limit_per_s = self._balancer.group(job.service).limited.total_per_s()
         if wait_s > 0 and limit_per_s:
             return self._turns.next_retry_s(job.service, wait_s, limit_per_s)
-        usual_s = NO_SERVER_AGAIN_S if last.ending is AttemptOutcome.NOT_SENT else NOT_RUN_AGAIN_S
+        usual_s = NO_SERVER_RETRY_S if last.ending is AttemptOutcome.NOT_SENT else NOT_RUN_AGAIN_S
         return wait_s if wait_s > 0 else usual_s
 
     def wait_s(self, job: Job) -> float | None:
