--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -16,7 +16,7 @@
 from moledale.gateway.placing import PlacementRequest, Placer
 from moledale.gateway.plan import Engine, Kind, Plan, PlanIndex
 from moledale.gateway.pool import ConnectionPool
-from moledale.gateway.refusals import NO_SERVER, NOT_RUN_AGAIN_S, Refusals
+from moledale.gateway.refusals import NO_SERVER, NOT_RUN_RETRY_S, Refusals
 from moledale.gateway.reply import Reply
 from moledale.gateway.request_guard import RequestGuard
 from moledale.gateway.server_view import Placement, record_silence
@@ -182,7 +182,9 @@
             placement = await self._place(job) if moved is None else moved.placement
             if placement is None:
                 if last.why == NO_SERVER and self._refusals.wait_s(job):
-                    last = Attempt(AttemptOutcome.NOT_SENT, why=self._refusals.why_none(job))
+                    last = Attempt(
+                        AttemptOutcome.NOT_SENT, why=self._refusals.no_server_reason(job)
+                    )
                 break
             placement.route = job.route.name
             attempt = await self._attempt(job, placement, moved)
@@ -378,7 +380,7 @@
         elif job.may_have_run:
             self._give_up(job, Refusal(502, "the server broke off"))
         else:
-            self._give_up(job, self._refusals.to_come_back(job, last))
+            self._give_up(job, self._refusals.retry_later(job, last))
 
     def _give_up(self, job: Job, refusal: Refusal) -> None:
         if job.reply.begun:
@@ -387,5 +389,5 @@
                 emit(Event.STREAM_BROKEN, request=job.facts.id, why=refusal.reason)
             return
         if not job.was_sent and refusal.status == 504:
-            refusal = Refusal(503, refusal.reason, NOT_RUN_AGAIN_S)
+            refusal = Refusal(503, refusal.reason, NOT_RUN_RETRY_S)
         self.refuse(job.reply, job.request, refusal, job.facts.id)
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -15,7 +15,7 @@
 NO_SERVER_RETRY_S = 0.6
 """Time to come back where no server takes a connection: a pause of silent ones ends after 0.5 s."""
 
-NOT_RUN_AGAIN_S = 0.3
+NOT_RUN_RETRY_S = 0.3
 """Time to come back where servers were full: a few answers of a plain service."""
 
 NO_SERVER = "no server is there"
@@ -40,11 +40,11 @@
         self._now = now
         self._random = random.Random()
 
-    def why_none(self, job: Job) -> str:
+    def no_server_reason(self, job: Job) -> str:
         """Return why a request gets no server though some are there."""
         return ALL_LIMITED if self._balancer.group(job.service).limited.names else ALL_BACK_OFF
 
-    def to_come_back(self, job: Job, last: Attempt) -> Refusal:
+    def retry_later(self, job: Job, last: Attempt) -> Refusal:
         """Return the answer for a request that no server ran."""
         return Refusal(503, last.why, spread(self._random, self._again_s(job, last)))
 
@@ -62,7 +62,7 @@
         limit_per_s = self._balancer.group(job.service).limited.total_per_s()
         if wait_s > 0 and limit_per_s:
             return self._turns.next_retry_s(job.service, wait_s, limit_per_s)
-        usual_s = NO_SERVER_RETRY_S if last.ending is AttemptOutcome.NOT_SENT else NOT_RUN_AGAIN_S
+        usual_s = NO_SERVER_RETRY_S if last.ending is AttemptOutcome.NOT_SENT else NOT_RUN_RETRY_S
         return wait_s if wait_s > 0 else usual_s
 
     def wait_s(self, job: Job) -> float | None:
