--- a/src/moledale/gateway/admission.py
+++ b/src/moledale/gateway/admission.py
@@ -34,7 +34,7 @@
 """What callers are told of a request that is blocked."""
 
 
-def spread(chance: random.Random, seconds: float) -> float:
+def add_jitter(chance: random.Random, seconds: float) -> float:
     """Return a time to come back, a little later than `seconds` by chance."""
     return max(LEAST_AGAIN_S, seconds * (1.0 + SPREAD * chance.random()))
 
@@ -66,7 +66,7 @@
         self._now = now
         self._newer_plan = newer_plan
         self._blocked_s = blocked_s
-        self._random = random.Random()
+        self._rng = random.Random()
 
     def adopt(self, plan: Plan) -> bool:
         """Put a plan in force unless a newer one is; say whether it is in force now."""
@@ -110,7 +110,7 @@
             facts,
             route,
             caller,
-            chosen_service(route, self._random.random()),
+            chosen_service(route, self._rng.random()),
             request.arrived_at + limit,
             reply,
             EventSplitter(facts.resumed_after),
@@ -125,20 +125,20 @@
         # A request that will not run costs nothing of the account's limit.
         blocked_s = self._blocked_s(request, account.name if account is not None else None)
         if blocked_s > 0:
-            return Refusal(503, BLOCKED, spread(self._random, blocked_s))
+            return Refusal(503, BLOCKED, add_jitter(self._rng, blocked_s))
         if account is None:
             return Caller(None, route.priority)
         wait_s = self.limits.take(account, account.price(facts.tokens), self._now())
         if wait_s > 0:
             self._tell_limited(account, facts, wait_s)
-            return Refusal(429, "the account's limit is reached", spread(self._random, wait_s))
+            return Refusal(429, "the account's limit is reached", add_jitter(self._rng, wait_s))
         priority = route.priority if account.priority is None else account.priority
         return Caller(account.name, priority)
 
     def _not_allowed(self, refusal: Refusal) -> Refusal:
         if not self._newer_plan():
             return refusal
-        again_s = spread(self._random, NEWER_PLAN_AGAIN_S)
+        again_s = add_jitter(self._rng, NEWER_PLAN_AGAIN_S)
         return Refusal(503, f"{refusal.reason} yet, a newer plan is on its way", again_s)
 
     def _tell_limited(self, account: Account, facts: RequestFacts, wait_s: float) -> None:
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from moledale.gateway.admission import spread
+from moledale.gateway.admission import add_jitter
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.dialect import Dialect
 from moledale.gateway.job import Attempt, AttemptOutcome, Job
@@ -38,7 +38,7 @@
         self._balancer = balancer
         self._turns = turns
         self._now = now
-        self._random = random.Random()
+        self._rng = random.Random()
 
     def no_server_reason(self, job: Job) -> str:
         """Return why a request gets no server though some are there."""
@@ -46,9 +46,9 @@
 
     def retry_later(self, job: Job, last: Attempt) -> Refusal:
         """Return the answer for a request that no server ran."""
-        return Refusal(503, last.why, spread(self._random, self._again_s(job, last)))
+        return Refusal(503, last.why, add_jitter(self._rng, self._retry_after_s(job, last)))
 
-    def _again_s(self, job: Job, last: Attempt) -> float:
+    def _retry_after_s(self, job: Job, last: Attempt) -> float:
         """Return when a caller may come back.
 
         A server's own time to come back is about that server only: where others may take the
