--- a/src/moledale/gateway/admission.py
+++ b/src/moledale/gateway/admission.py
@@ -14,32 +14,32 @@
 from moledale.gateway.reply import Reply
 from moledale.log import Event, emit
 
-ANSWER_MARGIN_S = 0.03
+DEADLINE_MARGIN_S = 0.03
 """A final answer leaves this long before the caller's deadline, so that it arrives in time."""
 
-NO_PLAN_AGAIN_S = 0.5
+NO_PLAN_RETRY_S = 0.5
 """A node that starts knows a plan within about this time."""
 
-NEWER_PLAN_AGAIN_S = 0.15
+NEWER_PLAN_RETRY_S = 0.15
 """A newer plan that is known of is here within about this time."""
 
-LEAST_AGAIN_S = 0.05
+MIN_RETRY_S = 0.05
 """Callers are never told to come back sooner: a few round trips, so that they do not spin."""
 
-SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Times to come back are spread by this part, so that callers don't come together."""
 
 
-BLOCKED = "servers ended under this request"
+BLOCKED_REASON = "servers ended under this request"
 """What callers are told of a request that is blocked."""
 
 
 def add_jitter(chance: random.Random, seconds: float) -> float:
     """Return a time to come back, a little later than `seconds` by chance."""
-    return max(LEAST_AGAIN_S, seconds * (1.0 + SPREAD * chance.random()))
+    return max(MIN_RETRY_S, seconds * (1.0 + RETRY_JITTER * chance.random()))
 
 
-def _not_blocked(_request: InboundRequest, _account: str | None) -> float:
+def _never_blocked(_request: InboundRequest, _account: str | None) -> float:
     """Block no request."""
     return 0.0
 
@@ -58,7 +58,7 @@
         now: Callable[[], float],
         newer_plan: Callable[[], bool] = lambda: False,
         limits: AccountLimits | None = None,
-        blocked_s: Callable[[InboundRequest, str | None], float] = _not_blocked,
+        blocked_s: Callable[[InboundRequest, str | None], float] = _never_blocked,
     ) -> None:
         self.index: PlanIndex | None = None
         self.limits = limits or AccountLimits()
@@ -90,21 +90,21 @@
     def _check(self, request: InboundRequest, reply: Reply, facts: RequestFacts) -> Job | Refusal:
         index = self.index
         if index is None:
-            return Refusal(503, "no plan is known yet", NO_PLAN_AGAIN_S)
+            return Refusal(503, "no plan is known yet", NO_PLAN_RETRY_S)
         host = request.head.get(b"host")
         if host is None:
             return Refusal(400, "the Host header is missing")
         route = index.route(host.decode("latin-1"), request.head.target.decode("latin-1"))
         if route is None:
-            return self._not_allowed(Refusal(404, "there is no such route"))
-        caller = self._caller(index, route, facts, request)
+            return self._reject_or_retry(Refusal(404, "there is no such route"))
+        caller = self._admit_caller(index, route, facts, request)
         if isinstance(caller, Refusal):
             return caller
         limit = route.time_limit_s
         if facts.deadline_s is not None:
-            limit = min(limit, facts.deadline_s - ANSWER_MARGIN_S)
+            limit = min(limit, facts.deadline_s - DEADLINE_MARGIN_S)
         if limit <= 0:
-            return Refusal(503, "no time is left", LEAST_AGAIN_S)
+            return Refusal(503, "no time is left", MIN_RETRY_S)
         return Job(
             request,
             facts,
@@ -116,32 +116,32 @@
             EventSplitter(facts.resumed_after),
         )
 
-    def _caller(
+    def _admit_caller(
         self, index: PlanIndex, route: Route, facts: RequestFacts, request: InboundRequest
     ) -> Caller | Refusal:
         account = index.account(facts.key) if facts.key else None
         if account is None and index.has_accounts and not route.public:
-            return self._not_allowed(Refusal(401, "the key is not known"))
+            return self._reject_or_retry(Refusal(401, "the key is not known"))
         # A request that will not run costs nothing of the account's limit.
         blocked_s = self._blocked_s(request, account.name if account is not None else None)
         if blocked_s > 0:
-            return Refusal(503, BLOCKED, add_jitter(self._rng, blocked_s))
+            return Refusal(503, BLOCKED_REASON, add_jitter(self._rng, blocked_s))
         if account is None:
             return Caller(None, route.priority)
         wait_s = self.limits.take(account, account.price(facts.tokens), self._now())
         if wait_s > 0:
-            self._tell_limited(account, facts, wait_s)
+            self._log_limited(account, facts, wait_s)
             return Refusal(429, "the account's limit is reached", add_jitter(self._rng, wait_s))
         priority = route.priority if account.priority is None else account.priority
         return Caller(account.name, priority)
 
-    def _not_allowed(self, refusal: Refusal) -> Refusal:
+    def _reject_or_retry(self, refusal: Refusal) -> Refusal:
         if not self._newer_plan():
             return refusal
-        again_s = add_jitter(self._rng, NEWER_PLAN_AGAIN_S)
+        again_s = add_jitter(self._rng, NEWER_PLAN_RETRY_S)
         return Refusal(503, f"{refusal.reason} yet, a newer plan is on its way", again_s)
 
-    def _tell_limited(self, account: Account, facts: RequestFacts, wait_s: float) -> None:
+    def _log_limited(self, account: Account, facts: RequestFacts, wait_s: float) -> None:
         emit(
             Event.LIMITED,
             request=facts.id,
