--- a/src/moledale/gateway/accounts.py
+++ b/src/moledale/gateway/accounts.py
@@ -17,27 +17,27 @@
 
 from moledale.gateway.plan import TOKENS, Account
 
-START_SHARE = 0.4
+START_BURST_SHARE = 0.4
 """Part of the burst that a bucket holds when its node starts and can't know what was spent.
 
 When the whole system starts for the first time nothing was, so buckets are full.
 """
 
-WINDOW_START_SHARE = 0.1
+WINDOW_START_BURST_SHARE = 0.1
 """The same where limits hold for a window and no tolerance of them is stated.
 
 There an account may have spent its whole limit just before, so what all nodes that start hold
 together must stay below what the limit's tolerance allows.
 """
 
-TOLERANCE_USED = 0.5
+START_TOLERANCE_SHARE = 0.5
 """Part of a limit's tolerance that all nodes which start hold together; the rest is for what they
 admit before they hear of each other."""
 
 SLICE_S = 0.25
 """Grain of what is remembered of a window; it is kept this much too long rather than too short."""
 
-MOST_DEBT_S = 4.0
+MAX_DEBT_S = 4.0
 """What others spent beyond the limit holds requests back for at most this long."""
 
 
@@ -47,7 +47,7 @@
     share: float = 0.0
     tokens: float = 0.0
 
-    def of(self, account: Account, window_s: float) -> float:
+    def allowance_for(self, account: Account, window_s: float) -> float:
         """Return the tolerance of an account's limit, in the limit's unit."""
         limit = account.rate_per_s * window_s + burst_of(account)
         beyond = self.tokens if account.unit == TOKENS else 0.0
@@ -68,7 +68,7 @@
 
     def add(self, amount: float, now: float) -> None:
         """Note what was admitted."""
-        self._forget(now)
+        self._expire(now)
         if self._slices and now - self._slices[-1][0] < SLICE_S:
             begins, before = self._slices.pop()
             self._slices.append((begins, before + amount))
@@ -78,7 +78,7 @@
 
     def wait_s(self, wanted: float, limit: float, now: float) -> float:
         """Return the seconds until `wanted` more stays below the limit; 0.0 if it does now."""
-        self._forget(now)
+        self._expire(now)
         over = self.total + min(wanted, limit) - limit
         for begins, amount in self._slices:
             if over <= 0:
@@ -88,7 +88,7 @@
                 return max(0.0, begins + SLICE_S + self.window_s - now)
         return 0.0
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         while self._slices and self._slices[0][0] + SLICE_S + self.window_s <= now:
             self.total -= self._slices.popleft()[1]
 
@@ -96,16 +96,16 @@
 class Bucket(msgspec.Struct):
     """A bucket that others may draw below zero; `window_s` is 0.0 where no window counts.
 
-    Until `blind_until` it is not known what was spent within the window, and it fills at the bare
+    Until `unknown_until` it is not known what was spent within the window, and it fills at the bare
     rate.
     """
 
     rate: float
     burst: float
     level: float
-    at: float
+    updated_at: float
     recent: RecentSpending
-    blind_until: float = 0.0
+    unknown_until: float = 0.0
 
     @property
     def fill_per_s(self) -> float:
@@ -115,27 +115,27 @@
 
     def refill(self, now: float) -> None:
         """Add what has come since the last time."""
-        blind_s = max(0.0, min(now, self.blind_until) - self.at)
-        came = blind_s * self.rate + (now - self.at - blind_s) * self.fill_per_s
+        blind_s = max(0.0, min(now, self.unknown_until) - self.updated_at)
+        came = blind_s * self.rate + (now - self.updated_at - blind_s) * self.fill_per_s
         self.level = min(self.burst, self.level + came)
-        self.at = now
+        self.updated_at = now
 
-    def begin_anew(self, most: float, now: float) -> None:
+    def reset(self, most: float, now: float) -> None:
         """Hold no more than `most`, since others' spending of late is not known."""
         self.refill(now)
         self.level = min(self.level, most)
-        self.blind_until = now + self.recent.window_s
+        self.unknown_until = now + self.recent.window_s
 
-    def draw(self, amount: float) -> None:
+    def debit(self, amount: float) -> None:
         """Take what was spent elsewhere."""
-        self.level = max(self.level - amount, -MOST_DEBT_S * self.rate)
-        self.recent.add(amount, self.at)
+        self.level = max(self.level - amount, -MAX_DEBT_S * self.rate)
+        self.recent.add(amount, self.updated_at)
 
     def take(self, amount: float, now: float) -> float:
         """Take an amount; return 0.0, or the seconds until it is free."""
         self.refill(now)
         missing = min(amount, self.burst) - self.level
-        fill_per_s = self.rate if now < self.blind_until else self.fill_per_s
+        fill_per_s = self.rate if now < self.unknown_until else self.fill_per_s
         wait_s = max(0.0, missing) / fill_per_s
         window_s = self.recent.window_s
         if window_s > 0:
@@ -152,7 +152,7 @@
     """Buckets of all accounts, and how much this life of the node has spent of each.
 
     `window_s` is the span in which an account may have its burst anew; 0.0 leaves it at the rate.
-    `tolerance` is what may be exceeded in it, `starters` tells how many nodes may start to serve at
+    `tolerance` is what may be exceeded in it, `starting_nodes` tells how many nodes may start to serve at
     the same time.
     """
 
@@ -161,12 +161,12 @@
         first_start: bool = False,
         window_s: float = 0.0,
         tolerance: Tolerance | None = None,
-        starters: Callable[[], int] = lambda: 1,
+        starting_nodes: Callable[[], int] = lambda: 1,
     ) -> None:
         self._first_start = first_start
         self._window_s = window_s
         self._tolerance = tolerance
-        self._starters = starters
+        self._starters = starting_nodes
         self.spent: dict[str, float] = {}
         self._buckets: dict[str, Bucket] = {}
 
@@ -185,14 +185,14 @@
             self.spent[account.name] = self.spent.get(account.name, 0.0) + amount
         return wait_s
 
-    def begin_anew(self, accounts: Iterable[Account], now: float) -> None:
+    def reset(self, accounts: Iterable[Account], now: float) -> None:
         """Begin to serve after a time in which others' spending was not heard."""
         for account in accounts:
             bucket = self._buckets.get(account.name)
             if bucket is not None:
-                bucket.begin_anew(self._at_start(account), now)
+                bucket.reset(self._start_level(account), now)
 
-    def _at_start(self, account: Account) -> float:
+    def _start_level(self, account: Account) -> float:
         """Return what a bucket holds when its node starts and can't know what was spent.
 
         For accounts whose limit is small against its tolerance that is the whole burst: a single
@@ -200,10 +200,10 @@
         """
         burst = burst_of(account)
         if self._window_s <= 0:
-            return START_SHARE * burst
+            return START_BURST_SHARE * burst
         if self._tolerance is None:
-            return WINDOW_START_SHARE * burst
-        together = TOLERANCE_USED * self._tolerance.of(account, self._window_s)
+            return WINDOW_START_BURST_SHARE * burst
+        together = START_TOLERANCE_SHARE * self._tolerance.allowance_for(account, self._window_s)
         return min(burst, together / max(1, self._starters()))
 
     def level(self, account: Account, now: float) -> float:
@@ -212,7 +212,7 @@
         bucket.refill(now)
         return bucket.level
 
-    def spent_elsewhere(
+    def record_peer_spending(
         self, before: dict[str, float], after: dict[str, float], now: float
     ) -> None:
         """Take what another node has spent between two of its states."""
@@ -221,7 +221,7 @@
             bucket = self._buckets.get(name)
             if bucket is not None and more > 0:
                 bucket.refill(now)
-                bucket.draw(more)
+                bucket.debit(more)
 
     def _bucket(self, account: Account, now: float) -> Bucket:
         burst = burst_of(account)
@@ -230,7 +230,7 @@
             recent = RecentSpending(self._window_s)
             bucket = Bucket(account.rate_per_s, burst, burst, now, recent)
             if not self._first_start:
-                bucket.begin_anew(self._at_start(account), now)
+                bucket.reset(self._start_level(account), now)
             self._buckets[account.name] = bucket
         elif bucket.rate != account.rate_per_s or bucket.burst != burst:
             bucket.refill(now)
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -55,7 +55,7 @@
     """Carries requests to servers; all nodes' news come in through `sharing`.
 
     `trial_share` says whether a request of a route goes to servers of a version on trial, and what
-    part of the load these bear; 0 for the usual ones. `starters` tells how many nodes may start to
+    part of the load these bear; 0 for the usual ones. `starting_nodes` tells how many nodes may start to
     serve at the same time.
     """
 
@@ -71,11 +71,11 @@
         list_is_current: Callable[[], Awaitable[bool]] = _always,
         first_start: bool = False,
         trial_share: Callable[[str, str, bool], float] = _no_trial,
-        starters: Callable[[], int] = lambda: 1,
+        starting_nodes: Callable[[], int] = lambda: 1,
         permits: PermitClient | None = None,
     ) -> None:
         limits = AccountLimits(
-            first_start, sharing.limit_window_s, sharing.limit_tolerance, starters
+            first_start, sharing.limit_window_s, sharing.limit_tolerance, starting_nodes
         )
         self.guard = RequestGuard(pool, now, lambda cut: balancer.record_broken_answer(cut, now()))
         self.admission = Admission(dialect, now, newer_plan, limits, self.guard.wait_s)
@@ -93,7 +93,7 @@
         self._now = now
         self._list_is_current = list_is_current
         self._trial_share = trial_share
-        self._refusals = Refusals(dialect, balancer, RetryScheduler(starters, now), now)
+        self._refusals = Refusals(dialect, balancer, RetryScheduler(starting_nodes, now), now)
         self.refuse = self._refusals.refuse
         self._answers = AnswerReader(
             dialect, balancer, sharing, self.refuse, now, self.guard, self.server_leaves
@@ -112,7 +112,7 @@
     def begin_limits_anew(self) -> None:
         """Begin to serve after a time in which others' spending was not heard."""
         if self.index is not None:
-            self.limits.begin_anew(self.index.plan.accounts, self._now())
+            self.limits.reset(self.index.plan.accounts, self._now())
 
     def adopt(self, plan: Plan) -> bool:
         """Put a plan in force unless a newer one is; say whether it is in force now."""
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -140,7 +140,7 @@
             list_is_current=lambda: self.fleet.current(),
             first_start=node.first_start,
             trial_share=self.rollouts.trial_share,
-            starters=lambda: max(1, len(node.halls), self._serving_count()),
+            starting_nodes=lambda: max(1, len(node.halls), self._serving_count()),
             permits=self.server_limits.permits,
         )
         self._store = store
--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -97,9 +97,9 @@
         if before is state:
             # A life that began within the window has spent all of it there, heard or not.
             if state.age_s < self._bounds.limit_window_s:
-                limits.spent_elsewhere({}, state.spent, now)
+                limits.record_peer_spending({}, state.spent, now)
         else:
-            limits.spent_elsewhere(before.spent, state.spent, now)
+            limits.record_peer_spending(before.spent, state.spent, now)
         return True
 
     def take_over(self, balancer: LoadBalancer) -> None:
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -32,7 +32,7 @@
     def test_what_others_spent_before_a_nodes_first_request_counts(self) -> None:
         limits = AccountLimits(True)
         limits.configure([self.account], 0.0)
-        limits.spent_elsewhere({}, {"north": 1_900.0}, 0.1)
+        limits.record_peer_spending({}, {"north": 1_900.0}, 0.1)
         self.assertGreater(limits.take(self.account, 500, 0.1), 0.0)
 
     def test_nodes_together_keep_the_limit(self) -> None:
@@ -47,7 +47,7 @@
             for node in nodes:
                 for other, spent in zip(nodes, before, strict=True):
                     if other is not node:
-                        node.spent_elsewhere(spent, other.spent, now)
+                        node.record_peer_spending(spent, other.spent, now)
         self.assertLessEqual(admitted, 8 * 1_000 + 2_000 + 4 * 100)
         self.assertGreater(admitted, 0.8 * 8 * 1_000)
 
@@ -73,7 +73,7 @@
     def test_window_counts_what_others_admitted(self) -> None:
         limits = AccountLimits(True, 8.0)
         limits.configure([self.account], 0.0)
-        limits.spent_elsewhere({}, {"north": 10_000.0}, 0.1)
+        limits.record_peer_spending({}, {"north": 10_000.0}, 0.1)
         self.assertEqual(self.admitted_in(limits, [0.1 + step * 0.1 for step in range(79)]), [])
         self.assertEqual(limits.take(self.account, 100, 8.5), 0.0)
 
@@ -94,7 +94,7 @@
                 for one, before in zip(limits, told, strict=True):
                     for other in limits:
                         if other is not one:
-                            other.spent_elsewhere(before, one.spent, now)
+                            other.record_peer_spending(before, one.spent, now)
                 told = [dict(each.spent) for each in limits]
         return admitted
 
@@ -148,7 +148,7 @@
     ) -> None:
         reserve = AccountLimits(True, 8.0)
         reserve.configure([self.account], 0.0)
-        reserve.begin_anew([self.account], 50.0)
+        reserve.reset([self.account], 50.0)
         admitted = self.admitted_in(reserve, [50.0 + step * 0.01 for step in range(100)])
         self.assertLessEqual(100 * len(admitted), 0.1 * 2_000 + 1_000 + 100)
 
