--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -20,7 +20,7 @@
 from moledale.gateway.server_view import Placement
 from moledale.log import Event, emit
 
-MOST_LOGGED = 8
+MAX_LOGGED_FINGERPRINTS = 8
 """Fingerprints in a line about a server that ended; with all of 64 it would be 2 KB long."""
 
 
@@ -114,7 +114,7 @@
 
     def _saw_end(self, server: str, requests: list[bytes], at: float) -> None:
         self._seen_here.update(requests)
-        names = [each.hex() for each in requests[:MOST_LOGGED]]
+        names = [each.hex() for each in requests[:MAX_LOGGED_FINGERPRINTS]]
         emit(Event.SERVER_ENDED, server=server, requests=len(requests), fingerprints=names)
         self._note(server, requests, at)
         self.on_end(EndSeen(server, requests, at))
