--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -24,7 +24,7 @@
 """Fingerprints in a line about a server that ended; with all of 64 it would be 2 KB long."""
 
 
-class EndSeen(msgspec.Struct, frozen=True):
+class ServerCrash(msgspec.Struct, frozen=True):
     """A server that ended, with what this node had running there, at a monotonic time."""
 
     server: str
@@ -52,7 +52,7 @@
     ) -> None:
         self.quarantine = Quarantine()
         self._blame = blame
-        self.on_end: Callable[[EndSeen], None] = _nobody_hears
+        self.on_end: Callable[[ServerCrash], None] = _nobody_hears
         self.on_cleared: Callable[[bytes], None] = _nobody_hears
         self.on_block: Callable[[Block], None] = _nobody_hears
         self._watch = CrashDetector(pool, self._looked, now)
@@ -117,7 +117,7 @@
         names = [each.hex() for each in requests[:MAX_LOGGED_FINGERPRINTS]]
         emit(Event.SERVER_ENDED, server=server, requests=len(requests), fingerprints=names)
         self._note(server, requests, at)
-        self.on_end(EndSeen(server, requests, at))
+        self.on_end(ServerCrash(server, requests, at))
 
     def _note(self, server: str, requests: list[bytes], at: float) -> None:
         self.quarantine.record_crash(server, requests, at)
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -16,7 +16,7 @@
     QuarantineSharing,
 )
 from moledale.gateway.quarantine_store import BLOCK_TABLE
-from moledale.gateway.request_guard import EndSeen, RequestGuard
+from moledale.gateway.request_guard import RequestGuard, ServerCrash
 from standins.rows import Mood
 from tests.fragile_server import GUILTY, FragileServer, fragile_server
 from tests.gateway_world import Arrival, GatewayWorld, a_plan, answer, quietly, reset
@@ -319,7 +319,7 @@
 
             sharing = QuarantineSharing(RequestGuard(ConnectionPool(monotonic)), tell)
             many = [b"r%d" % number for number in range(150)]
-            sharing._send_end(EndSeen("s1", many, monotonic()))
+            sharing._send_end(ServerCrash("s1", many, monotonic()))
             self.assertEqual(sizes, [64, 64, 22])
 
         over_network(work)
