--- a/src/moledale/gateway/quarantine_sharing.py
+++ b/src/moledale/gateway/quarantine_sharing.py
@@ -79,7 +79,7 @@
         self._tell = tell
         self._now = now
         self._told_at: dict[str, float] = {}
-        guard.on_end = self._tell_end
+        guard.on_crash = self._tell_end
         guard.on_cleared = self._tell_cleared
 
     def digest(self) -> int | None:
--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -32,15 +32,15 @@
     at: float
 
 
-def _nobody_hears(_: object) -> None:
+def _ignore(_: object) -> None:
     """Nobody wants to know."""
 
 
 class RequestGuard:
     """What a node knows of requests that end servers, and what it does by that.
 
-    `on_end` hears of servers that ended here, `on_cleared` of suspected requests that a server
-    survived, and `on_block` of requests that this node blocked. `blame` holds it against a server's
+    `on_crash` hears of servers that ended here, `on_cleared` of suspected requests that a server
+    survived, and `on_block` of requests that this node blocked. `record_failure` holds it against a server's
     version that an answer broke off.
     """
 
@@ -48,14 +48,14 @@
         self,
         pool: ConnectionPool,
         now: Callable[[], float] = monotonic,
-        blame: Callable[[Placement], None] = _nobody_hears,
+        record_failure: Callable[[Placement], None] = _ignore,
     ) -> None:
         self.quarantine = Quarantine()
-        self._blame = blame
-        self.on_end: Callable[[ServerCrash], None] = _nobody_hears
-        self.on_cleared: Callable[[bytes], None] = _nobody_hears
-        self.on_block: Callable[[Block], None] = _nobody_hears
-        self._watch = CrashDetector(pool, self._looked, now)
+        self._record_failure = record_failure
+        self.on_crash: Callable[[ServerCrash], None] = _ignore
+        self.on_cleared: Callable[[bytes], None] = _ignore
+        self.on_block: Callable[[Block], None] = _ignore
+        self._watch = CrashDetector(pool, self._on_probe_result, now)
         self._now = now
         self._seen_here: set[bytes] = set()
 
@@ -71,13 +71,13 @@
             return True
         return self.quarantine.wait_s(job.fingerprint, self._now()) == 0.0
 
-    def broke_off(self, job: Job, placement: Placement) -> None:
+    def record_broken_answer(self, job: Job, placement: Placement) -> None:
         """Note that an answer broke off; whether its server ended is found out.
 
         A server that leaves ends for a reason of its own.
         """
         if placement.view.server.leaving:
-            self._blame(placement)
+            self._record_failure(placement)
         else:
             self._watch.record_broken(placement, job.fingerprint)
 
@@ -101,15 +101,15 @@
             self._tell_blocked(block)
         self._seen_here = {each for each in self._seen_here if self.quarantine.is_suspect(each)}
 
-    def _looked(self, broken: BrokenRequests, ended: bool) -> None:
+    def _on_probe_result(self, broken: BrokenRequests, ended: bool) -> None:
         if not ended:
             for placement in broken.placements:
-                self._blame(placement)
+                self._record_failure(placement)
             return
         # One request may end a server of a good version, and breaks all others off with it: an end
         # is one failure of the version, and none if a request was there that ended servers before.
         if not any(self.quarantine.is_suspect(each) for each in broken.requests):
-            self._blame(broken.placements[0])
+            self._record_failure(broken.placements[0])
         self._saw_end(broken.server.id, broken.requests, broken.at)
 
     def _saw_end(self, server: str, requests: list[bytes], at: float) -> None:
@@ -117,7 +117,7 @@
         names = [each.hex() for each in requests[:MAX_LOGGED_FINGERPRINTS]]
         emit(Event.SERVER_ENDED, server=server, requests=len(requests), fingerprints=names)
         self._note(server, requests, at)
-        self.on_end(ServerCrash(server, requests, at))
+        self.on_crash(ServerCrash(server, requests, at))
 
     def _note(self, server: str, requests: list[bytes], at: float) -> None:
         self.quarantine.record_crash(server, requests, at)
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -222,7 +222,7 @@
 def _blame_each(self: RequestGuard, broken: BrokenRequests, ended: bool) -> None:
     """Hold each answer that broke off against the version."""
     for placement in broken.placements:
-        self._blame(placement)
+        self._record_failure(placement)
 
 
 MECHANISMS: list[tuple[str, Any, str, Any, str]] = [
@@ -285,7 +285,7 @@
     ("a node that lacks blocks is told", QuarantineSharing, "heard_digest", lambda *_: None,
      BLOCKS),
     ("blocks are kept in the store", QuarantineStore, "_write", _write_nothing, BLOCKS),
-    ("an end is one failure of a version", RequestGuard, "_looked", _blame_each, BLOCKS),
+    ("an end is one failure of a version", RequestGuard, "_on_probe_result", _blame_each, BLOCKS),
     ("a server that starts again is another", entries, "LIFE", "",
      "tests.test_platform_store tests.test_restarted_servers"),
     ("bad entries hide no other", Entries, "read", lambda _, row: entries.read_server(row),
