--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -253,7 +253,7 @@
         job.may_have_run = True
         record_silence(placement.view, self._now())
         if cut in ENDED_BY_SERVER:
-            self._guard.broke_off(job, placement)
+            self._guard.record_broken_answer(job, placement)
         else:
             self._balancer.record_broken_answer(placement, self._now())
         if cut is Cut.SLOW:
