--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -81,7 +81,7 @@
         else:
             self._watch.record_broken(placement, job.fingerprint)
 
-    def served(self, job: Job) -> None:
+    def record_served(self, job: Job) -> None:
         """Note that a server survived a request, which is not to blame for ends then."""
         if self.quarantine.has_suspects and self.quarantine.record_served(job.fingerprint):
             self.on_cleared(job.fingerprint)
