--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -190,7 +190,7 @@
             attempt = await self._attempt(job, placement, moved)
             moved = attempt.continuation
             if attempt.ending is AttemptOutcome.ANSWERED:
-                self.guard.served(job)
+                self.guard.record_served(job)
                 self._tell_served(job, placement, attempt)
                 return
             if attempt.ending is AttemptOutcome.MOVED:
