--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -230,7 +230,7 @@
             return len(job.tried) - job.sends < MOST_UNREACHED
         if not server_left or (job.may_have_run and not job.route.repeatable):
             return False
-        if not self.guard.may_send_again(job):
+        if not self.guard.may_retry(job):
             return False
         return self._sharing.may_repeat(job.service, self._now())
 
--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -65,7 +65,7 @@
             return 0.0
         return self.quarantine.wait_s(fingerprint(request, account), self._now())
 
-    def may_send_again(self, job: Job) -> bool:
+    def may_retry(self, job: Job) -> bool:
         """Say whether a request under way may go to another server."""
         if not self.quarantine.has_suspects:
             return True
