--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -442,7 +442,7 @@
             self.sharing.take_over(self.balancer)
             self.server_limits.refresh(self.neighbours.serving)
             self.rollouts.step()
-            self.forwarder.guard.decide()
+            self.forwarder.guard.block_suspects()
             self.fleet.drop_lapsed()
             self.balancer.tick(now)
             self.members.forget_old(now)
--- a/src/moledale/gateway/quarantine_sharing.py
+++ b/src/moledale/gateway/quarantine_sharing.py
@@ -94,9 +94,9 @@
         """Take over what another node told."""
         if isinstance(news, EndNews):
             at = self._now() - news.age_s
-            self._guard.ended_elsewhere(news.server, news.requests, at)
+            self._guard.record_peer_crash(news.server, news.requests, at)
         elif isinstance(news, ClearedNews):
-            self._guard.cleared_elsewhere(news.requests)
+            self._guard.record_peer_cleared(news.requests)
         else:
             self._heard_blocks(news)
 
--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -57,7 +57,7 @@
         self.on_block: Callable[[Block], None] = _ignore
         self._watch = CrashDetector(pool, self._on_probe_result, now)
         self._now = now
-        self._seen_here: set[bytes] = set()
+        self._seen_locally: set[bytes] = set()
 
     def wait_s(self, request: InboundRequest, account: str | None) -> float:
         """Return how long a request that arrives may not run, 0.0 if it may now."""
@@ -86,20 +86,22 @@
         if self.quarantine.has_suspects and self.quarantine.record_served(job.fingerprint):
             self.on_cleared(job.fingerprint)
 
-    def cleared_elsewhere(self, requests: list[bytes]) -> None:
+    def record_peer_cleared(self, requests: list[bytes]) -> None:
         """Take over that servers survived requests at another node."""
         for each in requests:
             self.quarantine.record_served(each)
 
-    def ended_elsewhere(self, server: str, requests: list[bytes], at: float) -> None:
+    def record_peer_crash(self, server: str, requests: list[bytes], at: float) -> None:
         """Take over that a server ended on which another node had requests running."""
-        self._note(server, requests, at)
+        self._record_crash(server, requests, at)
 
-    def decide(self) -> None:
+    def block_suspects(self) -> None:
         """Block the requests that end servers."""
         for block in self.quarantine.block_guilty(self._now()):
-            self._tell_blocked(block)
-        self._seen_here = {each for each in self._seen_here if self.quarantine.is_suspect(each)}
+            self._announce_block(block)
+        self._seen_locally = {
+            each for each in self._seen_locally if self.quarantine.is_suspect(each)
+        }
 
     def _on_probe_result(self, broken: BrokenRequests, ended: bool) -> None:
         if not ended:
@@ -110,22 +112,22 @@
         # is one failure of the version, and none if a request was there that ended servers before.
         if not any(self.quarantine.is_suspect(each) for each in broken.requests):
             self._record_failure(broken.placements[0])
-        self._saw_end(broken.server.id, broken.requests, broken.at)
+        self._record_local_crash(broken.server.id, broken.requests, broken.at)
 
-    def _saw_end(self, server: str, requests: list[bytes], at: float) -> None:
-        self._seen_here.update(requests)
+    def _record_local_crash(self, server: str, requests: list[bytes], at: float) -> None:
+        self._seen_locally.update(requests)
         names = [each.hex() for each in requests[:MAX_LOGGED_FINGERPRINTS]]
         emit(Event.SERVER_ENDED, server=server, requests=len(requests), fingerprints=names)
-        self._note(server, requests, at)
+        self._record_crash(server, requests, at)
         self.on_crash(ServerCrash(server, requests, at))
 
-    def _note(self, server: str, requests: list[bytes], at: float) -> None:
+    def _record_crash(self, server: str, requests: list[bytes], at: float) -> None:
         self.quarantine.record_crash(server, requests, at)
         in_s = max(0.0, at + COINCIDENCE_S - self._now())
-        asyncio.get_running_loop().call_later(in_s, self.decide)
+        asyncio.get_running_loop().call_later(in_s, self.block_suspects)
 
-    def _tell_blocked(self, block: Block) -> None:
-        seen_here = block.fingerprint in self._seen_here
+    def _announce_block(self, block: Block) -> None:
+        seen_here = block.fingerprint in self._seen_locally
         emit(
             Event.REQUEST_BLOCKED,
             fingerprint=block.fingerprint.hex(),
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -44,7 +44,7 @@
                     await world.ask("/order/", body=GUILTY, request_id=f"r{number}")
                     await asyncio.sleep(0.1)
                 guard = world.forwarder.guard
-                guard.decide()
+                guard.block_suspects()
                 self.assertFalse(guard.quarantine.has_suspects)
 
         quietly(work())
