--- a/src/moledale/gateway/inbound.py
+++ b/src/moledale/gateway/inbound.py
@@ -15,13 +15,13 @@
 from moledale.gateway.plan import Limits
 from moledale.gateway.reply import Reply
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 """Callers that are too slow are looked for this often: limits in force are of seconds."""
 
-MOST_PIPELINED = 4
+MAX_PIPELINED_REQUESTS = 4
 """Requests of a connection that are read ahead of the one that is answered."""
 
-MOST_UNSENT_BYTES = 262_144
+MAX_UNSENT_BYTES = 262_144
 """Bytes that wait for a caller before its server is read no further: memory for slow readers."""
 
 JSON_TYPE = (b"Content-Type", b"application/json")
@@ -47,7 +47,7 @@
         limits = self.limits()
         now = self.now()
         for connection in list(self.connections):
-            connection.expire(now, limits)
+            connection.enforce_timeouts(now, limits)
 
     def close_idle(self) -> None:
         """Close connections that have no request in hand."""
@@ -67,8 +67,8 @@
         self._task: asyncio.Task[None] | None = None
         self._reply: Reply | None = None
         self._refused = False
-        self._rest_since = listener.now()
-        self._head_since: float | None = None
+        self._idle_since = listener.now()
+        self._head_started_at: float | None = None
         self._reset_message()
 
     def _reset_message(self) -> None:
@@ -82,12 +82,12 @@
     @property
     def busy(self) -> bool:
         """Say whether a request is in hand or being read."""
-        return self._task is not None or self._head_since is not None
+        return self._task is not None or self._head_started_at is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
         self._transport = transport  # type: ignore[assignment]
-        transport.set_write_buffer_limits(high=MOST_UNSENT_BYTES)  # type: ignore[attr-defined]
+        transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)  # type: ignore[attr-defined]
         self._listener.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -115,8 +115,8 @@
         """Parse what the caller sent."""
         if self._refused:
             return
-        if self._head_since is None:
-            self._head_since = self._listener.now()
+        if self._head_started_at is None:
+            self._head_started_at = self._listener.now()
         if not self._in_body:
             self._head_bytes += len(data)
         try:
@@ -171,14 +171,14 @@
             closing=not self._parser.should_keep_alive(),
         )
         self._reset_message()
-        self._head_since = None
+        self._head_started_at = None
         self._waiting.append(request)
         if self._task is None:
-            self._next()
-        elif len(self._waiting) >= MOST_PIPELINED and self._transport is not None:
+            self._start_next()
+        elif len(self._waiting) >= MAX_PIPELINED_REQUESTS and self._transport is not None:
             self._transport.pause_reading()
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         request = self._waiting.popleft()
         if self._transport is None:
             return
@@ -190,11 +190,11 @@
         try:
             await self._listener.handle(request, reply)
         finally:
-            self._done(reply)
+            self._finish_request(reply)
 
-    def _done(self, reply: Reply) -> None:
+    def _finish_request(self, reply: Reply) -> None:
         self._task = None
-        self._rest_since = self._listener.now()
+        self._idle_since = self._listener.now()
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -205,16 +205,16 @@
         else:
             transport.resume_reading()
             if self._waiting:
-                self._next()
+                self._start_next()
 
-    def expire(self, now: float, limits: Limits) -> None:
+    def enforce_timeouts(self, now: float, limits: Limits) -> None:
         """Answer a head that takes too long, close what rests too long."""
         if self._task is not None or self._refused:
             return
-        if self._head_since is not None:
-            if not self._in_body and now - self._head_since > limits.header_timeout_s:
+        if self._head_started_at is not None:
+            if not self._in_body and now - self._head_started_at > limits.header_timeout_s:
                 self._refuse(408, b"the head took too long")
-        elif now - self._rest_since > limits.idle_timeout_s:
+        elif now - self._idle_since > limits.idle_timeout_s:
             self.close()
 
     def close(self) -> None:
@@ -227,7 +227,7 @@
         if self._refused or self._transport is None:
             return
         self._refused = True
-        self._head_since = None
+        self._head_started_at = None
         if self._task is not None:
             self._waiting.clear()
             return
@@ -248,5 +248,5 @@
 async def sweep_forever(listener: Listener) -> None:
     """Keep the time limits of a listener's connections."""
     while True:
-        await asyncio.sleep(SWEEP_S)
+        await asyncio.sleep(SWEEP_INTERVAL_S)
         listener.sweep()
