--- a/src/moledale/gateway/upstream.py
+++ b/src/moledale/gateway/upstream.py
@@ -15,7 +15,7 @@
 CONNECT_TIMEOUT_S = 0.3
 """Backend servers are in the same region; a dark one must not hold a request for long."""
 
-MOST_UNREAD_BYTES = 262_144
+MAX_UNREAD_BYTES = 262_144
 """Bytes of a server's answer that wait for the caller before no more is read: memory for slow
 readers."""
 
@@ -48,13 +48,13 @@
         self.transport: asyncio.Transport | None = None
         self.usable = True
         self.closed = False
-        self.used = 0
+        self.requests_sent = 0
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
         self._waiter: asyncio.Future[None] | None = None
-        self._begin()
+        self._reset_exchange()
 
-    def _begin(self) -> None:
+    def _reset_exchange(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[bytes, bytes]] = []
         self._head: AnswerHead | None = None
@@ -63,7 +63,7 @@
         self._complete = False
         self._cut: Cut | None = None
         self._until_close = False
-        self._asked = False
+        self._request_sent = False
         self._interim = False
         self._bodiless = False
 
@@ -77,11 +77,11 @@
         With `bodiless` the answer ends with its first lines, whatever length they tell (HEAD).
         """
         assert self.transport is not None
-        if self.used:
-            self._begin()
+        if self.requests_sent:
+            self._reset_exchange()
         self._bodiless = bodiless
-        self.used += 1
-        self._asked = True
+        self.requests_sent += 1
+        self._request_sent = True
         self.transport.write(data)
 
     async def head(self) -> AnswerHead:
@@ -117,7 +117,7 @@
         if not whole or unsent or self._until_close:
             self.abort()
             return False
-        self._asked = False
+        self._request_sent = False
         self.idle_since = now
         return True
 
@@ -135,7 +135,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse what came; bytes nobody asked for make the connection unusable."""
-        if not self._asked or self._complete:
+        if not self._request_sent or self._complete:
             self.abort()
             return
         try:
@@ -200,7 +200,7 @@
             return
         self._chunks.append(body)
         self._unread += len(body)
-        if self._unread > MOST_UNREAD_BYTES and self.transport is not None:
+        if self._unread > MAX_UNREAD_BYTES and self.transport is not None:
             self.transport.pause_reading()
 
     def on_message_complete(self) -> None:
@@ -209,7 +209,7 @@
             self._complete = True
 
     def _resume_reading(self) -> None:
-        if self._unread > MOST_UNREAD_BYTES and self.transport is not None and not self.closed:
+        if self._unread > MAX_UNREAD_BYTES and self.transport is not None and not self.closed:
             self.transport.resume_reading()
         self._unread = 0
 
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -120,7 +120,7 @@
 
 def _ignore_surplus(self: UpstreamConnection, data: bytes) -> None:
     """Take bytes that nobody asked for without closing."""
-    if self._asked and not self._complete:
+    if self._request_sent and not self._complete:
         _data_received(self, data)
 
 
