--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -235,7 +235,7 @@
                 self._begin_stream(job, head)
                 job.reply.send(whole)
                 await job.reply.drained()
-        if run.stopping and connection.ends_by_closing:
+        if run.stopping and connection.ends_on_close:
             raise AnswerCut(Cut.CLOSED)
         self._begin_stream(job, head)
         job.reply.send(job.splitter.flush())
--- a/src/moledale/gateway/upstream.py
+++ b/src/moledale/gateway/upstream.py
@@ -106,7 +106,7 @@
         return data
 
     @property
-    def ends_by_closing(self) -> bool:
+    def ends_on_close(self) -> bool:
         """Say whether only the end of the connection tells the end of the answer."""
         return self._until_close
 
