--- a/src/moledale/gateway/upstream.py
+++ b/src/moledale/gateway/upstream.py
@@ -62,7 +62,7 @@
         self._unread = 0
         self._complete = False
         self._cut: Cut | None = None
-        self._until_close = False
+        self._ends_on_close = False
         self._request_sent = False
         self._interim = False
         self._bodiless = False
@@ -108,13 +108,13 @@
     @property
     def ends_on_close(self) -> bool:
         """Say whether only the end of the connection tells the end of the answer."""
-        return self._until_close
+        return self._ends_on_close
 
     def finish(self, now: float) -> bool:
         """End an exchange; say whether the connection may carry another request."""
         whole = self._complete and self.usable and not self.closed
         unsent = self.transport is not None and self.transport.get_write_buffer_size() > 0
-        if not whole or unsent or self._until_close:
+        if not whole or unsent or self._ends_on_close:
             self.abort()
             return False
         self._request_sent = False
@@ -162,7 +162,7 @@
 
     def _end_of_data(self) -> None:
         if not self._complete and self._cut is None:
-            if self._until_close and self._head is not None:
+            if self._ends_on_close and self._head is not None:
                 self._complete = True
             else:
                 self._cut = Cut.CLOSED
@@ -190,7 +190,7 @@
         self._interim = False
         names = {name.lower() for name, _ in self._headers}
         framed = b"content-length" in names or b"transfer-encoding" in names
-        self._until_close = not (framed or self._bodiless) and status not in (204, 304)
+        self._ends_on_close = not (framed or self._bodiless) and status not in (204, 304)
         self._complete = self._bodiless
         self._head = AnswerHead(status, self._headers)
 
@@ -205,7 +205,7 @@
 
     def on_message_complete(self) -> None:
         """Note that the answer is whole; one without a length ends with its connection."""
-        if not self._interim and not self._until_close:
+        if not self._interim and not self._ends_on_close:
             self._complete = True
 
     def _resume_reading(self) -> None:
