--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -368,7 +368,7 @@
     def _end_without_answer(self, job: Job, last: Attempt) -> None:
         """Give the final answer at once: a server's failure, or one of our own."""
         if job.reply.begun:
-            job.reply.break_off()
+            job.reply.abort()
             emit(
                 Event.STREAM_BROKEN,
                 request=job.facts.id,
@@ -385,7 +385,7 @@
     def _give_up(self, job: Job, refusal: Refusal) -> None:
         if job.reply.begun:
             if not job.reply.complete:
-                job.reply.break_off()
+                job.reply.abort()
                 emit(Event.STREAM_BROKEN, request=job.facts.id, why=refusal.reason)
             return
         if not job.was_sent and refusal.status == 504:
--- a/src/moledale/gateway/reply.py
+++ b/src/moledale/gateway/reply.py
@@ -68,7 +68,7 @@
         self.send(body)
         self.complete = True
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection so that what was sent can't be taken for a whole answer."""
         self.close = True
         self._transport.abort()
--- a/tests/plan_world.py
+++ b/tests/plan_world.py
@@ -99,7 +99,7 @@
         if self.dark:
             await asyncio.sleep(60)
         if self.pieces > self.cut_after:
-            reply.break_off()
+            reply.abort()
             return
         await asyncio.sleep(self.delay_s)
         questions = Questions(None, None, self.archive, self.archive, None, 1.0)  # type: ignore[arg-type]
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -230,7 +230,7 @@
     ("spoiled connections are not kept", UpstreamConnection, "finish", _keep_any, BYTES),
     ("the id of an answer is compared", PlatformHeaders, "read_answer", _no_id, BYTES),
     ("only whole events pass", EventSplitter, "feed", _feed_all, f"{BYTES} {STATE}"),
-    ("a cut answer ends visibly", Reply, "break_off", _end_as_whole, BYTES),
+    ("a cut answer ends visibly", Reply, "abort", _end_as_whole, BYTES),
     ("a caller that leaves is heeded", InboundConnection, "connection_lost", _stay, BYTES),
     ("what may have run is not repeated", Forwarder, "_may_repeat", lambda *_: True, BYTES),
     ("repeats draw on a budget", RetryBudget, "allows", lambda *_: True, f"{BYTES} {LIMITS}"),
