--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -202,7 +202,7 @@
         job.reply.send(begin)
         while (data := await connection.chunk()) is not None:
             job.reply.send(data)
-            await job.reply.drained()
+            await job.reply.drain()
         job.reply.finish()
 
     def pass_on(self, job: Job, head: AnswerHead, body: bytes) -> None:
@@ -210,7 +210,7 @@
         if head.status in PROMISES:
             self._refuse(job.reply, job.request, Refusal(502, "the server's answer is unclear"))
             return
-        job.reply.whole(head.status, self._dialect.answer_headers(head), body)
+        job.reply.send_whole(head.status, self._dialect.answer_headers(head), body)
 
     async def _pass_stream(
         self, job: Job, connection: UpstreamConnection, run: StreamRun, head: AnswerHead
@@ -234,7 +234,7 @@
                 job.record_event(self._now())
                 self._begin_stream(job, head)
                 job.reply.send(whole)
-                await job.reply.drained()
+                await job.reply.drain()
         if run.stopping and connection.ends_on_close:
             raise AnswerCut(Cut.CLOSED)
         self._begin_stream(job, head)
--- a/src/moledale/gateway/inbound.py
+++ b/src/moledale/gateway/inbound.py
@@ -232,7 +232,7 @@
             self._waiting.clear()
             return
         reply = Reply(self._transport, close=True)
-        reply.whole(status, [JSON_TYPE], b'{"error":"%s"}' % reason)
+        reply.send_whole(status, [JSON_TYPE], b'{"error":"%s"}' % reason)
         self._transport.close()
 
 
--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -48,13 +48,13 @@
             self._give_piece(reply, self._archives[path], query)
             return
         if request.head.target == METRICS_PATH:
-            reply.whole(200, [(b"Content-Type", b"text/plain")], self._metrics(own, callers))
+            reply.send_whole(200, [(b"Content-Type", b"text/plain")], self._metrics(own, callers))
             return
         question = self._entry.read_question(request.head)
         if question is None:
-            reply.whole(404, [], b"")
+            reply.send_whole(404, [], b"")
         elif question.about is Asked.READY:
-            reply.whole(200 if own.standing == Standing.READY else 503, [], b"")
+            reply.send_whole(200 if own.standing == Standing.READY else 503, [], b"")
         else:
             self._tell_addresses(reply, own)
 
@@ -63,22 +63,22 @@
         try:
             wanted = msgspec.convert(dict(parse_qsl(query)), PieceWanted, strict=False)
         except msgspec.ValidationError:
-            reply.whole(400, [], b"")
+            reply.send_whole(400, [], b"")
             return
         piece = archive.piece(wanted)
         if piece is None:
-            reply.whole(503, [], b"")
+            reply.send_whole(503, [], b"")
         else:
-            reply.whole(200, [], msgspec.msgpack.encode(piece))
+            reply.send_whole(200, [], msgspec.msgpack.encode(piece))
 
     def _tell_addresses(self, reply: Reply, own: NodeState) -> None:
         now = monotonic()
         addresses = [each.address for each in self._neighbours.serving_nodes(own, now)]
         if not addresses or not self._neighbours.knows_enough(own, now):
-            reply.whole(503, [], b"")
+            reply.send_whole(503, [], b"")
             return
         headers, body = self._entry.addresses(addresses, self._address_ttl_s)
-        reply.whole(200, headers, body)
+        reply.send_whole(200, headers, body)
 
     def _metrics(self, own: NodeState, callers: Listener) -> bytes:
         figures = {
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -83,4 +83,4 @@
         )
         body = b'{"error":"%s"}' % refusal.reason.encode()
         headers = self._dialect.refusal_headers(name, refusal.retry_after_s)
-        reply.whole(refusal.status, headers, body)
+        reply.send_whole(refusal.status, headers, body)
--- a/src/moledale/gateway/reply.py
+++ b/src/moledale/gateway/reply.py
@@ -73,7 +73,7 @@
         self.close = True
         self._transport.abort()
 
-    async def drained(self) -> None:
+    async def drain(self) -> None:
         """Wait until a slow caller has read what was sent."""
         await self._writable.wait()
 
