--- a/src/moledale/gateway/reply.py
+++ b/src/moledale/gateway/reply.py
@@ -62,7 +62,7 @@
             self._transport.write(b"0\r\n\r\n")
         self.complete = True
 
-    def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         """Send an answer that is at hand."""
         self.start(status, headers, len(body))
         self.send(body)
