--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -434,7 +434,7 @@
             if slept_s := suspension.slept_s():
                 emit(Event.WOKEN, node=self.settings.node.id, slept_s=round(slept_s, 3))
             now = monotonic()
-            self._request_rate.note(self.forwarder.handled, now)
+            self._request_rate.observe(self.forwarder.handled, now)
             changed = self.neighbours.decide(self._state(), now)
             if changed and self.neighbours.steps_up_blind(now):
                 self.forwarder.begin_limits_anew()
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -154,7 +154,7 @@
     def test_rate_follows_a_counter(self) -> None:
         rate = Rate()
         for step in range(100):
-            rate.note(step * 20, step * 0.2)
+            rate.observe(step * 20, step * 0.2)
         self.assertAlmostEqual(rate.per_s, 100.0, delta=1.0)
 
 
