--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -180,7 +180,7 @@
         self._telling_placements: asyncio.TimerHandle | None = None
         self.balancer.on_placed = self._placed
         self.balancer.has_connection = self.pool.has_idle
-        self.balancer.idle_servers = self.pool.resting
+        self.balancer.idle_servers = self.pool.idle_servers
         self._request_rate = Rate()
         self._sequence = 0
         self._packer = StatePacker()
--- a/src/moledale/gateway/pool.py
+++ b/src/moledale/gateway/pool.py
@@ -7,7 +7,7 @@
 KEEP_ALIVE_SHARE = 0.7
 """Part of a server's stated keep-alive during which a connection is used again."""
 
-MOST_IDLE_S = 8.0
+MAX_IDLE_S = 8.0
 """Connections at rest for longer are not used again where a server states no time."""
 
 
@@ -26,7 +26,7 @@
         """Say whether a connection to a server is at rest, and was not closed there."""
         return any(each.usable for each in self._idle.get(server, ()))
 
-    def resting(self) -> Iterator[str]:
+    def idle_servers(self) -> Iterator[str]:
         """Return the servers to which a connection is at rest, the one used last first."""
         return (server for server, idle in reversed(self._idle.items()) if idle)
 
@@ -57,7 +57,7 @@
         idle.append(connection)
         self._idle[server] = idle
 
-    def forget(self, server: str) -> None:
+    def discard(self, server: str) -> None:
         """Close what is kept of a server.
 
         With four connections at rest that went silent, four not-repeatable requests were lost to
@@ -79,7 +79,7 @@
                 del self._idle[server]
 
     def _stale(self, connection: UpstreamConnection) -> bool:
-        most = MOST_IDLE_S
+        most = MAX_IDLE_S
         if connection.keep_alive_s is not None:
             most = connection.keep_alive_s * KEEP_ALIVE_SHARE
         return self._now() - connection.idle_since > most
