--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -81,7 +81,7 @@
         self.admission = Admission(dialect, now, newer_plan, limits, self.guard.wait_s)
         self._dialect = dialect
         self._balancer = balancer
-        balancer.on_silent = pool.forget
+        balancer.on_silent = pool.discard
         self._pool = pool
         self._sharing = sharing
         self._permits = permits or standalone_permit_client(balancer, now)
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -562,7 +562,7 @@
     def _took_fleet(self, servers: list[Server]) -> None:
         gone = self.balancer.apply(servers)
         for server in gone:
-            self.pool.forget(server.id)
+            self.pool.discard(server.id)
         self.forwarder.evacuation.servers_changed(gone)
         self._become_ready()
 
