--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -281,7 +281,7 @@
                 )
             if attempt.ending is not AttemptOutcome.ANSWERED:
                 self._tell_ended(job, placement, attempt)
-            self._pool.give_back(server.id, connection)
+            self._pool.release(server.id, connection)
             connection = None
             return attempt
         finally:
--- a/src/moledale/gateway/pool.py
+++ b/src/moledale/gateway/pool.py
@@ -41,7 +41,7 @@
         self.opened += 1
         return await connect(address)
 
-    def give_back(self, server: str, connection: UpstreamConnection) -> None:
+    def release(self, server: str, connection: UpstreamConnection) -> None:
         """Keep a connection whose exchange ended whole, else close it."""
         if connection.finish(self._now()):
             self._keep(server, connection)
