--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -261,13 +261,13 @@
                 return Attempt(AttemptOutcome.NOT_SENT, why="no connection")
             if moved is None and not view.is_open(self._now()):
                 # Its word came while the connection was made.
-                self._pool.keep_new(server.id, connection)
+                self._pool.release_unused(server.id, connection)
                 connection = None
                 return Attempt(
                     AttemptOutcome.NOT_SENT, why="the server leaves or asked for a later retry"
                 )
             if moved is None and not await self._still_permitted(placement):
-                self._pool.keep_new(server.id, connection)
+                self._pool.release_unused(server.id, connection)
                 connection = None
                 return Attempt(AttemptOutcome.NOT_SENT, why="the server named a limit")
             self._send(job, connection, placement, moved)
--- a/src/moledale/gateway/pool.py
+++ b/src/moledale/gateway/pool.py
@@ -46,7 +46,7 @@
         if connection.finish(self._now()):
             self._keep(server, connection)
 
-    def keep_new(self, server: str, connection: UpstreamConnection) -> None:
+    def release_unused(self, server: str, connection: UpstreamConnection) -> None:
         """Keep a connection that carried no request yet."""
         if connection.usable:
             connection.idle_since = self._now()
--- a/src/moledale/gateway/server_ends.py
+++ b/src/moledale/gateway/server_ends.py
@@ -74,5 +74,5 @@
             connection = await self._pool.take(server.id, server.address)
         except ConnectFailed:
             return True
-        self._pool.keep_new(server.id, connection)
+        self._pool.release_unused(server.id, connection)
         return False
