--- a/src/moledale/gateway/pool.py
+++ b/src/moledale/gateway/pool.py
@@ -30,7 +30,7 @@
         """Return the servers to which a connection is at rest, the one used last first."""
         return (server for server, idle in reversed(self._idle.items()) if idle)
 
-    async def take(self, server: str, address: str) -> UpstreamConnection:
+    async def acquire(self, server: str, address: str) -> UpstreamConnection:
         """Return a connection at rest, or a new one; ConnectFailed if there is none."""
         idle = self._idle.get(server)
         while idle:
