--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -254,7 +254,7 @@
         connection: UpstreamConnection | None = None
         try:
             try:
-                connection = await self._pool.take(server.id, server.address)
+                connection = await self._pool.acquire(server.id, server.address)
             except ConnectFailed as error:
                 record_silence(view, self._now())
                 emit(Event.CONNECT_FAILED, request=job.facts.id, server=server.id, why=str(error))
--- a/src/moledale/gateway/server_ends.py
+++ b/src/moledale/gateway/server_ends.py
@@ -71,7 +71,7 @@
         if self._pool.has_idle(server.id):
             return False
         try:
-            connection = await self._pool.take(server.id, server.address)
+            connection = await self._pool.acquire(server.id, server.address)
         except ConnectFailed:
             return True
         self._pool.release_unused(server.id, connection)
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -156,7 +156,7 @@
             async with GatewayWorld(a_plan()) as world:
                 first = await world.server("s1", "plain", fine)
                 await world.server("s2", "plain", fine)
-                take = world.pool.take
+                take = world.pool.acquire
 
                 async def take_slowly(server: str, address: str) -> UpstreamConnection:
                     connection = await take(server, address)
@@ -165,7 +165,7 @@
                         world.balancer.notices.merge_peer_limits(limit, "n2", monotonic())
                     return connection
 
-                world.pool.take = take_slowly  # type: ignore[method-assign]
+                world.pool.acquire = take_slowly  # type: ignore[method-assign]
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(first.arrivals, [])
 
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -245,7 +245,7 @@
             async with GatewayWorld(a_plan()) as world:
                 first = await world.server("s1", "plain", fine)
                 await world.server("s2", "plain", slow)
-                take = world.pool.take
+                take = world.pool.acquire
 
                 async def take_slowly(server: str, address: str) -> UpstreamConnection:
                     connection = await take(server, address)
@@ -253,7 +253,7 @@
                         world.forwarder.server_leaves("s1")
                     return connection
 
-                world.pool.take = take_slowly  # type: ignore[method-assign]
+                world.pool.acquire = take_slowly  # type: ignore[method-assign]
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(first.arrivals, [])
 
