--- a/src/moledale/gateway/pool.py
+++ b/src/moledale/gateway/pool.py
@@ -35,7 +35,7 @@
         idle = self._idle.get(server)
         while idle:
             connection = idle.pop()
-            if connection.usable and not self._stale(connection):
+            if connection.usable and not self._is_stale(connection):
                 return connection
             connection.close()
         self.opened += 1
@@ -69,7 +69,7 @@
     def sweep(self) -> None:
         """Close connections that have been at rest for too long."""
         for server, idle in list(self._idle.items()):
-            kept = [each for each in idle if each.usable and not self._stale(each)]
+            kept = [each for each in idle if each.usable and not self._is_stale(each)]
             for each in idle:
                 if each not in kept:
                     each.close()
@@ -78,7 +78,7 @@
             else:
                 del self._idle[server]
 
-    def _stale(self, connection: UpstreamConnection) -> bool:
+    def _is_stale(self, connection: UpstreamConnection) -> bool:
         most = MAX_IDLE_S
         if connection.keep_alive_s is not None:
             most = connection.keep_alive_s * KEEP_ALIVE_SHARE
