--- a/src/moledale/gateway/calls.py
+++ b/src/moledale/gateway/calls.py
@@ -9,10 +9,10 @@
 from moledale.gateway.messages import Headers
 from moledale.gateway.upstream import AnswerCut, ConnectFailed, UpstreamConnection, connect
 
-MOST_IDLE = 4
+MAX_IDLE_CONNECTIONS = 4
 """Connections kept to one address: calls to it seldom overlap more."""
 
-IDLE_S = 20.0
+MAX_IDLE_S = 20.0
 """Connections at rest for longer are closed; callees close theirs after about as long."""
 
 
@@ -55,7 +55,7 @@
         at_rest = list(self._idle)
         try:
             async with asyncio.timeout(timeout_s):
-                connection = self._take() or await connect(self.address, timeout_s)
+                connection = self._take_idle() or await connect(self.address, timeout_s)
                 sent_at = monotonic()
                 connection.send(self._encode(method, path, body, headers or []))
                 sent = True
@@ -66,12 +66,12 @@
             if head.get(b"connection") == b"close":
                 connection.usable = False
             now = monotonic()
-            if connection.finish(now) and len(self._idle) < MOST_IDLE:
+            if connection.finish(now) and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(connection)
             connection = None
             return Ok(CallAnswer(head.status, b"".join(parts), sent_at, now, head.headers))
         except (ConnectFailed, AnswerCut, TimeoutError) as error:
-            self._close(at_rest)
+            self._close_idle(at_rest)
             return Err(CallFailed(f"{type(error).__name__} {error}", sent))
         finally:
             if connection is not None:
@@ -82,17 +82,17 @@
         while self._idle:
             self._idle.pop().close()
 
-    def _close(self, connections: list[UpstreamConnection]) -> None:
+    def _close_idle(self, connections: list[UpstreamConnection]) -> None:
         """Close those that are still at rest."""
         for connection in connections:
             if connection in self._idle:
                 self._idle.remove(connection)
                 connection.close()
 
-    def _take(self) -> UpstreamConnection | None:
+    def _take_idle(self) -> UpstreamConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable and monotonic() - connection.idle_since < IDLE_S:
+            if connection.usable and monotonic() - connection.idle_since < MAX_IDLE_S:
                 return connection
             connection.close()
         return None
