--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -17,20 +17,20 @@
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.upstream import AnswerCut, Cut, UpstreamConnection
 
-MOST_BUFFERED_BYTES = 1_048_576
+MAX_BUFFERED_BYTES = 1_048_576
 """Plain answers up to this size are read whole before the caller gets a byte of them."""
 
-SLOW_SHARE = 0.5
-SLOW_X = 4.0
+SLOW_TARGET_SHARE = 0.5
+SLOW_ANSWER_FACTOR = 4.0
 """A safe request is tried elsewhere after half its target or four usual answers without one."""
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request has not run and never will."""
 
-ENDED_BY_SERVER = frozenset({Cut.CLOSED, Cut.RESET})
+CRASH_CUTS = frozenset({Cut.CLOSED, Cut.RESET})
 """Ways in which an answer breaks off when its server ends."""
 
-LOOK_S = 0.2
+SILENCE_POLL_INTERVAL_S = 0.2
 """Streams that may be resumed look this often whether their server fell silent."""
 
 Read = TypeVar("Read")
@@ -54,7 +54,7 @@
         guard: RequestGuard,
         leaves: Callable[[str], None],
     ) -> None:
-        self._leaves = leaves
+        self._on_leaving = leaves
         self._dialect = dialect
         self._guard = guard
         self._balancer = balancer
@@ -73,13 +73,13 @@
         connection.keep_alive_s = facts.keep_alive_s
         if facts.request_id is not None and facts.request_id != job.facts.id:
             connection.usable = False
-            return self.cut(job, placement, Cut.GARBLED)
-        self._take_notice(placement, head.status, facts)
+            return self.handle_cut(job, placement, Cut.GARBLED)
+        self._record_statement(placement, head.status, facts)
         attempt = await self._read_rest(job, connection, run, head, facts)
         attempt.statement = facts.statement
         return attempt
 
-    def _take_notice(self, placement: Placement, status: int, facts: AnswerFacts) -> None:
+    def _record_statement(self, placement: Placement, status: int, facts: AnswerFacts) -> None:
         """Take over what an answer says of its server, for all requests that come after."""
         if not (facts.signed or facts.not_run):
             return
@@ -89,7 +89,7 @@
             view, status, facts.not_run, stated, placement.sent_at, self._now()
         )
         if stated.leaving and status != MISDIRECTED_REQUEST:
-            self._leaves(view.server.id)
+            self._on_leaving(view.server.id)
 
     async def _read_rest(
         self,
@@ -105,7 +105,7 @@
             return Attempt(AttemptOutcome.NOT_RUN, why=str(head.status))
         if not facts.signed:
             connection.usable = False
-            return self.cut(job, run.placement, Cut.GARBLED)
+            return self.handle_cut(job, run.placement, Cut.GARBLED)
         if job.route.kind is Kind.STREAM and head.status < 300:
             return await self._pass_stream(job, connection, run, head)
         return await self._pass_whole(job, connection, run.placement, head)
@@ -118,9 +118,9 @@
             return await self._unless_silent(job, placement.view, connection.head)
         again = job.route.kind is Kind.SAFE and job.sends < job.route.max_servers
         if again:
-            usual = SLOW_X * placement.view.answer_s
+            usual = SLOW_ANSWER_FACTOR * placement.view.answer_s
             try:
-                async with asyncio.timeout(max(SLOW_SHARE * job.route.target_s, usual)):
+                async with asyncio.timeout(max(SLOW_TARGET_SHARE * job.route.target_s, usual)):
                     return await connection.head()
             except TimeoutError:
                 if self._may_leave(job):
@@ -140,7 +140,7 @@
         seen = 0
         while True:
             try:
-                async with asyncio.timeout(LOOK_S):
+                async with asyncio.timeout(SILENCE_POLL_INTERVAL_S):
                     return await wait()
             except TimeoutError:
                 seen = seen + 1 if view.is_silent(self._now()) else 0
@@ -177,7 +177,7 @@
         if failed and whole and job.route.repeatable and job.sends < job.route.max_servers:
             return Attempt(AttemptOutcome.FAILED, head, body, why=str(head.status))
         if whole:
-            self.pass_on(job, head, body)
+            self.relay(job, head, body)
         else:
             await self._pass_long(job, connection, head, body)
         return Attempt(AttemptOutcome.ANSWERED)
@@ -186,7 +186,7 @@
         """Read a body up to the bound; say whether that is all of it."""
         parts: list[bytes] = []
         size = 0
-        while size <= MOST_BUFFERED_BYTES:
+        while size <= MAX_BUFFERED_BYTES:
             data = await connection.chunk()
             if data is None:
                 return b"".join(parts), True
@@ -205,9 +205,9 @@
             await job.reply.drain()
         job.reply.finish()
 
-    def pass_on(self, job: Job, head: AnswerHead, body: bytes) -> None:
+    def relay(self, job: Job, head: AnswerHead, body: bytes) -> None:
         """Pass a server's whole answer on; its promises are not ours to repeat."""
-        if head.status in PROMISES:
+        if head.status in NOT_RUN_STATUSES:
             self._refuse(job.reply, job.request, Refusal(502, "the server's answer is unclear"))
             return
         job.reply.send_whole(head.status, self._dialect.answer_headers(head), body)
@@ -248,11 +248,11 @@
         if not job.reply.begun:
             job.reply.start(head.status, self._dialect.answer_headers(head), CHUNKED)
 
-    def cut(self, job: Job, placement: Placement, cut: Cut) -> Attempt:
+    def handle_cut(self, job: Job, placement: Placement, cut: Cut) -> Attempt:
         """An answer ended early: the request may have run."""
         job.may_have_run = True
         record_silence(placement.view, self._now())
-        if cut in ENDED_BY_SERVER:
+        if cut in CRASH_CUTS:
             self._guard.record_broken_answer(job, placement)
         else:
             self._balancer.record_broken_answer(placement, self._now())
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -376,7 +376,7 @@
                 why=last.why,
             )
         elif last.head is not None:
-            self._answers.pass_on(job, last.head, last.body)
+            self._answers.relay(job, last.head, last.body)
         elif job.may_have_run:
             self._give_up(job, Refusal(502, "the server broke off"))
         else:
