--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -276,7 +276,7 @@
             try:
                 attempt = await self._answers.read(job, connection, run)
             except AnswerCut as error:
-                attempt = await self._moved(job, run) or self._answers.cut(
+                attempt = await self._moved(job, run) or self._answers.handle_cut(
                     job, placement, error.cut
                 )
             if attempt.ending is not AttemptOutcome.ANSWERED:
