--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -65,7 +65,7 @@
     async def read(self, job: Job, connection: UpstreamConnection, run: StreamRun) -> Attempt:
         """Read an answer's head, decide what it means, and read or pass on the rest."""
         placement = run.placement
-        head = await self._head(job, connection, placement)
+        head = await self._read_head(job, connection, placement)
         placement.view.last_data_at = self._now()
         facts = self._dialect.read_answer(head)
         if facts.closes:
@@ -107,15 +107,15 @@
             connection.usable = False
             return self.handle_cut(job, run.placement, Cut.GARBLED)
         if job.route.kind is Kind.STREAM and head.status < 300:
-            return await self._pass_stream(job, connection, run, head)
-        return await self._pass_whole(job, connection, run.placement, head)
+            return await self._relay_stream(job, connection, run, head)
+        return await self._relay_answer(job, connection, run.placement, head)
 
-    async def _head(
+    async def _read_head(
         self, job: Job, connection: UpstreamConnection, placement: Placement
     ) -> AnswerHead:
         """Wait for an answer; a safe request is tried elsewhere if none comes for long."""
         if job.route.kind is Kind.STREAM:
-            return await self._unless_silent(job, placement.view, connection.head)
+            return await self._read_unless_silent(job, placement.view, connection.head)
         again = job.route.kind is Kind.SAFE and job.sends < job.route.max_servers
         if again:
             usual = SLOW_ANSWER_FACTOR * placement.view.answer_s
@@ -123,11 +123,11 @@
                 async with asyncio.timeout(max(SLOW_TARGET_SHARE * job.route.target_s, usual)):
                     return await connection.head()
             except TimeoutError:
-                if self._may_leave(job):
+                if self._may_try_elsewhere(job):
                     raise AnswerCut(Cut.SLOW) from None
         return await connection.head()
 
-    async def _unless_silent(
+    async def _read_unless_silent(
         self, job: Job, view: ServerView, wait: Callable[[], Awaitable[Read]]
     ) -> Read:
         """Wait for more of a stream; one that may be resumed leaves a server that fell silent.
@@ -144,10 +144,10 @@
                     return await wait()
             except TimeoutError:
                 seen = seen + 1 if view.is_silent(self._now()) else 0
-            if seen > 1 and self._may_leave(job):
+            if seen > 1 and self._may_try_elsewhere(job):
                 raise AnswerCut(Cut.SLOW)
 
-    def _may_leave(self, job: Job) -> bool:
+    def _may_try_elsewhere(self, job: Job) -> bool:
         now = self._now()
         other = self._balancer.has_alternative(job.service, now, job.tried)
         return other and self._sharing.may_repeat(job.service, now)
@@ -158,20 +158,20 @@
             parts.append(data)
         return b"".join(parts)
 
-    async def _pass_whole(
+    async def _relay_answer(
         self,
         job: Job,
         connection: UpstreamConnection,
         placement: Placement,
         head: AnswerHead,
     ) -> Attempt:
-        body, whole = await self._read_some(connection)
+        body, whole = await self._read_up_to_limit(connection)
         now = self._now()
         failed = head.status >= 500
         record_answer(placement.view, failed, now - placement.sent_at)
         self._balancer.record_outcome(placement, failed, now - placement.sent_at)
         job.may_have_run = True
-        self._count(job)
+        self._count_usage(job)
         if failed and job.reply.begun:
             return Attempt(AttemptOutcome.FAILED, head, body, why=str(head.status))
         if failed and whole and job.route.repeatable and job.sends < job.route.max_servers:
@@ -179,10 +179,10 @@
         if whole:
             self.relay(job, head, body)
         else:
-            await self._pass_long(job, connection, head, body)
+            await self._relay_long_body(job, connection, head, body)
         return Attempt(AttemptOutcome.ANSWERED)
 
-    async def _read_some(self, connection: UpstreamConnection) -> tuple[bytes, bool]:
+    async def _read_up_to_limit(self, connection: UpstreamConnection) -> tuple[bytes, bool]:
         """Read a body up to the bound; say whether that is all of it."""
         parts: list[bytes] = []
         size = 0
@@ -194,7 +194,7 @@
             size += len(data)
         return b"".join(parts), False
 
-    async def _pass_long(
+    async def _relay_long_body(
         self, job: Job, connection: UpstreamConnection, head: AnswerHead, begin: bytes
     ) -> None:
         """Pass a long answer on while it comes; what is cut then can't look whole."""
@@ -212,39 +212,39 @@
             return
         job.reply.send_whole(head.status, self._dialect.answer_headers(head), body)
 
-    async def _pass_stream(
+    async def _relay_stream(
         self, job: Job, connection: UpstreamConnection, run: StreamRun, head: AnswerHead
     ) -> Attempt:
         """Pass events on as they come, whole ones only."""
         placement = run.placement
         first = True
         view = placement.view
-        while (data := await self._unless_silent(job, view, connection.chunk)) is not None:
+        while (data := await self._read_unless_silent(job, view, connection.chunk)) is not None:
             view.last_data_at = self._now()
             if first:
                 first = False
                 self._balancer.record_first_event(placement, self._now())
                 job.may_have_run = True
-                self._count(job)
+                self._count_usage(job)
                 record_answer(placement.view, False, self._now() - placement.sent_at)
             passed = job.splitter.event_count
             whole = job.splitter.feed(data)
             if whole:
                 run.record_events(job.splitter.event_count - passed, self._now())
                 job.record_event(self._now())
-                self._begin_stream(job, head)
+                self._start_reply(job, head)
                 job.reply.send(whole)
                 await job.reply.drain()
         if run.stopping and connection.ends_on_close:
             raise AnswerCut(Cut.CLOSED)
-        self._begin_stream(job, head)
+        self._start_reply(job, head)
         job.reply.send(job.splitter.flush())
         job.reply.finish()
         self._balancer.record_completion(placement, self._now())
         self._balancer.record_pace(placement, run.server_events, self._now())
         return Attempt(AttemptOutcome.ANSWERED)
 
-    def _begin_stream(self, job: Job, head: AnswerHead) -> None:
+    def _start_reply(self, job: Job, head: AnswerHead) -> None:
         if not job.reply.begun:
             job.reply.start(head.status, self._dialect.answer_headers(head), CHUNKED)
 
@@ -261,7 +261,7 @@
         job.splitter.discard_partial()
         return Attempt(AttemptOutcome.BROKEN, why=cut.value)
 
-    def _count(self, job: Job) -> None:
+    def _count_usage(self, job: Job) -> None:
         if not job.usage_counted and job.caller.account is not None:
             job.usage_counted = True
             self._sharing.started(job.caller.account)
