--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -25,23 +25,23 @@
 from moledale.gateway.upstream import AnswerCut, ConnectFailed, UpstreamConnection
 from moledale.log import Event, emit
 
-MOST_UNREACHED = 6
+MAX_UNREACHABLE_SERVERS = 6
 """Servers that may take no connection before a request is given up; nothing was sent to them."""
 
-OTHER_NODE_AGAIN_S = 0.05
+OTHER_NODE_RETRY_S = 0.05
 """Time to come back where other nodes are known to be able to serve, so only a little spread."""
 
-NO_EVENT = "0"
+NO_EVENT_ID = "0"
 """Id before a stream's first event."""
 
 
-def _list_too_old() -> Attempt:
+def _stale_list_attempt() -> Attempt:
     """Return the outcome of a request that another node can serve at once."""
     why = "the list of servers is out of date"
-    return Attempt(AttemptOutcome.NOT_RUN, again_s=OTHER_NODE_AGAIN_S, why=why)
+    return Attempt(AttemptOutcome.NOT_RUN, again_s=OTHER_NODE_RETRY_S, why=why)
 
 
-async def _always() -> bool:
+async def _list_always_current() -> bool:
     """Take the list of servers for current."""
     return True
 
@@ -68,7 +68,7 @@
         engines: Engines,
         now: Callable[[], float] = monotonic,
         newer_plan: Callable[[], bool] = lambda: False,
-        list_is_current: Callable[[], Awaitable[bool]] = _always,
+        list_is_current: Callable[[], Awaitable[bool]] = _list_always_current,
         first_start: bool = False,
         trial_share: Callable[[str, str, bool], float] = _no_trial,
         starting_nodes: Callable[[], int] = lambda: 1,
@@ -96,7 +96,7 @@
         self._refusals = Refusals(dialect, balancer, RetryScheduler(starting_nodes, now), now)
         self.refuse = self._refusals.refuse
         self._answers = AnswerReader(
-            dialect, balancer, sharing, self.refuse, now, self.guard, self.server_leaves
+            dialect, balancer, sharing, self.refuse, now, self.guard, self.handle_leaving_server
         )
 
     @property
@@ -109,7 +109,7 @@
         """Return the limits of accounts."""
         return self.admission.limits
 
-    def begin_limits_anew(self) -> None:
+    def reset_limits(self) -> None:
         """Begin to serve after a time in which others' spending was not heard."""
         if self.index is not None:
             self.limits.reset(self.index.plan.accounts, self._now())
@@ -118,7 +118,7 @@
         """Put a plan in force unless a newer one is; say whether it is in force now."""
         return self.admission.adopt(plan)
 
-    def server_leaves(self, name: str, source: str = "answer") -> None:
+    def handle_leaving_server(self, name: str, source: str = "answer") -> None:
         """Give a server that said that it leaves no new work, and move its streams in time."""
         server = self._balancer.notices.record_leaving(name)
         if server is not None:
@@ -134,14 +134,14 @@
             return
         try:
             async with asyncio.timeout(max(0.0, job.left_s(self._now()))):
-                await self._carry(job)
+                await self._forward(job)
         except TimeoutError:
             self._give_up(job, Refusal(504, "the time limit was reached"))
         except asyncio.CancelledError:
             emit(Event.CALLER_GONE, request=job.facts.id, sends=job.sends)
             raise
 
-    def _tell_served(self, job: Job, placement: Placement, attempt: Attempt) -> None:
+    def _log_served(self, job: Job, placement: Placement, attempt: Attempt) -> None:
         now = self._now()
         first = placement.first_at or now
         emit(
@@ -166,7 +166,7 @@
             server_limit=attempt.statement.limit_per_s,
         )
 
-    async def _carry(self, job: Job) -> None:
+    async def _forward(self, job: Job) -> None:
         """Try servers until one answers or no more may be tried."""
         self._sharing.request(job.service, self._now())
         last = Attempt(AttemptOutcome.NOT_SENT, why=NO_SERVER)
@@ -174,7 +174,7 @@
         while True:
             if moved is None and not await self._list_is_current():
                 if not job.sends:
-                    last = _list_too_old()
+                    last = _stale_list_attempt()
                 break
             # Timers stand still while the machine is suspended, so the timeout may be late.
             if job.left_s(self._now()) <= 0:
@@ -191,12 +191,12 @@
             moved = attempt.continuation
             if attempt.ending is AttemptOutcome.ANSWERED:
                 self.guard.record_served(job)
-                self._tell_served(job, placement, attempt)
+                self._log_served(job, placement, attempt)
                 return
             if attempt.ending is AttemptOutcome.MOVED:
                 continue
             last = attempt
-            if not self._may_repeat(job, attempt):
+            if not self._may_retry(job, attempt):
                 break
         self._end_without_answer(job, last)
 
@@ -223,11 +223,11 @@
         service = index.services.get(name)
         return service.engine if service is not None else None
 
-    def _may_repeat(self, job: Job, attempt: Attempt) -> bool:
+    def _may_retry(self, job: Job, attempt: Attempt) -> bool:
         """Say whether another server may be tried."""
         server_left = job.sends < job.route.max_servers
         if attempt.ending is AttemptOutcome.NOT_SENT:
-            return len(job.tried) - job.sends < MOST_UNREACHED
+            return len(job.tried) - job.sends < MAX_UNREACHABLE_SERVERS
         if not server_left or (job.may_have_run and not job.route.repeatable):
             return False
         if not self.guard.may_retry(job):
@@ -276,18 +276,18 @@
             try:
                 attempt = await self._answers.read(job, connection, run)
             except AnswerCut as error:
-                attempt = await self._moved(job, run) or self._answers.handle_cut(
+                attempt = await self._await_move(job, run) or self._answers.handle_cut(
                     job, placement, error.cut
                 )
             if attempt.ending is not AttemptOutcome.ANSWERED:
-                self._tell_ended(job, placement, attempt)
+                self._log_unanswered(job, placement, attempt)
             self._pool.release(server.id, connection)
             connection = None
             return attempt
         finally:
             if connection is not None:
                 connection.abort()
-            self._note_unanswered(job, placement)
+            self._record_unanswered(job, placement)
             placement.end()
 
     async def _still_permitted(self, placement: Placement) -> bool:
@@ -299,7 +299,7 @@
             return True
         return await self._permits.take(placement.view)
 
-    def _tell_ended(self, job: Job, placement: Placement, attempt: Attempt) -> None:
+    def _log_unanswered(self, job: Job, placement: Placement, attempt: Attempt) -> None:
         """Log a send that brought no answer; one that broke off with what was asked for."""
         broken = attempt.ending is AttemptOutcome.BROKEN
         emit(
@@ -318,13 +318,13 @@
             server_limit=attempt.statement.limit_per_s,
         )
 
-    def _note_unanswered(self, job: Job, placement: Placement) -> None:
+    def _record_unanswered(self, job: Job, placement: Placement) -> None:
         """Hold it against a server's version if nothing came of it within the target."""
         waited_s = self._now() - placement.sent_at
         if job.was_sent and waited_s >= job.route.target_s:
             self._balancer.record_outcome(placement, True, waited_s)
 
-    async def _moved(self, job: Job, run: StreamRun) -> Attempt | None:
+    async def _await_move(self, job: Job, run: StreamRun) -> Attempt | None:
         """Return where a stream goes on that was stopped to be moved, or None."""
         if not run.stopping:
             return None
@@ -350,7 +350,7 @@
         job.was_sent = True
         after = job.splitter.last_id if job.splitter.event_count else ""
         if moved is not None:
-            after = job.splitter.last_id or NO_EVENT
+            after = job.splitter.last_id or NO_EVENT_ID
         facts = AttemptFacts(
             placement.view.server.id,
             job.caller.account,
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -437,7 +437,7 @@
             self._request_rate.observe(self.forwarder.handled, now)
             changed = self.neighbours.decide(self._state(), now)
             if changed and self.neighbours.steps_up_blind(now):
-                self.forwarder.begin_limits_anew()
+                self.forwarder.reset_limits()
             self._tell_state(everyone=changed)
             self.sharing.take_over(self.balancer)
             self.server_limits.refresh(self.neighbours.serving)
@@ -481,7 +481,7 @@
         if stranger and self._gossip is not None:
             self._gossip.tell(StateNews(self._state(), self.neighbours.hints(now)), [state.peer])
         for name in state.leaving:
-            self.forwarder.server_leaves(name, source=state.id)
+            self.forwarder.handle_leaving_server(name, source=state.id)
         self.balancer.notices.merge_peer_declines(state.declined, now)
         self.server_limits.on_state(state)
         self.rollouts.merge(state.rollouts)
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -250,7 +250,7 @@
                 async def take_slowly(server: str, address: str) -> UpstreamConnection:
                     connection = await take(server, address)
                     if server == "s1":
-                        world.forwarder.server_leaves("s1")
+                        world.forwarder.handle_leaving_server("s1")
                     return connection
 
                 world.pool.acquire = take_slowly  # type: ignore[method-assign]
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -232,7 +232,7 @@
     ("only whole events pass", EventSplitter, "feed", _feed_all, f"{BYTES} {STATE}"),
     ("a cut answer ends visibly", Reply, "abort", _end_as_whole, BYTES),
     ("a caller that leaves is heeded", InboundConnection, "connection_lost", _stay, BYTES),
-    ("what may have run is not repeated", Forwarder, "_may_repeat", lambda *_: True, BYTES),
+    ("what may have run is not repeated", Forwarder, "_may_retry", lambda *_: True, BYTES),
     ("repeats draw on a budget", RetryBudget, "allows", lambda *_: True, f"{BYTES} {LIMITS}"),
     ("leaving servers get no work", ServerGroup, "candidates", _all_ready, f"{BYTES} {STATE}"),
     ("older plans are not adopted", Admission, "adopt", _adopt_any, f"{BYTES}.AdmissionTest"),
