--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -38,7 +38,7 @@
 def _stale_list_attempt() -> Attempt:
     """Return the outcome of a request that another node can serve at once."""
     why = "the list of servers is out of date"
-    return Attempt(AttemptOutcome.NOT_RUN, again_s=OTHER_NODE_RETRY_S, why=why)
+    return Attempt(AttemptOutcome.NOT_RUN, retry_after_s=OTHER_NODE_RETRY_S, why=why)
 
 
 async def _list_always_current() -> bool:
@@ -189,11 +189,11 @@
             placement.route = job.route.name
             attempt = await self._attempt(job, placement, moved)
             moved = attempt.continuation
-            if attempt.ending is AttemptOutcome.ANSWERED:
+            if attempt.outcome is AttemptOutcome.ANSWERED:
                 self.guard.record_served(job)
                 self._log_served(job, placement, attempt)
                 return
-            if attempt.ending is AttemptOutcome.MOVED:
+            if attempt.outcome is AttemptOutcome.MOVED:
                 continue
             last = attempt
             if not self._may_retry(job, attempt):
@@ -226,7 +226,7 @@
     def _may_retry(self, job: Job, attempt: Attempt) -> bool:
         """Say whether another server may be tried."""
         server_left = job.sends < job.route.max_servers
-        if attempt.ending is AttemptOutcome.NOT_SENT:
+        if attempt.outcome is AttemptOutcome.NOT_SENT:
             return len(job.tried) - job.sends < MAX_UNREACHABLE_SERVERS
         if not server_left or (job.may_have_run and not job.route.repeatable):
             return False
@@ -279,7 +279,7 @@
                 attempt = await self._await_move(job, run) or self._answers.handle_cut(
                     job, placement, error.cut
                 )
-            if attempt.ending is not AttemptOutcome.ANSWERED:
+            if attempt.outcome is not AttemptOutcome.ANSWERED:
                 self._log_unanswered(job, placement, attempt)
             self._pool.release(server.id, connection)
             connection = None
@@ -301,7 +301,7 @@
 
     def _log_unanswered(self, job: Job, placement: Placement, attempt: Attempt) -> None:
         """Log a send that brought no answer; one that broke off with what was asked for."""
-        broken = attempt.ending is AttemptOutcome.BROKEN
+        broken = attempt.outcome is AttemptOutcome.BROKEN
         emit(
             Event.ATTEMPT_ENDED,
             request=job.facts.id,
@@ -310,7 +310,7 @@
             account=job.caller.account,
             server=placement.view.server.id,
             sends=job.sends,
-            ending=attempt.ending.value,
+            ending=attempt.outcome.value,
             why=attempt.why,
             ms=round((self._now() - placement.sent_at) * 1000),
             leaving=attempt.statement.leaving,
--- a/src/moledale/gateway/job.py
+++ b/src/moledale/gateway/job.py
@@ -32,17 +32,17 @@
 class Attempt(msgspec.Struct):
     """Outcome of one send; the answer of a server, if there is one to pass on.
 
-    `statement` is what the answer said of its server; `again_s` is when its caller may come back,
+    `statement` is what the answer said of its server; `retry_after_s` is when its caller may come back,
     where that is known.
     """
 
-    ending: AttemptOutcome
+    outcome: AttemptOutcome
     head: AnswerHead | None = None
     body: bytes = b""
     why: str = ""
     continuation: Continuation | None = None
     statement: ServerStatement = ServerStatement()
-    again_s: float | None = None
+    retry_after_s: float | None = None
 
 
 class Job(msgspec.Struct):
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -62,7 +62,7 @@
         limit_per_s = self._balancer.group(job.service).limited.total_per_s()
         if wait_s > 0 and limit_per_s:
             return self._turns.next_retry_s(job.service, wait_s, limit_per_s)
-        usual_s = NO_SERVER_RETRY_S if last.ending is AttemptOutcome.NOT_SENT else NOT_RUN_RETRY_S
+        usual_s = NO_SERVER_RETRY_S if last.outcome is AttemptOutcome.NOT_SENT else NOT_RUN_RETRY_S
         return wait_s if wait_s > 0 else usual_s
 
     def wait_s(self, job: Job) -> float | None:
