--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -54,8 +54,8 @@
         A server's own time to come back is about that server only: where others may take the
         request sooner, their time counts.
         """
-        if last.again_s is not None:
-            return last.again_s
+        if last.retry_after_s is not None:
+            return last.retry_after_s
         wait_s = self.wait_s(job)
         if wait_s is None:
             return NO_SERVER_RETRY_S
