--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -172,7 +172,7 @@
         self._balancer.record_outcome(placement, failed, now - placement.sent_at)
         job.may_have_run = True
         self._count_usage(job)
-        if failed and job.reply.begun:
+        if failed and job.reply.started:
             return Attempt(AttemptOutcome.FAILED, head, body, why=str(head.status))
         if failed and whole and job.route.repeatable and job.sends < job.route.max_servers:
             return Attempt(AttemptOutcome.FAILED, head, body, why=str(head.status))
@@ -245,7 +245,7 @@
         return Attempt(AttemptOutcome.ANSWERED)
 
     def _start_reply(self, job: Job, head: AnswerHead) -> None:
-        if not job.reply.begun:
+        if not job.reply.started:
             job.reply.start(head.status, self._dialect.answer_headers(head), CHUNKED)
 
     def handle_cut(self, job: Job, placement: Placement, cut: Cut) -> Attempt:
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -367,7 +367,7 @@
 
     def _end_without_answer(self, job: Job, last: Attempt) -> None:
         """Give the final answer at once: a server's failure, or one of our own."""
-        if job.reply.begun:
+        if job.reply.started:
             job.reply.abort()
             emit(
                 Event.STREAM_BROKEN,
@@ -383,7 +383,7 @@
             self._give_up(job, self._refusals.retry_later(job, last))
 
     def _give_up(self, job: Job, refusal: Refusal) -> None:
-        if job.reply.begun:
+        if job.reply.started:
             if not job.reply.complete:
                 job.reply.abort()
                 emit(Event.STREAM_BROKEN, request=job.facts.id, why=refusal.reason)
--- a/src/moledale/gateway/reply.py
+++ b/src/moledale/gateway/reply.py
@@ -27,7 +27,7 @@
         self._writable.set()
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Say whether the first lines were sent."""
         return self.status != 0
 
