--- a/src/moledale/gateway/accounts.py
+++ b/src/moledale/gateway/accounts.py
@@ -166,7 +166,7 @@
         self._first_start = first_start
         self._window_s = window_s
         self._tolerance = tolerance
-        self._starters = starting_nodes
+        self._starting_nodes = starting_nodes
         self.spent: dict[str, float] = {}
         self._buckets: dict[str, Bucket] = {}
 
@@ -204,7 +204,7 @@
         if self._tolerance is None:
             return WINDOW_START_BURST_SHARE * burst
         together = START_TOLERANCE_SHARE * self._tolerance.allowance_for(account, self._window_s)
-        return min(burst, together / max(1, self._starters()))
+        return min(burst, together / max(1, self._starting_nodes()))
 
     def level(self, account: Account, now: float) -> float:
         """Return what is left of an account's limit."""
