--- a/src/moledale/gateway/admission.py
+++ b/src/moledale/gateway/admission.py
@@ -26,7 +26,7 @@
 MIN_RETRY_S = 0.05
 """Callers are never told to come back sooner: a few round trips, so that they do not spin."""
 
-RETRY_JITTER = 0.5
+RETRY_JITTER_RATIO = 0.5
 """Times to come back are spread by this part, so that callers don't come together."""
 
 
@@ -36,7 +36,7 @@
 
 def add_jitter(chance: random.Random, seconds: float) -> float:
     """Return a time to come back, a little later than `seconds` by chance."""
-    return max(MIN_RETRY_S, seconds * (1.0 + RETRY_JITTER * chance.random()))
+    return max(MIN_RETRY_S, seconds * (1.0 + RETRY_JITTER_RATIO * chance.random()))
 
 
 def _never_blocked(_request: InboundRequest, _account: str | None) -> float:
