--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -74,12 +74,12 @@
         if facts.request_id is not None and facts.request_id != job.facts.id:
             connection.usable = False
             return self.handle_cut(job, placement, Cut.GARBLED)
-        self._record_statement(placement, head.status, facts)
+        self._on_statement(placement, head.status, facts)
         attempt = await self._read_rest(job, connection, run, head, facts)
         attempt.statement = facts.statement
         return attempt
 
-    def _record_statement(self, placement: Placement, status: int, facts: AnswerFacts) -> None:
+    def _on_statement(self, placement: Placement, status: int, facts: AnswerFacts) -> None:
         """Take over what an answer says of its server, for all requests that come after."""
         if not (facts.signed or facts.not_run):
             return
