--- a/src/moledale/gateway/quarantine_sharing.py
+++ b/src/moledale/gateway/quarantine_sharing.py
@@ -13,7 +13,7 @@
 
 from moledale.clock import monotonic
 from moledale.core.quarantine import Block
-from moledale.gateway.request_guard import RequestGuard, ServerCrash
+from moledale.gateway.request_guard import ObservedCrash, RequestGuard
 
 TELL_AGAIN_S = 0.3
 """The word of an end is told once more after this time, more than a round of states: where 3 in 100
@@ -123,11 +123,11 @@
             self._guard.quarantine.merge_block(block)
         self.informed = self.informed or news.all
 
-    def _tell_end(self, end: ServerCrash) -> None:
+    def _tell_end(self, end: ObservedCrash) -> None:
         self._send_end(end)
         asyncio.get_running_loop().call_later(TELL_AGAIN_S, self._send_end, end)
 
-    def _send_end(self, end: ServerCrash) -> None:
+    def _send_end(self, end: ObservedCrash) -> None:
         age_s = self._now() - end.at
         for start in range(0, len(end.requests), MOST_TOLD):
             some = end.requests[start : start + MOST_TOLD]
--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -24,7 +24,7 @@
 """Fingerprints in a line about a server that ended; with all of 64 it would be 2 KB long."""
 
 
-class ServerCrash(msgspec.Struct, frozen=True):
+class ObservedCrash(msgspec.Struct, frozen=True):
     """A server that ended, with what this node had running there, at a monotonic time."""
 
     server: str
@@ -52,7 +52,7 @@
     ) -> None:
         self.quarantine = Quarantine()
         self._record_failure = record_failure
-        self.on_crash: Callable[[ServerCrash], None] = _ignore
+        self.on_crash: Callable[[ObservedCrash], None] = _ignore
         self.on_cleared: Callable[[bytes], None] = _ignore
         self.on_block: Callable[[Block], None] = _ignore
         self._watch = CrashDetector(pool, self._on_probe_result, now)
@@ -119,7 +119,7 @@
         names = [each.hex() for each in requests[:MAX_LOGGED_FINGERPRINTS]]
         emit(Event.SERVER_ENDED, server=server, requests=len(requests), fingerprints=names)
         self._record_crash(server, requests, at)
-        self.on_crash(ServerCrash(server, requests, at))
+        self.on_crash(ObservedCrash(server, requests, at))
 
     def _record_crash(self, server: str, requests: list[bytes], at: float) -> None:
         self.quarantine.record_crash(server, requests, at)
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -16,7 +16,7 @@
     QuarantineSharing,
 )
 from moledale.gateway.quarantine_store import BLOCK_TABLE
-from moledale.gateway.request_guard import RequestGuard, ServerCrash
+from moledale.gateway.request_guard import ObservedCrash, RequestGuard
 from standins.rows import Mood
 from tests.fragile_server import GUILTY, FragileServer, fragile_server
 from tests.gateway_world import Arrival, GatewayWorld, a_plan, answer, quietly, reset
@@ -212,7 +212,7 @@
 
     def end(self, node: str, server: str, requests: list[bytes]) -> None:
         """Let a node see the end of a server."""
-        self.guards[node]._saw_end(server, requests, monotonic())
+        self.guards[node]._record_local_crash(server, requests, monotonic())
 
     def tell_states(self) -> None:
         """Let all nodes hear each other's digests."""
@@ -319,7 +319,7 @@
 
             sharing = QuarantineSharing(RequestGuard(ConnectionPool(monotonic)), tell)
             many = [b"r%d" % number for number in range(150)]
-            sharing._send_end(ServerCrash("s1", many, monotonic()))
+            sharing._send_end(ObservedCrash("s1", many, monotonic()))
             self.assertEqual(sizes, [64, 64, 22])
 
         over_network(work)
