--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -592,7 +592,7 @@
 
                 job = mock.Mock(route=route, sends=1, tried=frozenset({"s1"}), service="model")
                 reader = world.forwarder._answers
-                self.assertEqual(await reader._unless_silent(job, view, wait), b"came")
+                self.assertEqual(await reader._read_unless_silent(job, view, wait), b"came")
 
         quietly(work())
 
