--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -263,7 +263,7 @@
         limit = self.RATE * self.WINDOW_S + self.RATE
         before = self.ENDED_S * limit / self.WINDOW_S
         tolerance = Tolerance(self.BOUNDS.limit_share, self.BOUNDS.limit_tokens)
-        allowed = limit + tolerance.of(account, self.WINDOW_S)
+        allowed = limit + tolerance.allowance_for(account, self.WINDOW_S)
         self.assertLessEqual(before + after, allowed)
 
     def admitted(self, account: Account, for_s: float) -> float:
