--- a/src/moledale/gateway/accounts.py
+++ b/src/moledale/gateway/accounts.py
@@ -1,13 +1,13 @@
-"""Limits of client accounts, kept over all nodes.
+"""Rate limits of client accounts, enforced across all nodes.
 
-Each node keeps the bucket of the whole system: it takes what it admits itself at once, and what
-others admitted when they tell of it. So a limit is exceeded by what is admitted within one round
-of news at most, unused share needs no moving, and a node that starts anew does not begin with a
-full bucket.
+Each node keeps the token bucket of the whole system: it subtracts what it admits itself at once,
+and what peers admitted when their updates arrive. So a limit is exceeded by at most what is
+admitted within one round of updates, unused shares need not be moved, and a node that restarts does
+not begin with a full bucket.
 
-An account may have rate times window plus burst in each window. A bucket that fills at the bare
-rate would grant the burst once only, however long it goes on; so it fills faster, by the burst in
-each window, and what was admitted within the window is held against the limit as well.
+An account may use rate times window plus burst in each window. A bucket that refills at the bare
+rate would grant the burst only once, however long the window recurs; so it refills faster, by one
+burst per window, and what was admitted within the window counts against the limit as well.
 """
 
 from collections import deque
@@ -18,31 +18,32 @@
 from moledale.gateway.plan import TOKENS, Account
 
 START_BURST_SHARE = 0.4
-"""Part of the burst that a bucket holds when its node starts and can't know what was spent.
+"""Share of the burst that a bucket holds when its node starts and cannot know what was spent.
 
-When the whole system starts for the first time nothing was, so buckets are full.
+When the whole system starts for the first time nothing was spent, so buckets are full.
 """
 
 WINDOW_START_BURST_SHARE = 0.1
-"""The same where limits hold for a window and no tolerance of them is stated.
+"""The same share where limits hold for a window and no tolerance is configured.
 
-There an account may have spent its whole limit just before, so what all nodes that start hold
-together must stay below what the limit's tolerance allows.
+An account may have spent its whole limit just before, so the levels of all starting nodes together
+must stay below the limit's tolerance.
 """
 
 START_TOLERANCE_SHARE = 0.5
-"""Part of a limit's tolerance that all nodes which start hold together; the rest is for what they
-admit before they hear of each other."""
+"""Share of a limit's tolerance that all starting nodes hold together; the rest is for what they
+admit before they hear of each other.
+"""
 
 SLICE_S = 0.25
-"""Grain of what is remembered of a window; it is kept this much too long rather than too short."""
+"""Resolution of the spending window: amounts count up to this much too long, never too short."""
 
 MAX_DEBT_S = 4.0
-"""What others spent beyond the limit holds requests back for at most this long."""
+"""Spending of peers beyond the limit delays requests for at most this long."""
 
 
 class Tolerance(msgspec.Struct, frozen=True):
-    """By how much limits may be exceeded in a window: a share of each, and tokens beyond it."""
+    """How far limits may be exceeded in a window: a share of each, plus a number of tokens."""
 
     share: float = 0.0
     tokens: float = 0.0
@@ -55,37 +56,37 @@
 
 
 def burst_of(account: Account) -> float:
-    """Return what an account may have beyond its rate, one second's worth if nothing is stated."""
+    """Return an account's burst, by default one second's worth of its rate."""
     return account.burst or account.rate_per_s
 
 
 class RecentSpending(msgspec.Struct):
-    """What all nodes admitted within the window, as far as it is known here, in slices of time."""
+    """What all nodes are known to have admitted within the window, in slices of time."""
 
     window_s: float
     total: float = 0.0
     _slices: deque[tuple[float, float]] = msgspec.field(default_factory=deque)
 
     def add(self, amount: float, now: float) -> None:
-        """Note what was admitted."""
+        """Record an admitted amount."""
         self._expire(now)
         if self._slices and now - self._slices[-1][0] < SLICE_S:
-            begins, before = self._slices.pop()
-            self._slices.append((begins, before + amount))
+            starts_at, earlier = self._slices.pop()
+            self._slices.append((starts_at, earlier + amount))
         else:
             self._slices.append((now, amount))
         self.total += amount
 
     def wait_s(self, wanted: float, limit: float, now: float) -> float:
-        """Return the seconds until `wanted` more stays below the limit; 0.0 if it does now."""
+        """Return the seconds until `wanted` more fits the limit; 0.0 if it does now."""
         self._expire(now)
-        over = self.total + min(wanted, limit) - limit
-        for begins, amount in self._slices:
-            if over <= 0:
+        excess = self.total + min(wanted, limit) - limit
+        for starts_at, amount in self._slices:
+            if excess <= 0:
                 break
-            over -= amount
-            if over <= 0:
-                return max(0.0, begins + SLICE_S + self.window_s - now)
+            excess -= amount
+            if excess <= 0:
+                return max(0.0, starts_at + SLICE_S + self.window_s - now)
         return 0.0
 
     def _expire(self, now: float) -> None:
@@ -94,10 +95,10 @@
 
 
 class Bucket(msgspec.Struct):
-    """A bucket that others may draw below zero; `window_s` is 0.0 where no window counts.
+    """A token bucket that spending of peers may take below zero.
 
-    Until `unknown_until` it is not known what was spent within the window, and it fills at the bare
-    rate.
+    The window of `recent` is 0.0 if limits have none. Until `unknown_until`, the spending within
+    the window is not known, and the bucket refills at the bare rate.
     """
 
     rate: float
@@ -109,30 +110,30 @@
 
     @property
     def fill_per_s(self) -> float:
-        """Return what comes in each second once all that was spent is known."""
+        """Return the refill per second once all spending within the window is known."""
         window_s = self.recent.window_s
         return self.rate + self.burst / window_s if window_s > 0 else self.rate
 
     def refill(self, now: float) -> None:
-        """Add what has come since the last time."""
-        blind_s = max(0.0, min(now, self.unknown_until) - self.updated_at)
-        came = blind_s * self.rate + (now - self.updated_at - blind_s) * self.fill_per_s
-        self.level = min(self.burst, self.level + came)
+        """Add what accrued since the last update."""
+        unknown_s = max(0.0, min(now, self.unknown_until) - self.updated_at)
+        gained = unknown_s * self.rate + (now - self.updated_at - unknown_s) * self.fill_per_s
+        self.level = min(self.burst, self.level + gained)
         self.updated_at = now
 
-    def reset(self, most: float, now: float) -> None:
-        """Hold no more than `most`, since others' spending of late is not known."""
+    def reset(self, max_level: float, now: float) -> None:
+        """Cap the level at `max_level`, since the recent spending of peers is not known."""
         self.refill(now)
-        self.level = min(self.level, most)
+        self.level = min(self.level, max_level)
         self.unknown_until = now + self.recent.window_s
 
     def debit(self, amount: float) -> None:
-        """Take what was spent elsewhere."""
+        """Subtract what was spent at a peer."""
         self.level = max(self.level - amount, -MAX_DEBT_S * self.rate)
         self.recent.add(amount, self.updated_at)
 
     def take(self, amount: float, now: float) -> float:
-        """Take an amount; return 0.0, or the seconds until it is free."""
+        """Take an amount; return 0.0, or the seconds until it is available."""
         self.refill(now)
         missing = min(amount, self.burst) - self.level
         fill_per_s = self.rate if now < self.unknown_until else self.fill_per_s
@@ -149,11 +150,11 @@
 
 
 class AccountLimits:
-    """Buckets of all accounts, and how much this life of the node has spent of each.
+    """Token buckets of all accounts, and what this incarnation of the node has spent of each.
 
-    `window_s` is the span in which an account may have its burst anew; 0.0 leaves it at the rate.
-    `tolerance` is what may be exceeded in it, `starting_nodes` tells how many nodes may start to serve at
-    the same time.
+    `window_s` is the period in which an account may use its burst once more; with 0.0 only the rate
+    counts. `tolerance` is how far limits may be exceeded in it, and `starting_nodes` returns how
+    many nodes may be starting to serve at the same time.
     """
 
     def __init__(
@@ -171,13 +172,13 @@
         self._buckets: dict[str, Bucket] = {}
 
     def configure(self, accounts: Iterable[Account], now: float) -> None:
-        """Have a bucket for each account, so that what others spend counts from now on."""
+        """Create a bucket for each account, so that spending of peers counts from now on."""
         for account in accounts:
             if account.rate_per_s > 0:
                 self._bucket(account, now)
 
     def take(self, account: Account, amount: float, now: float) -> float:
-        """Take an amount; return 0.0, or the seconds until it is free."""
+        """Take an amount; return 0.0, or the seconds until it is available."""
         if account.rate_per_s <= 0:
             return 0.0
         wait_s = self._bucket(account, now).take(amount, now)
@@ -186,25 +187,25 @@
         return wait_s
 
     def reset(self, accounts: Iterable[Account], now: float) -> None:
-        """Begin to serve after a time in which others' spending was not heard."""
+        """Reset all buckets after a period without updates on the spending of peers."""
         for account in accounts:
             bucket = self._buckets.get(account.name)
             if bucket is not None:
                 bucket.reset(self._start_level(account), now)
 
     def _start_level(self, account: Account) -> float:
-        """Return what a bucket holds when its node starts and can't know what was spent.
+        """Return the level of a bucket when its node starts and cannot know what was spent.
 
-        For accounts whose limit is small against its tolerance that is the whole burst: a single
-        prompt may take that much, and was refused for a second or more after a start.
+        If the limit is small against its tolerance this is the whole burst: a single prompt may
+        take that much, and with a lower level was refused for a second or more after a start.
         """
         burst = burst_of(account)
         if self._window_s <= 0:
             return START_BURST_SHARE * burst
         if self._tolerance is None:
             return WINDOW_START_BURST_SHARE * burst
-        together = START_TOLERANCE_SHARE * self._tolerance.allowance_for(account, self._window_s)
-        return min(burst, together / max(1, self._starting_nodes()))
+        total = START_TOLERANCE_SHARE * self._tolerance.allowance_for(account, self._window_s)
+        return min(burst, total / max(1, self._starting_nodes()))
 
     def level(self, account: Account, now: float) -> float:
         """Return what is left of an account's limit."""
@@ -215,13 +216,13 @@
     def record_peer_spending(
         self, before: dict[str, float], after: dict[str, float], now: float
     ) -> None:
-        """Take what another node has spent between two of its states."""
+        """Subtract what a peer has spent between two of its states."""
         for name, amount in after.items():
-            more = amount - before.get(name, 0.0)
+            spent = amount - before.get(name, 0.0)
             bucket = self._buckets.get(name)
-            if bucket is not None and more > 0:
+            if bucket is not None and spent > 0:
                 bucket.refill(now)
-                bucket.debit(more)
+                bucket.debit(spent)
 
     def _bucket(self, account: Account, now: float) -> Bucket:
         burst = burst_of(account)
