--- a/src/moledale/gateway/admission.py
+++ b/src/moledale/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Who may send what: the plan in force, routes, keys and limits of accounts."""
+"""Admission of requests: the plan in force, routes, API keys and account limits."""
 
 import random
 from collections.abc import Callable
@@ -15,28 +15,28 @@
 from moledale.log import Event, emit
 
 DEADLINE_MARGIN_S = 0.03
-"""A final answer leaves this long before the caller's deadline, so that it arrives in time."""
+"""A final response is sent this long before the caller's deadline, so that it arrives in time."""
 
 NO_PLAN_RETRY_S = 0.5
-"""A node that starts knows a plan within about this time."""
+"""A starting node gets a plan within about this time."""
 
 NEWER_PLAN_RETRY_S = 0.15
-"""A newer plan that is known of is here within about this time."""
+"""A newer plan that is known to exist arrives within about this time."""
 
 MIN_RETRY_S = 0.05
-"""Callers are never told to come back sooner: a few round trips, so that they do not spin."""
+"""Shortest retry delay given to callers: a few round trips, to prevent a busy loop."""
 
 RETRY_JITTER_RATIO = 0.5
-"""Times to come back are spread by this part, so that callers don't come together."""
+"""Retry delays are extended by up to this ratio, so that callers do not retry all at once."""
 
 
 BLOCKED_REASON = "servers ended under this request"
-"""What callers are told of a request that is blocked."""
+"""Reason sent to callers for a request that is blocked because servers crashed while running it."""
 
 
-def add_jitter(chance: random.Random, seconds: float) -> float:
-    """Return a time to come back, a little later than `seconds` by chance."""
-    return max(MIN_RETRY_S, seconds * (1.0 + RETRY_JITTER_RATIO * chance.random()))
+def add_jitter(rng: random.Random, seconds: float) -> float:
+    """Return `seconds` extended by random jitter, but at least `MIN_RETRY_S`."""
+    return max(MIN_RETRY_S, seconds * (1.0 + RETRY_JITTER_RATIO * rng.random()))
 
 
 def _never_blocked(_request: InboundRequest, _account: str | None) -> float:
@@ -45,11 +45,11 @@
 
 
 class Admission:
-    """Checks each request against the newest plan that is here.
+    """Checks each request against the newest plan that this node has.
 
-    What this plan does not allow may be allowed by a newer one that `newer_plan` says is on its
-    way. A caller takes 401 and 404 for final, so it is told to come back instead. `blocked_s` tells
-    how long an account's request gets no server.
+    Callers treat 401 and 404 as final. If `newer_plan` says that a newer plan is on its way, which
+    may allow the request, they are told to retry instead. `blocked_s` returns how long an account's
+    request is blocked from all servers.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._rng = random.Random()
 
     def adopt(self, plan: Plan) -> bool:
-        """Put a plan in force unless a newer one is; say whether it is in force now."""
+        """Put a plan in force if it is newer than the current one; return whether it was."""
         if self.index is not None and plan.version <= self.index.version:
             return False
         self.index = PlanIndex(plan)
@@ -77,7 +77,7 @@
         return True
 
     def admit(self, request: InboundRequest, reply: Reply) -> Job | Refusal:
-        """Find route and account, and take from the account's limit."""
+        """Find a request's route and account, and charge it to the account's limit."""
         try:
             facts = self._dialect.read_request(request.head)
         except ValueError as error:
@@ -122,7 +122,7 @@
         account = index.account(facts.key) if facts.key else None
         if account is None and index.has_accounts and not route.public:
             return self._reject_or_retry(Refusal(401, "the key is not known"))
-        # A request that will not run costs nothing of the account's limit.
+        # A blocked request does not run, so it is not charged to the account's limit.
         blocked_s = self._blocked_s(request, account.name if account is not None else None)
         if blocked_s > 0:
             return Refusal(503, BLOCKED_REASON, add_jitter(self._rng, blocked_s))
@@ -138,8 +138,8 @@
     def _reject_or_retry(self, refusal: Refusal) -> Refusal:
         if not self._newer_plan():
             return refusal
-        again_s = add_jitter(self._rng, NEWER_PLAN_RETRY_S)
-        return Refusal(503, f"{refusal.reason} yet, a newer plan is on its way", again_s)
+        retry_s = add_jitter(self._rng, NEWER_PLAN_RETRY_S)
+        return Refusal(503, f"{refusal.reason} yet, a newer plan is on its way", retry_s)
 
     def _log_limited(self, account: Account, facts: RequestFacts, wait_s: float) -> None:
         emit(
