--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Reading a server's answer, and passing it on to the caller whole or event by event."""
+"""Reading a server's response and relaying it to the caller, whole or event by event."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,30 +18,32 @@
 from moledale.gateway.upstream import AnswerCut, Cut, UpstreamConnection
 
 MAX_BUFFERED_BYTES = 1_048_576
-"""Plain answers up to this size are read whole before the caller gets a byte of them."""
+"""Responses up to this size, except streams, are read whole before any byte is relayed."""
 
 SLOW_TARGET_SHARE = 0.5
 SLOW_ANSWER_FACTOR = 4.0
-"""A safe request is tried elsewhere after half its target or four usual answers without one."""
+"""A safe request is retried elsewhere after half its target or four usual response times without a
+response, whichever is longer.
+"""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request has not run and never will."""
 
 CRASH_CUTS = frozenset({Cut.CLOSED, Cut.RESET})
-"""Ways in which an answer breaks off when its server ends."""
+"""Ways in which a response breaks off when its server crashes or is terminated."""
 
 SILENCE_POLL_INTERVAL_S = 0.2
-"""Streams that may be resumed look this often whether their server fell silent."""
+"""Interval at which resumable streams check whether their server fell silent."""
 
 Read = TypeVar("Read")
 Refuse = Callable[[Reply, InboundRequest, Refusal], None]
-"""Gives a final answer of the node's own."""
+"""Sends a final response of this node."""
 
 
 class AnswerReader:
-    """Reads answers of servers; `refuse` answers in place of one that must not be passed on.
+    """Reads responses of servers; `refuse` responds in place of one that must not be relayed.
 
-    `leaves` hears of a server whose answer says that it leaves.
+    `on_leaving` is called with the id of a server whose response states that it is leaving.
     """
 
     def __init__(
@@ -52,9 +54,9 @@
         refuse: Refuse,
         now: Callable[[], float],
         guard: RequestGuard,
-        leaves: Callable[[str], None],
+        on_leaving: Callable[[str], None],
     ) -> None:
-        self._on_leaving = leaves
+        self._on_leaving = on_leaving
         self._dialect = dialect
         self._guard = guard
         self._balancer = balancer
@@ -63,7 +65,7 @@
         self._now = now
 
     async def read(self, job: Job, connection: UpstreamConnection, run: StreamRun) -> Attempt:
-        """Read an answer's head, decide what it means, and read or pass on the rest."""
+        """Read the head of a response, decide what it means, and read or relay the rest."""
         placement = run.placement
         head = await self._read_head(job, connection, placement)
         placement.view.last_data_at = self._now()
@@ -80,7 +82,7 @@
         return attempt
 
     def _on_statement(self, placement: Placement, status: int, facts: AnswerFacts) -> None:
-        """Take over what an answer says of its server, for all requests that come after."""
+        """Record what a response states about its server, for the placement of later requests."""
         if not (facts.signed or facts.not_run):
             return
         view = placement.view
@@ -99,7 +101,7 @@
         head: AnswerHead,
         facts: AnswerFacts,
     ) -> Attempt:
-        """Read or pass on what follows an answer's head."""
+        """Read or relay what follows the head of a response."""
         if facts.not_run:
             await self._read_whole(connection)
             return Attempt(AttemptOutcome.NOT_RUN, why=str(head.status))
@@ -113,14 +115,14 @@
     async def _read_head(
         self, job: Job, connection: UpstreamConnection, placement: Placement
     ) -> AnswerHead:
-        """Wait for an answer; a safe request is tried elsewhere if none comes for long."""
+        """Wait for the head of a response; a safe request gives up on a slow server."""
         if job.route.kind is Kind.STREAM:
             return await self._read_unless_silent(job, placement.view, connection.head)
-        again = job.route.kind is Kind.SAFE and job.sends < job.route.max_servers
-        if again:
-            usual = SLOW_ANSWER_FACTOR * placement.view.answer_s
+        may_retry = job.route.kind is Kind.SAFE and job.sends < job.route.max_servers
+        if may_retry:
+            usual_s = SLOW_ANSWER_FACTOR * placement.view.answer_s
             try:
-                async with asyncio.timeout(max(SLOW_TARGET_SHARE * job.route.target_s, usual)):
+                async with asyncio.timeout(max(SLOW_TARGET_SHARE * job.route.target_s, usual_s)):
                     return await connection.head()
             except TimeoutError:
                 if self._may_try_elsewhere(job):
@@ -130,21 +132,21 @@
     async def _read_unless_silent(
         self, job: Job, view: ServerView, wait: Callable[[], Awaitable[Read]]
     ) -> Read:
-        """Wait for more of a stream; one that may be resumed leaves a server that fell silent.
+        """Wait for more of a stream; a resumable one is cut off if its server falls silent.
 
-        Silence has to be seen twice: after this node itself stood still, what came meanwhile is
-        read first.
+        Two checks in a row have to find silence: after a stall of this node itself, data that
+        arrived in the meantime is read first.
         """
         if not job.route.repeatable or job.sends >= job.route.max_servers:
             return await wait()
-        seen = 0
+        silent_polls = 0
         while True:
             try:
                 async with asyncio.timeout(SILENCE_POLL_INTERVAL_S):
                     return await wait()
             except TimeoutError:
-                seen = seen + 1 if view.is_silent(self._now()) else 0
-            if seen > 1 and self._may_try_elsewhere(job):
+                silent_polls = silent_polls + 1 if view.is_silent(self._now()) else 0
+            if silent_polls > 1 and self._may_try_elsewhere(job):
                 raise AnswerCut(Cut.SLOW)
 
     def _may_try_elsewhere(self, job: Job) -> bool:
@@ -183,7 +185,7 @@
         return Attempt(AttemptOutcome.ANSWERED)
 
     async def _read_up_to_limit(self, connection: UpstreamConnection) -> tuple[bytes, bool]:
-        """Read a body up to the bound; say whether that is all of it."""
+        """Read up to `MAX_BUFFERED_BYTES`; return the data and whether that is the whole body."""
         parts: list[bytes] = []
         size = 0
         while size <= MAX_BUFFERED_BYTES:
@@ -195,18 +197,21 @@
         return b"".join(parts), False
 
     async def _relay_long_body(
-        self, job: Job, connection: UpstreamConnection, head: AnswerHead, begin: bytes
+        self, job: Job, connection: UpstreamConnection, head: AnswerHead, first_part: bytes
     ) -> None:
-        """Pass a long answer on while it comes; what is cut then can't look whole."""
+        """Relay a long response in chunks as it arrives; cut off, it cannot look complete."""
         job.reply.start(head.status, self._dialect.answer_headers(head), CHUNKED)
-        job.reply.send(begin)
+        job.reply.send(first_part)
         while (data := await connection.chunk()) is not None:
             job.reply.send(data)
             await job.reply.drain()
         job.reply.finish()
 
     def relay(self, job: Job, head: AnswerHead, body: bytes) -> None:
-        """Pass a server's whole answer on; its promises are not ours to repeat."""
+        """Relay a whole response, or a 502 if its status promises that the request did not run.
+
+        This node cannot vouch for such a promise.
+        """
         if head.status in NOT_RUN_STATUSES:
             self._refuse(job.reply, job.request, Refusal(502, "the server's answer is unclear"))
             return
@@ -215,7 +220,7 @@
     async def _relay_stream(
         self, job: Job, connection: UpstreamConnection, run: StreamRun, head: AnswerHead
     ) -> Attempt:
-        """Pass events on as they come, whole ones only."""
+        """Relay events as they arrive, whole ones only."""
         placement = run.placement
         first = True
         view = placement.view
@@ -227,10 +232,10 @@
                 job.may_have_run = True
                 self._count_usage(job)
                 record_answer(placement.view, False, self._now() - placement.sent_at)
-            passed = job.splitter.event_count
+            events_before = job.splitter.event_count
             whole = job.splitter.feed(data)
             if whole:
-                run.record_events(job.splitter.event_count - passed, self._now())
+                run.record_events(job.splitter.event_count - events_before, self._now())
                 job.record_event(self._now())
                 self._start_reply(job, head)
                 job.reply.send(whole)
@@ -249,7 +254,7 @@
             job.reply.start(head.status, self._dialect.answer_headers(head), CHUNKED)
 
     def handle_cut(self, job: Job, placement: Placement, cut: Cut) -> Attempt:
-        """An answer ended early: the request may have run."""
+        """Record a response that was cut off; its request may have run."""
         job.may_have_run = True
         record_silence(placement.view, self._now())
         if cut in CRASH_CUTS:
