--- a/src/moledale/gateway/calls.py
+++ b/src/moledale/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Calls by HTTP to what is given and to peers: one send is one send, nothing is asked again."""
+"""HTTP calls to platform services and peers: each is sent once and never retried."""
 
 import asyncio
 
@@ -10,14 +10,14 @@
 from moledale.gateway.upstream import AnswerCut, ConnectFailed, UpstreamConnection, connect
 
 MAX_IDLE_CONNECTIONS = 4
-"""Connections kept to one address: calls to it seldom overlap more."""
+"""Idle connections kept to one address: calls to it seldom overlap more."""
 
 MAX_IDLE_S = 20.0
-"""Connections at rest for longer are closed; callees close theirs after about as long."""
+"""Connections that are idle for longer are closed; callees close theirs after about as long."""
 
 
 class CallAnswer(msgspec.Struct, frozen=True):
-    """A whole answer, and when the call was sent and answered (monotonic seconds)."""
+    """A whole response, and when the call was sent and answered (monotonic seconds)."""
 
     status: int
     body: bytes
@@ -27,14 +27,14 @@
 
 
 class CallFailed(msgspec.Struct, frozen=True):
-    """No whole answer came; with `sent` the call may have had its effect."""
+    """A call without a whole response; with `sent` it may have had its effect."""
 
     detail: str
     sent: bool
 
 
 class HttpCaller:
-    """Calls to one address over a few kept connections; a failed one is never used again."""
+    """Calls one address over a few kept connections; a failed one is never reused."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -48,11 +48,11 @@
         headers: Headers | None = None,
         timeout_s: float = 1.0,
     ) -> Result[CallAnswer, CallFailed]:
-        """Send one request and return its whole answer."""
+        """Send one request and return its whole response."""
         connection: UpstreamConnection | None = None
         sent = False
-        # Others at rest are as old as the one that failed, and as likely silent for good.
-        at_rest = list(self._idle)
+        # If the call fails, these are as old as its connection and as likely dead.
+        idle = list(self._idle)
         try:
             async with asyncio.timeout(timeout_s):
                 connection = self._take_idle() or await connect(self.address, timeout_s)
@@ -71,19 +71,19 @@
             connection = None
             return Ok(CallAnswer(head.status, b"".join(parts), sent_at, now, head.headers))
         except (ConnectFailed, AnswerCut, TimeoutError) as error:
-            self._close_idle(at_rest)
+            self._close_idle(idle)
             return Err(CallFailed(f"{type(error).__name__} {error}", sent))
         finally:
             if connection is not None:
                 connection.abort()
 
     def close(self) -> None:
-        """Close kept connections."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
     def _close_idle(self, connections: list[UpstreamConnection]) -> None:
-        """Close those that are still at rest."""
+        """Close those of the connections that are still idle."""
         for connection in connections:
             if connection in self._idle:
                 self._idle.remove(connection)
