--- a/src/moledale/gateway/dialect.py
+++ b/src/moledale/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""How requests and answers are spelled; the spelling itself is an adapter's."""
+"""The interface to the wire format of requests and responses, which an adapter implements."""
 
 from typing import Protocol
 
@@ -16,21 +16,21 @@
     """Reads and writes the headers of callers and servers."""
 
     def read_request(self, head: RequestHead) -> RequestFacts:
-        """Return what a request says of itself; ValueError for what can't be read."""
+        """Return the facts that the head of a request states; raise ValueError if it is invalid."""
         ...
 
     def attempt_head(self, head: RequestHead, facts: AttemptFacts, length: int) -> bytes:
-        """Return the first lines of the request as a server gets them."""
+        """Return the head of a request as it is sent to a server."""
         ...
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Return what a server's answer says of itself."""
+        """Return the facts that the head of a server's response states."""
         ...
 
     def answer_headers(self, head: AnswerHead) -> Headers:
-        """Return the headers of an answer that the caller gets."""
+        """Return the headers of a server's response that are relayed to the caller."""
         ...
 
     def refusal_headers(self, request_id: str, retry_after_s: float | None) -> Headers:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of a response of the node's own."""
         ...
