--- a/src/moledale/gateway/events.py
+++ b/src/moledale/gateway/events.py
@@ -1,10 +1,10 @@
-"""Cutting a stream of server-sent events into whole events."""
+"""Splitting of a stream of server-sent events into whole events."""
 
 END_OF_EVENT = b"\n\n"
 
 
 class EventSplitter:
-    """Holds back the part of an event that has not come whole, and knows the last whole id."""
+    """Holds back a partial event, counts whole ones, and tracks the id of the last one."""
 
     def __init__(self, after: str = "") -> None:
         self.last_id = after
@@ -12,7 +12,7 @@
         self._partial = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are at hand now."""
+        """Return the events that are complete with this data."""
         data = self._partial + data
         end = data.rfind(END_OF_EVENT)
         if end < 0:
@@ -23,12 +23,12 @@
         return whole
 
     def flush(self) -> bytes:
-        """Return what is left when the stream has ended whole."""
+        """Return the remaining data of a stream that has ended completely."""
         rest, self._partial = self._partial, b""
         return rest
 
     def discard_partial(self) -> None:
-        """Drop the torn part of an event, since the stream goes on elsewhere."""
+        """Drop the partial event, since the stream continues from another server."""
         self._partial = b""
 
     def _record_events(self, whole: bytes) -> None:
