--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""One request from its caller to a server and back: attempts, whole answers, final answers."""
+"""Forwarding of one request: placement, retries on other servers, and the final response."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -26,37 +26,40 @@
 from moledale.log import Event, emit
 
 MAX_UNREACHABLE_SERVERS = 6
-"""Servers that may take no connection before a request is given up; nothing was sent to them."""
+"""Servers that may fail to accept a connection before a request is given up. Nothing was sent to
+them, so they do not count as sends.
+"""
 
 OTHER_NODE_RETRY_S = 0.05
-"""Time to come back where other nodes are known to be able to serve, so only a little spread."""
+"""Retry delay when other nodes are known to be able to serve; it only spreads callers a little."""
 
 NO_EVENT_ID = "0"
-"""Id before a stream's first event."""
+"""Last event id that is sent for a stream without any event yet."""
 
 
 def _stale_list_attempt() -> Attempt:
-    """Return the outcome of a request that another node can serve at once."""
+    """Return the attempt of a request that another node can serve at once."""
     why = "the list of servers is out of date"
     return Attempt(AttemptOutcome.NOT_RUN, retry_after_s=OTHER_NODE_RETRY_S, why=why)
 
 
 async def _list_always_current() -> bool:
-    """Take the list of servers for current."""
+    """Treat the list of servers as current."""
     return True
 
 
 def _no_trial(_service: str, _route: str, _first_send: bool) -> float:
-    """Try no new version."""
+    """Send no request to a version on trial."""
     return 0.0
 
 
 class Forwarder:
-    """Carries requests to servers; all nodes' news come in through `sharing`.
+    """Forwards requests to backend servers; state from peers arrives through `sharing`.
 
-    `trial_share` says whether a request of a route goes to servers of a version on trial, and what
-    part of the load these bear; 0 for the usual ones. `starting_nodes` tells how many nodes may start to
-    serve at the same time.
+    `trial_share` is called with a service, a route and whether this is a request's first send. It
+    returns the share of the load that servers of a version on trial bear if the request goes to one
+    of them, and 0 if it goes to the others. `starting_nodes` returns how many nodes may be starting
+    to serve at the same time.
     """
 
     def __init__(
@@ -101,32 +104,32 @@
 
     @property
     def index(self) -> PlanIndex | None:
-        """Return the plan in force."""
+        """Return the plan in force, None before the first one."""
         return self.admission.index
 
     @property
     def limits(self) -> AccountLimits:
-        """Return the limits of accounts."""
+        """Return the limits of client accounts."""
         return self.admission.limits
 
     def reset_limits(self) -> None:
-        """Begin to serve after a time in which others' spending was not heard."""
+        """Reset account limits after a period without updates on the spending of peers."""
         if self.index is not None:
             self.limits.reset(self.index.plan.accounts, self._now())
 
     def adopt(self, plan: Plan) -> bool:
-        """Put a plan in force unless a newer one is; say whether it is in force now."""
+        """Put a plan in force if it is newer than the current one; return whether it was."""
         return self.admission.adopt(plan)
 
     def handle_leaving_server(self, name: str, source: str = "answer") -> None:
-        """Give a server that said that it leaves no new work, and move its streams in time."""
+        """Place no more requests on a server that is leaving, and move its streams in time."""
         server = self._balancer.notices.record_leaving(name)
         if server is not None:
             emit(Event.SERVER_LEAVING, server=name, source=source)
             self.evacuation.servers_changed()
 
     async def handle(self, request: InboundRequest, reply: Reply) -> None:
-        """Answer one request."""
+        """Handle one request, and write its final response to `reply`."""
         self.handled += 1
         job = self.admission.admit(request, reply)
         if isinstance(job, Refusal):
@@ -167,7 +170,7 @@
         )
 
     async def _forward(self, job: Job) -> None:
-        """Try servers until one answers or no more may be tried."""
+        """Try servers until one responds or no further attempt is allowed."""
         self._sharing.request(job.service, self._now())
         last = Attempt(AttemptOutcome.NOT_SENT, why=NO_SERVER)
         moved: Continuation | None = None
@@ -176,7 +179,7 @@
                 if not job.sends:
                     last = _stale_list_attempt()
                 break
-            # Timers stand still while the machine is suspended, so the timeout may be late.
+            # Timers do not advance while the machine is suspended, so the timeout may fire late.
             if job.left_s(self._now()) <= 0:
                 raise TimeoutError
             placement = await self._place(job) if moved is None else moved.placement
@@ -224,7 +227,7 @@
         return service.engine if service is not None else None
 
     def _may_retry(self, job: Job, attempt: Attempt) -> bool:
-        """Say whether another server may be tried."""
+        """Return whether the request may be sent to another server."""
         server_left = job.sends < job.route.max_servers
         if attempt.outcome is AttemptOutcome.NOT_SENT:
             return len(job.tried) - job.sends < MAX_UNREACHABLE_SERVERS
@@ -235,7 +238,7 @@
         return self._sharing.may_repeat(job.service, self._now())
 
     async def _attempt(self, job: Job, placement: Placement, moved: Continuation | None) -> Attempt:
-        """Send the request to one server and pass its answer on."""
+        """Send the request to one server and relay its response."""
         engine = self._engine(job.service)
         event_tokens = engine.event_tokens if engine is not None else 1
         run = StreamRun(
@@ -260,7 +263,7 @@
                 emit(Event.CONNECT_FAILED, request=job.facts.id, server=server.id, why=str(error))
                 return Attempt(AttemptOutcome.NOT_SENT, why="no connection")
             if moved is None and not view.is_open(self._now()):
-                # Its word came while the connection was made.
+                # The server announced this while the connection was being made.
                 self._pool.release_unused(server.id, connection)
                 connection = None
                 return Attempt(
@@ -291,16 +294,16 @@
             placement.end()
 
     async def _still_permitted(self, placement: Placement) -> bool:
-        """Say whether a server may get a request that was chosen for it a moment ago.
+        """Return whether a server may still get a request that was placed on it.
 
-        Many may wait for a connection at the moment when it names a limit.
+        Many requests may be waiting for a connection at the moment when the server states a limit.
         """
         if placement.permitted or placement.view.limit_per_s is None:
             return True
         return await self._permits.take(placement.view)
 
     def _log_unanswered(self, job: Job, placement: Placement, attempt: Attempt) -> None:
-        """Log a send that brought no answer; one that broke off with what was asked for."""
+        """Log a send without a usable response; if it broke off, with the request's fingerprint."""
         broken = attempt.outcome is AttemptOutcome.BROKEN
         emit(
             Event.ATTEMPT_ENDED,
@@ -319,22 +322,22 @@
         )
 
     def _record_unanswered(self, job: Job, placement: Placement) -> None:
-        """Hold it against a server's version if nothing came of it within the target."""
+        """Count a failure of the server's version if the target passed without an outcome."""
         waited_s = self._now() - placement.sent_at
         if job.was_sent and waited_s >= job.route.target_s:
             self._balancer.record_outcome(placement, True, waited_s)
 
     async def _await_move(self, job: Job, run: StreamRun) -> Attempt | None:
-        """Return where a stream goes on that was stopped to be moved, or None."""
+        """Return the attempt that continues a stream which was stopped to be moved, or None."""
         if not run.stopping:
             return None
-        found = await run.continuation
-        if found is None:
+        continuation = await run.continuation
+        if continuation is None:
             return None
         run.continuation = asyncio.get_running_loop().create_future()
         job.splitter.discard_partial()
         job.may_have_run = True
-        return Attempt(AttemptOutcome.MOVED, why="moved", continuation=found)
+        return Attempt(AttemptOutcome.MOVED, why="moved", continuation=continuation)
 
     def _send(
         self,
@@ -366,7 +369,7 @@
         connection.send(data, bodiless=head.bodiless)
 
     def _end_without_answer(self, job: Job, last: Attempt) -> None:
-        """Give the final answer at once: a server's failure, or one of our own."""
+        """Send the final response at once: a server's failure, or a refusal of this node."""
         if job.reply.started:
             job.reply.abort()
             emit(
