--- a/src/moledale/gateway/inbound.py
+++ b/src/moledale/gateway/inbound.py
@@ -1,7 +1,7 @@
-"""Callers' connections: limits on what they send, one request after another, prompt cancellation.
+"""Connections of callers: input limits, pipelining, and cancellation when the caller disconnects.
 
 A connection is a state machine over `httptools`; a web framework on top would hide when a caller
-leaves, how long a head takes and whether a refused request was read.
+disconnects, how long a head takes and whether a refused request was read.
 """
 
 import asyncio
@@ -16,13 +16,15 @@
 from moledale.gateway.reply import Reply
 
 SWEEP_INTERVAL_S = 0.25
-"""Callers that are too slow are looked for this often: limits in force are of seconds."""
+"""Interval of the check for callers that are too slow; the limits in force are of seconds."""
 
 MAX_PIPELINED_REQUESTS = 4
-"""Requests of a connection that are read ahead of the one that is answered."""
+"""Requests of a connection that are read before the current one is answered."""
 
 MAX_UNSENT_BYTES = 262_144
-"""Bytes that wait for a caller before its server is read no further: memory for slow readers."""
+"""Bytes buffered for a caller before reading from its server pauses, to bound the memory of slow
+readers.
+"""
 
 JSON_TYPE = (b"Content-Type", b"application/json")
 
@@ -30,7 +32,7 @@
 
 
 class Listener(msgspec.Struct):
-    """What all connections of one listening address share."""
+    """State shared by all connections of one listening address."""
 
     handle: Handler
     limits: Callable[[], Limits]
@@ -39,18 +41,18 @@
     connections: set["InboundConnection"] = msgspec.field(default_factory=set)
 
     def busy(self) -> int:
-        """Return the number of connections with a request in hand."""
+        """Return the number of connections with a request in progress."""
         return sum(1 for connection in self.connections if connection.busy)
 
     def sweep(self) -> None:
-        """Close connections that have been at rest, or at a head, for too long."""
+        """Close connections that have been idle, or sending a head, for too long."""
         limits = self.limits()
         now = self.now()
         for connection in list(self.connections):
             connection.enforce_timeouts(now, limits)
 
     def close_idle(self) -> None:
-        """Close connections that have no request in hand."""
+        """Close connections without a request in progress."""
         for connection in list(self.connections):
             if not connection.busy:
                 connection.close()
@@ -81,7 +83,7 @@
 
     @property
     def busy(self) -> bool:
-        """Say whether a request is in hand or being read."""
+        """Return whether a request is in progress or being read."""
         return self._task is not None or self._head_started_at is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -91,28 +93,28 @@
         self._listener.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop work for a caller that is gone."""
+        """Cancel the request of a caller that disconnected."""
         self._listener.connections.discard(self)
         self._waiting.clear()
         if self._task is not None:
             self._task.cancel()
 
     def eof_received(self) -> bool | None:
-        """A caller that ends its sending has left."""
+        """Let the transport close: a caller that ends its sending has disconnected."""
         return None
 
     def pause_writing(self) -> None:
-        """Hold back the answer of a slow reader."""
+        """Pause the response to a slow reader."""
         if self._reply is not None:
             self._reply.pause()
 
     def resume_writing(self) -> None:
-        """Go on with the answer."""
+        """Resume the response."""
         if self._reply is not None:
             self._reply.resume()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the caller sent."""
+        """Parse data of the caller, and refuse a head that is too long."""
         if self._refused:
             return
         if self._head_started_at is None:
@@ -129,7 +131,7 @@
             self._refuse(431, b"the head is too long")
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target."""
+        """Collect a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -137,7 +139,7 @@
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head; a body follows or not."""
+        """Check the size of the head and the stated body, and answer `Expect: 100-continue`."""
         self._in_body = True
         size = len(self._target) + sum(len(name) + len(value) + 4 for name, value in self._headers)
         if size > self._listener.limits().header_bytes:
@@ -152,7 +154,7 @@
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body."""
+        """Collect a part of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self._listener.limits().body_bytes:
             self._refuse(413, b"the body is too long")
@@ -160,7 +162,7 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Take a whole request in hand."""
+        """Queue a whole request, and start it if none is in progress."""
         if self._refused:
             return
         head = RequestHead(self._parser.get_method(), self._target, self._headers)
@@ -208,7 +210,7 @@
                 self._start_next()
 
     def enforce_timeouts(self, now: float, limits: Limits) -> None:
-        """Answer a head that takes too long, close what rests too long."""
+        """Refuse a head that takes too long, and close a connection that is idle for too long."""
         if self._task is not None or self._refused:
             return
         if self._head_started_at is not None:
@@ -218,12 +220,15 @@
             self.close()
 
     def close(self) -> None:
-        """Close in order."""
+        """Close the connection once buffered data is sent."""
         if self._transport is not None:
             self._transport.close()
 
     def _refuse(self, status: int, reason: bytes) -> None:
-        """Refuse what was not read whole, behind any answer still under way."""
+        """Refuse a request that was not read whole, and ignore all further data.
+
+        No refusal is sent while another request of the connection is in progress.
+        """
         if self._refused or self._transport is None:
             return
         self._refused = True
@@ -246,7 +251,7 @@
 
 
 async def sweep_forever(listener: Listener) -> None:
-    """Keep the time limits of a listener's connections."""
+    """Enforce the timeouts of a listener's connections."""
     while True:
         await asyncio.sleep(SWEEP_INTERVAL_S)
         listener.sweep()
