--- a/src/moledale/gateway/job.py
+++ b/src/moledale/gateway/job.py
@@ -1,4 +1,4 @@
-"""A request under way, and how each send of it ended."""
+"""A request in progress, and the outcome of each attempt to send it."""
 
 from enum import StrEnum
 
@@ -30,10 +30,10 @@
 
 
 class Attempt(msgspec.Struct):
-    """Outcome of one send; the answer of a server, if there is one to pass on.
+    """Outcome of one attempt, with the server's response if there is one to relay.
 
-    `statement` is what the answer said of its server; `retry_after_s` is when its caller may come back,
-    where that is known.
+    `statement` is what the response states about its server, `retry_after_s` the delay after which
+    the caller may retry, if known, and `continuation` where a moved stream continues.
     """
 
     outcome: AttemptOutcome
@@ -46,7 +46,11 @@
 
 
 class Job(msgspec.Struct):
-    """A request under way: who asks for what, until when, and what was tried."""
+    """A request in progress: its caller, route and deadline, and the servers tried so far.
+
+    `usage_counted` is set once it counts towards the usage of its account, `was_sent` once any
+    server got it.
+    """
 
     request: InboundRequest
     facts: RequestFacts
@@ -67,17 +71,17 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Return the digest of what is asked for; made once, and only for those that want it."""
+        """Return the digest of the request's content, computed on first use only."""
         if not self._fingerprint:
             self._fingerprint = fingerprint(self.request, self.caller.account)
         return self._fingerprint
 
     def record_event(self, now: float) -> None:
-        """Note that events were passed on, for the longest pause between two."""
+        """Record that events were relayed, to track the longest pause between two."""
         if self.last_event_at is not None:
             self.longest_pause_s = max(self.longest_pause_s, now - self.last_event_at)
         self.last_event_at = now
 
     def left_s(self, now: float) -> float:
-        """Return the time left."""
+        """Return the seconds left until the deadline."""
         return self.deadline_at - now
