--- a/src/moledale/gateway/pool.py
+++ b/src/moledale/gateway/pool.py
@@ -1,20 +1,20 @@
-"""Idle connections to backend servers, kept for the next request."""
+"""Idle connections to backend servers, kept for reuse."""
 
 from collections.abc import Callable, Iterator
 
 from moledale.gateway.upstream import UpstreamConnection, connect
 
 KEEP_ALIVE_SHARE = 0.7
-"""Part of a server's stated keep-alive during which a connection is used again."""
+"""Share of a server's stated keep-alive time during which a connection is reused."""
 
 MAX_IDLE_S = 8.0
-"""Connections at rest for longer are not used again where a server states no time."""
+"""Idle time after which a connection is not reused if its server states no keep-alive time."""
 
 
 class ConnectionPool:
-    """Connections by server id: the one used last is used first, so that few are kept.
+    """Idle connections by server id: the most recently used is reused first, so that few are kept.
 
-    Servers stand in the order in which a connection to them was last given back.
+    Servers are ordered by the time at which a connection to them was last released.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -23,15 +23,15 @@
         self.opened = 0
 
     def has_idle(self, server: str) -> bool:
-        """Say whether a connection to a server is at rest, and was not closed there."""
+        """Return whether there is an idle connection to a server that the server has not closed."""
         return any(each.usable for each in self._idle.get(server, ()))
 
     def idle_servers(self) -> Iterator[str]:
-        """Return the servers to which a connection is at rest, the one used last first."""
+        """Return the servers with an idle connection, the most recently used first."""
         return (server for server, idle in reversed(self._idle.items()) if idle)
 
     async def acquire(self, server: str, address: str) -> UpstreamConnection:
-        """Return a connection at rest, or a new one; ConnectFailed if there is none."""
+        """Return an idle connection, or a new one; raise ConnectFailed if none can be made."""
         idle = self._idle.get(server)
         while idle:
             connection = idle.pop()
@@ -42,7 +42,7 @@
         return await connect(address)
 
     def release(self, server: str, connection: UpstreamConnection) -> None:
-        """Keep a connection whose exchange ended whole, else close it."""
+        """Keep a connection whose exchange ended completely, else close it."""
         if connection.finish(self._now()):
             self._keep(server, connection)
 
@@ -58,16 +58,16 @@
         self._idle[server] = idle
 
     def discard(self, server: str) -> None:
-        """Close what is kept of a server.
+        """Close the idle connections to a server that fell silent or is gone.
 
-        With four connections at rest that went silent, four not-repeatable requests were lost to
-        them one after the other; now one is, which finds it out (counted by a test).
+        With four idle connections to a silent server, four non-repeatable requests were lost to
+        them one after the other; with this, only the one that detects the silence is.
         """
         for connection in self._idle.pop(server, []):
             connection.close()
 
     def sweep(self) -> None:
-        """Close connections that have been at rest for too long."""
+        """Close connections that have been idle for too long."""
         for server, idle in list(self._idle.items()):
             kept = [each for each in idle if each.usable and not self._is_stale(each)]
             for each in idle:
@@ -79,7 +79,7 @@
                 del self._idle[server]
 
     def _is_stale(self, connection: UpstreamConnection) -> bool:
-        most = MAX_IDLE_S
+        max_idle_s = MAX_IDLE_S
         if connection.keep_alive_s is not None:
-            most = connection.keep_alive_s * KEEP_ALIVE_SHARE
-        return self._now() - connection.idle_since > most
+            max_idle_s = connection.keep_alive_s * KEEP_ALIVE_SHARE
+        return self._now() - connection.idle_since > max_idle_s
