--- a/src/moledale/gateway/rate.py
+++ b/src/moledale/gateway/rate.py
@@ -1,20 +1,20 @@
-"""The rate of a counter of late."""
+"""The smoothed rate of a counter."""
 
 import msgspec
 
 TIME_CONSTANT_S = 3.0
-"""Time after which what was counted weighs a third of what is counted now."""
+"""After this time an observation weighs a third of what a current one does."""
 
 
 class Rate(msgspec.Struct):
-    """Follows a counter that only grows; `per_s` is its rate, smoothed."""
+    """Estimates the rate of a counter that only grows; `per_s` is its EWMA."""
 
     per_s: float = 0.0
     _count: int = 0
     _at: float | None = None
 
     def observe(self, count: int, now: float) -> None:
-        """Note the counter, at most as often as its rate is wanted to follow."""
+        """Record the counter's value, at the interval at which its rate is to be updated."""
         if self._at is not None and now > self._at:
             step_s = now - self._at
             rate = (count - self._count) / step_s
