--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Final answers of a node's own: what callers are told, and when to come back."""
+"""Final responses of a node's own: reasons and retry delays for callers."""
 
 import random
 from collections.abc import Callable
@@ -13,19 +13,19 @@
 from moledale.log import Event, emit
 
 NO_SERVER_RETRY_S = 0.6
-"""Time to come back where no server takes a connection: a pause of silent ones ends after 0.5 s."""
+"""Retry delay when no server accepts a connection: a silent server is retried after 0.5 s."""
 
 NOT_RUN_RETRY_S = 0.3
-"""Time to come back where servers were full: a few answers of a plain service."""
+"""Retry delay when servers were full: a few response times of a plain service."""
 
 NO_SERVER = "no server is there"
 ALL_BACK_OFF = "all servers asked for a later retry"
 ALL_LIMITED = "all servers are at their limits"
-"""What callers are told where a request could be sent to no server."""
+"""Reasons sent to callers when no server could be sent the request."""
 
 
 class Refusals:
-    """Tells callers why their request was not served."""
+    """Sends refusals, and determines their reasons and retry delays."""
 
     def __init__(
         self,
@@ -41,18 +41,18 @@
         self._rng = random.Random()
 
     def no_server_reason(self, job: Job) -> str:
-        """Return why a request gets no server though some are there."""
+        """Return why a request gets no server although its service has some."""
         return ALL_LIMITED if self._balancer.group(job.service).limited.names else ALL_BACK_OFF
 
     def retry_later(self, job: Job, last: Attempt) -> Refusal:
-        """Return the answer for a request that no server ran."""
+        """Return the refusal of a request that no server ran."""
         return Refusal(503, last.why, add_jitter(self._rng, self._retry_after_s(job, last)))
 
     def _retry_after_s(self, job: Job, last: Attempt) -> float:
-        """Return when a caller may come back.
+        """Return the delay after which a caller may retry.
 
-        A server's own time to come back is about that server only: where others may take the
-        request sooner, their time counts.
+        A retry time stated by a server applies to that server only: if another may take the request
+        sooner, its time counts.
         """
         if last.retry_after_s is not None:
             return last.retry_after_s
@@ -66,13 +66,13 @@
         return wait_s if wait_s > 0 else usual_s
 
     def wait_s(self, job: Job) -> float | None:
-        """Return when the first server of a request's service may get one again."""
+        """Return the seconds until any server of the request's service is open, or None."""
         return self._balancer.group(job.service).retry_in_s(self._now())
 
     def refuse(
         self, reply: Reply, request: InboundRequest, refusal: Refusal, name: str = ""
     ) -> None:
-        """Give a final answer of the node's own."""
+        """Log a refusal, and send it as the final response."""
         emit(
             Event.REFUSED,
             request=name,
