--- a/src/moledale/gateway/reply.py
+++ b/src/moledale/gateway/reply.py
@@ -1,4 +1,4 @@
-"""The answer to one caller's request: written once, framed exactly, never made to look whole."""
+"""The response to one caller's request: written once, framed exactly, never falsely complete."""
 
 import asyncio
 from http import HTTPStatus
@@ -6,7 +6,7 @@
 from moledale.gateway.messages import Headers
 
 CHUNKED = None
-"""Length of an answer whose end is told by its last chunk."""
+"""Length of a response whose end is marked by its last chunk."""
 
 
 class CallerGone(Exception):
@@ -14,7 +14,7 @@
 
 
 class Reply:
-    """Writes one answer to a transport; with `bodiless` only its first lines, as HEAD wants."""
+    """Writes one response to a transport; with `bodiless` only its head, as for HEAD."""
 
     def __init__(self, transport: asyncio.Transport, close: bool, bodiless: bool = False) -> None:
         self._transport = transport
@@ -28,16 +28,16 @@
 
     @property
     def started(self) -> bool:
-        """Say whether the first lines were sent."""
+        """Return whether the head of the response was sent."""
         return self.status != 0
 
     def start(self, status: int, headers: Headers, length: int | None) -> None:
-        """Send the first lines; `length` is `CHUNKED` for a body of unknown length."""
+        """Send the head of the response; `length` is `CHUNKED` for a body of unknown length."""
         self.status = status
         lines = [f"HTTP/1.1 {status} {_phrase(status)}".encode()]
         lines.extend(name + b": " + value for name, value in headers)
         if self._bodiless:
-            # The length that GET would have is not at hand; it may be left out.
+            # The length that GET would return is not known here; HEAD may omit it.
             pass
         elif length is None:
             self._chunked = True
@@ -57,32 +57,32 @@
         self._transport.write(data)
 
     def finish(self) -> None:
-        """Say that the body is whole."""
+        """Mark the response as complete."""
         if self._chunked:
             self._transport.write(b"0\r\n\r\n")
         self.complete = True
 
     def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer that is at hand."""
+        """Send a response whose body is complete."""
         self.start(status, headers, len(body))
         self.send(body)
         self.complete = True
 
     def abort(self) -> None:
-        """End the connection so that what was sent can't be taken for a whole answer."""
+        """Close the connection so that what was sent cannot be taken for a complete response."""
         self.close = True
         self._transport.abort()
 
     async def drain(self) -> None:
-        """Wait until a slow caller has read what was sent."""
+        """Wait until the transport's buffer has room, if the caller reads slowly."""
         await self._writable.wait()
 
     def pause(self) -> None:
-        """The transport's buffer is full."""
+        """Record that the transport's buffer is full."""
         self._writable.clear()
 
     def resume(self) -> None:
-        """The transport's buffer has room again."""
+        """Record that the transport's buffer has room again."""
         self._writable.set()
 
 
