--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -1,8 +1,8 @@
-"""Keeping requests that end servers from servers, at one node.
+"""Detection of requests that crash servers, which are then kept from servers.
 
-What a request did to servers must outlive its arrival: it comes again under a new id, at any node,
-and each arrival counted for itself would end another server. So broken answers of servers that
-ended are counted by what was asked for, over all arrivals and nodes.
+A caller retries such a request under a new id, at any node; if each arrival counted for itself,
+each would crash another server. So broken responses of crashed servers are counted by the
+fingerprint of the request, over all arrivals and nodes.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 from moledale.log import Event, emit
 
 MAX_LOGGED_FINGERPRINTS = 8
-"""Fingerprints in a line about a server that ended; with all of 64 it would be 2 KB long."""
+"""Fingerprints in the log line of a crashed server; with all of 64 the line would be 2 KB long."""
 
 
 class ObservedCrash(msgspec.Struct, frozen=True):
-    """A server that ended, with what this node had running there, at a monotonic time."""
+    """A server crash seen by this node, with the requests it had running there (monotonic time)."""
 
     server: str
     requests: list[bytes]
@@ -33,15 +33,15 @@
 
 
 def _ignore(_: object) -> None:
-    """Nobody wants to know."""
+    """Ignore the notification."""
 
 
 class RequestGuard:
-    """What a node knows of requests that end servers, and what it does by that.
+    """Blocks requests that crash servers, with what this node knows of them.
 
-    `on_crash` hears of servers that ended here, `on_cleared` of suspected requests that a server
-    survived, and `on_block` of requests that this node blocked. `record_failure` holds it against a server's
-    version that an answer broke off.
+    `on_crash` is called for server crashes seen by this node, `on_cleared` for suspected requests
+    that a server survived, and `on_block` for blocked requests whose crashes this node has seen.
+    `record_failure` counts a broken response as a failure of the server's version.
     """
 
     def __init__(
@@ -60,21 +60,22 @@
         self._seen_locally: set[bytes] = set()
 
     def wait_s(self, request: InboundRequest, account: str | None) -> float:
-        """Return how long a request that arrives may not run, 0.0 if it may now."""
+        """Return how long an arriving request is blocked, 0.0 if it may run now."""
         if not self.quarantine.has_suspects:
             return 0.0
         return self.quarantine.wait_s(fingerprint(request, account), self._now())
 
     def may_retry(self, job: Job) -> bool:
-        """Say whether a request under way may go to another server."""
+        """Return whether a request in progress may be sent to another server."""
         if not self.quarantine.has_suspects:
             return True
         return self.quarantine.wait_s(job.fingerprint, self._now()) == 0.0
 
     def record_broken_answer(self, job: Job, placement: Placement) -> None:
-        """Note that an answer broke off; whether its server ended is found out.
+        """Record a response that broke off, and start to find out whether its server crashed.
 
-        A server that leaves ends for a reason of its own.
+        A server that announced it is leaving terminates for a reason of its own, so no request is
+        suspected.
         """
         if placement.view.server.leaving:
             self._record_failure(placement)
@@ -82,21 +83,21 @@
             self._watch.record_broken(placement, job.fingerprint)
 
     def record_served(self, job: Job) -> None:
-        """Note that a server survived a request, which is not to blame for ends then."""
+        """Record that a server survived a request, which clears it of suspicion."""
         if self.quarantine.has_suspects and self.quarantine.record_served(job.fingerprint):
             self.on_cleared(job.fingerprint)
 
     def record_peer_cleared(self, requests: list[bytes]) -> None:
-        """Take over that servers survived requests at another node."""
+        """Clear requests that servers survived at a peer."""
         for each in requests:
             self.quarantine.record_served(each)
 
     def record_peer_crash(self, server: str, requests: list[bytes], at: float) -> None:
-        """Take over that a server ended on which another node had requests running."""
+        """Record the crash of a server where a peer had requests running."""
         self._record_crash(server, requests, at)
 
     def block_suspects(self) -> None:
-        """Block the requests that end servers."""
+        """Block the requests that crash servers."""
         for block in self.quarantine.block_guilty(self._now()):
             self._announce_block(block)
         self._seen_locally = {
@@ -108,8 +109,8 @@
             for placement in broken.placements:
                 self._record_failure(placement)
             return
-        # One request may end a server of a good version, and breaks all others off with it: an end
-        # is one failure of the version, and none if a request was there that ended servers before.
+        # One request may crash a server of a good version, and all others there break off with it:
+        # a crash is one failure of the version, and none if a suspected request was running there.
         if not any(self.quarantine.is_suspect(each) for each in broken.requests):
             self._record_failure(broken.placements[0])
         self._record_local_crash(broken.server.id, broken.requests, broken.at)
@@ -123,8 +124,8 @@
 
     def _record_crash(self, server: str, requests: list[bytes], at: float) -> None:
         self.quarantine.record_crash(server, requests, at)
-        in_s = max(0.0, at + COINCIDENCE_S - self._now())
-        asyncio.get_running_loop().call_later(in_s, self.block_suspects)
+        delay_s = max(0.0, at + COINCIDENCE_S - self._now())
+        asyncio.get_running_loop().call_later(delay_s, self.block_suspects)
 
     def _announce_block(self, block: Block) -> None:
         seen_here = block.fingerprint in self._seen_locally
