--- a/src/moledale/gateway/retries.py
+++ b/src/moledale/gateway/retries.py
@@ -1,4 +1,4 @@
-"""The budget of repeated sends to a service, shared by all nodes."""
+"""The budget for retries to a service, shared by all nodes."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -6,10 +6,10 @@
 import msgspec
 
 USABLE_SHARE = 0.6
-"""Part of the allowed repeats that is used, since news of the others' repeats comes late."""
+"""Share of the allowed retries that is used, since the retry counts of peers arrive late."""
 
 SLICE_S = 0.5
-"""Grain of what is remembered of a window; it is kept this much too long rather than too short."""
+"""Resolution of the sliding window: counts stay up to this much too long, never too short."""
 
 
 class _Slice(msgspec.Struct):
@@ -19,7 +19,11 @@
 
 
 class RetryBudget(msgspec.Struct):
-    """Counts of one service over a sliding window of `window_s`."""
+    """Request and retry counts of one service over a sliding window of `window_s`.
+
+    `ratio` is the number of retries allowed for each request, and `slack` the number allowed on
+    top.
+    """
 
     ratio: float
     slack: float
@@ -27,28 +31,32 @@
     _slices: deque[_Slice] = msgspec.field(default_factory=deque)
 
     def record_request(self, now: float) -> None:
-        """Note a request of a caller."""
+        """Count a caller's request."""
         self._slice(now).requests += 1
 
     def record_retry(self, now: float) -> None:
-        """Note a send after the first one."""
+        """Count a send after a request's first one."""
         self._slice(now).retries += 1
 
     def counts(self, now: float) -> tuple[int, int]:
-        """Return requests and repeats of the window."""
+        """Return the requests and retries in the window."""
         self._slice(now)
         requests = sum(each.requests for each in self._slices)
         return requests, sum(each.retries for each in self._slices)
 
-    def allows(self, now: float, others: Iterable[tuple[int, int]], nodes: int) -> bool:
-        """Say whether one more repeat fits, with the counts that other nodes told."""
+    def allows(self, now: float, peer_counts: Iterable[tuple[int, int]], nodes: int) -> bool:
+        """Return whether one more retry fits, given the counts that peers reported.
+
+        A node may use its own part of the budget whatever peers report. Beyond that, all nodes
+        together must have used less than half of the usable budget.
+        """
         requests, retries = self.counts(now)
         own_share = self.slack * USABLE_SHARE / max(1, nodes)
         if retries < self.ratio * USABLE_SHARE * requests + own_share:
             return True
-        for other_requests, other_repeats in others:
-            requests += other_requests
-            retries += other_repeats
+        for peer_requests, peer_retries in peer_counts:
+            requests += peer_requests
+            retries += peer_retries
         return retries < (self.ratio * requests + self.slack) * USABLE_SHARE / 2
 
     def _slice(self, now: float) -> _Slice:
