--- a/src/moledale/gateway/upstream.py
+++ b/src/moledale/gateway/upstream.py
@@ -1,7 +1,7 @@
-"""Connections to backend servers: one request at a time, exact framing, one send is one send.
+"""Connections to backend servers: one request at a time, exact framing, no hidden resends.
 
-An HTTP client library is not used here, since those at hand send idempotent requests again on
-their own and do not show bytes that no request asked for. `httptools` parses.
+No HTTP client library is used: those available resend idempotent requests on their own and do not
+expose bytes that belong to no request. `httptools` parses.
 """
 
 import asyncio
@@ -13,15 +13,16 @@
 from moledale.gateway.messages import AnswerHead
 
 CONNECT_TIMEOUT_S = 0.3
-"""Backend servers are in the same region; a dark one must not hold a request for long."""
+"""Backend servers are in the same region; an unreachable one must not delay a request for long."""
 
 MAX_UNREAD_BYTES = 262_144
-"""Bytes of a server's answer that wait for the caller before no more is read: memory for slow
-readers."""
+"""Bytes of a response buffered for the caller before reading pauses, to bound the memory of slow
+readers.
+"""
 
 
 class Cut(StrEnum):
-    """Why an answer ended without being whole."""
+    """Why a response ended before it was complete."""
 
     RESET = "reset"
     CLOSED = "closed"
@@ -30,11 +31,11 @@
 
 
 class ConnectFailed(Exception):
-    """No connection came about, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 class AnswerCut(Exception):
-    """An answer ended before it was whole; `cut` tells how."""
+    """A response ended before it was complete; `cut` is the cause."""
 
     def __init__(self, cut: Cut) -> None:
         super().__init__(cut.value)
@@ -42,7 +43,7 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to one server; `usable` while another request may follow."""
+    """One connection to one server; `usable` while it may carry another request."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -72,9 +73,9 @@
         self.transport = transport  # type: ignore[assignment]
 
     def send(self, data: bytes, bodiless: bool = False) -> None:
-        """Send one whole request; its answer is read with `head` and `chunk`.
+        """Send one whole request; its response is read with `head` and `chunk`.
 
-        With `bodiless` the answer ends with its first lines, whatever length they tell (HEAD).
+        With `bodiless` the response ends with its head, whatever length that states (HEAD).
         """
         assert self.transport is not None
         if self.requests_sent:
@@ -85,7 +86,7 @@
         self.transport.write(data)
 
     async def head(self) -> AnswerHead:
-        """Return the first lines of the answer."""
+        """Return the head of the response."""
         while self._head is None:
             if self._cut is not None:
                 raise AnswerCut(self._cut)
@@ -93,7 +94,7 @@
         return self._head
 
     async def chunk(self) -> bytes | None:
-        """Return the next bytes of the body, or None once it is whole."""
+        """Return the next bytes of the body, or None once it is complete."""
         while not self._chunks:
             if self._complete:
                 return None
@@ -107,11 +108,11 @@
 
     @property
     def ends_on_close(self) -> bool:
-        """Say whether only the end of the connection tells the end of the answer."""
+        """Return whether only the end of the connection marks the end of the response."""
         return self._ends_on_close
 
     def finish(self, now: float) -> bool:
-        """End an exchange; say whether the connection may carry another request."""
+        """End an exchange; return whether the connection may carry another request."""
         whole = self._complete and self.usable and not self.closed
         unsent = self.transport is not None and self.transport.get_write_buffer_size() > 0
         if not whole or unsent or self._ends_on_close:
@@ -122,7 +123,7 @@
         return True
 
     def close(self) -> None:
-        """Close in order."""
+        """Close the connection once buffered data is sent."""
         self.usable = False
         if self.transport is not None and not self.closed:
             self.transport.close()
@@ -134,7 +135,7 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes nobody asked for make the connection unusable."""
+        """Parse data of the server, or abort the connection if it belongs to no request."""
         if not self._request_sent or self._complete:
             self.abort()
             return
@@ -147,13 +148,13 @@
         self._wake()
 
     def eof_received(self) -> bool | None:
-        """A server's end of data ends an answer that has no length."""
+        """End a response that has no length; other responses are cut off."""
         self.usable = False
         self._end_of_data()
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note how the connection ended."""
+        """Record how the connection ended."""
         self.closed = True
         self.usable = False
         if exc is not None and not self._complete:
@@ -169,7 +170,7 @@
         self._wake()
 
     def on_message_begin(self) -> None:
-        """A second answer on one request belongs to nobody."""
+        """Mark the connection unusable if a second response to one request begins."""
         if self._complete:
             self.usable = False
 
@@ -179,7 +180,7 @@
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Make the head known and tell how the body is framed."""
+        """Publish the head, and determine how the body is framed."""
         if self._complete:
             return
         status = self._parser.get_status_code()
@@ -195,7 +196,7 @@
         self._head = AnswerHead(status, self._headers)
 
     def on_body(self, body: bytes) -> None:
-        """Keep bytes of the body for the reader."""
+        """Buffer a part of the body for the reader."""
         if self._complete:
             return
         self._chunks.append(body)
@@ -204,7 +205,7 @@
             self.transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole; one without a length ends with its connection."""
+        """Record that the response is complete; one without a length ends with its connection."""
         if not self._interim and not self._ends_on_close:
             self._complete = True
 
