--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -101,8 +101,8 @@
         "slow-repeat",
         "safe requests that take long are tried elsewhere",
         "answers.py",
-        "again = job.route.kind is Kind.SAFE and",
-        "again = job.route.kind is None and",
+        "may_retry = job.route.kind is Kind.SAFE and",
+        "may_retry = job.route.kind is None and",
     ),
     Ablation(
         "reserve",
