--- a/src/moledale/node/accounts.py
+++ b/src/moledale/node/accounts.py
@@ -12,23 +12,23 @@
 from moledale.problems import Problem
 
 DEMAND_HALF_LIFE_S = 5.0
-PEER_DEMAND_LIFE_S = 20.0
+PEER_DEMAND_TTL_S = 20.0
 
 
 @dataclass(slots=True)
-class _Use:
+class _AccountState:
     """An account's bucket here, and the demand it showed lately."""
 
     bucket: TokenBucket
     demand: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
 
 @dataclass(slots=True)
 class _PeerDemand:
     """What a peer said about demand, and when."""
 
-    at: float
+    updated_at: float
     demand: dict[str, float] = field(default_factory=dict)
 
 
@@ -36,40 +36,40 @@
     """Finds accounts by key and holds them to this node's part of their limits."""
 
     def __init__(
-        self, bundle: Callable[[], Bundle | None], nodes: Callable[[], int], clock: Clock
+        self, bundle: Callable[[], Bundle | None], node_count: Callable[[], int], clock: Clock
     ) -> None:
         self._bundle = bundle
-        self._nodes = nodes
+        self._node_count = node_count
         self._clock = clock
-        self._uses: dict[str, _Use] = {}
-        self._peers: dict[str, _PeerDemand] = {}
+        self._states: dict[str, _AccountState] = {}
+        self._demand_by_peer: dict[str, _PeerDemand] = {}
         self._by_digest: dict[str, Account] = {}
-        self._version = 0
+        self._indexed_version = 0
 
     def find(self, key: str) -> Account | None:
         """Return the account that a key belongs to."""
         bundle = self._bundle()
         if bundle is None:
             return None
-        if bundle.version != self._version:
+        if bundle.version != self._indexed_version:
             self._by_digest = {d: a for a in bundle.accounts for d in a.key_digests}
-            self._version = bundle.version
+            self._indexed_version = bundle.version
             names = {account.name for account in bundle.accounts}
-            self._uses = {name: use for name, use in self._uses.items() if name in names}
+            self._states = {name: use for name, use in self._states.items() if name in names}
         return self._by_digest.get(key_digest(key))
 
     def admit(self, account: Account) -> Result[None, Problem]:
         """Take one request from the account's limit, or refuse."""
         now = self._clock.monotonic()
-        use = self._uses.get(account.name)
+        use = self._states.get(account.name)
         if use is None:
             bucket = TokenBucket(account.requests_per_s, account.burst, account.burst, now)
-            use = _Use(bucket, at=now)
-            self._uses[account.name] = use
-        use.demand = _decayed(use.demand, now - use.at) + 1.0 / DEMAND_HALF_LIFE_S
-        use.at = now
+            use = _AccountState(bucket, updated_at=now)
+            self._states[account.name] = use
+        use.demand = _decayed(use.demand, now - use.updated_at) + 1.0 / DEMAND_HALF_LIFE_S
+        use.updated_at = now
         share = node_rate(
-            account.requests_per_s, use.demand, self._peer_demands(account.name), self._nodes()
+            account.requests_per_s, use.demand, self._peer_demands(account.name), self._node_count()
         )
         use.bucket.set_rate(share, max(1.0, account.burst * share / account.requests_per_s), now)
         wait = use.bucket.take(now)
@@ -81,17 +81,21 @@
     def demand(self) -> dict[str, float]:
         """Return the accounts' demand here, for the digest."""
         now = self._clock.monotonic()
-        shown = {name: _decayed(use.demand, now - use.at) for name, use in self._uses.items()}
+        shown = {
+            name: _decayed(use.demand, now - use.updated_at) for name, use in self._states.items()
+        }
         return {name: round(value, 2) for name, value in shown.items() if value >= 0.01}
 
-    def peer_demand(self, peer: str, demand: dict[str, float]) -> None:
+    def record_peer_demand(self, peer: str, demand: dict[str, float]) -> None:
         """Note what a peer says of its demand."""
-        self._peers[peer] = _PeerDemand(self._clock.monotonic(), demand)
+        self._demand_by_peer[peer] = _PeerDemand(self._clock.monotonic(), demand)
 
     def _peer_demands(self, account: str) -> list[float]:
-        oldest = self._clock.monotonic() - PEER_DEMAND_LIFE_S
-        self._peers = {name: peer for name, peer in self._peers.items() if peer.at >= oldest}
-        return [peer.demand.get(account, 0.0) for peer in self._peers.values()]
+        oldest = self._clock.monotonic() - PEER_DEMAND_TTL_S
+        self._demand_by_peer = {
+            name: peer for name, peer in self._demand_by_peer.items() if peer.updated_at >= oldest
+        }
+        return [peer.demand.get(account, 0.0) for peer in self._demand_by_peer.values()]
 
 
 def _decayed(value: float, seconds: float) -> float:
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -400,7 +400,7 @@
         else:
             self.fleet.leaving_nodes.discard(message.node)
         self.fleet.node_loads[message.node] = message.open_requests
-        self.accounts.peer_demand(message.node, dict(message.demand))
+        self.accounts.record_peer_demand(message.node, dict(message.demand))
         hint = HeadHint(message.bundle_version, message.confirmed_ago_ms / 1000, message.node)
         if hint.version >= self.bundles.version:
             self.bundles.hints.put(hint)
