--- a/src/moledale/gateway/server_ends.py
+++ b/src/moledale/gateway/server_ends.py
@@ -16,7 +16,7 @@
 from moledale.gateway.pool import ConnectionPool
 from moledale.gateway.server_view import Placement
 from moledale.gateway.upstream import ConnectFailed
-from moledale.node.background import Background
+from moledale.node.background import BackgroundTasks
 
 COLLECT_WINDOW_S = 0.02
 """All answers of a crashed server break off within this time: its connections are reset at the same
@@ -49,7 +49,7 @@
         self._on_checked = on_checked
         self._now = now
         self._broken: dict[str, BrokenRequests] = {}
-        self._background = Background("server ends")
+        self._background = BackgroundTasks("server ends")
 
     def record_broken(self, placement: Placement, fingerprint: bytes) -> None:
         """Record that a request broke off; the first one starts a check of its server."""
--- a/src/moledale/node/background.py
+++ b/src/moledale/node/background.py
@@ -7,7 +7,7 @@
 from moledale.log import Event, emit
 
 
-class Background:
+class BackgroundTasks:
     """Holds tasks until they end, and logs those that fail."""
 
     def __init__(self, name: str) -> None:
--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -14,7 +14,7 @@
 from moledale.core.limits import RetryBudget
 from moledale.core.routing import LoadTracker, Reservation, ServerView, Standing, eligible
 from moledale.log import Event, emit
-from moledale.node.background import Background
+from moledale.node.background import BackgroundTasks
 from moledale.node.generation_guard import GenerationGuard
 from moledale.node.leaving import LeavingServers
 from moledale.node.messages import ServerGone, ServerLeaving, ServerMessage, ServerReported
@@ -61,7 +61,7 @@
         )
         self._guard = GenerationGuard(servers, clock)
         self._budget = RetryBudget()
-        self._background = Background("dispatcher")
+        self._background = BackgroundTasks("dispatcher")
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._attempts: dict[str, asyncio.Task[str | None]] = {}
         self._moves: dict[str, Reservation | None] = {}
--- a/src/moledale/node/generation_guard.py
+++ b/src/moledale/node/generation_guard.py
@@ -14,7 +14,7 @@
 from moledale.core.fingerprint import digest_of
 from moledale.core.quarantine import Quarantine
 from moledale.log import Event, emit
-from moledale.node.background import Background
+from moledale.node.background import BackgroundTasks
 from moledale.node.streams import GenerationRequest
 from moledale.servers.types import ModelServers
 
@@ -43,7 +43,7 @@
         self._clock = clock
         self._quarantine = Quarantine(LEAST_STRIKES)
         self._broken: dict[str, _BrokenOff] = {}
-        self._background = Background("server ends")
+        self._background = BackgroundTasks("server ends")
 
     def wait_s(self, request: GenerationRequest) -> float:
         """Return how long a generation may not run, 0.0 if it may now."""
--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -9,7 +9,7 @@
 from moledale.clock import Clock
 from moledale.core import reclaim
 from moledale.core.routing import LoadTracker, Need, Reservation, ServerView, pick
-from moledale.node.background import Background
+from moledale.node.background import BackgroundTasks
 from moledale.node.needs import context_tokens, need_of, params_of
 from moledale.node.streams import StreamRecord
 from moledale.node.waiting import WaitingRoom
@@ -49,7 +49,7 @@
         self._bundle = bundle
         self._redirect = redirect
         self._clock = clock
-        self._background = Background("leaving")
+        self._background = BackgroundTasks("leaving")
 
     def leave(self, view: ServerView, records: list[StreamRecord], notice_s: float) -> None:
         """Plan for everything this node has on a server, and begin to carry it out."""
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -23,7 +23,7 @@
 from moledale.core.routing import LoadTracker
 from moledale.log import Event, emit
 from moledale.node.accounts import Accounts
-from moledale.node.background import Background
+from moledale.node.background import BackgroundTasks
 from moledale.node.bundle_watch import BundleWatch
 from moledale.node.burn import BurnBook
 from moledale.node.dispatcher import Dispatcher
@@ -180,7 +180,7 @@
         # Bounded, so that a server heard of again long after may be passed on again.
         self._leaving_told: LRUCache[str, bool] = LRUCache(MOST_LEAVING_TOLD)
         self._verdict = Verdict.UNCONFIRMED
-        self._background = Background("news")
+        self._background = BackgroundTasks("news")
         self._news_for = 0
 
     @property
--- a/src/moledale/node/once.py
+++ b/src/moledale/node/once.py
@@ -15,7 +15,7 @@
 from moledale import problems
 from moledale.backing.types import ABSENT, Condition, TableService, Write
 from moledale.clock import Clock
-from moledale.node.background import Background
+from moledale.node.background import BackgroundTasks
 from moledale.node.journal import Entry, Journal, Outcome, new_operation
 from moledale.problems import Problem, Ran
 from moledale.servers.types import ServiceAnswer
@@ -120,7 +120,7 @@
         self._clock = clock
         self._known: OrderedDict[tuple[str, str], _Known] = OrderedDict()
         self._serial = 0
-        self._background = Background("answers")
+        self._background = BackgroundTasks("answers")
 
     def issue(self, account: str) -> str:
         """Issue a key for an account; it works at this node even while the table is down."""
