--- a/src/moledale/node/background.py
+++ b/src/moledale/node/background.py
@@ -18,9 +18,9 @@
         """Start a task."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             emit(Event.TASK_FAILED, task=self._name, error=repr(task.exception()))
