--- a/src/moledale/node/bundle_watch.py
+++ b/src/moledale/node/bundle_watch.py
@@ -23,19 +23,19 @@
         platform: Platform,
         operators: OperatorsSection,
         poll_s: float,
-        adopted: Callable[[], None],
+        on_adopted: Callable[[], None],
         clock: Clock,
         rng: random.Random,
     ) -> None:
         self.bundle: Bundle | None = None
         self.head: store.Head | None = None
         self.hints: Mailbox[HeadHint] = Mailbox("bundle-hints", 100)
-        self.newest_seen = 0
+        self.newest_version_seen = 0
         self._confirmed_at: float | None = None
         self._platform = platform
         self._operators = operators
         self._poll_s = poll_s
-        self._adopted = adopted
+        self._on_adopted = on_adopted
         self._clock = clock
         self._rng = rng
 
@@ -54,7 +54,7 @@
         """Poll the head, and at once when a peer tells of a newer version."""
         while True:
             await self.poll()
-            await self._wait()
+            await self._wait_for_next_poll()
 
     async def poll(self) -> None:
         """Read the head once and adopt it if it is newer."""
@@ -68,19 +68,19 @@
         if head.version < self.version:
             emit(Event.BUNDLE_OLDER, head=head.version, floor=self.version)
             return
-        self.newest_seen = max(self.newest_seen, head.version)
+        self.newest_version_seen = max(self.newest_version_seen, head.version)
         if head.version > self.version and not await self._adopt(head):
             return
         self._confirmed_at = asked_at
 
-    def heard(self, hint: HeadHint) -> bool:
+    def handle_hint(self, hint: HeadHint) -> bool:
         """Take a peer's word; return True if it tells of a newer version.
 
         A peer's confirmation of the very same version counts for this node too, aged by what
         the peer says; a newer version only makes this node read the table.
         """
         if hint.version > self.version:
-            self.newest_seen = max(self.newest_seen, hint.version)
+            self.newest_version_seen = max(self.newest_version_seen, hint.version)
             return True
         if hint.version == self.version and hint.confirmed_ago_s is not None:
             at = self._clock.monotonic() - hint.confirmed_ago_s
@@ -99,14 +99,14 @@
         self.bundle = fetched.ok_value
         self.head = head
         emit(Event.BUNDLE_ADOPTED, version=head.version, rolled_by=head.rolled_by)
-        self._adopted()
+        self._on_adopted()
         return True
 
-    async def _wait(self) -> None:
+    async def _wait_for_next_poll(self) -> None:
         """Wait for the next poll, cut short by a hint of a newer version."""
         # Spread, so that the nodes' polls never fall together after an outage.
         until = self._clock.monotonic() + self._poll_s * self._rng.uniform(0.75, 1.25)
         while (left := until - self._clock.monotonic()) > 0:
             hint = await self.hints.get_within(left, self._clock)
-            if hint is not None and self.heard(hint):
+            if hint is not None and self.handle_hint(hint):
                 return
--- a/tools/without.py
+++ b/tools/without.py
@@ -91,7 +91,7 @@
         fetched = await store.fetch(self._platform, head, self._operators)
         if fetched.is_ok():
             self.bundle, self.head = fetched.unwrap(), head
-            self.newest_seen = head.version
+            self.newest_version_seen = head.version
             self._confirmed_at = self._clock.monotonic()
 
 
