--- a/src/moledale/node/burn.py
+++ b/src/moledale/node/burn.py
@@ -41,7 +41,7 @@
     burn: dict[str, float]
 
 
-class BurnBook:
+class BurnCounter:
     """The counts of one node."""
 
     def __init__(self, node: str) -> None:
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -25,7 +25,7 @@
 from moledale.node.accounts import Accounts
 from moledale.node.background import BackgroundTasks
 from moledale.node.bundle_watch import BundleWatch
-from moledale.node.burn import BurnBook
+from moledale.node.burn import BurnCounter
 from moledale.node.dispatcher import Dispatcher
 from moledale.node.fleet import Fleet, FleetWatch
 from moledale.node.hall_duty import HallDuty
@@ -106,7 +106,7 @@
             clock,
             rng,
         )
-        self.burn = BurnBook(self.id)
+        self.burn = BurnCounter(self.id)
         self.metrics = make_metrics(settings.metrics)
         self.streams = StreamTable(
             limits.streams, limits.finished_streams, limits.finished_stream_s
--- a/src/moledale/node/tally.py
+++ b/src/moledale/node/tally.py
@@ -5,7 +5,7 @@
 from moledale.bundle.schema import Bundle
 from moledale.clock import Clock
 from moledale.log import Event, emit
-from moledale.node.burn import BurnBook
+from moledale.node.burn import BurnCounter
 from moledale.node.metrics import Metrics
 from moledale.node.streams import GenerationRequest, StreamRecord
 
@@ -15,7 +15,7 @@
 
     def __init__(
         self,
-        burn: BurnBook,
+        burn: BurnCounter,
         metrics: Metrics,
         bundle: Callable[[], Bundle | None],
         clock: Clock,
