--- a/src/moledale/node/burn.py
+++ b/src/moledale/node/burn.py
@@ -8,9 +8,9 @@
 from moledale.bundle.schema import Bundle, Priority
 
 MINUTE_S = 60
-KEPT_MINUTES = 60 * 24
+RETENTION_MINUTES = 60 * 24
 WINDOWS_S = {"5m": 300, "1h": 3_600, "6h": 21_600, "24h": 86_400}
-_HIGHEST_MS = 600_000
+_MAX_FIRST_TOKEN_MS = 600_000
 
 
 class BurnCount(msgspec.Struct):
@@ -49,9 +49,11 @@
         self._counts: deque[BurnCount] = deque()
         self._current: dict[tuple[str, Priority], BurnCount] = {}
         self._minute = 0
-        self._times = {priority: HdrHistogram(1, _HIGHEST_MS, 2) for priority in Priority}
+        self._first_token_ms = {
+            priority: HdrHistogram(1, _MAX_FIRST_TOKEN_MS, 2) for priority in Priority
+        }
 
-    def note(self, account: str, priority: Priority, good: bool, wall: float) -> None:
+    def record_request(self, account: str, priority: Priority, good: bool, wall: float) -> None:
         """Count one request that ended."""
         minute = int(wall // MINUTE_S)
         if minute != self._minute:
@@ -68,21 +70,23 @@
         else:
             count.bad += 1
 
-    def note_first_token(self, priority: Priority, seconds: float) -> None:
+    def record_first_token(self, priority: Priority, seconds: float) -> None:
         """Record a time to first token."""
-        self._times[priority].record_value(min(_HIGHEST_MS, max(1, round(seconds * 1000))))
+        self._first_token_ms[priority].record_value(
+            min(_MAX_FIRST_TOKEN_MS, max(1, round(seconds * 1000)))
+        )
 
     def page(self) -> BurnPage:
         """Return all counts."""
         quantiles = {
             priority.value: [histogram.get_value_at_percentile(p) for p in (50, 95, 99)]
-            for priority, histogram in self._times.items()
+            for priority, histogram in self._first_token_ms.items()
             if histogram.get_total_count()
         }
         return BurnPage(self._node, list(self._counts), quantiles)
 
     def _drop_old(self, minute: int) -> None:
-        while self._counts and self._counts[0].minute <= minute - KEPT_MINUTES:
+        while self._counts and self._counts[0].minute <= minute - RETENTION_MINUTES:
             self._counts.popleft()
 
 
--- a/src/moledale/node/tally.py
+++ b/src/moledale/node/tally.py
@@ -38,7 +38,7 @@
                 self._note(request, good=False)
         elif record.state == "finished":
             first_s = self._first_token_s(record)
-            self._burn.note_first_token(request.priority, first_s)
+            self._burn.record_first_token(request.priority, first_s)
             self._metrics.timing(f"first_token.{request.priority.value}", first_s * 1000)
             self._note(request, good=self._in_target(record, first_s))
 
@@ -59,5 +59,5 @@
         )
 
     def _note(self, request: GenerationRequest, good: bool) -> None:
-        self._burn.note(request.account, request.priority, good, self._clock.wall())
+        self._burn.record_request(request.account, request.priority, good, self._clock.wall())
         self._metrics.incr(f"requests.{'good' if good else 'bad'}")
