--- a/src/moledale/node/fleet.py
+++ b/src/moledale/node/fleet.py
@@ -21,9 +21,9 @@
         self,
         node: str,
         hall: str,
-        most_followed: int,
+        max_followed: int,
         follow: Callable[[ServerView], None],
-        tell: Callable[[ServerMessage], None],
+        notify: Callable[[ServerMessage], None],
     ) -> None:
         self.nodes: dict[str, Instance] = {}
         self.servers: dict[str, Instance] = {}
@@ -32,11 +32,11 @@
         self.node_loads: dict[str, int] = {}
         self._node = node
         self._hall = hall
-        self._most_followed = most_followed
+        self._max_followed = max_followed
         self._follow = follow
-        self._tell = tell
+        self._notify = notify
 
-    def other_nodes(self) -> list[Instance]:
+    def peer_nodes(self) -> list[Instance]:
         """Return the other entry instances that are not gone."""
         return [node for node in self.nodes.values() if node.id != self._node]
 
@@ -53,11 +53,11 @@
             for node in self.nodes.values()
         ]
 
-    def node_is_live(self, node: str) -> bool:
+    def is_node_listed(self, node: str) -> bool:
         """Say whether the list holds a node, whether it is leaving or not."""
         return node in self.nodes
 
-    def take(self, full: bool, instances: list[Instance], bundle: Bundle | None) -> None:
+    def apply_page(self, full: bool, instances: list[Instance], bundle: Bundle | None) -> None:
         """Take over a page of the list."""
         if full:
             present = {instance.id for instance in instances}
@@ -67,12 +67,12 @@
                 self._drop_server(gone)
         for instance in instances:
             if instance.kind is InstanceKind.NODE:
-                self._take_node(instance)
+                self._apply_node(instance)
             else:
-                self._take_server(instance)
-        self.refollow(bundle)
+                self._apply_server(instance)
+        self.update_followed(bundle)
 
-    def refollow(self, bundle: Bundle | None) -> None:
+    def update_followed(self, bundle: Bundle | None) -> None:
         """Choose anew which servers to follow; needs a bundle for the classes' speeds."""
         if bundle is None:
             return
@@ -81,16 +81,16 @@
             for server in self.servers.values()
             if bundle.instance_class(server.instance_class) is not None
         ]
-        wanted = select_followed(self._node, self._hall, known, self._most_followed)
+        wanted = select_followed(self._node, self._hall, known, self._max_followed)
         for server_id in self.followed - wanted:
-            self._tell(ServerGone(server_id, "no longer followed"))
+            self._notify(ServerGone(server_id, "no longer followed"))
         for server_id in sorted(wanted):
             self._follow(server_view(self.servers[server_id], bundle))
             if self.servers[server_id].state is InstanceState.LEAVING:
-                self._tell(ServerLeaving(server_id, None, "list"))
+                self._notify(ServerLeaving(server_id, None, "list"))
         self.followed = wanted
 
-    def _take_node(self, instance: Instance) -> None:
+    def _apply_node(self, instance: Instance) -> None:
         if instance.state is InstanceState.GONE:
             self.nodes.pop(instance.id, None)
             self.leaving_nodes.discard(instance.id)
@@ -98,7 +98,7 @@
         else:
             self.nodes[instance.id] = instance
 
-    def _take_server(self, instance: Instance) -> None:
+    def _apply_server(self, instance: Instance) -> None:
         if instance.state is InstanceState.GONE:
             self._drop_server(instance.id)
         else:
@@ -108,7 +108,7 @@
         self.servers.pop(server, None)
         if server in self.followed:
             self.followed.discard(server)
-            self._tell(ServerGone(server, "gone from the list"))
+            self._notify(ServerGone(server, "gone from the list"))
 
 
 def server_view(instance: Instance, bundle: Bundle) -> ServerView:
@@ -157,8 +157,8 @@
             page = outcome.ok_value
             changed = page.full or bool(page.instances)
             if changed:
-                self._fleet.take(page.full, page.instances, bundle)
+                self._fleet.apply_page(page.full, page.instances, bundle)
             self._revision = page.revision
         if version != self._bundle_version and not changed:
-            self._fleet.refollow(bundle)
+            self._fleet.update_followed(bundle)
         self._bundle_version = version
--- a/src/moledale/node/hall_duty.py
+++ b/src/moledale/node/hall_duty.py
@@ -183,7 +183,7 @@
         self._round += 1
         await self._tell_notices()
         if self._round % TICKS_PER_ADOPT == 1:
-            await self._jobs.adopt_orphans(self.hall, self._fleet.node_is_live)
+            await self._jobs.adopt_orphans(self.hall, self._fleet.is_node_listed)
         if self._round % TICKS_PER_RENT == 1:
             await self._survey()
             await self._place_models(grant)
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -272,7 +272,7 @@
             self.bundles.version,
             self.bundles.confirmed_ago_s(),
             None if heard is None else self.clock.monotonic() - heard,
-            len(self.fleet.other_nodes()),
+            len(self.fleet.peer_nodes()),
             self.bundles.newest_version_seen,
         )
         return decide_verdict(view, self.settings.times.isolation_grace_s)
--- a/src/moledale/peers/gossip.py
+++ b/src/moledale/peers/gossip.py
@@ -50,7 +50,7 @@
 
     async def exchange(self, peers: int) -> None:
         """Exchange digests with some random peers."""
-        others = [node for node in self._fleet.other_nodes() if node.peer_address]
+        others = [node for node in self._fleet.peer_nodes() if node.peer_address]
         for peer in self._rng.sample(others, min(peers, len(others))):
             await self._exchange_with(peer)
 
