--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -81,7 +81,7 @@
         """Accept a generation, or refuse it at once; refused means that it did not run."""
         if self.streams.full:
             return Err(problems.overloaded("this node holds as many streams as it may", 1))
-        blocked_s = self._guard.wait_s(request)
+        blocked_s = self._guard.blocked_for_s(request)
         if blocked_s > 0:
             self._tally.refused(request)
             return Err(problems.unavailable(BLOCKED, math.ceil(blocked_s)))
@@ -151,7 +151,7 @@
         """Refuse waiting requests whose deadline has passed, and drop old answers."""
         while True:
             await self._clock.sleep(TICK_S)
-            self._guard.decide()
+            self._guard.update_blocks()
             self.book.end_backoffs(self._clock.monotonic())
             self._waiting.refuse_expired()
             self._waiting.fill()
@@ -182,7 +182,7 @@
         excluded: frozenset[str] = frozenset()
         while not record.ended:
             # Work that waits comes back on its own, whatever it did to servers before.
-            if self._guard.wait_s(record.request) > 0:
+            if self._guard.blocked_for_s(record.request) > 0:
                 record.fail(problems.failed(BLOCKED))
                 return
             made = self._moves.pop(record.request.id, None)
@@ -210,7 +210,7 @@
             else:
                 if len(excluded) > 1:
                     # One that broke off twice may be what ends servers: that is known first.
-                    await self._guard.looked(made.server)
+                    await self._guard.wait_checked(made.server)
                 if not self._any_server(record, excluded):
                     excluded = frozenset()
                 await self._clock.sleep(RETRY_PAUSE_S * self._rng.uniform(0.5, 1.5))
@@ -276,7 +276,7 @@
                 self.book.back_off(made.server, retry_at)
                 emit(Event.SERVER_BACKOFF, server=made.server, retry_after_s=error.retry_after_s)
             if error.may_have_run:
-                self._guard.broke_off(request, made.server, address)
+                self._guard.record_broken(request, made.server, address)
             return str(error)
         finally:
             if not finished:
@@ -286,7 +286,7 @@
         record.cached_tokens += done.cached_tokens
         record.computed_tokens += done.computed_tokens
         server = record.server
-        self._guard.served(record.request)
+        self._guard.record_served(record.request)
         record.finish(attempt, done.reason)
         self.handle(ServerReported(done.load, 0.0))
         if server is not None:
