--- a/src/moledale/node/hall_duty.py
+++ b/src/moledale/node/hall_duty.py
@@ -31,25 +31,25 @@
 from moledale.settings import TimesSection
 
 LEASE_TABLE = "lease"
-HOLDER_TICKS = 10
-CANDIDATE_TICKS = 3
-SURVEYED_EACH_ROUND = 5
+HOLDER_POLLS_PER_TTL = 10
+CANDIDATE_POLLS_PER_TTL = 3
+SERVERS_POLLED_PER_ROUND = 5
 """Servers that a holder asks for their load each round of renting; the rest come later."""
 
-TICKS_PER_RENT = 5
-TICKS_PER_ADOPT = 3
-IDLE_ROUNDS = 6
+ROUNDS_PER_RENTING = 5
+ROUNDS_PER_ADOPTION = 3
+MIN_IDLE_POLLS = 6
 """Surveys in a row that must find a server without work before it may be returned."""
 
 
 @dataclass(slots=True)
-class _Memory:
+class _HolderState:
     """What the holder remembers between its rounds; losing it costs time only."""
 
-    notices: set[str] = field(default_factory=set)
+    seen_notices: set[str] = field(default_factory=set)
     reports: dict[str, LoadReport] = field(default_factory=dict)
-    idle_rounds: Counter[str] = field(default_factory=Counter)
-    surveyed_at: dict[str, int] = field(default_factory=dict)
+    idle_polls: Counter[str] = field(default_factory=Counter)
+    polled_in_round: dict[str, int] = field(default_factory=dict)
 
 
 class HallDuty:
@@ -81,9 +81,9 @@
         self._times = times
         self._clock = clock
         self._rng = rng
-        self._memory = _Memory()
+        self._state = _HolderState()
         self._renting = self._new_renting()
-        self._held = False
+        self._was_holder = False
         self._round = 0
 
     def _new_renting(self) -> HallRenting:
@@ -96,26 +96,26 @@
         lease.
         """
         async with asyncio.TaskGroup() as both:
-            both.create_task(self._keep_for_ever())
-            both.create_task(self._work_for_ever())
+            both.create_task(self._run_lease())
+            both.create_task(self._run_duty())
 
-    async def _keep_for_ever(self) -> None:
+    async def _run_lease(self) -> None:
         while True:
             await self.keep_lease()
             grant = self.lease.grant(self._clock.monotonic())
-            self._note_change(grant)
+            self._on_lease_change(grant)
             # A candidate looks at the row three times in its life; only a holder is busy.
-            parts = HOLDER_TICKS if grant is not None else CANDIDATE_TICKS
-            await self._pause(parts)
+            parts = HOLDER_POLLS_PER_TTL if grant is not None else CANDIDATE_POLLS_PER_TTL
+            await self._sleep(parts)
 
-    async def _work_for_ever(self) -> None:
+    async def _run_duty(self) -> None:
         while True:
             grant = self.lease.grant(self._clock.monotonic())
             if grant is not None:
-                await self._do_duty(grant)
-            await self._pause(HOLDER_TICKS)
+                await self._run_round(grant)
+            await self._sleep(HOLDER_POLLS_PER_TTL)
 
-    async def _pause(self, parts: int) -> None:
+    async def _sleep(self, parts: int) -> None:
         """Wait for a part of the lease's life, spread by a fifth."""
         await self._clock.sleep(self._times.lease_ttl_s / parts * self._rng.uniform(0.8, 1.2))
 
@@ -123,11 +123,11 @@
         """Do what the lease asks for now: read, take or renew it."""
         action = self.lease.decide(self._clock.monotonic())
         if action is LeaseAction.READ:
-            await self._read()
+            await self._read_row()
         elif action in (LeaseAction.ACQUIRE, LeaseAction.RENEW):
-            await self._write()
+            await self._write_row()
 
-    async def _read(self) -> None:
+    async def _read_row(self) -> None:
         outcome = await self._platform.table.read(LEASE_TABLE, self.lease.name)
         if isinstance(outcome, Err):
             return
@@ -136,7 +136,7 @@
         version = ABSENT if row is None else row.version
         self.lease.record_read(decoded, version, self._clock.monotonic())
 
-    async def _write(self) -> None:
+    async def _write_row(self) -> None:
         sent_at = self._clock.monotonic()
         row = self.lease.next_row(uuid.uuid4().hex)
         name = self.lease.name
@@ -148,11 +148,11 @@
             )
         )
         if isinstance(outcome, Err) or not outcome.ok_value.committed:
-            await self._settle(row, sent_at)
+            await self._resolve_write(row, sent_at)
             return
         self.lease.record_write(row, outcome.ok_value.versions[0], sent_at)
 
-    async def _settle(self, row: LeaseRow, sent_at: float) -> None:
+    async def _resolve_write(self, row: LeaseRow, sent_at: float) -> None:
         """Read the row to learn whether a write whose answer was lost or refused stands."""
         outcome = await self._platform.table.read(LEASE_TABLE, self.lease.name)
         if isinstance(outcome, Err):
@@ -166,12 +166,12 @@
         else:
             self.lease.record_read(held, found.version, self._clock.monotonic())
 
-    def _note_change(self, grant: Grant | None) -> None:
-        if (grant is not None) == self._held:
+    def _on_lease_change(self, grant: Grant | None) -> None:
+        if (grant is not None) == self._was_holder:
             return
-        self._held = grant is not None
+        self._was_holder = grant is not None
         if grant is not None:
-            self._memory = _Memory()
+            self._state = _HolderState()
             self._renting = self._new_renting()
             emit(Event.LEASE_WON, lease=grant.name, epoch=grant.epoch)
         else:
@@ -179,43 +179,43 @@
 
     # The duty itself
 
-    async def _do_duty(self, grant: Grant) -> None:
+    async def _run_round(self, grant: Grant) -> None:
         self._round += 1
-        await self._tell_notices()
-        if self._round % TICKS_PER_ADOPT == 1:
+        await self._announce_notices()
+        if self._round % ROUNDS_PER_ADOPTION == 1:
             await self._jobs.adopt_orphans(self.hall, self._fleet.is_node_listed)
-        if self._round % TICKS_PER_RENT == 1:
-            await self._survey()
+        if self._round % ROUNDS_PER_RENTING == 1:
+            await self._poll_loads()
             await self._place_models(grant)
-            await self._rent(grant)
+            await self._run_renting(grant)
 
-    async def _tell_notices(self) -> None:
+    async def _announce_notices(self) -> None:
         outcome = await self._platform.cloud.notices(self.hall)
         if isinstance(outcome, Err):
             return
         for notice in outcome.ok_value:
-            if notice.instance_id not in self._memory.notices:
-                self._memory.notices.add(notice.instance_id)
+            if notice.instance_id not in self._state.seen_notices:
+                self._state.seen_notices.add(notice.instance_id)
                 self._announce(ServerLeaving(notice.instance_id, notice.seconds_left, "cloud"))
 
-    def _servers_here(self) -> list[Instance]:
+    def _live_servers(self) -> list[Instance]:
         return [
             server
             for server in self._fleet.servers.values()
             if server.hall == self.hall and server.state is InstanceState.LIVE
         ]
 
-    async def _survey(self) -> None:
+    async def _poll_loads(self) -> None:
         """Ask some of the hall's servers for their load, those not asked for longest first."""
-        here = self._servers_here()
-        memory = self._memory
+        here = self._live_servers()
+        memory = self._state
         names = {server.id for server in here}
         memory.reports = {name: r for name, r in memory.reports.items() if name in names}
-        here.sort(key=lambda server: (memory.surveyed_at.get(server.id, 0), server.id))
-        servers = here[:SURVEYED_EACH_ROUND]
+        here.sort(key=lambda server: (memory.polled_in_round.get(server.id, 0), server.id))
+        servers = here[:SERVERS_POLLED_PER_ROUND]
         outcomes = await asyncio.gather(*(self._servers.load(s.address) for s in servers))
         for server, outcome in zip(servers, outcomes, strict=True):
-            memory.surveyed_at[server.id] = self._round
+            memory.polled_in_round[server.id] = self._round
             memory.reports.pop(server.id, None)
             if not isinstance(outcome, Err):
                 memory.reports[server.id] = outcome.ok_value
@@ -223,8 +223,8 @@
 
     def _count_idle(self, report: LoadReport) -> None:
         busy = report.running + report.waiting
-        rounds = 0 if busy else self._memory.idle_rounds[report.server] + 1
-        self._memory.idle_rounds[report.server] = rounds
+        rounds = 0 if busy else self._state.idle_polls[report.server] + 1
+        self._state.idle_polls[report.server] = rounds
 
     async def _place_models(self, grant: Grant) -> None:
         """Have each server of the hall load every model and adapter that the bundle states.
@@ -236,8 +236,8 @@
             return
         wanted = [model.name for model in bundle.models]
         wanted += [adapter.name for adapter in bundle.adapters]
-        for server in self._servers_here():
-            report = self._memory.reports.get(server.id)
+        for server in self._live_servers():
+            report = self._state.reports.get(server.id)
             if report is None or report.leaving:
                 continue
             for name in wanted:
@@ -262,27 +262,27 @@
         elif not outcome.ok_value.taken:
             emit(Event.ORDER_FAILED, server=server.id, detail=outcome.ok_value.detail)
 
-    async def _rent(self, grant: Grant) -> None:
+    async def _run_renting(self, grant: Grant) -> None:
         bundle = self._bundle()
         if bundle is not None:
-            tokens_per_s, idle = self._own_demand(bundle)
+            tokens_per_s, idle = self._measure_demand(bundle)
             await self._renting.round(bundle, grant, tokens_per_s, idle)
 
-    def _own_demand(self, bundle: Bundle) -> tuple[float, list[str]]:
+    def _measure_demand(self, bundle: Bundle) -> tuple[float, list[str]]:
         """Return the hall's rate in tokens a second, and its servers without work."""
         total = 0.0
         idle = []
         known = 0
-        here = self._servers_here()
+        here = self._live_servers()
         for server in here:
-            report = self._memory.reports.get(server.id)
+            report = self._state.reports.get(server.id)
             item = bundle.instance_class(server.instance_class)
             if report is None or item is None:
                 continue
             known += 1
             busy = report.running + report.waiting
             total += item.decode_tokens_per_s * busy / item.slots
-            if self._memory.idle_rounds[server.id] >= IDLE_ROUNDS:
+            if self._state.idle_polls[server.id] >= MIN_IDLE_POLLS:
                 idle.append(server.id)
         # Servers that haven't been asked yet are taken to be like those that have.
         scaled = total * len(here) / known if known else 0.0
