--- a/src/moledale/node/hall_duty.py
+++ b/src/moledale/node/hall_duty.py
@@ -266,7 +266,7 @@
         bundle = self._bundle()
         if bundle is not None:
             tokens_per_s, idle = self._measure_demand(bundle)
-            await self._renting.round(bundle, grant, tokens_per_s, idle)
+            await self._renting.run_round(bundle, grant, tokens_per_s, idle)
 
     def _measure_demand(self, bundle: Bundle) -> tuple[float, list[str]]:
         """Return the hall's rate in tokens a second, and its servers without work."""
--- a/src/moledale/node/hall_renting.py
+++ b/src/moledale/node/hall_renting.py
@@ -25,16 +25,16 @@
 from moledale.node.messages import ServerLeaving
 
 DEMAND_TABLE = "demand"
-MOST_HALLS = 100
-REFUSAL_S = 30.0
-SHOWS_WITHIN_S = 180.0
+MAX_HALLS = 100
+REFUSAL_TTL_S = 30.0
+LISTING_TIMEOUT_S = 180.0
 """Time in which a rented instance must show in the list; after that it counts as lost."""
 
-DEMAND_GROWTH = 1.2
+DEMAND_GROWTH_FACTOR = 1.2
 """Demand is taken as the measured rate times this, so that growth is met early."""
 
 
-class Coming(msgspec.Struct, frozen=True):
+class PendingInstance(msgspec.Struct, frozen=True):
     """An instance that was asked for and isn't listed yet; `until` is wall-clock seconds.
 
     Without an `instance_id` the cloud's answer was lost: the same token is sent again.
@@ -47,7 +47,7 @@
     instance_id: str | None = None
 
 
-class Refused(msgspec.Struct, frozen=True):
+class RecentRefusal(msgspec.Struct, frozen=True):
     """What the cloud refused lately; `until` is wall-clock seconds."""
 
     instance_class: str
@@ -62,8 +62,8 @@
     hall: str
     tokens_per_s: float
     idle: list[str] = []
-    coming: list[Coming] = []
-    refused: list[Refused] = []
+    coming: list[PendingInstance] = []
+    refused: list[RecentRefusal] = []
 
 
 class HallRenting:
@@ -86,64 +86,64 @@
         self._fleet = fleet
         self._announce = announce
         self._clock = clock
-        self._version: int | None = None
-        self._coming: list[Coming] = []
-        self._refused: list[Refused] = []
+        self._row_version: int | None = None
+        self._pending: list[PendingInstance] = []
+        self._refusals: list[RecentRefusal] = []
 
-    async def round(
+    async def run_round(
         self, bundle: Bundle, grant: Grant, tokens_per_s: float, idle: list[str]
     ) -> None:
         """Write this hall's row, read all of them, and carry out this hall's changes."""
-        if self._version is None and not await self._take_up():
+        if self._row_version is None and not await self._load_row():
             return
-        self._drop_settled()
-        await self._ask_again()
-        own = await self._write(tokens_per_s, idle)
-        demands = await self._read_all(own)
+        self._prune()
+        await self._retry_unanswered()
+        own = await self._write_row(tokens_per_s, idle)
+        demands = await self._read_rows(own)
         if demands is None:
             return
-        changes = plan(bundle, self._view(demands))
+        changes = plan(bundle, self._rent_view(demands))
         for change in changes:
             if change.hall == self._hall and grant.valid(self._clock.monotonic()):
-                await self._carry_out(change)
+                await self._apply_change(change)
         if any(change.hall == self._hall for change in changes):
-            await self._write(tokens_per_s, idle)
+            await self._write_row(tokens_per_s, idle)
 
     # The rows
 
-    async def _take_up(self) -> bool:
+    async def _load_row(self) -> bool:
         """Go on from the row that the holder before left."""
         read = await self._platform.table.read(DEMAND_TABLE, self._hall)
         if isinstance(read, Err):
             return False
-        self._version = ABSENT
+        self._row_version = ABSENT
         if read.ok_value is not None:
-            self._version = read.ok_value.version
+            self._row_version = read.ok_value.version
             row = _decode(read.ok_value)
-            self._coming, self._refused = list(row.coming), list(row.refused)
+            self._pending, self._refusals = list(row.coming), list(row.refused)
         return True
 
-    async def _write(self, tokens_per_s: float, idle: list[str]) -> HallDemand:
+    async def _write_row(self, tokens_per_s: float, idle: list[str]) -> HallDemand:
         own = HallDemand(
-            uuid.uuid4().hex, self._hall, tokens_per_s, idle, self._coming, self._refused
+            uuid.uuid4().hex, self._hall, tokens_per_s, idle, self._pending, self._refusals
         )
-        assert self._version is not None, "the row was taken up before"
-        condition = Condition(DEMAND_TABLE, self._hall, self._version)
+        assert self._row_version is not None, "the row was taken up before"
+        condition = Condition(DEMAND_TABLE, self._hall, self._row_version)
         write = Write(DEMAND_TABLE, self._hall, msgspec.json.encode(own).decode())
         outcome = await self._platform.table.transact(
             Transaction(own.operation, [condition], [write])
         )
         if not isinstance(outcome, Err) and outcome.ok_value.committed:
-            self._version = outcome.ok_value.versions[0]
+            self._row_version = outcome.ok_value.versions[0]
         else:
             # The next round reads the row: it may be this write, or another holder's.
             read = await self._platform.table.read(DEMAND_TABLE, self._hall)
             if not isinstance(read, Err) and read.ok_value is not None:
-                self._version = read.ok_value.version
+                self._row_version = read.ok_value.version
         return own
 
-    async def _read_all(self, own: HallDemand) -> list[HallDemand] | None:
-        outcome = await self._platform.table.scan(DEMAND_TABLE, "", MOST_HALLS)
+    async def _read_rows(self, own: HallDemand) -> list[HallDemand] | None:
+        outcome = await self._platform.table.scan(DEMAND_TABLE, "", MAX_HALLS)
         if isinstance(outcome, Err):
             return None
         rows = [_decode(row) for row in outcome.ok_value]
@@ -151,7 +151,7 @@
 
     # The plan
 
-    def _view(self, demands: list[HallDemand]) -> RentView:
+    def _rent_view(self, demands: list[HallDemand]) -> RentView:
         now = self._clock.wall()
         refusals = frozenset(
             RentRefusal(row.hall, one.instance_class, one.market)
@@ -159,10 +159,12 @@
             for one in row.refused
             if one.until > now
         )
-        total = sum(row.tokens_per_s for row in demands) * DEMAND_GROWTH
-        return RentView(total, [*self._listed(demands), *self._expected(demands)], refusals)
+        total = sum(row.tokens_per_s for row in demands) * DEMAND_GROWTH_FACTOR
+        return RentView(
+            total, [*self._listed_instances(demands), *self._pending_instances(demands)], refusals
+        )
 
-    def _listed(self, demands: list[HallDemand]) -> list[HeldInstance]:
+    def _listed_instances(self, demands: list[HallDemand]) -> list[HeldInstance]:
         idle = {server for row in demands for server in row.idle}
         return [
             HeldInstance(
@@ -176,7 +178,7 @@
             if server.state is InstanceState.LIVE
         ]
 
-    def _expected(self, demands: list[HallDemand]) -> list[HeldInstance]:
+    def _pending_instances(self, demands: list[HallDemand]) -> list[HeldInstance]:
         now = self._clock.wall()
         return [
             HeldInstance(one.token, row.hall, one.instance_class, one.market)
@@ -187,48 +189,48 @@
 
     # Changes
 
-    async def _carry_out(self, change: Rent | Return) -> None:
+    async def _apply_change(self, change: Rent | Return) -> None:
         if isinstance(change, Return):
             emit(Event.RENT_DECIDED, returned=change.instance_id)
             self._announce(ServerLeaving(change.instance_id, None, "returned"))
             await self._platform.cloud.release(change.instance_id)
             return
-        until = self._clock.wall() + SHOWS_WITHIN_S
-        asked = Coming(uuid.uuid4().hex, change.instance_class, change.market, until)
-        self._coming.append(asked)
-        await self._ask(asked)
+        until = self._clock.wall() + LISTING_TIMEOUT_S
+        asked = PendingInstance(uuid.uuid4().hex, change.instance_class, change.market, until)
+        self._pending.append(asked)
+        await self._send_order(asked)
 
-    async def _ask_again(self) -> None:
+    async def _retry_unanswered(self) -> None:
         """Ask again for what the cloud's answer was lost for; its token rents once at most."""
-        for asked in [one for one in self._coming if one.instance_id is None]:
-            await self._ask(asked)
+        for asked in [one for one in self._pending if one.instance_id is None]:
+            await self._send_order(asked)
 
-    async def _ask(self, asked: Coming) -> None:
+    async def _send_order(self, asked: PendingInstance) -> None:
         order = RentOrder(asked.token, self._hall, asked.instance_class, asked.market.value)
         outcome = await self._platform.cloud.rent(order)
         if isinstance(outcome, Err):
             if not outcome.err_value.uncertain:
-                self._coming.remove(asked)
+                self._pending.remove(asked)
             return
-        self._coming.remove(asked)
+        self._pending.remove(asked)
         rented = outcome.ok_value
         if rented.instance_id is not None:
             emit(Event.RENT_DECIDED, rented=rented.instance_id, hall=self._hall)
             coming = msgspec.structs.replace(asked, instance_id=rented.instance_id)
-            self._coming.append(coming)
+            self._pending.append(coming)
             return
         emit(Event.RENT_REFUSED, hall=self._hall, detail=rented.refused)
-        until = self._clock.wall() + REFUSAL_S
-        self._refused.append(Refused(asked.instance_class, asked.market, until))
+        until = self._clock.wall() + REFUSAL_TTL_S
+        self._refusals.append(RecentRefusal(asked.instance_class, asked.market, until))
 
-    def _drop_settled(self) -> None:
+    def _prune(self) -> None:
         """Forget what is listed by now, what never showed, and refusals that have passed."""
         now = self._clock.wall()
         listed = self._fleet.servers
-        self._coming = [
-            one for one in self._coming if one.until > now and one.instance_id not in listed
+        self._pending = [
+            one for one in self._pending if one.until > now and one.instance_id not in listed
         ]
-        self._refused = [one for one in self._refused if one.until > now]
+        self._refusals = [one for one in self._refusals if one.until > now]
 
 
 def _decode(row: Row) -> HallDemand:
