--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -16,7 +16,7 @@
 from moledale.log import Event, emit
 from moledale.node.background import BackgroundTasks
 from moledale.node.generation_guard import GenerationGuard
-from moledale.node.leaving import LeavingServers
+from moledale.node.leaving import Evacuator
 from moledale.node.messages import ServerGone, ServerLeaving, ServerMessage, ServerReported
 from moledale.node.needs import context_tokens, need_of
 from moledale.node.streams import GenerationRequest, StreamRecord, StreamTable
@@ -56,7 +56,7 @@
         self._clock = clock
         self._rng = rng
         self._waiting = WaitingRoom(hall, book, bundle, most_waiting, clock)
-        self._leaving_servers = LeavingServers(
+        self._leaving_servers = Evacuator(
             hall, servers, book, self._waiting, bundle, self._redirect, clock
         )
         self._guard = GenerationGuard(servers, clock)
@@ -319,7 +319,7 @@
         emit(Event.SERVER_LEAVING, server=message.server, source=message.source)
         notice = DEFAULT_NOTICE_S if message.seconds_left is None else message.seconds_left
         records = [record for record in self.streams.live() if record.server == view.id]
-        self._leaving_servers.leave(view, records, notice)
+        self._leaving_servers.evacuate(view, records, notice)
 
     def _gone(self, message: ServerGone) -> None:
         view = self.book.views.get(message.server)
--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -15,11 +15,11 @@
 from moledale.node.waiting import WaitingRoom
 from moledale.servers.types import ModelServers
 
-LINK_BYTES_PER_S = 3.0e9
+ASSUMED_LINK_BYTES_PER_S = 3.0e9
 """Assumed bandwidth out of a leaving server, shared by the nodes with streams on it."""
 
 
-class Redirect(Protocol):
+class RedirectStream(Protocol):
     """Ends a stream's attempt, if it still is the current one, and goes on at a target."""
 
     def __call__(
@@ -29,39 +29,39 @@
         ...
 
 
-class LeavingServers:
+class Evacuator:
     """Moves streams and idle caches off servers that leave, as far as the notice allows."""
 
     def __init__(
         self,
         hall: str,
         servers: ModelServers,
-        book: LoadTracker,
+        load_tracker: LoadTracker,
         waiting: WaitingRoom,
         bundle: Callable[[], Bundle | None],
-        redirect: Redirect,
+        redirect: RedirectStream,
         clock: Clock,
     ) -> None:
         self._hall = hall
         self._servers = servers
-        self._book = book
+        self._load_tracker = load_tracker
         self._waiting = waiting
         self._bundle = bundle
         self._redirect = redirect
         self._clock = clock
         self._background = BackgroundTasks("leaving")
 
-    def leave(self, view: ServerView, records: list[StreamRecord], notice_s: float) -> None:
+    def evacuate(self, view: ServerView, records: list[StreamRecord], notice_s: float) -> None:
         """Plan for everything this node has on a server, and begin to carry it out."""
         bundle = self._bundle()
         if bundle is None:
             return
-        held = self._held(bundle, view, records)
+        held = self._held_sessions(bundle, view, records)
         by_id = {record.request.id: record for record in records}
         # The link is shared in proportion to streams; other nodes move theirs meanwhile.
         share = max(1, len(records)) / max(1, view.running, len(records))
         situation = reclaim.ReclaimView(
-            notice_s, LINK_BYTES_PER_S * share, view.speeds.prefill_tokens_per_s
+            notice_s, ASSUMED_LINK_BYTES_PER_S * share, view.speeds.prefill_tokens_per_s
         )
         courses = reclaim.plan(held, situation)
         for one in held:
@@ -69,13 +69,13 @@
             if one.idle and course is reclaim.ReclaimAction.MOVE:
                 self._background.start(self._move_cache(one.id, one.context_tokens, view))
             elif not one.idle and course is not reclaim.ReclaimAction.FINISH:
-                self._background.start(self._move(by_id[one.id], view, course))
+                self._background.start(self._move_stream(by_id[one.id], view, course))
 
-    def _held(
+    def _held_sessions(
         self, bundle: Bundle, view: ServerView, records: list[StreamRecord]
     ) -> list[reclaim.HeldSession]:
         token_s = view.speeds.slots / view.speeds.decode_tokens_per_s
-        streams = [_held_stream(bundle, record, token_s) for record in records]
+        streams = [_stream_session(bundle, record, token_s) for record in records]
         busy = {record.request.session for record in records}
         each = max(model.kv_bytes_per_token for model in bundle.models)
         caches = [
@@ -85,7 +85,7 @@
         ]
         return streams + caches
 
-    async def _move(
+    async def _move_stream(
         self, record: StreamRecord, source: ServerView, course: reclaim.ReclaimAction
     ) -> None:
         """Take a stream off a leaving server; a failed transfer falls back to prefill."""
@@ -94,7 +94,7 @@
         if course is reclaim.ReclaimAction.MOVE:
             target = await self._transfer(record, source, attempt)
         if not self._redirect(record, attempt, source.id, target) and target is not None:
-            self._book.release(target, self._clock.monotonic())
+            self._load_tracker.release(target, self._clock.monotonic())
 
     async def _transfer(
         self, record: StreamRecord, source: ServerView, attempt: str
@@ -104,25 +104,25 @@
         target = self._waiting.reserve(need)
         if target is None:
             return None
-        address = self._book.views[target.server].address
+        address = self._load_tracker.views[target.server].address
         if await self._copy_cache(record.request.session or attempt, source.address, address):
             return target
-        self._book.release(target, self._clock.monotonic())
+        self._load_tracker.release(target, self._clock.monotonic())
         return None
 
     async def _move_cache(self, session: str, tokens: int, source: ServerView) -> None:
         """Copy an idle session's KV cache to where its next turn should go."""
         models = sorted(source.models)
         need = Need(models[0] if models else "", tokens, 0, session, self._hall)
-        chosen = pick(list(self._book.views.values()), need, params_of(self._bundle()))
+        chosen = pick(list(self._load_tracker.views.values()), need, params_of(self._bundle()))
         if chosen is None:
             return
-        address = self._book.views[chosen.server].address
+        address = self._load_tracker.views[chosen.server].address
         if not await self._copy_cache(session, source.address, address):
             return
         # A turn that came meanwhile knows better where the session is.
-        if self._book.server_of(session) in (None, source.id):
-            self._book.record_cache(session, chosen.server, tokens)
+        if self._load_tracker.server_of(session) in (None, source.id):
+            self._load_tracker.record_cache(session, chosen.server, tokens)
 
     async def _copy_cache(self, session: str, source: str, target: str) -> bool:
         exported = await self._servers.export_kv(source, session)
@@ -131,7 +131,7 @@
         return isinstance(await self._servers.import_kv(target, exported.ok_value), Ok)
 
 
-def _held_stream(bundle: Bundle, record: StreamRecord, token_s: float) -> reclaim.HeldSession:
+def _stream_session(bundle: Bundle, record: StreamRecord, token_s: float) -> reclaim.HeldSession:
     request = record.request
     model = bundle.model(request.model)
     context = context_tokens(record)
