--- a/src/moledale/node/server_watch.py
+++ b/src/moledale/node/server_watch.py
@@ -32,7 +32,7 @@
     def __init__(
         self,
         servers: ModelServers,
-        book: LoadTracker,
+        load_tracker: LoadTracker,
         tell: Callable[[ServerMessage], None],
         poll_s: float,
         polls_per_s: float,
@@ -40,7 +40,7 @@
         rng: random.Random,
     ) -> None:
         self._servers = servers
-        self._book = book
+        self._load_tracker = load_tracker
         self._tell = tell
         self._poll_s = poll_s
         self._polls_per_s = polls_per_s
@@ -59,12 +59,14 @@
 
     async def poll(self) -> None:
         """Poll new servers, and the one that was silent longest if that is long enough."""
-        views = list(self._book.views.values())
+        views = list(self._load_tracker.views.values())
         new = [view for view in views if view.id not in self._asked_at]
         self._asked_at = {
-            name: at for name, at in self._asked_at.items() if name in self._book.views
+            name: at for name, at in self._asked_at.items() if name in self._load_tracker.views
+        }
+        self._silent = {
+            name: n for name, n in self._silent.items() if name in self._load_tracker.views
         }
-        self._silent = {name: n for name, n in self._silent.items() if name in self._book.views}
         now = self._clock.monotonic()
         if new:
             await asyncio.gather(*(self._poll_load(view) for view in new))
@@ -114,8 +116,8 @@
         for event in outcome.ok_value:
             if after and event.sequence != after + 1:
                 for session in list(view.cached):
-                    self._book.forget_session(session)
+                    self._load_tracker.forget_session(session)
             after = event.sequence
-            if event.kind == "evicted" and self._book.server_of(event.session) == view.id:
-                self._book.forget_session(event.session)
+            if event.kind == "evicted" and self._load_tracker.server_of(event.session) == view.id:
+                self._load_tracker.forget_session(event.session)
         self._events_seen[view.id] = after
