--- a/src/moledale/edge/operators.py
+++ b/src/moledale/edge/operators.py
@@ -143,7 +143,7 @@
             {view.id: view.address for view in node.fleet.node_views()},
             [
                 ServerStanding(v.id, v.hall, v.standing.value, v.running, sorted(v.models))
-                for v in node.book.views.values()
+                for v in node.load_tracker.views.values()
             ],
             build_id(),
         )
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -111,12 +111,12 @@
         self.streams = StreamTable(
             limits.streams, limits.finished_streams, limits.finished_stream_s
         )
-        self.book = LoadTracker(limits.sessions)
+        self.load_tracker = LoadTracker(limits.sessions)
         self.dispatcher = Dispatcher(
             settings.node.hall,
             servers,
             self.streams,
-            self.book,
+            self.load_tracker,
             Tally(self.burn, self.metrics, self.bundle, clock),
             self.bundle,
             limits.queue,
@@ -161,7 +161,7 @@
         )
         self._server_watch = ServerWatch(
             servers,
-            self.book,
+            self.load_tracker,
             self.dispatcher.handle,
             times.load_poll_s,
             limits.load_polls_per_s,
--- a/tests/world.py
+++ b/tests/world.py
@@ -584,8 +584,8 @@
         await self.until(
             lambda: all(
                 node.refusal() is None
-                and len(node.book.views) == engines
-                and all(view.models for view in node.book.views.values())
+                and len(node.load_tracker.views) == engines
+                and all(view.models for view in node.load_tracker.views.values())
                 for node in self.nodes.values()
             )
         )
