--- a/src/moledale/node/journal.py
+++ b/src/moledale/node/journal.py
@@ -110,7 +110,7 @@
         await self._clock.sleep(self._interval_s())
         size = batch[0].size()
         while len(batch) < MOST_ENTRIES and size < MOST_BYTES:
-            entry = self._inbox.get_ready()
+            entry = self._inbox.get_nowait()
             if entry is None:
                 break
             batch.append(entry)
--- a/src/moledale/node/mailbox.py
+++ b/src/moledale/node/mailbox.py
@@ -12,9 +12,9 @@
 class Mailbox(Generic[T]):
     """A queue of typed messages with a bound; a full one refuses instead of waiting."""
 
-    def __init__(self, name: str, most: int) -> None:
+    def __init__(self, name: str, max_messages: int) -> None:
         self.name = name
-        self._queue: asyncio.Queue[T] = asyncio.Queue(most)
+        self._queue: asyncio.Queue[T] = asyncio.Queue(max_messages)
 
     def put(self, message: T) -> bool:
         """Deliver a message; return False if the mailbox is full."""
@@ -29,7 +29,7 @@
         """Wait for the next message."""
         return await self._queue.get()
 
-    def get_ready(self) -> T | None:
+    def get_nowait(self) -> T | None:
         """Return a message that is there already, or None."""
         try:
             return self._queue.get_nowait()
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -61,7 +61,7 @@
         async def work() -> None:
             box: Mailbox[int] = Mailbox("box", 2)
             self.assertEqual([box.put(n) for n in range(3)], [True, True, False])
-            self.assertEqual((await box.get(), box.get_ready(), box.get_ready()), (0, 1, None))
+            self.assertEqual((await box.get(), box.get_nowait(), box.get_nowait()), (0, 1, None))
             self.assertIsNone(await box.get_within(1.0, self.clock))
 
         self.run_on_clock(work())
