--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -303,7 +303,7 @@
         if view is None:
             return
         now = self._clock.monotonic()
-        if self.book.apply_report(message.report, now - message.made_ago_s, now):
+        if self.book.apply_report(message.report, now - message.max_age_s, now):
             view.note_answer()  # type: ignore[attr-defined]
         # Reports that ride along with answers keep the watch from polling a busy server, so
         # they must tell of its leaving too.
--- a/src/moledale/node/messages.py
+++ b/src/moledale/node/messages.py
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReported:
-    """A load report arrived; `made_ago_s` is how old it is at the most."""
+    """A load report arrived; `max_age_s` is how old it is at the most."""
 
     report: LoadReport
-    made_ago_s: float
+    max_age_s: float
 
 
 @dataclass(frozen=True, slots=True)
