--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -18,7 +18,7 @@
 from moledale.node.generation_guard import GenerationGuard
 from moledale.node.leaving import Evacuator
 from moledale.node.messages import ServerGone, ServerLeaving, ServerMessage, ServerReported
-from moledale.node.needs import context_tokens, need_of
+from moledale.node.needs import context_tokens, routing_need
 from moledale.node.streams import GenerationRequest, StreamRecord, StreamTable
 from moledale.node.tally import Tally
 from moledale.node.waiting import WaitingRoom
@@ -216,7 +216,7 @@
                 await self._clock.sleep(RETRY_PAUSE_S * self._rng.uniform(0.5, 1.5))
 
     def _any_server(self, record: StreamRecord, excluded: frozenset[str]) -> bool:
-        need = need_of(record.request, [], self._hall, excluded)
+        need = routing_need(record.request, [], self._hall, excluded)
         return bool(eligible(self.book.views.values(), need))
 
     async def _attempt(self, record: StreamRecord, made: Reservation) -> str | None:
--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -10,7 +10,7 @@
 from moledale.core import reclaim
 from moledale.core.routing import LoadTracker, Need, Reservation, ServerView, pick
 from moledale.node.background import BackgroundTasks
-from moledale.node.needs import context_tokens, need_of, params_of
+from moledale.node.needs import context_tokens, routing_need, routing_params
 from moledale.node.streams import StreamRecord
 from moledale.node.waiting import WaitingRoom
 from moledale.servers.types import ModelServers
@@ -100,7 +100,7 @@
         self, record: StreamRecord, source: ServerView, attempt: str
     ) -> Reservation | None:
         """Copy the stream's KV cache to a server reserved for it."""
-        need = need_of(record.request, record.tokens, self._hall, frozenset({source.id}))
+        need = routing_need(record.request, record.tokens, self._hall, frozenset({source.id}))
         target = self._waiting.reserve(need)
         if target is None:
             return None
@@ -114,7 +114,7 @@
         """Copy an idle session's KV cache to where its next turn should go."""
         models = sorted(source.models)
         need = Need(models[0] if models else "", tokens, 0, session, self._hall)
-        chosen = pick(list(self._load_tracker.views.values()), need, params_of(self._bundle()))
+        chosen = pick(list(self._load_tracker.views.values()), need, routing_params(self._bundle()))
         if chosen is None:
             return
         address = self._load_tracker.views[chosen.server].address
--- a/src/moledale/node/needs.py
+++ b/src/moledale/node/needs.py
@@ -15,7 +15,7 @@
     return count_tokens(record.request.prompt) + len(record.tokens)
 
 
-def need_of(
+def routing_need(
     request: GenerationRequest,
     tokens: list[str],
     hall: str,
@@ -33,7 +33,7 @@
     )
 
 
-def params_of(bundle: Bundle | None) -> RoutingParams:
+def routing_params(bundle: Bundle | None) -> RoutingParams:
     """Return the routing parameters that a bundle states."""
     if bundle is None:
         return RoutingParams()
--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -10,7 +10,7 @@
 from moledale.clock import Clock
 from moledale.core.queueing import WaitingQueue, estimated_wait_s
 from moledale.core.routing import LoadTracker, Need, Reservation, eligible
-from moledale.node.needs import need_of, params_of
+from moledale.node.needs import routing_need, routing_params
 from moledale.node.streams import GenerationRequest, StreamRecord
 from moledale.problems import Problem, Ran
 
@@ -64,7 +64,7 @@
 
     def refusal(self, request: GenerationRequest) -> Problem | None:
         """Refuse at once what would wait longer than its deadline allows."""
-        need = need_of(request, [], self._hall)
+        need = routing_need(request, [], self._hall)
         ready = eligible(self._book.views.values(), need)
         retry_in_s = self._book.retry_in_s(need.model, self._clock.monotonic())
         if not ready and retry_in_s is not None:
@@ -84,14 +84,14 @@
 
     def reserve(self, need: Need) -> Reservation | None:
         """Pick and reserve a server in one step, or return None."""
-        params = params_of(self._bundle())
+        params = routing_params(self._bundle())
         found = self._book.pick_and_reserve(need, params, self._clock.monotonic())
         return found[1] if found is not None else None
 
     async def slot(self, record: StreamRecord, excluded: frozenset[str]) -> Reservation | Problem:
         """Reserve a server, or wait for one until the deadline."""
         request = record.request
-        need = need_of(request, record.tokens, self._hall, excluded)
+        need = routing_need(request, record.tokens, self._hall, excluded)
         if not len(self._queue):
             made = self.reserve(need)
             if made is not None:
