--- a/src/moledale/node/needs.py
+++ b/src/moledale/node/needs.py
@@ -5,14 +5,14 @@
 from moledale.node.streams import GenerationRequest, StreamRecord
 
 
-def count_tokens(text: str) -> int:
+def estimate_tokens(text: str) -> int:
     """Estimate the tokens of a prompt by its words; engines alone know the true count."""
     return max(1, len(text.split()))
 
 
 def context_tokens(record: StreamRecord) -> int:
     """Return the length of the prompt and of what was generated so far."""
-    return count_tokens(record.request.prompt) + len(record.tokens)
+    return estimate_tokens(record.request.prompt) + len(record.tokens)
 
 
 def routing_need(
@@ -24,7 +24,7 @@
     """Return the need of a request that has some tokens already."""
     return Need(
         request.model,
-        count_tokens(request.prompt) + len(tokens),
+        estimate_tokens(request.prompt) + len(tokens),
         request.max_tokens - len(tokens),
         request.session,
         hall,
