--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -46,14 +46,14 @@
 from moledale.servers.types import ModelServers, PlainServices, ServiceAnswer, ServiceCall
 from moledale.settings import Secrets, Settings
 
-HAND_OVER_TRIES = 3
-DUTY_CHECK_S = 1.0
-DRAIN_STEP_S = 0.05
-NEWS_PAUSE_S = 0.02
+MAX_HANDOVER_ATTEMPTS = 3
+STATE_POLL_INTERVAL_S = 1.0
+DRAIN_POLL_INTERVAL_S = 0.05
+GOSSIP_BATCH_DELAY_S = 0.02
 """Time that news is collected for, as when a hall's servers all leave at once."""
 
-LEAVING_TO_TELL_S = 30.0
-MOST_LEAVING_TOLD = 2_000
+LEAVING_GOSSIP_TTL_S = 30.0
+MAX_LEAVING_REMEMBERED = 2_000
 
 
 class OnceWork(msgspec.Struct, frozen=True):
@@ -102,7 +102,7 @@
             self.platform,
             settings.operators,
             settings.platform.poll_s,
-            lambda: self.tell_news(PEERS_TO_PASS_ON),
+            lambda: self.gossip_soon(PEERS_TO_PASS_ON),
             clock,
             rng,
         )
@@ -128,14 +128,14 @@
             settings.node.hall,
             limits.followed_servers,
             self.dispatcher.follow,
-            self._listed,
+            self._handle_list_message,
         )
         self.journal = Journal(
             self.platform.table, self._commit_interval_s, limits.journal_bytes, clock
         )
         self.accounts = Accounts(self.bundle, lambda: len(self.fleet.nodes), clock)
         self.services = ServiceRouter(services, self.bundle, rng, clock.monotonic)
-        self._peers = link
+        self._link = link
         self.once = OnceKeeper(
             self.id,
             self.incarnation,
@@ -169,19 +169,19 @@
             rng,
         )
         self._gossip = Gossip(
-            self._peers, self.fleet, self.own_digest, self._heard, times.gossip_s, clock, rng
+            self._link, self.fleet, self.own_digest, self._apply_digest, times.gossip_s, clock, rng
         )
         self._servers = servers
         self.supervisor = Supervisor("node", clock)
         self._duties: dict[str, HallDuty] = {}
         self._duty_supervisor = Supervisor("duties", clock)
-        self._heard_peer_at: float | None = None
-        self._leaving_to_tell: dict[str, float] = {}
+        self._peer_contact_at: float | None = None
+        self._leaving_to_gossip: dict[str, float] = {}
         # Bounded, so that a server heard of again long after may be passed on again.
-        self._leaving_told: LRUCache[str, bool] = LRUCache(MOST_LEAVING_TOLD)
-        self._verdict = Verdict.UNCONFIRMED
+        self._leaving_seen: LRUCache[str, bool] = LRUCache(MAX_LEAVING_REMEMBERED)
+        self._logged_verdict = Verdict.UNCONFIRMED
         self._background = BackgroundTasks("news")
-        self._news_for = 0
+        self._pending_fanout = 0
 
     @property
     def draining(self) -> bool:
@@ -206,14 +206,14 @@
 
     async def start(self) -> int:
         """Start all tasks and return the port for peers."""
-        port = await self._peers.serve(self)
+        port = await self._link.serve(self)
         self.supervisor.start("journal", self.journal.run)
         self.supervisor.start("bundle", self.bundles.run)
         self.supervisor.start("fleet", self._fleet_watch.run)
         self.supervisor.start("servers", self._server_watch.run)
         self.supervisor.start("dispatcher", self.dispatcher.run)
         self.supervisor.start("gossip", self._gossip.run)
-        self.supervisor.start("standing", self._watch_standing)
+        self.supervisor.start("standing", self._report_readiness)
         self.supervisor.start("own-jobs", self._adopt_own_jobs)
         self.supervisor.start("duty-choice", self._choose_duties)
         self.supervisor.start_under(self._duty_supervisor)
@@ -228,16 +228,16 @@
         await self.jobs.release_all()
         until = self.clock.monotonic() + self.settings.times.drain_s
         while self.dispatcher.open_requests and self.clock.monotonic() < until:
-            await self.clock.sleep(DRAIN_STEP_S)
+            await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
         await asyncio.gather(*(self._hand_over(record) for record in self.streams.live()))
         # What no peer would take is finished here, however long that is.
         while self.dispatcher.open_requests:
-            await self.clock.sleep(DRAIN_STEP_S)
+            await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def stop(self) -> None:
         """Stop all tasks, last started first."""
         await self.supervisor.stop()
-        await self._peers.close()
+        await self._link.close()
         self.to_stop()  # type: ignore[attr-defined]
 
     async def _hand_over(self, record: StreamRecord) -> None:
@@ -245,9 +245,9 @@
         await self.dispatcher.hold(record)
         if record.ended:
             return
-        for view in self.successors(record.request.id)[:HAND_OVER_TRIES]:
+        for view in self.successors(record.request.id)[:MAX_HANDOVER_ATTEMPTS]:
             peer = self.fleet.nodes[view.id]
-            outcome = await self._peers.hand_over(peer.peer_address, record)
+            outcome = await self._link.hand_over(peer.peer_address, record)
             if not isinstance(outcome, Err):
                 emit(Event.STREAM_HANDED, request=record.request.id, peer=peer.id)
                 self.dispatcher.handed(record, peer.address)
@@ -267,7 +267,7 @@
 
     def verdict(self) -> Verdict:
         """Say whether new requests may be taken, by what is known of the bundle."""
-        heard = self._heard_peer_at
+        heard = self._peer_contact_at
         view = Freshness(
             self.bundles.version,
             self.bundles.confirmed_ago_s(),
@@ -293,23 +293,23 @@
         self.fleet.node_loads[self.id] = self.dispatcher.open_requests
         return addresses_for(session, self.fleet.node_views())
 
-    async def _watch_standing(self) -> None:
+    async def _report_readiness(self) -> None:
         while True:
             verdict = self.verdict()
-            if verdict is not self._verdict:
-                self._verdict = verdict
+            if verdict is not self._logged_verdict:
+                self._logged_verdict = verdict
                 event = Event.READY if verdict is Verdict.SERVE else Event.NOT_READY
                 emit(event, verdict=verdict.value, version=self.bundles.version)
             self.metrics.gauge("open_requests", self.dispatcher.open_requests)
             self.metrics.gauge("waiting", self.dispatcher.waiting)
-            await self.clock.sleep(DUTY_CHECK_S)
+            await self.clock.sleep(STATE_POLL_INTERVAL_S)
 
     # Duties
 
     async def _adopt_own_jobs(self) -> None:
         """Take up the jobs of an earlier incarnation of this node."""
         while self.bundles.version == 0:
-            await self.clock.sleep(DRAIN_STEP_S)
+            await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self.jobs.adopt_orphans(self.settings.node.hall, lambda _: True)
 
     async def _choose_duties(self) -> None:
@@ -321,7 +321,7 @@
             for hall in halls_to_lease(self.id, own, self.fleet.node_views(), halls):
                 if hall not in self._duties and bundle is not None:
                     self._start_duty(hall)
-            await self.clock.sleep(DUTY_CHECK_S)
+            await self.clock.sleep(STATE_POLL_INTERVAL_S)
 
     def _start_duty(self, hall: str) -> None:
         duty = HallDuty(
@@ -332,7 +332,7 @@
             self.fleet,
             self.jobs,
             self.bundle,
-            self.server_leaves,
+            self.handle_leaving_server,
             self.settings.times,
             self.clock,
             self.rng,
@@ -345,37 +345,39 @@
         now = self.clock.monotonic()
         return [d.lease.name for d in self._duties.values() if d.lease.grant(now) is not None]
 
-    def server_leaves(self, message: ServerLeaving) -> None:
+    def handle_leaving_server(self, message: ServerLeaving) -> None:
         """Act on a notice here, and tell peers at once."""
         self.dispatcher.handle(message)
-        self._leaving_told[message.server] = True
-        self._leaving_to_tell[message.server] = self.clock.monotonic()
-        self.tell_news()
+        self._leaving_seen[message.server] = True
+        self._leaving_to_gossip[message.server] = self.clock.monotonic()
+        self.gossip_soon()
 
-    def _listed(self, message: ServerMessage) -> None:
+    def _handle_list_message(self, message: ServerMessage) -> None:
         """Take what the list tells of a server, and pass on that one leaves."""
         self.dispatcher.handle(message)
         if isinstance(message, ServerLeaving):
-            self._pass_on_leaving(message.server)
+            self._relay_leaving(message.server)
 
     # Peers
 
-    def tell_news(self, peers: int = PEERS_FOR_NEWS) -> None:
+    def gossip_soon(self, peers: int = PEERS_FOR_NEWS) -> None:
         """Exchange digests with several peers soon; news that comes together goes together."""
-        if self._news_for == 0:
-            self._background.start(self._tell_soon())
-        self._news_for = max(self._news_for, peers)
+        if self._pending_fanout == 0:
+            self._background.start(self._gossip_after_delay())
+        self._pending_fanout = max(self._pending_fanout, peers)
 
-    async def _tell_soon(self) -> None:
-        await self.clock.sleep(NEWS_PAUSE_S)
-        peers, self._news_for = self._news_for, 0
+    async def _gossip_after_delay(self) -> None:
+        await self.clock.sleep(GOSSIP_BATCH_DELAY_S)
+        peers, self._pending_fanout = self._pending_fanout, 0
         await self._gossip.exchange(peers)
 
     def own_digest(self) -> peers_pb2.DigestMessage:
         """Return what this node knows, for peers."""
         confirmed = self.bundles.confirmed_ago_s()
-        oldest = self.clock.monotonic() - LEAVING_TO_TELL_S
-        self._leaving_to_tell = {s: at for s, at in self._leaving_to_tell.items() if at >= oldest}
+        oldest = self.clock.monotonic() - LEAVING_GOSSIP_TTL_S
+        self._leaving_to_gossip = {
+            s: at for s, at in self._leaving_to_gossip.items() if at >= oldest
+        }
         return peers_pb2.DigestMessage(
             node=self.id,
             hall=self.settings.node.hall,
@@ -383,18 +385,18 @@
             confirmed_ago_ms=round((confirmed if confirmed is not None else 1e6) * 1000),
             table_reachable=self.table_reachable,
             leaving=self.draining,
-            leaving_servers=list(self._leaving_to_tell),
+            leaving_servers=list(self._leaving_to_gossip),
             open_requests=self.dispatcher.open_requests,
             demand=self.accounts.demand(),
         )
 
-    def digest_heard(self, message: peers_pb2.DigestMessage) -> peers_pb2.DigestMessage:
+    def exchange_digest(self, message: peers_pb2.DigestMessage) -> peers_pb2.DigestMessage:
         """Take a peer's digest and return this node's own."""
-        self._heard(message)
+        self._apply_digest(message)
         return self.own_digest()
 
-    def _heard(self, message: peers_pb2.DigestMessage) -> None:
-        self._heard_peer_at = self.clock.monotonic()
+    def _apply_digest(self, message: peers_pb2.DigestMessage) -> None:
+        self._peer_contact_at = self.clock.monotonic()
         if message.leaving:
             self.fleet.leaving_nodes.add(message.node)
         else:
@@ -406,17 +408,17 @@
             self.bundles.hints.put(hint)
         for server in message.leaving_servers:
             self.dispatcher.handle(ServerLeaving(server, None, f"peer {message.node}"))
-            self._pass_on_leaving(server)
+            self._relay_leaving(server)
 
-    def _pass_on_leaving(self, server: str) -> None:
+    def _relay_leaving(self, server: str) -> None:
         """Tell a few peers that a server leaves, the first time that it is heard."""
-        if server in self._leaving_told:
+        if server in self._leaving_seen:
             return
-        self._leaving_told[server] = True
-        self._leaving_to_tell[server] = self.clock.monotonic()
-        self.tell_news(PEERS_TO_PASS_ON)
+        self._leaving_seen[server] = True
+        self._leaving_to_gossip[server] = self.clock.monotonic()
+        self.gossip_soon(PEERS_TO_PASS_ON)
 
-    def take_over(self, record: StreamRecord) -> str | None:
+    def adopt_stream(self, record: StreamRecord) -> str | None:
         """Take a live stream from a leaving peer; asked twice, it has it already."""
         if self.streams.get(record.request.id) is not None:
             return None
@@ -434,7 +436,7 @@
         peer = self.fleet.nodes.get(node)
         if peer is None:
             return Err(problems.outcome_unknown(f"node {node}, which took the key, is gone"))
-        return await self._peers.run_once(peer.peer_address, call)
+        return await self._link.run_once(peer.peer_address, call)
 
     async def run_once_here(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
         """Run a call that a peer sent on."""
@@ -445,9 +447,11 @@
         if work.service is not None:
             return await self.services.call(work.service)
         assert work.generation is not None, "work is one of the two"
-        return await self.generate_whole(work.generation)
+        return await self.generate_to_completion(work.generation)
 
-    async def generate_whole(self, request: GenerationRequest) -> Result[ServiceAnswer, Problem]:
+    async def generate_to_completion(
+        self, request: GenerationRequest
+    ) -> Result[ServiceAnswer, Problem]:
         """Run a generation to its end and return its tokens as a JSON list."""
         submitted = self.dispatcher.submit(request)
         if isinstance(submitted, Err):
@@ -472,5 +476,5 @@
             emit(Event.BUNDLE_ROLLED, version=outcome.ok_value.version)
             with suppress(Exception):
                 await self.bundles.poll()
-            self.tell_news()
+            self.gossip_soon()
         return outcome
--- a/src/moledale/peers/link.py
+++ b/src/moledale/peers/link.py
@@ -14,11 +14,11 @@
 class PeerHandler(Protocol):
     """The node's side of the calls."""
 
-    def digest_heard(self, message: peers_pb2.DigestMessage) -> peers_pb2.DigestMessage:
+    def exchange_digest(self, message: peers_pb2.DigestMessage) -> peers_pb2.DigestMessage:
         """Take a peer's digest and return this node's own."""
         ...
 
-    def take_over(self, record: StreamRecord) -> str | None:
+    def adopt_stream(self, record: StreamRecord) -> str | None:
         """Take a live stream; return why not, or None if it was taken."""
         ...
 
--- a/src/moledale/peers/server.py
+++ b/src/moledale/peers/server.py
@@ -29,7 +29,7 @@
     ) -> peers_pb2.DigestMessage:
         """Exchange digests."""
         await self._authenticate(context)
-        return self._handler.digest_heard(request)
+        return self._handler.exchange_digest(request)
 
     async def HandOver(
         self, request: peers_pb2.StreamState, context: Any
@@ -41,7 +41,7 @@
         except msgspec.DecodeError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, f"damaged request: {error}")
             raise AssertionError("abort raises") from error
-        reason = self._handler.take_over(StreamRecord(decoded, list(request.tokens)))
+        reason = self._handler.adopt_stream(StreamRecord(decoded, list(request.tokens)))
         if reason is None:
             emit(Event.STREAM_ADOPTED, request=decoded.id, peer=peer)
         return peers_pb2.HandOverReply(accepted=reason is None, reason=reason or "")
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -411,7 +411,7 @@
         await world.up(nodes=6, engines=2)
         sent = world.digests
         for number in range(50):
-            world.nodes["n0"].server_leaves(ServerLeaving(f"gone-{number}", 5.0, "cloud"))
+            world.nodes["n0"].handle_leaving_server(ServerLeaving(f"gone-{number}", 5.0, "cloud"))
         await world.clock.sleep(1.0)
         heard = [
             node for node in world.nodes.values() if "gone-49" in node.own_digest().leaving_servers
--- a/tests/world.py
+++ b/tests/world.py
@@ -457,7 +457,7 @@
     ) -> Result[peers_pb2.DigestMessage, str]:
         self._world.digests += 1
         handler = await self._reach(address)
-        return Err("unreachable") if handler is None else Ok(handler.digest_heard(message))
+        return Err("unreachable") if handler is None else Ok(handler.exchange_digest(message))
 
     async def hand_over(self, address: str, record: StreamRecord) -> Result[None, str]:
         copy = StreamRecord(record.request, list(record.tokens))
@@ -466,7 +466,7 @@
         handler = await self._reach(address)
         if handler is None:
             return Err("unreachable")
-        reason = handler.take_over(copy)
+        reason = handler.adopt_stream(copy)
         await asyncio.sleep(0)
         await self._gate.passed()
         return Ok(None) if reason is None else Err(reason)
