--- a/src/moledale/node/server_watch.py
+++ b/src/moledale/node/server_watch.py
@@ -12,13 +12,13 @@
 from moledale.node.messages import ServerGone, ServerMessage, ServerReported
 from moledale.servers.types import ModelServers
 
-DOWN_AFTER = 3
+DOWN_AFTER_FAILED_POLLS = 3
 """Polls in a row without an answer after which a server gets no new work."""
 
-EMPTY_POLL_S = 1.0
+NO_MODEL_POLL_INTERVAL_S = 1.0
 """Seconds between two polls of a server that holds no model yet."""
 
-EVENTS_SHARE = 0.1
+EVENT_POLL_SHARE = 0.1
 """Part of the polls that ask for cache events instead of load."""
 
 
@@ -33,7 +33,7 @@
         self,
         servers: ModelServers,
         load_tracker: LoadTracker,
-        tell: Callable[[ServerMessage], None],
+        notify: Callable[[ServerMessage], None],
         poll_s: float,
         polls_per_s: float,
         clock: Clock,
@@ -41,15 +41,15 @@
     ) -> None:
         self._servers = servers
         self._load_tracker = load_tracker
-        self._tell = tell
+        self._notify = notify
         self._poll_s = poll_s
         self._polls_per_s = polls_per_s
-        self._asked_at: dict[str, float] = {}
-        self._events_due = 0.0
+        self._polled_at: dict[str, float] = {}
+        self._event_poll_credit = 0.0
         self._clock = clock
         self._rng = rng
-        self._silent: dict[str, int] = {}
-        self._events_seen: dict[str, int] = {}
+        self._failed_polls: dict[str, int] = {}
+        self._last_event_sequences: dict[str, int] = {}
 
     async def run(self) -> None:
         """Poll for ever."""
@@ -60,34 +60,38 @@
     async def poll(self) -> None:
         """Poll new servers, and the one that was silent longest if that is long enough."""
         views = list(self._load_tracker.views.values())
-        new = [view for view in views if view.id not in self._asked_at]
-        self._asked_at = {
-            name: at for name, at in self._asked_at.items() if name in self._load_tracker.views
+        new = [view for view in views if view.id not in self._polled_at]
+        self._polled_at = {
+            name: at for name, at in self._polled_at.items() if name in self._load_tracker.views
         }
-        self._silent = {
-            name: n for name, n in self._silent.items() if name in self._load_tracker.views
+        self._failed_polls = {
+            name: n for name, n in self._failed_polls.items() if name in self._load_tracker.views
         }
         now = self._clock.monotonic()
         if new:
             await asyncio.gather(*(self._poll_load(view) for view in new))
             return
-        self._events_due += EVENTS_SHARE
-        if self._events_due >= 1.0:
-            self._events_due -= 1.0
-            await self._poll_some_events(views)
+        self._event_poll_credit += EVENT_POLL_SHARE
+        if self._event_poll_credit >= 1.0:
+            self._event_poll_credit -= 1.0
+            await self._poll_events_of_one(views)
             return
-        due = [view for view in views if now - self._heard_at(view) >= self._due_s(view)]
+        due = [
+            view
+            for view in views
+            if now - self._last_contact_at(view) >= self._poll_interval_s(view)
+        ]
         if due:
-            await self._poll_load(min(due, key=self._heard_at))
+            await self._poll_load(min(due, key=self._last_contact_at))
 
-    def _due_s(self, view: ServerView) -> float:
+    def _poll_interval_s(self, view: ServerView) -> float:
         """Return how long a server may be silent; one that waits for its models is asked sooner."""
-        return self._poll_s if view.models else min(self._poll_s, EMPTY_POLL_S)
+        return self._poll_s if view.models else min(self._poll_s, NO_MODEL_POLL_INTERVAL_S)
 
-    def _heard_at(self, view: ServerView) -> float:
-        return max(view.reported_at, self._asked_at[view.id])
+    def _last_contact_at(self, view: ServerView) -> float:
+        return max(view.reported_at, self._polled_at[view.id])
 
-    async def _poll_some_events(self, views: list[ServerView]) -> None:
+    async def _poll_events_of_one(self, views: list[ServerView]) -> None:
         """Ask one server that should hold caches what it has evicted."""
         holding = [view for view in views if view.cached]
         if holding:
@@ -95,21 +99,21 @@
 
     async def _poll_load(self, view: ServerView) -> None:
         asked_at = self._clock.monotonic()
-        self._asked_at[view.id] = asked_at
+        self._polled_at[view.id] = asked_at
         outcome = await self._servers.load(view.address)
         if isinstance(outcome, Err):
-            silent = self._silent.get(view.id, 0) + 1
-            self._silent[view.id] = silent
-            if silent == DOWN_AFTER:
+            silent = self._failed_polls.get(view.id, 0) + 1
+            self._failed_polls[view.id] = silent
+            if silent == DOWN_AFTER_FAILED_POLLS:
                 emit(Event.SERVER_DOWN, server=view.id, detail=outcome.err_value.detail)
-                self._tell(ServerGone(view.id, "does not answer"))
+                self._notify(ServerGone(view.id, "does not answer"))
             return
-        self._silent[view.id] = 0
-        self._tell(ServerReported(outcome.ok_value, self._clock.monotonic() - asked_at))
+        self._failed_polls[view.id] = 0
+        self._notify(ServerReported(outcome.ok_value, self._clock.monotonic() - asked_at))
 
     async def _poll_events(self, view: ServerView) -> None:
         """Follow evictions; after a gap the node's own view of that server's cache is dropped."""
-        after = self._events_seen.get(view.id, 0)
+        after = self._last_event_sequences.get(view.id, 0)
         outcome = await self._servers.cache_events(view.address, after)
         if isinstance(outcome, Err):
             return
@@ -120,4 +124,4 @@
             after = event.sequence
             if event.kind == "evicted" and self._load_tracker.server_of(event.session) == view.id:
                 self._load_tracker.forget_session(event.session)
-        self._events_seen[view.id] = after
+        self._last_event_sequences[view.id] = after
