--- a/src/moledale/node/services.py
+++ b/src/moledale/node/services.py
@@ -39,13 +39,13 @@
             return Err(problems.not_found(f"service {call.service!r}"))
         may_repeat = service.repeatable or call.method in SAFE_METHODS
         refusal = problems.unavailable(f"service {call.service!r} refuses connections", 2)
-        free = self._free(service)
+        free = self._available(service)
         if not free:
             return Err(self._all_back_off(service))
-        for address in self._order(free):
+        for address in self._shuffled(free):
             outcome = await self._services.call(address, call, service.timeout_s)
             if not isinstance(outcome, Err):
-                self._note_retry_after(address, outcome.ok_value.retry_after_s)
+                self._record_retry_after(address, outcome.ok_value.retry_after_s)
                 return outcome
             failure = outcome.err_value
             if not failure.may_have_run:
@@ -55,16 +55,16 @@
             refusal = problems.failed(f"the service failed: {failure.detail}")
         return Err(refusal)
 
-    def _order(self, addresses: list[str]) -> list[str]:
+    def _shuffled(self, addresses: list[str]) -> list[str]:
         return self._rng.sample(addresses, len(addresses))
 
-    def _free(self, service: Service) -> list[str]:
+    def _available(self, service: Service) -> list[str]:
         """Return the addresses that may be called now."""
         now = self._now()
         self._retry_at = {name: at for name, at in self._retry_at.items() if at > now}
         return [each for each in service.addresses if each not in self._retry_at]
 
-    def _note_retry_after(self, address: str, retry_after_s: float | None) -> None:
+    def _record_retry_after(self, address: str, retry_after_s: float | None) -> None:
         if retry_after_s is not None:
             retry_at = self._now() + retry_after_s
             self._retry_at[address] = max(retry_at, self._retry_at.get(address, retry_at))
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -121,11 +121,11 @@
 
     def test_a_shorter_time_does_not_take_a_longer_one_back(self) -> None:
         router = self.router(Declining())
-        router._note_retry_after("http://a:1", 5.0)
-        router._note_retry_after("http://a:1", 1.0)
+        router._record_retry_after("http://a:1", 5.0)
+        router._record_retry_after("http://a:1", 1.0)
         self.now += 3.0
         service = Service.model_construct(addresses=self.addresses)
-        self.assertEqual(router._free(service), ["http://b:1"])
+        self.assertEqual(router._available(service), ["http://b:1"])
 
     def test_all_that_want_no_calls_refuse_with_the_time_of_the_first(self) -> None:
         async def work() -> None:
