--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -216,7 +216,7 @@
         self.supervisor.start("standing", self._report_readiness)
         self.supervisor.start("own-jobs", self._adopt_own_jobs)
         self.supervisor.start("duty-choice", self._choose_duties)
-        self.supervisor.start_under(self._duty_supervisor)
+        self.supervisor.start_supervisor(self._duty_supervisor)
         self.to_serve()  # type: ignore[attr-defined]
         return port
 
--- a/src/moledale/node/supervisor.py
+++ b/src/moledale/node/supervisor.py
@@ -9,14 +9,14 @@
 from moledale.clock import Clock
 from moledale.log import Event, emit
 
-RESTART_PAUSE_S = 0.2
+RESTART_DELAY_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class RestartLimit:
-    """At most `most` restarts within `window_s` seconds."""
+    """At most `max_restarts` restarts within `window_s` seconds."""
 
-    most: int = 5
+    max_restarts: int = 5
     window_s: float = 60.0
 
 
@@ -46,9 +46,9 @@
         """Start a child after those started before it."""
         child = _Child(name, run)
         self._children.append(child)
-        child.task = asyncio.create_task(self._keep(child), name=f"{self.name}/{name}")
+        child.task = asyncio.create_task(self._run_child(child), name=f"{self.name}/{name}")
 
-    def start_under(self, child: "Supervisor") -> None:
+    def start_supervisor(self, child: "Supervisor") -> None:
         """Put another supervisor below this one; if it gives up, this one does too."""
 
         async def watch() -> None:
@@ -68,7 +68,7 @@
                 await asyncio.gather(child.task, return_exceptions=True)
         self._children.clear()
 
-    async def _keep(self, child: _Child) -> None:
+    async def _run_child(self, child: _Child) -> None:
         while True:
             try:
                 await child.run()
@@ -87,11 +87,11 @@
                 emit(Event.TASK_GAVE_UP, task=f"{self.name}/{child.name}")
                 self.gave_up.set()
                 return
-            await self._clock.sleep(RESTART_PAUSE_S)
+            await self._clock.sleep(RESTART_DELAY_S)
 
     def _may_restart(self, child: _Child) -> bool:
         now = self._clock.monotonic()
         child.failures.append(now)
         while child.failures and child.failures[0] < now - self._limit.window_s:
             child.failures.popleft()
-        return len(child.failures) <= self._limit.most
+        return len(child.failures) <= self._limit.max_restarts
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -49,7 +49,7 @@
         async def work() -> None:
             root = Supervisor("root", self.clock)
             below = Supervisor("below", self.clock, RestartLimit(2, 60.0))
-            root.start_under(below)
+            root.start_supervisor(below)
             below.start("c", lambda: self.child("c", failures=99))
             await root.gave_up.wait()
             await root.stop()
