--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -83,11 +83,11 @@
             return Err(problems.overloaded("this node holds as many streams as it may", 1))
         blocked_s = self._guard.blocked_for_s(request)
         if blocked_s > 0:
-            self._tally.refused(request)
+            self._tally.record_refused(request)
             return Err(problems.unavailable(BLOCKED, math.ceil(blocked_s)))
         refusal = self._waiting.refusal(request)
         if refusal is not None:
-            self._tally.refused(request)
+            self._tally.record_refused(request)
             return Err(refusal)
         return Ok(self.adopt(StreamRecord(request)))
 
@@ -346,7 +346,7 @@
     def _count(self, record: StreamRecord) -> None:
         if record.state == "finished":
             self._waiting.note_service(self._clock.monotonic() - record.accepted_at)
-        self._tally.ended(record)
+        self._tally.record_ended(record)
 
 
 def _after_dispatch(problem: Problem, record: StreamRecord) -> Problem:
--- a/src/moledale/node/tally.py
+++ b/src/moledale/node/tally.py
@@ -25,29 +25,29 @@
         self._bundle = bundle
         self._clock = clock
 
-    def refused(self, request: GenerationRequest) -> None:
+    def record_refused(self, request: GenerationRequest) -> None:
         """Count a request that was refused at once."""
-        self._note(request, good=False)
+        self._record(request, good=False)
 
-    def ended(self, record: StreamRecord) -> None:
+    def record_ended(self, record: StreamRecord) -> None:
         """Count a request that finished or failed here; one that was handed on counts there."""
         request = record.request
         if record.state == "failed":
             if record.problem is not None and record.problem.kind != "cancelled":
                 emit(Event.REQUEST_FAILED, request=request.id, kind=record.problem.kind)
-                self._note(request, good=False)
+                self._record(request, good=False)
         elif record.state == "finished":
             first_s = self._first_token_s(record)
             self._burn.record_first_token(request.priority, first_s)
             self._metrics.timing(f"first_token.{request.priority.value}", first_s * 1000)
-            self._note(request, good=self._in_target(record, first_s))
+            self._record(request, good=self._met_target(record, first_s))
 
     def _first_token_s(self, record: StreamRecord) -> float:
         if record.first_token_at is None or record.taken_over:
             return 0.0
         return record.first_token_at - record.accepted_at
 
-    def _in_target(self, record: StreamRecord, first_s: float) -> bool:
+    def _met_target(self, record: StreamRecord, first_s: float) -> bool:
         bundle = self._bundle()
         if bundle is None:
             return True
@@ -58,6 +58,6 @@
             and self._clock.wall() <= record.request.deadline_at
         )
 
-    def _note(self, request: GenerationRequest, good: bool) -> None:
+    def _record(self, request: GenerationRequest, good: bool) -> None:
         self._burn.record_request(request.account, request.priority, good, self._clock.wall())
         self._metrics.incr(f"requests.{'good' if good else 'bad'}")
