--- a/src/moledale/node/__init__.py
+++ b/src/moledale/node/__init__.py
@@ -1,1 +1,1 @@
-"""The tasks of one entry instance and the supervisor tree above them."""
+"""The tasks of one entry instance and the supervisor tree that runs them."""
