--- a/src/moledale/node/accounts.py
+++ b/src/moledale/node/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: whose key it is, and the account's limit on this node."""
+"""Client accounts: lookup by API key, and rate limiting on this node."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -12,12 +12,15 @@
 from moledale.problems import Problem
 
 DEMAND_HALF_LIFE_S = 5.0
+"""Half-life of the decayed request rate of an account."""
+
 PEER_DEMAND_TTL_S = 20.0
+"""Age after which a peer's reported demand no longer counts."""
 
 
 @dataclass(slots=True)
 class _AccountState:
-    """An account's bucket here, and the demand it showed lately."""
+    """An account's token bucket on this node, and its decayed request rate at `updated_at`."""
 
     bucket: TokenBucket
     demand: float = 0.0
@@ -26,14 +29,14 @@
 
 @dataclass(slots=True)
 class _PeerDemand:
-    """What a peer said about demand, and when."""
+    """The demand by account that a peer reported, and when the report arrived."""
 
     updated_at: float
     demand: dict[str, float] = field(default_factory=dict)
 
 
 class Accounts:
-    """Finds accounts by key and holds them to this node's part of their limits."""
+    """Finds accounts by key and enforces this node's share of their rate limits."""
 
     def __init__(
         self, bundle: Callable[[], Bundle | None], node_count: Callable[[], int], clock: Clock
@@ -47,7 +50,7 @@
         self._indexed_version = 0
 
     def find(self, key: str) -> Account | None:
-        """Return the account that a key belongs to."""
+        """Return the account that an API key belongs to, or None."""
         bundle = self._bundle()
         if bundle is None:
             return None
@@ -55,39 +58,43 @@
             self._by_digest = {d: a for a in bundle.accounts for d in a.key_digests}
             self._indexed_version = bundle.version
             names = {account.name for account in bundle.accounts}
-            self._states = {name: use for name, use in self._states.items() if name in names}
+            self._states = {name: state for name, state in self._states.items() if name in names}
         return self._by_digest.get(key_digest(key))
 
     def admit(self, account: Account) -> Result[None, Problem]:
-        """Take one request from the account's limit, or refuse."""
+        """Charge one request to the account, or return a problem if it is over its limit."""
         now = self._clock.monotonic()
-        use = self._states.get(account.name)
-        if use is None:
+        state = self._states.get(account.name)
+        if state is None:
             bucket = TokenBucket(account.requests_per_s, account.burst, account.burst, now)
-            use = _AccountState(bucket, updated_at=now)
-            self._states[account.name] = use
-        use.demand = _decayed(use.demand, now - use.updated_at) + 1.0 / DEMAND_HALF_LIFE_S
-        use.updated_at = now
+            state = _AccountState(bucket, updated_at=now)
+            self._states[account.name] = state
+        state.demand = _decayed(state.demand, now - state.updated_at) + 1.0 / DEMAND_HALF_LIFE_S
+        state.updated_at = now
         share = node_rate(
-            account.requests_per_s, use.demand, self._peer_demands(account.name), self._node_count()
+            account.requests_per_s,
+            state.demand,
+            self._peer_demands(account.name),
+            self._node_count(),
         )
-        use.bucket.set_rate(share, max(1.0, account.burst * share / account.requests_per_s), now)
-        wait = use.bucket.take(now)
+        state.bucket.set_rate(share, max(1.0, account.burst * share / account.requests_per_s), now)
+        wait = state.bucket.take(now)
         if wait <= 0:
             return Ok(None)
         detail = f"account {account.name!r} is over {account.requests_per_s:g} requests a second"
         return Err(problems.limited(detail, max(1, round(wait))))
 
     def demand(self) -> dict[str, float]:
-        """Return the accounts' demand here, for the digest."""
+        """Return the recent requests per second of each account, for the gossip digest."""
         now = self._clock.monotonic()
-        shown = {
-            name: _decayed(use.demand, now - use.updated_at) for name, use in self._states.items()
+        demand = {
+            name: _decayed(state.demand, now - state.updated_at)
+            for name, state in self._states.items()
         }
-        return {name: round(value, 2) for name, value in shown.items() if value >= 0.01}
+        return {name: round(value, 2) for name, value in demand.items() if value >= 0.01}
 
     def record_peer_demand(self, peer: str, demand: dict[str, float]) -> None:
-        """Note what a peer says of its demand."""
+        """Store the demand by account that a peer reported."""
         self._demand_by_peer[peer] = _PeerDemand(self._clock.monotonic(), demand)
 
     def _peer_demands(self, account: str) -> list[float]:
