--- a/src/moledale/node/background.py
+++ b/src/moledale/node/background.py
@@ -1,4 +1,4 @@
-"""Short tasks that nobody waits for, kept from being collected while they run."""
+"""Fire-and-forget tasks, with strong references so that they are not garbage collected."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,15 +8,15 @@
 
 
 class BackgroundTasks:
-    """Holds tasks until they end, and logs those that fail."""
+    """Holds references to running tasks and logs the ones that fail."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    def start(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Start a task."""
-        task = asyncio.create_task(work)
+    def start(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Run a coroutine as a task without waiting for it."""
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
 
