--- a/src/moledale/node/bundle_watch.py
+++ b/src/moledale/node/bundle_watch.py
@@ -1,4 +1,4 @@
-"""Follows the bundle head: adopts newer versions, never an older one."""
+"""Polls the bundle head and adopts newer versions, never older ones."""
 
 import random
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class BundleWatch:
-    """The bundle in force on this node, and how lately its head was confirmed."""
+    """Holds this node's current bundle and when its version was last confirmed as the head."""
 
     def __init__(
         self,
@@ -41,17 +41,17 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the current version, or 0 before the first bundle is adopted."""
         return self.bundle.version if self.bundle is not None else 0
 
     def confirmed_ago_s(self) -> float | None:
-        """Return the seconds since the version in force was known to be the head."""
+        """Return the seconds since the current version was confirmed as the head, or None."""
         if self._confirmed_at is None:
             return None
         return self._clock.monotonic() - self._confirmed_at
 
     async def run(self) -> None:
-        """Poll the head, and at once when a peer tells of a newer version."""
+        """Poll the head periodically, and immediately when a peer reports a newer version."""
         while True:
             await self.poll()
             await self._wait_for_next_poll()
@@ -74,18 +74,19 @@
         self._confirmed_at = asked_at
 
     def handle_hint(self, hint: HeadHint) -> bool:
-        """Take a peer's word; return True if it tells of a newer version.
+        """Process a version reported by a peer; return True if it is newer than this node's.
 
-        A peer's confirmation of the very same version counts for this node too, aged by what
-        the peer says; a newer version only makes this node read the table.
+        A peer's confirmation of the same version counts for this node too, at the age that the
+        peer reported. A newer version is never adopted from a peer: it only triggers a read of
+        the table.
         """
         if hint.version > self.version:
             self.newest_version_seen = max(self.newest_version_seen, hint.version)
             return True
         if hint.version == self.version and hint.confirmed_ago_s is not None:
-            at = self._clock.monotonic() - hint.confirmed_ago_s
-            if self._confirmed_at is None or at > self._confirmed_at:
-                self._confirmed_at = at
+            confirmed_at = self._clock.monotonic() - hint.confirmed_ago_s
+            if self._confirmed_at is None or confirmed_at > self._confirmed_at:
+                self._confirmed_at = confirmed_at
         return False
 
     async def _adopt(self, head: store.Head) -> bool:
@@ -93,7 +94,7 @@
         if isinstance(fetched, Err):
             emit(Event.BUNDLE_REFUSED, version=head.version, detail=fetched.err_value)
             return False
-        # The floor may have risen while the body was fetched.
+        # A newer version may have been adopted while this one was fetched.
         if head.version <= self.version:
             return False
         self.bundle = fetched.ok_value
@@ -103,8 +104,8 @@
         return True
 
     async def _wait_for_next_poll(self) -> None:
-        """Wait for the next poll, cut short by a hint of a newer version."""
-        # Spread, so that the nodes' polls never fall together after an outage.
+        """Wait for the poll interval, or until a hint reports a newer version."""
+        # The jitter keeps the nodes from polling in lockstep after an outage.
         until = self._clock.monotonic() + self._poll_s * self._rng.uniform(0.75, 1.25)
         while (left := until - self._clock.monotonic()) > 0:
             hint = await self.hints.get_within(left, self._clock)
