--- a/src/moledale/node/burn.py
+++ b/src/moledale/node/burn.py
@@ -1,4 +1,4 @@
-"""Service-level burn: good and bad requests by account and priority, minute by minute."""
+"""Error budget burn rates, from good and bad requests per account, priority and minute."""
 
 from collections import deque
 
@@ -14,7 +14,7 @@
 
 
 class BurnCount(msgspec.Struct):
-    """Requests of one account and priority in one minute; `minute` is since the epoch."""
+    """Requests of one account and priority in one minute; `minute` counts from the Unix epoch."""
 
     minute: int
     account: str
@@ -24,7 +24,7 @@
 
 
 class BurnPage(msgspec.Struct, frozen=True):
-    """A node's counts, and its first-token times by priority (p50, p95, p99 in ms)."""
+    """A node's counts, and its time to first token by priority (p50, p95, p99 in ms)."""
 
     node: str
     counts: list[BurnCount]
@@ -32,7 +32,10 @@
 
 
 class BurnRow(msgspec.Struct, frozen=True):
-    """One line of the report: burn 1.0 uses up the budget exactly at the objective's pace."""
+    """Requests and burn rate of one account and priority, by window.
+
+    A burn rate of 1.0 uses up the error budget exactly at the rate that the objective allows.
+    """
 
     account: str
     priority: Priority
@@ -42,7 +45,7 @@
 
 
 class BurnCounter:
-    """The counts of one node."""
+    """Counts good and bad requests and records times to first token on one node."""
 
     def __init__(self, node: str) -> None:
         self._node = node
@@ -54,7 +57,7 @@
         }
 
     def record_request(self, account: str, priority: Priority, good: bool, wall: float) -> None:
-        """Count one request that ended."""
+        """Count one finished request, at a wall-clock time in seconds."""
         minute = int(wall // MINUTE_S)
         if minute != self._minute:
             self._minute = minute
@@ -77,13 +80,13 @@
         )
 
     def page(self) -> BurnPage:
-        """Return all counts."""
-        quantiles = {
+        """Return the counts of the retention period and the percentiles of time to first token."""
+        percentiles = {
             priority.value: [histogram.get_value_at_percentile(p) for p in (50, 95, 99)]
             for priority, histogram in self._first_token_ms.items()
             if histogram.get_total_count()
         }
-        return BurnPage(self._node, list(self._counts), quantiles)
+        return BurnPage(self._node, list(self._counts), percentiles)
 
     def _drop_old(self, minute: int) -> None:
         while self._counts and self._counts[0].minute <= minute - RETENTION_MINUTES:
@@ -91,7 +94,7 @@
 
 
 def burn_rows(bundle: Bundle, counts: list[BurnCount], wall: float) -> list[BurnRow]:
-    """Merge counts of any number of nodes into report lines."""
+    """Merge the counts of any number of nodes into rows, one per account and priority."""
     groups = sorted({(count.account, count.priority) for count in counts})
     rows = []
     for account, priority in groups:
