--- a/src/moledale/node/fleet.py
+++ b/src/moledale/node/fleet.py
@@ -1,4 +1,4 @@
-"""What a node knows of the other instances, from the lagging list."""
+"""The nodes and servers known from the instance list, which lags behind the cloud."""
 
 import random
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Fleet:
-    """Nodes and servers of the list; servers this node follows are told to the dispatcher."""
+    """Holds the listed nodes and servers, and selects the servers that this node follows."""
 
     def __init__(
         self,
@@ -37,11 +37,11 @@
         self._notify = notify
 
     def peer_nodes(self) -> list[Instance]:
-        """Return the other entry instances that are not gone."""
+        """Return the listed nodes other than this one."""
         return [node for node in self.nodes.values() if node.id != self._node]
 
     def node_views(self) -> list[NodeView]:
-        """Return the nodes as the address decision sees them."""
+        """Return the listed nodes, this one included, as input for choosing addresses."""
         return [
             NodeView(
                 node.id,
@@ -54,11 +54,11 @@
         ]
 
     def is_node_listed(self, node: str) -> bool:
-        """Say whether the list holds a node, whether it is leaving or not."""
+        """Return whether a node is listed, also if it is leaving."""
         return node in self.nodes
 
     def apply_page(self, full: bool, instances: list[Instance], bundle: Bundle | None) -> None:
-        """Take over a page of the list."""
+        """Apply a page of the list: a full snapshot or a delta."""
         if full:
             present = {instance.id for instance in instances}
             for gone in [name for name in self.nodes if name not in present]:
@@ -73,7 +73,10 @@
         self.update_followed(bundle)
 
     def update_followed(self, bundle: Bundle | None) -> None:
-        """Choose anew which servers to follow; needs a bundle for the classes' speeds."""
+        """Select the servers to follow again and notify the dispatcher of changes.
+
+        Without a bundle the instance classes' speeds are unknown, and nothing changes.
+        """
         if bundle is None:
             return
         known = [
@@ -112,15 +115,19 @@
 
 
 def server_view(instance: Instance, bundle: Bundle) -> ServerView:
-    """Make a fresh view of a listed server; its models come with its first report."""
-    item = bundle.instance_class(instance.instance_class)
-    assert item is not None, "only servers of stated classes are followed"
-    speeds = Speeds(item.prefill_tokens_per_s, item.decode_tokens_per_s, item.slots)
+    """Return a new view of a listed server; its models arrive with its first load report."""
+    instance_class = bundle.instance_class(instance.instance_class)
+    assert instance_class is not None, "only servers of classes in the bundle are followed"
+    speeds = Speeds(
+        instance_class.prefill_tokens_per_s,
+        instance_class.decode_tokens_per_s,
+        instance_class.slots,
+    )
     return ServerView(instance.id, instance.hall, instance.address, speeds)
 
 
 class FleetWatch:
-    """Polls the lagging list for changes."""
+    """Polls the instance list for changes."""
 
     def __init__(
         self,
@@ -141,13 +148,13 @@
         self._bundle_version = 0
 
     async def run(self) -> None:
-        """Poll for ever."""
+        """Poll forever, with jitter."""
         while True:
             await self.poll()
             await self._clock.sleep(self._poll_s * self._rng.uniform(0.75, 1.25))
 
     async def poll(self) -> None:
-        """Ask for changes once; an outage keeps the last view."""
+        """Fetch and apply changes once; during an outage the last known state is kept."""
         outcome = await self._platform.instances.changes(self._revision)
         bundle = self._bundle()
         version = bundle.version if bundle is not None else 0
