--- a/src/moledale/node/generation_guard.py
+++ b/src/moledale/node/generation_guard.py
@@ -1,8 +1,9 @@
-"""Keeping generations that end servers from servers.
+"""Blocks generations that crash servers.
 
-Accepted work is tried again until it is done, by whichever node has it, so one generation that ends
-each server which begins to run it would end them all. What it did is counted by what is asked for,
-and it waits as long as `core.quarantine` says. What other nodes saw is not told here.
+Accepted work is retried until it is done, by whichever node owns it, so a generation that crashes
+every server it starts on would take down all of them. Crashes are counted per account, model and
+prompt, and a suspect is blocked for as long as `core.quarantine` decides. Only crashes that this
+node saw are counted; they are not shared with other nodes.
 """
 
 import asyncio
@@ -19,24 +20,24 @@
 from moledale.servers.types import ModelServers
 
 MIN_STRIKES = 2.99
-"""Ends that a generation must explain before it waits: three. An accepted one survives two servers
-that are killed under it, which the fault matrix proves at each step."""
+"""Crashes that a generation must account for before it is blocked: three, so that an accepted one
+survives two servers that are killed while running it, which the fault matrix tests at each step."""
 
 COLLECT_WINDOW_S = 0.03
-"""What a server had in hand breaks off within this time when it ends, and a request that broke off
-is sent again after 0.025 s at the earliest."""
+"""Time to collect the requests that break when a server crashes. All of its requests break within
+this time, and a broken request is retried after 0.025 s at the earliest."""
 
 
 @dataclass(slots=True)
 class _BrokenRequests:
-    """What broke off at a server; `looked` once it is known whether the server has ended."""
+    """Requests that broke at a server; `checked` is set once it is known whether it crashed."""
 
     requests: list[bytes] = field(default_factory=list)
     checked: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class GenerationGuard:
-    """Counts the servers that ended under generations at one node."""
+    """Counts the server crashes seen by one node, and blocks the generations that cause them."""
 
     def __init__(self, servers: ModelServers, clock: Clock) -> None:
         self._servers = servers
@@ -46,19 +47,19 @@
         self._background = BackgroundTasks("server ends")
 
     def blocked_for_s(self, request: GenerationRequest) -> float:
-        """Return how long a generation may not run, 0.0 if it may now."""
+        """Return the seconds for which a generation is still blocked, or 0.0 if it may run now."""
         if not self._quarantine.has_suspects:
             return 0.0
         self.update_blocks()
         return self._quarantine.wait_s(_fingerprint(request), self._clock.monotonic())
 
     def record_served(self, request: GenerationRequest) -> None:
-        """Note that a server survived a generation."""
+        """Record that a server completed a generation without crashing."""
         if self._quarantine.has_suspects:
             self._quarantine.record_served(_fingerprint(request))
 
     def record_broken(self, request: GenerationRequest, server: str, address: str) -> None:
-        """Note that a generation broke off; whether its server ended is found out."""
+        """Record a broken generation, and check in the background whether its server crashed."""
         broken = self._broken.get(server)
         if broken is None:
             broken = self._broken[server] = _BrokenRequests()
@@ -66,13 +67,13 @@
         broken.requests.append(_fingerprint(request))
 
     async def wait_checked(self, server: str) -> None:
-        """Wait until it is known whether a server has ended, if that is being found out."""
+        """Wait for a running crash check of a server to finish; return at once if there is none."""
         broken = self._broken.get(server)
         if broken is not None:
             await broken.checked.wait()
 
     def update_blocks(self) -> None:
-        """Block the generations that end servers."""
+        """Block the generations that the recorded crashes point to."""
         now = self._clock.monotonic()
         for block in self._quarantine.block_guilty(now):
             emit(
@@ -84,22 +85,22 @@
             )
 
     async def _check_server(self, server: str, address: str) -> None:
-        at = self._clock.monotonic()
+        seen_at = self._clock.monotonic()
         broken = self._broken[server]
         try:
             await self._clock.sleep(COLLECT_WINDOW_S)
             if isinstance(await self._servers.load(address), Err):
-                self._record_crash(server, broken.requests, at)
+                self._record_crash(server, broken.requests, seen_at)
         finally:
             del self._broken[server]
             broken.checked.set()
 
-    def _record_crash(self, server: str, requests: list[bytes], at: float) -> None:
-        names = [each.hex() for each in requests]
-        emit(Event.SERVER_ENDED, server=server, requests=len(requests), fingerprints=names)
-        self._quarantine.record_crash(server, requests, at)
+    def _record_crash(self, server: str, requests: list[bytes], seen_at: float) -> None:
+        fingerprints = [each.hex() for each in requests]
+        emit(Event.SERVER_ENDED, server=server, requests=len(requests), fingerprints=fingerprints)
+        self._quarantine.record_crash(server, requests, seen_at)
 
 
 def _fingerprint(request: GenerationRequest) -> bytes:
-    """Return the digest of who asks for what, the same for each attempt and each time it comes."""
+    """Return a digest of account, model and prompt, which is the same for every attempt."""
     return digest_of((request.account.encode(), request.model.encode(), request.prompt.encode()))
