--- a/src/moledale/node/hall_duty.py
+++ b/src/moledale/node/hall_duty.py
@@ -1,4 +1,4 @@
-"""The duty that one node at a time has for a hall: notices, renting, models, orphaned jobs."""
+"""The hall duty, done by one lease holder per hall: notices, renting, models, orphaned jobs."""
 
 import asyncio
 import random
@@ -33,18 +33,22 @@
 LEASE_TABLE = "lease"
 HOLDER_POLLS_PER_TTL = 10
 CANDIDATE_POLLS_PER_TTL = 3
+"""Lease checks per lease TTL; a holder also does one round of duty per check interval."""
+
 SERVERS_POLLED_PER_ROUND = 5
-"""Servers that a holder asks for their load each round of renting; the rest come later."""
+"""Servers that a holder polls for their load per renting round; the rest follow in later rounds."""
 
 ROUNDS_PER_RENTING = 5
 ROUNDS_PER_ADOPTION = 3
+"""Rounds of duty from one renting, or adoption of orphaned jobs, to the next."""
+
 MIN_IDLE_POLLS = 6
-"""Surveys in a row that must find a server without work before it may be returned."""
+"""Polls in a row that must find a server idle before it may be returned."""
 
 
 @dataclass(slots=True)
 class _HolderState:
-    """What the holder remembers between its rounds; losing it costs time only."""
+    """State that the holder keeps between rounds; if it is lost, rebuilding it costs only time."""
 
     seen_notices: set[str] = field(default_factory=set)
     reports: dict[str, LoadReport] = field(default_factory=dict)
@@ -53,7 +57,7 @@
 
 
 class HallDuty:
-    """Stands for one hall's lease and does the hall's duty while it holds it."""
+    """Competes for one hall's lease and does the hall's duty while it holds the lease."""
 
     def __init__(
         self,
@@ -90,23 +94,23 @@
         return HallRenting(self.hall, self._platform, self._fleet, self._announce, self._clock)
 
     async def run(self) -> None:
-        """Keep the lease and do the duty, for ever, side by side.
+        """Maintain the lease and do the duty forever, in two concurrent tasks.
 
-        A duty that takes long, since a server or the cloud does not answer, must not cost the
-        lease.
+        They are separate so that a slow round, when a server or the cloud does not answer, does
+        not cost the lease.
         """
-        async with asyncio.TaskGroup() as both:
-            both.create_task(self._run_lease())
-            both.create_task(self._run_duty())
+        async with asyncio.TaskGroup() as group:
+            group.create_task(self._run_lease())
+            group.create_task(self._run_duty())
 
     async def _run_lease(self) -> None:
         while True:
             await self.keep_lease()
             grant = self.lease.grant(self._clock.monotonic())
             self._on_lease_change(grant)
-            # A candidate looks at the row three times in its life; only a holder is busy.
-            parts = HOLDER_POLLS_PER_TTL if grant is not None else CANDIDATE_POLLS_PER_TTL
-            await self._sleep(parts)
+            # A candidate only reads the row, three times per TTL; a holder must renew it in time.
+            polls_per_ttl = HOLDER_POLLS_PER_TTL if grant is not None else CANDIDATE_POLLS_PER_TTL
+            await self._sleep(polls_per_ttl)
 
     async def _run_duty(self) -> None:
         while True:
@@ -115,12 +119,14 @@
                 await self._run_round(grant)
             await self._sleep(HOLDER_POLLS_PER_TTL)
 
-    async def _sleep(self, parts: int) -> None:
-        """Wait for a part of the lease's life, spread by a fifth."""
-        await self._clock.sleep(self._times.lease_ttl_s / parts * self._rng.uniform(0.8, 1.2))
+    async def _sleep(self, polls_per_ttl: int) -> None:
+        """Sleep for the lease's TTL divided by `polls_per_ttl`, with 20 % jitter."""
+        await self._clock.sleep(
+            self._times.lease_ttl_s / polls_per_ttl * self._rng.uniform(0.8, 1.2)
+        )
 
     async def keep_lease(self) -> None:
-        """Do what the lease asks for now: read, take or renew it."""
+        """Do what the lease requires now: read, acquire or renew it."""
         action = self.lease.decide(self._clock.monotonic())
         if action is LeaseAction.READ:
             await self._read_row()
@@ -153,7 +159,7 @@
         self.lease.record_write(row, outcome.ok_value.versions[0], sent_at)
 
     async def _resolve_write(self, row: LeaseRow, sent_at: float) -> None:
-        """Read the row to learn whether a write whose answer was lost or refused stands."""
+        """Read the row to find out whether a write that was lost or refused has been committed."""
         outcome = await self._platform.table.read(LEASE_TABLE, self.lease.name)
         if isinstance(outcome, Err):
             return
@@ -177,8 +183,6 @@
         else:
             emit(Event.LEASE_LOST, lease=self.lease.name)
 
-    # The duty itself
-
     async def _run_round(self, grant: Grant) -> None:
         self._round += 1
         await self._announce_notices()
@@ -206,30 +210,31 @@
         ]
 
     async def _poll_loads(self) -> None:
-        """Ask some of the hall's servers for their load, those not asked for longest first."""
-        here = self._live_servers()
-        memory = self._state
-        names = {server.id for server in here}
-        memory.reports = {name: r for name, r in memory.reports.items() if name in names}
-        here.sort(key=lambda server: (memory.polled_in_round.get(server.id, 0), server.id))
-        servers = here[:SERVERS_POLLED_PER_ROUND]
+        """Poll some of the hall's servers for their load, the least recently polled first."""
+        live = self._live_servers()
+        state = self._state
+        names = {server.id for server in live}
+        state.reports = {name: r for name, r in state.reports.items() if name in names}
+        live.sort(key=lambda server: (state.polled_in_round.get(server.id, 0), server.id))
+        servers = live[:SERVERS_POLLED_PER_ROUND]
         outcomes = await asyncio.gather(*(self._servers.load(s.address) for s in servers))
         for server, outcome in zip(servers, outcomes, strict=True):
-            memory.polled_in_round[server.id] = self._round
-            memory.reports.pop(server.id, None)
+            state.polled_in_round[server.id] = self._round
+            state.reports.pop(server.id, None)
             if not isinstance(outcome, Err):
-                memory.reports[server.id] = outcome.ok_value
+                state.reports[server.id] = outcome.ok_value
                 self._count_idle(outcome.ok_value)
 
     def _count_idle(self, report: LoadReport) -> None:
-        busy = report.running + report.waiting
-        rounds = 0 if busy else self._state.idle_polls[report.server] + 1
-        self._state.idle_polls[report.server] = rounds
+        requests = report.running + report.waiting
+        polls = 0 if requests else self._state.idle_polls[report.server] + 1
+        self._state.idle_polls[report.server] = polls
 
     async def _place_models(self, grant: Grant) -> None:
-        """Have each server of the hall load every model and adapter that the bundle states.
+        """Have each server of the hall load every model and adapter of the bundle.
 
-        This is the same again each round: a stale order's effect lasts until the next one.
+        Every round orders whatever is missing, so a stale order's effect lasts only until the
+        next round.
         """
         bundle = self._bundle()
         if bundle is None:
@@ -246,11 +251,11 @@
 
     async def _order_load(self, grant: Grant, server: Instance, bundle: Bundle, name: str) -> None:
         kind = "load_model" if bundle.adapter(name) is None else "load_adapter"
-        item = bundle.instance_class(server.instance_class)
+        instance_class = bundle.instance_class(server.instance_class)
         granted = await self._platform.weights.ask(server.id, name)
         if isinstance(granted, Err) or not granted.ok_value.granted:
             return
-        checks = item is not None and item.checks_fence
+        checks = instance_class is not None and instance_class.checks_fence
         times = self._times
         now = self._clock.monotonic()
         if not may_send_order(grant, now, checks, times.lease_ttl_s, times.order_max_s):
@@ -269,21 +274,21 @@
             await self._renting.run_round(bundle, grant, tokens_per_s, idle)
 
     def _measure_demand(self, bundle: Bundle) -> tuple[float, list[str]]:
-        """Return the hall's rate in tokens a second, and its servers without work."""
+        """Return the hall's demand in tokens per second, and the ids of its idle servers."""
         total = 0.0
         idle = []
-        known = 0
-        here = self._live_servers()
-        for server in here:
+        polled = 0
+        live = self._live_servers()
+        for server in live:
             report = self._state.reports.get(server.id)
-            item = bundle.instance_class(server.instance_class)
-            if report is None or item is None:
+            instance_class = bundle.instance_class(server.instance_class)
+            if report is None or instance_class is None:
                 continue
-            known += 1
-            busy = report.running + report.waiting
-            total += item.decode_tokens_per_s * busy / item.slots
+            polled += 1
+            requests = report.running + report.waiting
+            total += instance_class.decode_tokens_per_s * requests / instance_class.slots
             if self._state.idle_polls[server.id] >= MIN_IDLE_POLLS:
                 idle.append(server.id)
-        # Servers that haven't been asked yet are taken to be like those that have.
-        scaled = total * len(here) / known if known else 0.0
+        # Servers that have not been polled are assumed to have the mean load of the polled ones.
+        scaled = total * len(live) / polled if polled else 0.0
         return scaled, idle
