--- a/src/moledale/node/hall_renting.py
+++ b/src/moledale/node/hall_renting.py
@@ -1,4 +1,8 @@
-"""Renting for one hall: its part of the plan that all halls' holders make from the same rows."""
+"""Renting and returning instances of one hall.
+
+The lease holders of all halls compute the same plan from the same rows, and each carries out the
+changes of its own hall.
+"""
 
 import uuid
 from collections.abc import Callable
@@ -27,17 +31,20 @@
 DEMAND_TABLE = "demand"
 MAX_HALLS = 100
 REFUSAL_TTL_S = 30.0
+"""Time for which a refused class and market of a hall are left out of the plan."""
+
 LISTING_TIMEOUT_S = 180.0
-"""Time in which a rented instance must show in the list; after that it counts as lost."""
+"""Time within which a rented instance must appear in the list; after that it counts as lost."""
 
 DEMAND_GROWTH_FACTOR = 1.2
-"""Demand is taken as the measured rate times this, so that growth is met early."""
+"""Factor on the measured demand, so that capacity is rented before growing demand needs it."""
 
 
 class PendingInstance(msgspec.Struct, frozen=True):
-    """An instance that was asked for and isn't listed yet; `until` is wall-clock seconds.
+    """An instance that was ordered and is not listed yet; it expires at wall-clock time `until`.
 
-    Without an `instance_id` the cloud's answer was lost: the same token is sent again.
+    Without an `instance_id` the cloud's answer was lost, and the order is retried with the same
+    token.
     """
 
     token: str
@@ -48,7 +55,7 @@
 
 
 class RecentRefusal(msgspec.Struct, frozen=True):
-    """What the cloud refused lately; `until` is wall-clock seconds."""
+    """A class and market that the cloud refused to rent; expires at wall-clock time `until`."""
 
     instance_class: str
     market: Market
@@ -56,7 +63,7 @@
 
 
 class HallDemand(msgspec.Struct, frozen=True):
-    """A hall's row: tokens a second, instances without work, what is coming, what was refused."""
+    """A hall's row: demand, idle instances, pending instances (`coming`) and recent refusals."""
 
     operation: str
     hall: str
@@ -69,8 +76,8 @@
 class HallRenting:
     """Rents and returns instances of one hall while its lease is held.
 
-    What is coming and what was refused stands in the hall's row, so that the other halls'
-    holders plan with it, and the next holder of this hall's lease goes on from it.
+    Pending instances and refusals are stored in the hall's row, so that the holders of the other
+    halls include them in their plans and the next holder of this hall's lease continues from them.
     """
 
     def __init__(
@@ -93,7 +100,7 @@
     async def run_round(
         self, bundle: Bundle, grant: Grant, tokens_per_s: float, idle: list[str]
     ) -> None:
-        """Write this hall's row, read all of them, and carry out this hall's changes."""
+        """Write this hall's row, plan from the rows of all halls, and apply this hall's changes."""
         if self._row_version is None and not await self._load_row():
             return
         self._prune()
@@ -109,10 +116,8 @@
         if any(change.hall == self._hall for change in changes):
             await self._write_row(tokens_per_s, idle)
 
-    # The rows
-
     async def _load_row(self) -> bool:
-        """Go on from the row that the holder before left."""
+        """Load the row that the previous holder left; return False if it can't be read."""
         read = await self._platform.table.read(DEMAND_TABLE, self._hall)
         if isinstance(read, Err):
             return False
@@ -127,7 +132,7 @@
         own = HallDemand(
             uuid.uuid4().hex, self._hall, tokens_per_s, idle, self._pending, self._refusals
         )
-        assert self._row_version is not None, "the row was taken up before"
+        assert self._row_version is not None, "the row is loaded before it is written"
         condition = Condition(DEMAND_TABLE, self._hall, self._row_version)
         write = Write(DEMAND_TABLE, self._hall, msgspec.json.encode(own).decode())
         outcome = await self._platform.table.transact(
@@ -136,7 +141,8 @@
         if not isinstance(outcome, Err) and outcome.ok_value.committed:
             self._row_version = outcome.ok_value.versions[0]
         else:
-            # The next round reads the row: it may be this write, or another holder's.
+            # Only the version is read back: the row may be this write or another holder's, and the
+            # next round overwrites it.
             read = await self._platform.table.read(DEMAND_TABLE, self._hall)
             if not isinstance(read, Err) and read.ok_value is not None:
                 self._row_version = read.ok_value.version
@@ -149,15 +155,13 @@
         rows = [_decode(row) for row in outcome.ok_value]
         return [own, *(row for row in rows if row.hall != self._hall)]
 
-    # The plan
-
     def _rent_view(self, demands: list[HallDemand]) -> RentView:
         now = self._clock.wall()
         refusals = frozenset(
-            RentRefusal(row.hall, one.instance_class, one.market)
+            RentRefusal(row.hall, refusal.instance_class, refusal.market)
             for row in demands
-            for one in row.refused
-            if one.until > now
+            for refusal in row.refused
+            if refusal.until > now
         )
         total = sum(row.tokens_per_s for row in demands) * DEMAND_GROWTH_FACTOR
         return RentView(
@@ -181,14 +185,12 @@
     def _pending_instances(self, demands: list[HallDemand]) -> list[HeldInstance]:
         now = self._clock.wall()
         return [
-            HeldInstance(one.token, row.hall, one.instance_class, one.market)
+            HeldInstance(pending.token, row.hall, pending.instance_class, pending.market)
             for row in demands
-            for one in row.coming
-            if one.until > now and one.instance_id not in self._fleet.servers
+            for pending in row.coming
+            if pending.until > now and pending.instance_id not in self._fleet.servers
         ]
 
-    # Changes
-
     async def _apply_change(self, change: Rent | Return) -> None:
         if isinstance(change, Return):
             emit(Event.RENT_DECIDED, returned=change.instance_id)
@@ -196,41 +198,43 @@
             await self._platform.cloud.release(change.instance_id)
             return
         until = self._clock.wall() + LISTING_TIMEOUT_S
-        asked = PendingInstance(uuid.uuid4().hex, change.instance_class, change.market, until)
-        self._pending.append(asked)
-        await self._send_order(asked)
+        pending = PendingInstance(uuid.uuid4().hex, change.instance_class, change.market, until)
+        self._pending.append(pending)
+        await self._send_order(pending)
 
     async def _retry_unanswered(self) -> None:
-        """Ask again for what the cloud's answer was lost for; its token rents once at most."""
-        for asked in [one for one in self._pending if one.instance_id is None]:
-            await self._send_order(asked)
+        """Retry orders whose answer was lost; a token rents at most one instance."""
+        for pending in [each for each in self._pending if each.instance_id is None]:
+            await self._send_order(pending)
 
-    async def _send_order(self, asked: PendingInstance) -> None:
-        order = RentOrder(asked.token, self._hall, asked.instance_class, asked.market.value)
+    async def _send_order(self, pending: PendingInstance) -> None:
+        order = RentOrder(pending.token, self._hall, pending.instance_class, pending.market.value)
         outcome = await self._platform.cloud.rent(order)
         if isinstance(outcome, Err):
             if not outcome.err_value.uncertain:
-                self._pending.remove(asked)
+                self._pending.remove(pending)
             return
-        self._pending.remove(asked)
+        self._pending.remove(pending)
         rented = outcome.ok_value
         if rented.instance_id is not None:
             emit(Event.RENT_DECIDED, rented=rented.instance_id, hall=self._hall)
-            coming = msgspec.structs.replace(asked, instance_id=rented.instance_id)
+            coming = msgspec.structs.replace(pending, instance_id=rented.instance_id)
             self._pending.append(coming)
             return
         emit(Event.RENT_REFUSED, hall=self._hall, detail=rented.refused)
         until = self._clock.wall() + REFUSAL_TTL_S
-        self._refusals.append(RecentRefusal(asked.instance_class, asked.market, until))
+        self._refusals.append(RecentRefusal(pending.instance_class, pending.market, until))
 
     def _prune(self) -> None:
-        """Forget what is listed by now, what never showed, and refusals that have passed."""
+        """Drop pending instances that are listed by now or timed out, and expired refusals."""
         now = self._clock.wall()
         listed = self._fleet.servers
         self._pending = [
-            one for one in self._pending if one.until > now and one.instance_id not in listed
+            pending
+            for pending in self._pending
+            if pending.until > now and pending.instance_id not in listed
         ]
-        self._refusals = [one for one in self._refusals if one.until > now]
+        self._refusals = [refusal for refusal in self._refusals if refusal.until > now]
 
 
 def _decode(row: Row) -> HallDemand:
