--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -1,4 +1,4 @@
-"""What a node does for its sessions on a server that leaves: plan, copy caches, move streams."""
+"""Evacuates a leaving server: plans for its sessions, copies KV caches and moves streams."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,21 +16,21 @@
 from moledale.servers.types import ModelServers
 
 ASSUMED_LINK_BYTES_PER_S = 3.0e9
-"""Assumed bandwidth out of a leaving server, shared by the nodes with streams on it."""
+"""Assumed bandwidth out of a leaving server, shared by the nodes that have streams on it."""
 
 
 class RedirectStream(Protocol):
-    """Ends a stream's attempt, if it still is the current one, and goes on at a target."""
+    """Ends a stream's attempt if it is still the current one, and continues at the target."""
 
     def __call__(
         self, record: StreamRecord, attempt: str, source: str, target: Reservation | None
     ) -> bool:
-        """Return False if the stream had ended or moved on by itself."""
+        """Return False if the stream has already ended or started another attempt."""
         ...
 
 
 class Evacuator:
-    """Moves streams and idle caches off servers that leave, as far as the notice allows."""
+    """Moves streams and idle KV caches off leaving servers, as far as the notice allows."""
 
     def __init__(
         self,
@@ -52,24 +52,24 @@
         self._background = BackgroundTasks("leaving")
 
     def evacuate(self, view: ServerView, records: list[StreamRecord], notice_s: float) -> None:
-        """Plan for everything this node has on a server, and begin to carry it out."""
+        """Plan for this node's streams and caches on a server, and start the moves."""
         bundle = self._bundle()
         if bundle is None:
             return
-        held = self._held_sessions(bundle, view, records)
+        sessions = self._held_sessions(bundle, view, records)
         by_id = {record.request.id: record for record in records}
-        # The link is shared in proportion to streams; other nodes move theirs meanwhile.
+        # Other nodes move their streams at the same time, so the link is shared by stream count.
         share = max(1, len(records)) / max(1, view.running, len(records))
-        situation = reclaim.ReclaimView(
+        reclaim_view = reclaim.ReclaimView(
             notice_s, ASSUMED_LINK_BYTES_PER_S * share, view.speeds.prefill_tokens_per_s
         )
-        courses = reclaim.plan(held, situation)
-        for one in held:
-            course = courses[one.id]
-            if one.idle and course is reclaim.ReclaimAction.MOVE:
-                self._background.start(self._move_cache(one.id, one.context_tokens, view))
-            elif not one.idle and course is not reclaim.ReclaimAction.FINISH:
-                self._background.start(self._move_stream(by_id[one.id], view, course))
+        actions = reclaim.plan(sessions, reclaim_view)
+        for session in sessions:
+            action = actions[session.id]
+            if session.idle and action is reclaim.ReclaimAction.MOVE:
+                self._background.start(self._move_cache(session.id, session.context_tokens, view))
+            elif not session.idle and action is not reclaim.ReclaimAction.FINISH:
+                self._background.start(self._move_stream(by_id[session.id], view, action))
 
     def _held_sessions(
         self, bundle: Bundle, view: ServerView, records: list[StreamRecord]
@@ -77,21 +77,23 @@
         token_s = view.speeds.slots / view.speeds.decode_tokens_per_s
         streams = [_stream_session(bundle, record, token_s) for record in records]
         busy = {record.request.session for record in records}
-        each = max(model.kv_bytes_per_token for model in bundle.models)
+        bytes_per_token = max(model.kv_bytes_per_token for model in bundle.models)
         caches = [
-            reclaim.HeldSession(session, tokens, tokens * each, 0.0, immediate=False, idle=True)
+            reclaim.HeldSession(
+                session, tokens, tokens * bytes_per_token, 0.0, immediate=False, idle=True
+            )
             for session, tokens in view.cached.items()
             if session not in busy
         ]
         return streams + caches
 
     async def _move_stream(
-        self, record: StreamRecord, source: ServerView, course: reclaim.ReclaimAction
+        self, record: StreamRecord, source: ServerView, action: reclaim.ReclaimAction
     ) -> None:
-        """Take a stream off a leaving server; a failed transfer falls back to prefill."""
+        """Move a stream off a leaving server; without its KV cache it is prefilled again."""
         attempt = record.attempt
         target: Reservation | None = None
-        if course is reclaim.ReclaimAction.MOVE:
+        if action is reclaim.ReclaimAction.MOVE:
             target = await self._transfer(record, source, attempt)
         if not self._redirect(record, attempt, source.id, target) and target is not None:
             self._load_tracker.release(target, self._clock.monotonic())
@@ -99,7 +101,7 @@
     async def _transfer(
         self, record: StreamRecord, source: ServerView, attempt: str
     ) -> Reservation | None:
-        """Copy the stream's KV cache to a server reserved for it."""
+        """Copy a stream's KV cache to a server and return the slot reserved there, or None."""
         need = routing_need(record.request, record.tokens, self._hall, frozenset({source.id}))
         target = self._waiting.reserve(need)
         if target is None:
@@ -111,7 +113,7 @@
         return None
 
     async def _move_cache(self, session: str, tokens: int, source: ServerView) -> None:
-        """Copy an idle session's KV cache to where its next turn should go."""
+        """Copy an idle session's KV cache to the server where its next turn should run."""
         models = sorted(source.models)
         need = Need(models[0] if models else "", tokens, 0, session, self._hall)
         chosen = pick(list(self._load_tracker.views.values()), need, routing_params(self._bundle()))
@@ -120,7 +122,7 @@
         address = self._load_tracker.views[chosen.server].address
         if not await self._copy_cache(session, source.address, address):
             return
-        # A turn that came meanwhile knows better where the session is.
+        # If a turn ran meanwhile, its server holds the newer cache.
         if self._load_tracker.server_of(session) in (None, source.id):
             self._load_tracker.record_cache(session, chosen.server, tokens)
 
