--- a/src/moledale/node/mailbox.py
+++ b/src/moledale/node/mailbox.py
@@ -1,4 +1,4 @@
-"""Bounded mailboxes between tasks."""
+"""Bounded message queues between tasks."""
 
 import asyncio
 from typing import Generic, TypeVar
@@ -10,14 +10,14 @@
 
 
 class Mailbox(Generic[T]):
-    """A queue of typed messages with a bound; a full one refuses instead of waiting."""
+    """A bounded queue of typed messages; a full one rejects messages instead of blocking."""
 
     def __init__(self, name: str, max_messages: int) -> None:
         self.name = name
         self._queue: asyncio.Queue[T] = asyncio.Queue(max_messages)
 
     def put(self, message: T) -> bool:
-        """Deliver a message; return False if the mailbox is full."""
+        """Enqueue a message; return False if the mailbox is full."""
         try:
             self._queue.put_nowait(message)
         except asyncio.QueueFull:
@@ -30,22 +30,22 @@
         return await self._queue.get()
 
     def get_nowait(self) -> T | None:
-        """Return a message that is there already, or None."""
+        """Return the next message without waiting, or None if the mailbox is empty."""
         try:
             return self._queue.get_nowait()
         except asyncio.QueueEmpty:
             return None
 
     async def get_within(self, seconds: float, clock: Clock) -> T | None:
-        """Wait for the next message, at most `seconds`."""
-        getting = asyncio.ensure_future(self._queue.get())
-        waiting = asyncio.ensure_future(clock.sleep(seconds))
+        """Wait at most `seconds` for the next message; return None on timeout."""
+        get_task = asyncio.ensure_future(self._queue.get())
+        timer = asyncio.ensure_future(clock.sleep(seconds))
         try:
-            await asyncio.wait([getting, waiting], return_when=asyncio.FIRST_COMPLETED)
-            return getting.result() if getting.done() else None
+            await asyncio.wait([get_task, timer], return_when=asyncio.FIRST_COMPLETED)
+            return get_task.result() if get_task.done() else None
         finally:
-            getting.cancel()
-            waiting.cancel()
+            get_task.cancel()
+            timer.cancel()
 
     def __len__(self) -> int:
         return self._queue.qsize()
