--- a/src/moledale/node/messages.py
+++ b/src/moledale/node/messages.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadHint:
-    """A peer has a bundle version; `confirmed_ago_s` is how long ago the table confirmed it."""
+    """A peer's bundle version, and the seconds since the peer confirmed it as the head."""
 
     version: int
     confirmed_ago_s: float | None
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReported:
-    """A load report arrived; `max_age_s` is how old it is at the most."""
+    """A load report arrived; it is at most `max_age_s` old."""
 
     report: LoadReport
     max_age_s: float
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLeaving:
-    """A server leaves, whichever source told of it; `seconds_left` may be unknown."""
+    """A server is leaving, as reported by `source`; `seconds_left` is None if unknown."""
 
     server: str
     seconds_left: float | None
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerGone:
-    """A server isn't there any more."""
+    """A server is gone, no longer followed, or does not answer."""
 
     server: str
     detail: str
