--- a/src/moledale/node/metrics.py
+++ b/src/moledale/node/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timers sent to statsd, and a no-op where none is set."""
+"""Metrics sent to statsd, or dropped if no statsd address is set."""
 
 from typing import Protocol
 
@@ -8,36 +8,36 @@
 
 
 class Metrics(Protocol):
-    """What tasks report."""
+    """Interface for reporting counters, timers and gauges."""
 
     def incr(self, name: str, count: int = 1) -> None:
-        """Count something."""
+        """Increment a counter."""
         ...
 
     def timing(self, name: str, milliseconds: float) -> None:
-        """Report a duration."""
+        """Report a duration in milliseconds."""
         ...
 
     def gauge(self, name: str, value: float) -> None:
-        """Report a level."""
+        """Report the current value of a gauge."""
         ...
 
 
 class NoMetrics:
-    """Sends nothing."""
+    """Drops all metrics."""
 
     def incr(self, name: str, count: int = 1) -> None:
-        """Count something."""
+        """Increment a counter."""
 
     def timing(self, name: str, milliseconds: float) -> None:
-        """Report a duration."""
+        """Report a duration in milliseconds."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Report a level."""
+        """Report the current value of a gauge."""
 
 
 def make_metrics(section: MetricsSection) -> Metrics:
-    """Make a statsd client, or a no-op without an address."""
+    """Return a statsd client, or a no-op if no address is set."""
     if section.statsd is None:
         return NoMetrics()
     host, port = section.statsd.rsplit(":", 1)
