--- a/src/moledale/node/needs.py
+++ b/src/moledale/node/needs.py
@@ -1,4 +1,4 @@
-"""What a request needs of a server, as the routing decision takes it."""
+"""Builds the input of the routing decision from requests and the bundle."""
 
 from moledale.bundle.schema import Bundle
 from moledale.core.routing import Need, RoutingParams
@@ -6,12 +6,12 @@
 
 
 def estimate_tokens(text: str) -> int:
-    """Estimate the tokens of a prompt by its words; engines alone know the true count."""
+    """Estimate the number of tokens by counting words; only the engines know the exact count."""
     return max(1, len(text.split()))
 
 
 def context_tokens(record: StreamRecord) -> int:
-    """Return the length of the prompt and of what was generated so far."""
+    """Return the estimated tokens of the prompt plus the tokens generated so far."""
     return estimate_tokens(record.request.prompt) + len(record.tokens)
 
 
@@ -21,7 +21,7 @@
     hall: str,
     excluded: frozenset[str] = frozenset(),
 ) -> Need:
-    """Return the need of a request that has some tokens already."""
+    """Return the routing need of a request that has already generated `tokens`."""
     return Need(
         request.model,
         estimate_tokens(request.prompt) + len(tokens),
@@ -34,7 +34,7 @@
 
 
 def routing_params(bundle: Bundle | None) -> RoutingParams:
-    """Return the routing parameters that a bundle states."""
+    """Return the routing parameters of a bundle, or the defaults without one."""
     if bundle is None:
         return RoutingParams()
     return RoutingParams(set_aside=bundle.routing.set_aside)
