--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -1,4 +1,4 @@
-"""One entry instance: builds its parts, supervises them, and stops without cutting anything."""
+"""One entry instance: builds and supervises its parts, and drains without breaking streams."""
 
 import asyncio
 import random
@@ -47,24 +47,33 @@
 from moledale.settings import Secrets, Settings
 
 MAX_HANDOVER_ATTEMPTS = 3
+"""Peers to which a draining node offers a stream before it finishes the stream itself."""
+
 STATE_POLL_INTERVAL_S = 1.0
+"""Interval of the checks of readiness and of hall duties."""
+
 DRAIN_POLL_INTERVAL_S = 0.05
+"""Interval of the checks whether open requests have ended, or the first bundle has arrived."""
+
 GOSSIP_BATCH_DELAY_S = 0.02
-"""Time that news is collected for, as when a hall's servers all leave at once."""
+"""Delay to batch updates for peers, such as when all servers of a hall leave at once."""
 
 LEAVING_GOSSIP_TTL_S = 30.0
+"""Time for which a leaving server stays in this node's digests."""
+
 MAX_LEAVING_REMEMBERED = 2_000
+"""Leaving servers that a node remembers so that it relays each of them only once."""
 
 
 class OnceWork(msgspec.Struct, frozen=True):
-    """What a not-repeatable call is: one of the two."""
+    """A non-repeatable call: exactly one of the two fields is set."""
 
     service: ServiceCall | None = None
     generation: GenerationRequest | None = None
 
 
 class Node:
-    """Everything of one entry instance but the sockets towards callers."""
+    """Owns all parts of one entry instance except the sockets for callers."""
 
     state: str
 
@@ -177,7 +186,7 @@
         self._duty_supervisor = Supervisor("duties", clock)
         self._peer_contact_at: float | None = None
         self._leaving_to_gossip: dict[str, float] = {}
-        # Bounded, so that a server heard of again long after may be passed on again.
+        # Bounded, so that a server reported again much later is relayed again.
         self._leaving_seen: LRUCache[str, bool] = LRUCache(MAX_LEAVING_REMEMBERED)
         self._logged_verdict = Verdict.UNCONFIRMED
         self._background = BackgroundTasks("news")
@@ -185,27 +194,28 @@
 
     @property
     def draining(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a planned stop has started."""
         return self.state in ("draining", "stopped")
 
     @property
     def table_reachable(self) -> bool:
-        """Whether the table service answered last, as far as this node's breaker knows."""
+        """Whether the table service is reachable according to this node's circuit breaker."""
         return self._table_guard.reachable
 
     def bundle(self) -> Bundle | None:
-        """Return the bundle in force."""
+        """Return the current bundle, or None before the first is adopted."""
         return self.bundles.bundle
 
     def _commit_interval_s(self) -> float:
-        """Return how long the journal collects, so that all nodes keep to the table's writes."""
+        """Return the journal's commit interval, which grows with the number of nodes.
+
+        Together all nodes stay within the table's limit on journal writes per second.
+        """
         writes = self.settings.limits.journal_writes_per_s
         return max(self.settings.times.commit_interval_s, len(self.fleet.nodes) / writes)
 
-    # Life
-
     async def start(self) -> int:
-        """Start all tasks and return the port for peers."""
+        """Start all tasks; return the port that peers connect to."""
         port = await self._link.serve(self)
         self.supervisor.start("journal", self.journal.run)
         self.supervisor.start("bundle", self.bundles.run)
@@ -221,27 +231,27 @@
         return port
 
     async def drain(self) -> None:
-        """Finish a planned stop: let requests end, and hand over those that don't in time."""
+        """Drain for a planned stop: let requests finish, and hand over those that don't in time."""
         self.to_drain()  # type: ignore[attr-defined]
         emit(Event.DRAINING, open=self.dispatcher.open_requests, jobs=self.jobs.open_jobs)
         await self._gossip.exchange(PEERS_FOR_NEWS)
         await self.jobs.release_all()
-        until = self.clock.monotonic() + self.settings.times.drain_s
-        while self.dispatcher.open_requests and self.clock.monotonic() < until:
+        deadline = self.clock.monotonic() + self.settings.times.drain_s
+        while self.dispatcher.open_requests and self.clock.monotonic() < deadline:
             await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
         await asyncio.gather(*(self._hand_over(record) for record in self.streams.live()))
-        # What no peer would take is finished here, however long that is.
+        # Requests that no peer accepted finish here, however long that takes.
         while self.dispatcher.open_requests:
             await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Stop all tasks, last started first."""
+        """Stop all tasks in reverse order of their start, and close the link to peers."""
         await self.supervisor.stop()
         await self._link.close()
         self.to_stop()  # type: ignore[attr-defined]
 
     async def _hand_over(self, record: StreamRecord) -> None:
-        """Give a stream to a peer; which one follows from its id alone, so any node can tell."""
+        """Hand a stream over to a peer, ranked by the request id so that any node can find it."""
         await self.dispatcher.hold(record)
         if record.ended:
             return
@@ -255,7 +265,7 @@
         self.dispatcher.go_on(record)
 
     def successors(self, request_id: str) -> list[NodeView]:
-        """Return the nodes that may take a stream over, in order."""
+        """Return the peers that may take over a stream, in order of preference."""
         staying = {
             view.id: view
             for view in self.fleet.node_views()
@@ -263,22 +273,20 @@
         }
         return [staying[name] for name in ranked(request_id, staying)]
 
-    # Standing
-
     def verdict(self) -> Verdict:
-        """Say whether new requests may be taken, by what is known of the bundle."""
-        heard = self._peer_contact_at
+        """Return whether new requests may be accepted, by how recently the bundle was confirmed."""
+        contact_at = self._peer_contact_at
         view = Freshness(
             self.bundles.version,
             self.bundles.confirmed_ago_s(),
-            None if heard is None else self.clock.monotonic() - heard,
+            None if contact_at is None else self.clock.monotonic() - contact_at,
             len(self.fleet.peer_nodes()),
             self.bundles.newest_version_seen,
         )
         return decide_verdict(view, self.settings.times.isolation_grace_s)
 
     def refusal(self) -> Problem | None:
-        """Return why new requests are refused now, or None."""
+        """Return the problem with which new requests are refused now, or None."""
         if self.draining:
             return problems.unavailable("this node is leaving; use another address", 1)
         verdict = self.verdict()
@@ -289,7 +297,7 @@
         return None
 
     def addresses(self, session: str) -> list[NodeView]:
-        """Return the addresses that a session's caller should use, in order."""
+        """Return the nodes that a session's caller should use, in order of preference."""
         self.fleet.node_loads[self.id] = self.dispatcher.open_requests
         return addresses_for(session, self.fleet.node_views())
 
@@ -304,16 +312,14 @@
             self.metrics.gauge("waiting", self.dispatcher.waiting)
             await self.clock.sleep(STATE_POLL_INTERVAL_S)
 
-    # Duties
-
     async def _adopt_own_jobs(self) -> None:
-        """Take up the jobs of an earlier incarnation of this node."""
+        """Adopt the jobs of earlier incarnations of this node, once there is a bundle."""
         while self.bundles.version == 0:
             await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self.jobs.adopt_orphans(self.settings.node.hall, lambda _: True)
 
     async def _choose_duties(self) -> None:
-        """Stand for the leases that this node should stand for; a duty once begun is kept."""
+        """Compete for the hall leases assigned to this node; a started duty is never stopped."""
         while True:
             bundle = self.bundle()
             halls = [hall.name for hall in bundle.halls] if bundle is not None else []
@@ -341,27 +347,25 @@
         self._duty_supervisor.start(f"hall/{hall}", duty.run)
 
     def leases_held(self) -> list[str]:
-        """Return the names of the leases that are held now."""
+        """Return the names of the leases that this node holds now."""
         now = self.clock.monotonic()
         return [d.lease.name for d in self._duties.values() if d.lease.grant(now) is not None]
 
     def handle_leaving_server(self, message: ServerLeaving) -> None:
-        """Act on a notice here, and tell peers at once."""
+        """Handle a server's notice on this node, and gossip it to peers soon."""
         self.dispatcher.handle(message)
         self._leaving_seen[message.server] = True
         self._leaving_to_gossip[message.server] = self.clock.monotonic()
         self.gossip_soon()
 
     def _handle_list_message(self, message: ServerMessage) -> None:
-        """Take what the list tells of a server, and pass on that one leaves."""
+        """Handle a change from the instance list, and relay to peers if a server is leaving."""
         self.dispatcher.handle(message)
         if isinstance(message, ServerLeaving):
             self._relay_leaving(message.server)
 
-    # Peers
-
     def gossip_soon(self, peers: int = PEERS_FOR_NEWS) -> None:
-        """Exchange digests with several peers soon; news that comes together goes together."""
+        """Exchange digests with several peers after a short delay that batches updates."""
         if self._pending_fanout == 0:
             self._background.start(self._gossip_after_delay())
         self._pending_fanout = max(self._pending_fanout, peers)
@@ -372,7 +376,7 @@
         await self._gossip.exchange(peers)
 
     def own_digest(self) -> peers_pb2.DigestMessage:
-        """Return what this node knows, for peers."""
+        """Return this node's state as a digest for peers."""
         confirmed = self.bundles.confirmed_ago_s()
         oldest = self.clock.monotonic() - LEAVING_GOSSIP_TTL_S
         self._leaving_to_gossip = {
@@ -391,7 +395,7 @@
         )
 
     def exchange_digest(self, message: peers_pb2.DigestMessage) -> peers_pb2.DigestMessage:
-        """Take a peer's digest and return this node's own."""
+        """Apply a peer's digest and return this node's own."""
         self._apply_digest(message)
         return self.own_digest()
 
@@ -411,7 +415,7 @@
             self._relay_leaving(server)
 
     def _relay_leaving(self, server: str) -> None:
-        """Tell a few peers that a server leaves, the first time that it is heard."""
+        """Gossip to a few peers that a server is leaving, when this node first hears of it."""
         if server in self._leaving_seen:
             return
         self._leaving_seen[server] = True
@@ -419,7 +423,10 @@
         self.gossip_soon(PEERS_TO_PASS_ON)
 
     def adopt_stream(self, record: StreamRecord) -> str | None:
-        """Take a live stream from a leaving peer; asked twice, it has it already."""
+        """Adopt a live stream from a leaving peer; return why not, or None on success.
+
+        Idempotent: a stream that this node already has counts as adopted.
+        """
         if self.streams.get(record.request.id) is not None:
             return None
         if self.draining:
@@ -429,30 +436,28 @@
         self.dispatcher.adopt(record)
         return None
 
-    # Not-repeatable calls
-
     async def run_once(self, node: str, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Send a call on to the node that answers for its key."""
+        """Forward a call to the node that owns its idempotency key."""
         peer = self.fleet.nodes.get(node)
         if peer is None:
             return Err(problems.outcome_unknown(f"node {node}, which took the key, is gone"))
         return await self._link.run_once(peer.peer_address, call)
 
     async def run_once_here(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Run a call that a peer sent on."""
+        """Run a call that a peer forwarded."""
         return await self.once.run(call)
 
     async def _dispatch_once(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
         work = msgspec.json.decode(call.encoded, type=OnceWork)
         if work.service is not None:
             return await self.services.call(work.service)
-        assert work.generation is not None, "work is one of the two"
+        assert work.generation is not None, "exactly one field is set"
         return await self.generate_to_completion(work.generation)
 
     async def generate_to_completion(
         self, request: GenerationRequest
     ) -> Result[ServiceAnswer, Problem]:
-        """Run a generation to its end and return its tokens as a JSON list."""
+        """Run a generation to its end; return its finish reason and tokens as a JSON list."""
         submitted = self.dispatcher.submit(request)
         if isinstance(submitted, Err):
             return submitted
@@ -465,10 +470,8 @@
         body = msgspec.json.encode([record.reason or "", *record.tokens])
         return Ok(ServiceAnswer(200, "application/json", body))
 
-    # Operators
-
     async def roll(self, signed: store.SignedBundle) -> Result[store.Head, store.RollRefusal]:
-        """Move the head for operators, adopt it here and tell peers."""
+        """Move the bundle head to a version signed by operators, adopt it here and gossip it."""
         outcome = await store.roll(
             self.platform, signed, self.settings.operators, self.clock.wall()
         )
