--- a/src/moledale/node/server_watch.py
+++ b/src/moledale/node/server_watch.py
@@ -1,4 +1,4 @@
-"""Keeps the views of followed servers fresh: load reports and cache events."""
+"""Polls followed servers for load reports and cache events."""
 
 import asyncio
 import random
@@ -13,20 +13,20 @@
 from moledale.servers.types import ModelServers
 
 DOWN_AFTER_FAILED_POLLS = 3
-"""Polls in a row without an answer after which a server gets no new work."""
+"""Unanswered polls in a row after which a server gets no new work."""
 
 NO_MODEL_POLL_INTERVAL_S = 1.0
-"""Seconds between two polls of a server that holds no model yet."""
+"""Time between polls of a server that has not loaded a model yet."""
 
 EVENT_POLL_SHARE = 0.1
-"""Part of the polls that ask for cache events instead of load."""
+"""Share of the polls that ask for cache events instead of load."""
 
 
 class ServerWatch:
-    """Polls servers whose reports didn't come along with an answer lately.
+    """Polls servers that have not recently sent a load report along with an answer.
 
-    Polls are bounded by a rate and not by a period for each server, so that what a node spends
-    doesn't grow with the servers it follows; the server that was silent longest goes first.
+    The total poll rate is fixed instead of an interval per server, so that a node's polling cost
+    does not grow with the number of servers it follows. The longest silent server goes first.
     """
 
     def __init__(
@@ -52,13 +52,13 @@
         self._last_event_sequences: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Poll for ever."""
+        """Poll forever, at the configured rate with jitter."""
         while True:
             await self.poll()
             await self._clock.sleep(self._rng.uniform(0.75, 1.25) / self._polls_per_s)
 
     async def poll(self) -> None:
-        """Poll new servers, and the one that was silent longest if that is long enough."""
+        """Poll all new servers, or else one: for cache events, or the most overdue for its load."""
         views = list(self._load_tracker.views.values())
         new = [view for view in views if view.id not in self._polled_at]
         self._polled_at = {
@@ -85,43 +85,43 @@
             await self._poll_load(min(due, key=self._last_contact_at))
 
     def _poll_interval_s(self, view: ServerView) -> float:
-        """Return how long a server may be silent; one that waits for its models is asked sooner."""
+        """Return the poll interval of a server, which is shorter until it has loaded a model."""
         return self._poll_s if view.models else min(self._poll_s, NO_MODEL_POLL_INTERVAL_S)
 
     def _last_contact_at(self, view: ServerView) -> float:
         return max(view.reported_at, self._polled_at[view.id])
 
     async def _poll_events_of_one(self, views: list[ServerView]) -> None:
-        """Ask one server that should hold caches what it has evicted."""
+        """Poll a random server that should hold caches for its evictions."""
         holding = [view for view in views if view.cached]
         if holding:
             await self._poll_events(self._rng.choice(holding))
 
     async def _poll_load(self, view: ServerView) -> None:
-        asked_at = self._clock.monotonic()
-        self._polled_at[view.id] = asked_at
+        sent_at = self._clock.monotonic()
+        self._polled_at[view.id] = sent_at
         outcome = await self._servers.load(view.address)
         if isinstance(outcome, Err):
-            silent = self._failed_polls.get(view.id, 0) + 1
-            self._failed_polls[view.id] = silent
-            if silent == DOWN_AFTER_FAILED_POLLS:
+            failures = self._failed_polls.get(view.id, 0) + 1
+            self._failed_polls[view.id] = failures
+            if failures == DOWN_AFTER_FAILED_POLLS:
                 emit(Event.SERVER_DOWN, server=view.id, detail=outcome.err_value.detail)
                 self._notify(ServerGone(view.id, "does not answer"))
             return
         self._failed_polls[view.id] = 0
-        self._notify(ServerReported(outcome.ok_value, self._clock.monotonic() - asked_at))
+        self._notify(ServerReported(outcome.ok_value, self._clock.monotonic() - sent_at))
 
     async def _poll_events(self, view: ServerView) -> None:
-        """Follow evictions; after a gap the node's own view of that server's cache is dropped."""
-        after = self._last_event_sequences.get(view.id, 0)
-        outcome = await self._servers.cache_events(view.address, after)
+        """Apply evictions; after a sequence gap, forget all sessions cached on the server."""
+        last_sequence = self._last_event_sequences.get(view.id, 0)
+        outcome = await self._servers.cache_events(view.address, last_sequence)
         if isinstance(outcome, Err):
             return
         for event in outcome.ok_value:
-            if after and event.sequence != after + 1:
+            if last_sequence and event.sequence != last_sequence + 1:
                 for session in list(view.cached):
                     self._load_tracker.forget_session(session)
-            after = event.sequence
+            last_sequence = event.sequence
             if event.kind == "evicted" and self._load_tracker.server_of(event.session) == view.id:
                 self._load_tracker.forget_session(event.session)
-        self._last_event_sequences[view.id] = after
+        self._last_event_sequences[view.id] = last_sequence
