--- a/src/moledale/node/services.py
+++ b/src/moledale/node/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: routed by name, passed through unread."""
+"""Calls to plain services, routed by service name and forwarded unchanged."""
 
 import random
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class ServiceRouter:
-    """Picks an address of a service and calls it."""
+    """Calls services at a random available address, and retries at others where that is safe."""
 
     def __init__(
         self,
@@ -32,17 +32,17 @@
         self._retry_at: dict[str, float] = {}
 
     async def call(self, call: ServiceCall) -> Result[ServiceAnswer, Problem]:
-        """Call a service; only what can't have run, or may run again, is tried elsewhere."""
+        """Call a service; try another address only if the call did not run or may be repeated."""
         bundle = self._bundle()
         service = bundle.service(call.service) if bundle is not None else None
         if service is None:
             return Err(problems.not_found(f"service {call.service!r}"))
         may_repeat = service.repeatable or call.method in SAFE_METHODS
         refusal = problems.unavailable(f"service {call.service!r} refuses connections", 2)
-        free = self._available(service)
-        if not free:
+        available = self._available(service)
+        if not available:
             return Err(self._all_back_off(service))
-        for address in self._shuffled(free):
+        for address in self._shuffled(available):
             outcome = await self._services.call(address, call, service.timeout_s)
             if not isinstance(outcome, Err):
                 self._record_retry_after(address, outcome.ok_value.retry_after_s)
@@ -59,10 +59,10 @@
         return self._rng.sample(addresses, len(addresses))
 
     def _available(self, service: Service) -> list[str]:
-        """Return the addresses that may be called now."""
+        """Return the addresses that are not backing off."""
         now = self._now()
         self._retry_at = {name: at for name, at in self._retry_at.items() if at > now}
-        return [each for each in service.addresses if each not in self._retry_at]
+        return [address for address in service.addresses if address not in self._retry_at]
 
     def _record_retry_after(self, address: str, retry_after_s: float | None) -> None:
         if retry_after_s is not None:
@@ -71,7 +71,7 @@
             emit(Event.SERVER_BACKOFF, server=address, retry_after_s=retry_after_s)
 
     def _all_back_off(self, service: Service) -> Problem:
-        """Return a refusal with the time after which the first address is free again."""
-        first = min(self._retry_at[each] for each in service.addresses)
+        """Return a refusal whose retry time is when the first address becomes available."""
+        first_retry_at = min(self._retry_at[address] for address in service.addresses)
         detail = f"all addresses of service {service.name!r} asked for a later retry"
-        return problems.unavailable(detail, max(1, ceil(first - self._now())))
+        return problems.unavailable(detail, max(1, ceil(first_retry_at - self._now())))
