--- a/src/moledale/node/supervisor.py
+++ b/src/moledale/node/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor tree: tasks that fail are started again, within limits."""
+"""A supervisor tree that restarts failed tasks, up to a limit."""
 
 import asyncio
 import traceback
@@ -10,6 +10,7 @@
 from moledale.log import Event, emit
 
 RESTART_DELAY_S = 0.2
+"""Pause before a failed task is restarted."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,10 +30,10 @@
 
 
 class Supervisor:
-    """Runs children in order, starts failed ones again, and stops them in reverse order.
+    """Starts children in order, restarts the ones that fail, and stops them in reverse order.
 
-    A child that returns has done its work. One that fails more often than the limit allows
-    makes the whole supervisor give up, which its parent sees as `gave_up`.
+    A child that returns is finished and not restarted. A child that fails more often than the
+    limit allows makes the whole supervisor give up, which sets `gave_up` for its parent.
     """
 
     def __init__(self, name: str, clock: Clock, limit: RestartLimit | None = None) -> None:
@@ -43,13 +44,13 @@
         self._children: list[_Child] = []
 
     def start(self, name: str, run: Callable[[], Awaitable[None]]) -> None:
-        """Start a child after those started before it."""
+        """Start a child; it is stopped before the children that were started earlier."""
         child = _Child(name, run)
         self._children.append(child)
         child.task = asyncio.create_task(self._run_child(child), name=f"{self.name}/{name}")
 
     def start_supervisor(self, child: "Supervisor") -> None:
-        """Put another supervisor below this one; if it gives up, this one does too."""
+        """Add a child supervisor; if it gives up, this one does too."""
 
         async def watch() -> None:
             try:
@@ -61,7 +62,7 @@
         self.start(child.name, watch)
 
     async def stop(self) -> None:
-        """Cancel the children, last started first, and wait for each."""
+        """Cancel the children in reverse order, and wait for each."""
         for child in reversed(self._children):
             if child.task is not None:
                 child.task.cancel()
