--- a/src/moledale/node/tally.py
+++ b/src/moledale/node/tally.py
@@ -1,4 +1,4 @@
-"""Counts requests that ended: service-level burn and metrics."""
+"""Records the outcomes of requests for burn rates and metrics."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class Tally:
-    """Says of each request that ended whether it was good, by the bundle's targets."""
+    """Classifies each finished request as good or bad by the bundle's targets, and counts it."""
 
     def __init__(
         self,
@@ -26,11 +26,14 @@
         self._clock = clock
 
     def record_refused(self, request: GenerationRequest) -> None:
-        """Count a request that was refused at once."""
+        """Count a request that was refused on arrival as bad."""
         self._record(request, good=False)
 
     def record_ended(self, record: StreamRecord) -> None:
-        """Count a request that finished or failed here; one that was handed on counts there."""
+        """Count a request that finished or failed here; one handed over is counted by the peer.
+
+        Requests cancelled by their caller are not counted.
+        """
         request = record.request
         if record.state == "failed":
             if record.problem is not None and record.problem.kind != "cancelled":
