--- a/bench/replay.py
+++ b/bench/replay.py
@@ -120,7 +120,7 @@
 class _Node:
     """A node's own view and queue."""
 
-    book: LoadTracker
+    load_tracker: LoadTracker
     queue: WaitingQueue[Request]
     service_s: float = 2.0
 
@@ -185,7 +185,7 @@
         speeds = Speeds(spec.prefill_tokens_per_s, spec.decode_tokens_per_s, spec.slots)
         for node in self._nodes:
             view = ServerView(name, hall, name, speeds, frozenset({MODEL}))
-            node.book.follow(view)
+            node.load_tracker.follow(view)
         for index in range(len(self._nodes)):
             self._pump(index)
 
@@ -236,7 +236,7 @@
         request.last_at = self._now
         node = self._nodes[request.node]
         if request.reservation is not None and request.reservation.prefill_tokens:
-            request.reservation = node.book.record_first_token(request.reservation)
+            request.reservation = node.load_tracker.record_first_token(request.reservation)
 
     def _finished(self, engine: _Engine, sequence: Sequence) -> None:
         request = engine.requests.pop(sequence.attempt, None)
@@ -246,7 +246,7 @@
         self._count_computed(request, sequence)
         node = self._nodes[request.node]
         self._release(request)
-        node.book.record_cache(request.turn.session, engine.name, sequence.context_tokens)
+        node.load_tracker.record_cache(request.turn.session, engine.name, sequence.context_tokens)
         node.service_s += 0.1 * (self._now - request.turn.at - node.service_s)
         self._report(engine, [request.node])
         self._pump(request.node)
@@ -268,8 +268,8 @@
         def heard() -> None:
             for node in self._nodes:
                 for session in gone:
-                    if node.book.server_of(session) == engine.name:
-                        node.book.forget_session(session)
+                    if node.load_tracker.server_of(session) == engine.name:
+                        node.load_tracker.forget_session(session)
 
         self._after(EVENT_LAG_S, heard)
 
@@ -299,7 +299,7 @@
 
         def arrive() -> None:
             for index in nodes:
-                self._nodes[index].book.apply_report(report, taken, self._now)
+                self._nodes[index].load_tracker.apply_report(report, taken, self._now)
                 self._pump(index)
 
         self._after(REPORT_LAG_S, arrive)
@@ -318,7 +318,7 @@
 
     def _too_late(self, request: Request) -> bool:
         node = self._nodes[request.node]
-        ready = eligible(node.book.views.values(), self._need(request))
+        ready = eligible(node.load_tracker.views.values(), self._need(request))
         slots = sum(view.speeds.slots for view in ready)
         free = sum(max(0, view.speeds.slots - view.running) for view in ready)
         ahead = node.queue.count_ahead(request.turn.priority, self._now)
@@ -353,13 +353,13 @@
             return
         full: set[Priority] = set()
         for request in node.queue.in_order()[:MOST_TRIED]:
-            has_home = node.book.server_of(request.turn.session) is not None
+            has_home = node.load_tracker.server_of(request.turn.session) is not None
             if request.turn.priority in full and not has_home:
                 continue
             need = self._need(request)
             if self._now - request.queued_at >= HOME_WAIT_S:
                 need = replace(need, wait_for_cache=False)
-            chosen = self._policy.choose(list(node.book.views.values()), need)
+            chosen = self._policy.choose(list(node.load_tracker.views.values()), need)
             if chosen is None:
                 if not has_home:
                     full.add(request.turn.priority)
@@ -371,8 +371,8 @@
         request.engine = server
 
         def reserve() -> None:
-            if server in node.book.views and not request.done and request.engine == server:
-                request.reservation = node.book.reserve(server, need, self._now)
+            if server in node.load_tracker.views and not request.done and request.engine == server:
+                request.reservation = node.load_tracker.reserve(server, need, self._now)
 
         if self._policy.reserve_delay_s:
             self._after(self._policy.reserve_delay_s, reserve)
@@ -391,7 +391,7 @@
 
     def _release(self, request: Request) -> None:
         if request.reservation is not None:
-            self._nodes[request.node].book.release(request.reservation, self._now)
+            self._nodes[request.node].load_tracker.release(request.reservation, self._now)
             request.reservation = None
 
     def _broken(self, request: Request) -> None:
@@ -406,7 +406,7 @@
         def heard() -> None:
             for index, node in enumerate(self._nodes):
                 for name in wave.engines:
-                    view = node.book.views.get(name)
+                    view = node.load_tracker.views.get(name)
                     if view is not None and view.standing is Standing.LIVE:
                         view.note_leaving()  # type: ignore[attr-defined]
                 if self._policy.plans:
@@ -465,7 +465,7 @@
             )
             for attempt, request in mine.items()
         ]
-        view = node.book.views.get(engine.name)
+        view = node.load_tracker.views.get(engine.name)
         if not self._policy.moves_idle or view is None:
             return held
         busy = {request.turn.session for request in mine.values()}
@@ -478,15 +478,15 @@
     def _move_idle(self, index: int, source: _Engine, session: str) -> None:
         """End the transfer of an idle session's cache."""
         node = self._nodes[index]
-        if not source.alive or node.book.server_of(session) != source.name:
+        if not source.alive or node.load_tracker.server_of(session) != source.name:
             return
-        tokens = node.book.views[source.name].cached[session]
+        tokens = node.load_tracker.views[source.name].cached[session]
         need = Need(MODEL, tokens, 0, session)
-        chosen = self._policy.choose(list(node.book.views.values()), need)
+        chosen = self._policy.choose(list(node.load_tracker.views.values()), need)
         if chosen is not None:
             blocks = blocks_of(session, tokens)
             self._engines[chosen.server].model.adopt_cache(blocks, session)
-            node.book.record_cache(session, chosen.server, tokens)
+            node.load_tracker.record_cache(session, chosen.server, tokens)
 
     def _move(self, index: int, source: _Engine, attempt: str) -> None:
         """End a transfer: the cache is at the target, and the stream goes on there."""
@@ -495,7 +495,7 @@
             return
         node = self._nodes[index]
         need = self._need(request)
-        chosen = self._policy.choose(list(node.book.views.values()), need)
+        chosen = self._policy.choose(list(node.load_tracker.views.values()), need)
         if chosen is None:
             return
         target = self._engines[chosen.server]
@@ -526,7 +526,7 @@
         for attempt in list(engine.requests):
             self._leave(engine, attempt)
         for index, node in enumerate(self._nodes):
-            node.book.unfollow(engine.name)
+            node.load_tracker.unfollow(engine.name)
             self._pump(index)
 
     # The end
--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -41,23 +41,23 @@
         hall: str,
         servers: ModelServers,
         streams: StreamTable,
-        book: LoadTracker,
+        load_tracker: LoadTracker,
         tally: Tally,
         bundle: Callable[[], Bundle | None],
         most_waiting: int,
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        self.book = book
+        self.load_tracker = load_tracker
         self.streams = streams
         self._hall = hall
         self._servers = servers
         self._tally = tally
         self._clock = clock
         self._rng = rng
-        self._waiting = WaitingRoom(hall, book, bundle, most_waiting, clock)
+        self._waiting = WaitingRoom(hall, load_tracker, bundle, most_waiting, clock)
         self._leaving_servers = Evacuator(
-            hall, servers, book, self._waiting, bundle, self._redirect, clock
+            hall, servers, load_tracker, self._waiting, bundle, self._redirect, clock
         )
         self._guard = GenerationGuard(servers, clock)
         self._budget = RetryBudget()
@@ -135,7 +135,7 @@
 
     def follow(self, view: ServerView) -> None:
         """Follow a server from now on."""
-        self.book.follow(view)
+        self.load_tracker.follow(view)
 
     def handle(self, message: ServerMessage) -> None:
         """Take a message about a server; what it changes is in force when this returns."""
@@ -152,7 +152,7 @@
         while True:
             await self._clock.sleep(TICK_S)
             self._guard.update_blocks()
-            self.book.end_backoffs(self._clock.monotonic())
+            self.load_tracker.end_backoffs(self._clock.monotonic())
             self._waiting.refuse_expired()
             self._waiting.fill()
             self.streams.sweep(self._clock.monotonic())
@@ -217,12 +217,12 @@
 
     def _any_server(self, record: StreamRecord, excluded: frozenset[str]) -> bool:
         need = routing_need(record.request, [], self._hall, excluded)
-        return bool(eligible(self.book.views.values(), need))
+        return bool(eligible(self.load_tracker.views.values(), need))
 
     async def _attempt(self, record: StreamRecord, made: Reservation) -> str | None:
         """Make one attempt; return what broke it, or None if it ended or was moved."""
-        if made.server not in self.book.views:
-            self.book.release(made, self._clock.monotonic())
+        if made.server not in self.load_tracker.views:
+            self.load_tracker.release(made, self._clock.monotonic())
             return "server is gone"
         attempt = record.begin_attempt(made.server)
         task = asyncio.create_task(self._stream(record, attempt, made))
@@ -236,12 +236,12 @@
             raise
         finally:
             self._attempts.pop(record.request.id, None)
-            self.book.release(made, self._clock.monotonic())
+            self.load_tracker.release(made, self._clock.monotonic())
             self._waiting.fill()
 
     async def _stream(self, record: StreamRecord, attempt: str, made: Reservation) -> str | None:
         request = record.request
-        view = self.book.views[made.server]
+        view = self.load_tracker.views[made.server]
         address = view.address
         call = GenerateCall(
             attempt,
@@ -258,7 +258,7 @@
                 async for event in events:
                     if isinstance(event, Token):
                         if record.first_token_at is None or made.prefill_tokens:
-                            made = self.book.record_first_token(made)
+                            made = self.load_tracker.record_first_token(made)
                         if not record.add(attempt, event.i, event.t, self._clock.monotonic()):
                             return f"token {event.i} out of order"
                     elif isinstance(event, Done):
@@ -273,7 +273,7 @@
             if error.retry_after_s is not None:
                 # It counts for all attempts of this node, not for this one alone.
                 retry_at = self._clock.monotonic() + error.retry_after_s
-                self.book.back_off(made.server, retry_at)
+                self.load_tracker.back_off(made.server, retry_at)
                 emit(Event.SERVER_BACKOFF, server=made.server, retry_after_s=error.retry_after_s)
             if error.may_have_run:
                 self._guard.record_broken(request, made.server, address)
@@ -290,7 +290,7 @@
         record.finish(attempt, done.reason)
         self.handle(ServerReported(done.load, 0.0))
         if server is not None:
-            self.book.record_cache(record.request.session, server, context_tokens(record))
+            self.load_tracker.record_cache(record.request.session, server, context_tokens(record))
 
     def _cancel_later(self, address: str, attempt: str) -> None:
         """Tell a server to stop an attempt that nobody follows any more."""
@@ -299,11 +299,11 @@
     # Servers that come and go
 
     def _reported(self, message: ServerReported) -> None:
-        view = self.book.views.get(message.report.server)
+        view = self.load_tracker.views.get(message.report.server)
         if view is None:
             return
         now = self._clock.monotonic()
-        if self.book.apply_report(message.report, now - message.max_age_s, now):
+        if self.load_tracker.apply_report(message.report, now - message.max_age_s, now):
             view.note_answer()  # type: ignore[attr-defined]
         # Reports that ride along with answers keep the watch from polling a busy server, so
         # they must tell of its leaving too.
@@ -312,7 +312,7 @@
             self._leaving(ServerLeaving(message.report.server, left, "server"))
 
     def _leaving(self, message: ServerLeaving) -> None:
-        view = self.book.views.get(message.server)
+        view = self.load_tracker.views.get(message.server)
         if view is None or view.standing is Standing.LEAVING:
             return
         view.note_leaving()  # type: ignore[attr-defined]
@@ -322,13 +322,13 @@
         self._leaving_servers.evacuate(view, records, notice)
 
     def _gone(self, message: ServerGone) -> None:
-        view = self.book.views.get(message.server)
+        view = self.load_tracker.views.get(message.server)
         if view is None:
             return
         if message.detail == "does not answer":
             view.note_silent()  # type: ignore[attr-defined]
             return
-        self.book.unfollow(message.server)
+        self.load_tracker.unfollow(message.server)
 
     def _redirect(
         self, record: StreamRecord, attempt: str, source: str, target: Reservation | None
--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -43,13 +43,13 @@
     def __init__(
         self,
         hall: str,
-        book: LoadTracker,
+        load_tracker: LoadTracker,
         bundle: Callable[[], Bundle | None],
         most_waiting: int,
         clock: Clock,
     ) -> None:
         self._hall = hall
-        self._book = book
+        self._book = load_tracker
         self._bundle = bundle
         self._queue: WaitingQueue[_Waiter] = WaitingQueue(most_waiting)
         self._clock = clock
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -53,8 +53,8 @@
         await world.up(nodes=1, engines=2)
         dispatcher = world.nodes["n0"].dispatcher
         now = world.clock.monotonic()
-        dispatcher.book.back_off("e0", now + RETRY_AFTER_S)
-        dispatcher.book.back_off("e1", now + 2 * RETRY_AFTER_S)
+        dispatcher.load_tracker.back_off("e0", now + RETRY_AFTER_S)
+        dispatcher.load_tracker.back_off("e1", now + 2 * RETRY_AFTER_S)
         refused = dispatcher.submit(world.request("a question")).unwrap_err()
         self.assertEqual((refused.status, refused.ran), (503, Ran.NO))
         self.assertEqual(refused.retry_after, RETRY_AFTER_S)
@@ -64,15 +64,15 @@
         self.assertEqual(record.state, "finished")
 
     def test_a_server_that_leaves_meanwhile_does_not_come_back(self) -> None:
-        book = LoadTracker(10)
-        book.follow(ServerView("s1", "a", "h:1", Speeds(1.0, 1.0, 4)))
-        view = book.views["s1"]
-        book.back_off("s1", 5.0)
+        load_tracker = LoadTracker(10)
+        load_tracker.follow(ServerView("s1", "a", "h:1", Speeds(1.0, 1.0, 4)))
+        view = load_tracker.views["s1"]
+        load_tracker.back_off("s1", 5.0)
         self.assertIs(view.standing, Standing.BACKOFF)
         view.note_leaving()  # type: ignore[attr-defined]
-        book.end_backoffs(6.0)
+        load_tracker.end_backoffs(6.0)
         self.assertIs(view.standing, Standing.LEAVING)
-        book.back_off("s1", 9.0)
+        load_tracker.back_off("s1", 9.0)
         self.assertIs(view.standing, Standing.LEAVING)
 
 
