--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -49,7 +49,7 @@
         clock: Clock,
     ) -> None:
         self._hall = hall
-        self._book = load_tracker
+        self._load_tracker = load_tracker
         self._bundle = bundle
         self._queue: WaitingQueue[_Waiter] = WaitingQueue(most_waiting)
         self._clock = clock
@@ -65,8 +65,8 @@
     def refusal(self, request: GenerationRequest) -> Problem | None:
         """Refuse at once what would wait longer than its deadline allows."""
         need = routing_need(request, [], self._hall)
-        ready = eligible(self._book.views.values(), need)
-        retry_in_s = self._book.retry_in_s(need.model, self._clock.monotonic())
+        ready = eligible(self._load_tracker.views.values(), need)
+        retry_in_s = self._load_tracker.retry_in_s(need.model, self._clock.monotonic())
         if not ready and retry_in_s is not None:
             return problems.unavailable(
                 "all servers asked for a later retry", max(1, ceil(retry_in_s))
@@ -85,7 +85,7 @@
     def reserve(self, need: Need) -> Reservation | None:
         """Pick and reserve a server in one step, or return None."""
         params = routing_params(self._bundle())
-        found = self._book.pick_and_reserve(need, params, self._clock.monotonic())
+        found = self._load_tracker.pick_and_reserve(need, params, self._clock.monotonic())
         return found[1] if found is not None else None
 
     async def slot(self, record: StreamRecord, excluded: frozenset[str]) -> Reservation | Problem:
@@ -123,7 +123,7 @@
         for waiter in self._queue.in_order()[:MOST_TRIED]:
             need = waiter.need
             kind = (need.model, need.priority)
-            has_home = self._book.server_of(need.session) is not None
+            has_home = self._load_tracker.server_of(need.session) is not None
             if kind in full and not has_home:
                 continue
             if now - waiter.since >= HOME_WAIT_S:
@@ -144,11 +144,11 @@
         if not waiter.slot.done():
             waiter.slot.set_result(outcome)
         elif isinstance(outcome, Reservation):
-            self._book.release(outcome, self._clock.monotonic())
+            self._load_tracker.release(outcome, self._clock.monotonic())
 
     def _give_back(self, waiter: _Waiter) -> None:
         self._queue.remove(waiter)
         if waiter.slot.done() and not waiter.slot.cancelled():
             outcome = waiter.slot.result()
             if isinstance(outcome, Reservation):
-                self._book.release(outcome, self._clock.monotonic())
+                self._load_tracker.release(outcome, self._clock.monotonic())
