--- a/src/moledale/edge/app.py
+++ b/src/moledale/edge/app.py
@@ -18,27 +18,27 @@
 from moledale.edge.operators import OperatorApi
 from moledale.node.node import Node
 
-BACKLOG = 2048
-CLOSE_GRACE_S = 5
+LISTEN_BACKLOG = 2048
+SHUTDOWN_TIMEOUT_S = 5
 
 
 class HeaderLimit:
     """Refuses requests whose headers are larger than the limit."""
 
-    def __init__(self, app: ASGIApp, most_bytes: int) -> None:
+    def __init__(self, app: ASGIApp, max_bytes: int) -> None:
         self._app = app
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Pass a request on, or refuse it."""
         if scope["type"] == "http":
             size = sum(len(name) + len(value) for name, value in scope["headers"])
-            if size + len(scope["raw_path"]) > self._most_bytes:
+            if size + len(scope["raw_path"]) > self._max_bytes:
                 refusal = problems.Problem(
                     "headers-too-large",
                     431,
                     "The headers are too large",
-                    f"over {self._most_bytes} bytes",
+                    f"over {self._max_bytes} bytes",
                     problems.Ran.NO,
                 )
                 await problem_response(refusal)(scope, receive, send)
@@ -87,7 +87,7 @@
         yield
 
 
-def bind(listen: str) -> socket.socket:
+def open_listener(listen: str) -> socket.socket:
     """Bind the address for callers; raises OSError if it can't be had."""
     host, port = listen.rsplit(":", 1)
     host = host.strip("[]")
@@ -96,7 +96,7 @@
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bound.bind((host, int(port)))
     # Listening from here on: whoever is told the port may connect at once.
-    bound.listen(BACKLOG)
+    bound.listen(LISTEN_BACKLOG)
     bound.setblocking(False)
     return bound
 
@@ -111,7 +111,7 @@
         log_config=None,
         access_log=False,
         server_header=False,
-        backlog=BACKLOG,
-        timeout_graceful_shutdown=CLOSE_GRACE_S,
+        backlog=LISTEN_BACKLOG,
+        timeout_graceful_shutdown=SHUTDOWN_TIMEOUT_S,
     )
     return CallerServer(config)
