--- a/src/moledale/edge/callers.py
+++ b/src/moledale/edge/callers.py
@@ -27,15 +27,21 @@
 from moledale.problems import Problem
 from moledale.servers.types import ServiceAnswer, ServiceCall
 
-MOST_KEYS = 100
+MAX_KEYS_PER_REQUEST = 100
 JOB_DEADLINE_S = 7 * 24 * 3600.0
 """A job must finish, however late; this only bounds how long its row may stand."""
 
 HOP_PARAMETER = "hop"
-_NOT_PASSED_ON = {"authorization", "host", "content-length", "connection", "transfer-encoding"}
+_UNFORWARDED_HEADERS = {
+    "authorization",
+    "host",
+    "content-length",
+    "connection",
+    "transfer-encoding",
+}
 
 
-JobQuestion = Callable[[str, str], Awaitable[Result[JobStatus, Problem]]]
+JobOperation = Callable[[str, str], Awaitable[Result[JobStatus, Problem]]]
 
 
 class CallerApi:
@@ -68,13 +74,13 @@
 
     async def completions(self, request: Request) -> Response:
         """Answer an OpenAI-style completion."""
-        return await self._generation(request, chat=False)
+        return await self._handle_generation(request, chat=False)
 
     async def chat_completions(self, request: Request) -> Response:
         """Answer an OpenAI-style chat completion."""
-        return await self._generation(request, chat=True)
+        return await self._handle_generation(request, chat=True)
 
-    async def _generation(self, request: Request, chat: bool) -> Response:
+    async def _handle_generation(self, request: Request, chat: bool) -> Response:
         admitted = self._admit(request)
         if isinstance(admitted, Err):
             return problem_response(admitted.err_value)
@@ -94,19 +100,19 @@
             return problem_response(submitted.err_value, asked.request.id)
         record = submitted.ok_value
         if asked.stream:
-            return self._streaming(record, 0)
-        return await self._whole(record)
+            return self._stream_response(record, 0)
+        return await self._whole_response(record)
 
-    async def _whole(self, record: StreamRecord) -> Response:
+    async def _whole_response(self, record: StreamRecord) -> Response:
         await record.wait_ended()
         if record.problem is not None:
             return problem_response(record.problem, record.request.id)
         if record.successor is not None:
             url = f"http://{record.successor}/v1/streams/{record.request.id}?whole=true"
             return RedirectResponse(url, 303)
-        return Response(_whole(record), media_type=JSON_MEDIA_TYPE)
+        return Response(_completion_body(record), media_type=JSON_MEDIA_TYPE)
 
-    def _streaming(self, record: StreamRecord, start: int) -> Response:
+    def _stream_response(self, record: StreamRecord, start: int) -> Response:
         headers = {"Cache-Control": "no-store", "Moledale-Request": record.request.id}
         return StreamingResponse(
             sse.events(record, start), headers=headers, media_type="text/event-stream"
@@ -123,28 +129,30 @@
         outcome = await self._node.once.run(OnceCall(request.account, key, mark, work))
         if isinstance(outcome, Err):
             return problem_response(outcome.err_value)
-        return Response(_whole_once(request, outcome.ok_value), media_type=JSON_MEDIA_TYPE)
+        return Response(
+            _once_completion_body(request, outcome.ok_value), media_type=JSON_MEDIA_TYPE
+        )
 
     async def stream(self, request: Request) -> Response:
         """Resume a stream after `Last-Event-ID`, or return its whole answer."""
-        record = await self._own_stream(request)
+        record = await self._find_stream(request)
         if isinstance(record, Err):
             return problem_response(record.err_value)
         if isinstance(record.ok_value, Response):
             return record.ok_value
         found = record.ok_value
         if request.query_params.get("whole") == "true":
-            return await self._whole(found)
+            return await self._whole_response(found)
         last = request.headers.get("last-event-id")
-        start = 0 if last is None else sse.start_after(found.request.id, last)
+        start = 0 if last is None else sse.resume_index(found.request.id, last)
         if start is None or start > len(found.tokens):
             detail = f"Last-Event-ID {last!r} is not an event of this stream"
             return problem_response(problems.bad_request(detail))
-        return self._streaming(found, start)
+        return self._stream_response(found, start)
 
     async def cancel_stream(self, request: Request) -> Response:
         """Stop a stream for its caller."""
-        record = await self._own_stream(request)
+        record = await self._find_stream(request)
         if isinstance(record, Err):
             return problem_response(record.err_value)
         if isinstance(record.ok_value, Response):
@@ -152,7 +160,7 @@
         self._node.dispatcher.cancel(record.ok_value.request.id)
         return Response(status_code=204)
 
-    async def _own_stream(self, request: Request) -> Result[StreamRecord | Response, Problem]:
+    async def _find_stream(self, request: Request) -> Result[StreamRecord | Response, Problem]:
         """Return the caller's stream, or where to go on asking for it."""
         account = account_of(self._node, request)
         if isinstance(account, Err):
@@ -165,9 +173,9 @@
             address = self._likely_holder(request_id)
             if address is None or HOP_PARAMETER in request.query_params:
                 return Err(_unknown_stream(request_id))
-            return Ok(_go_on_at(address, request))
+            return Ok(_redirect_to(address, request))
         if record.successor is not None:
-            return Ok(_go_on_at(record.successor, request))
+            return Ok(_redirect_to(record.successor, request))
         return Ok(record)
 
     def _likely_holder(self, request_id: str) -> str | None:
@@ -203,13 +211,13 @@
 
     async def job_status(self, request: Request) -> Response:
         """Return a job's state."""
-        return await self._job(request, self._node.jobs.status)
+        return await self._handle_job(request, self._node.jobs.status)
 
     async def cancel_job(self, request: Request) -> Response:
         """Cancel a job."""
-        return await self._job(request, self._node.jobs.cancel)
+        return await self._handle_job(request, self._node.jobs.cancel)
 
-    async def _job(self, request: Request, ask: JobQuestion) -> Response:
+    async def _handle_job(self, request: Request, ask: JobOperation) -> Response:
         account = account_of(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
@@ -234,7 +242,7 @@
             detail = f"the job was {ended.state.value}"
             return problem_response(problems.conflict(detail), job_id)
         usage = sse.Usage(ended.tokens)
-        body = sse.whole(ended.request, [ended.text or ""], ended.reason, usage)
+        body = sse.encode_completion(ended.request, [ended.text or ""], ended.reason, usage)
         return Response(body, media_type=JSON_MEDIA_TYPE)
 
     # Services
@@ -245,8 +253,10 @@
         if isinstance(account, Err):
             return problem_response(account.err_value)
         text = request.query_params.get("count", "1")
-        if not text.isdecimal() or not 1 <= int(text) <= MOST_KEYS:
-            return problem_response(problems.bad_request(f"count: a number of 1 to {MOST_KEYS}"))
+        if not text.isdecimal() or not 1 <= int(text) <= MAX_KEYS_PER_REQUEST:
+            return problem_response(
+                problems.bad_request(f"count: a number of 1 to {MAX_KEYS_PER_REQUEST}")
+            )
         refusal = self._node.refusal()
         if refusal is not None:
             return problem_response(refusal)
@@ -313,7 +323,7 @@
         return account if not isinstance(admitted, Err) else Err(admitted.err_value)
 
 
-def _go_on_at(address: str, request: Request) -> Response:
+def _redirect_to(address: str, request: Request) -> Response:
     """Send a caller on; one hop at the most, since two nodes' lists may differ."""
     url = request.url.include_query_params(**{HOP_PARAMETER: "1"})
     return RedirectResponse(f"http://{address}{url.path}?{url.query}", 307)
@@ -323,18 +333,20 @@
     path = "/" + str(request.path_params["path"])
     if request.url.query:
         path += f"?{request.url.query}"
-    headers = [(n, v) for n, v in request.headers.items() if n not in _NOT_PASSED_ON]
+    headers = [(n, v) for n, v in request.headers.items() if n not in _UNFORWARDED_HEADERS]
     return ServiceCall(str(request.path_params["name"]), request.method, path, headers, body)
 
 
-def _whole(record: StreamRecord) -> bytes:
-    return sse.whole(record.request, record.tokens, record.reason or "", sse.usage_of(record))
+def _completion_body(record: StreamRecord) -> bytes:
+    return sse.encode_completion(
+        record.request, record.tokens, record.reason or "", sse.usage_of(record)
+    )
 
 
-def _whole_once(request: GenerationRequest, answer: ServiceAnswer) -> bytes:
+def _once_completion_body(request: GenerationRequest, answer: ServiceAnswer) -> bytes:
     """Return a not-repeatable generation's answer in the usual form."""
     reason, *tokens = msgspec.json.decode(answer.body, type=list[str])
-    return sse.whole(request, tokens, reason, sse.Usage(len(tokens)))
+    return sse.encode_completion(request, tokens, reason, sse.Usage(len(tokens)))
 
 
 def _unknown_stream(request_id: str) -> Problem:
--- a/src/moledale/edge/sse.py
+++ b/src/moledale/edge/sse.py
@@ -24,7 +24,7 @@
     return f"{request_id}.{index}"
 
 
-def start_after(request_id: str, last_event_id: str) -> int | None:
+def resume_index(request_id: str, last_event_id: str) -> int | None:
     """Return the index to resume at, or None if the id isn't one of this stream."""
     named, _, index = last_event_id.rpartition(".")
     if named != request_id or not index.isdecimal():
@@ -46,7 +46,9 @@
     yield _last(record)
 
 
-def whole(request: GenerationRequest, tokens: list[str], reason: str, usage: Usage) -> bytes:
+def encode_completion(
+    request: GenerationRequest, tokens: list[str], reason: str, usage: Usage
+) -> bytes:
     """Return a finished answer as one completion or chat completion."""
     text = "".join(tokens)
     choice: dict[str, object] = {"index": 0, "finish_reason": reason}
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -14,7 +14,7 @@
 from moledale.bundle import schema, signing
 from moledale.bundle.diff import changes
 from moledale.clock import SystemClock
-from moledale.edge.sse import event_id, start_after
+from moledale.edge.sse import event_id, resume_index
 from moledale.findings import Finding
 from moledale.log import Event
 from moledale.node.burn import BurnCount, burn_rows
@@ -188,11 +188,11 @@
 class IdsTest(unittest.TestCase):
     @given(st.text(max_size=30), st.integers(0, 10**6))
     def test_event_ids(self, request_id: str, index: int) -> None:
-        self.assertEqual(start_after(request_id, event_id(request_id, index)), index + 1)
+        self.assertEqual(resume_index(request_id, event_id(request_id, index)), index + 1)
 
     @given(st.text(max_size=30))
     def test_odd_event_ids(self, text: str) -> None:
-        found = start_after("req", text)
+        found = resume_index("req", text)
         self.assertTrue(found is None or text == f"req.{text.rsplit('.', 1)[1]}")
 
     @given(st.text(max_size=40))
