--- a/src/moledale/edge/sse.py
+++ b/src/moledale/edge/sse.py
@@ -34,7 +34,7 @@
 
 async def events(record: StreamRecord, start: int) -> AsyncIterator[bytes]:
     """Yield a stream from token `start`; it ends in `[DONE]`, `error` or `moved`."""
-    before, after = _frame(record)
+    before, after = _event_affixes(record)
     request_id = record.request.id
     encode = msgspec.json.encode
     async for position, tokens in record.follow(start):
@@ -43,7 +43,7 @@
             % (request_id.encode(), position + offset, before, encode(token), after)
             for offset, token in enumerate(tokens)
         )
-    yield _last(record)
+    yield _final_event(record)
 
 
 def encode_completion(
@@ -56,7 +56,7 @@
         choice["message"] = {"role": "assistant", "content": text}
     else:
         choice["text"] = text
-    return msgspec.json.encode({**_head(request, ""), "choices": [choice], "usage": usage})
+    return msgspec.json.encode({**_common_fields(request, ""), "choices": [choice], "usage": usage})
 
 
 def usage_of(record: StreamRecord) -> Usage:
@@ -69,9 +69,9 @@
     )
 
 
-def _frame(record: StreamRecord) -> tuple[bytes, bytes]:
+def _event_affixes(record: StreamRecord) -> tuple[bytes, bytes]:
     """Return what stands before and after the token in every event's data."""
-    head = msgspec.json.encode(_head(record.request, ".chunk"))[:-1]
+    head = msgspec.json.encode(_common_fields(record.request, ".chunk"))[:-1]
     if record.request.chat:
         return (
             head + b',"choices":[{"index":0,"delta":{"content":',
@@ -80,7 +80,7 @@
     return head + b',"choices":[{"index":0,"text":', b',"finish_reason":null}]}'
 
 
-def _head(request: GenerationRequest, chunk: str) -> dict[str, object]:
+def _common_fields(request: GenerationRequest, chunk: str) -> dict[str, object]:
     kind = f"chat.completion{chunk}" if request.chat else "text_completion"
     return {
         "id": request.id,
@@ -90,7 +90,7 @@
     }
 
 
-def _last(record: StreamRecord) -> bytes:
+def _final_event(record: StreamRecord) -> bytes:
     """Return the explicit end."""
     if record.problem is not None:
         return b"event: error\ndata: %s\n\n" % record.problem.body(record.request.id)
@@ -102,5 +102,9 @@
         return b"event: moved\ndata: %s\n\n" % msgspec.json.encode(moved)
     choice: dict[str, object] = {"index": 0, "finish_reason": record.reason}
     choice["delta" if record.request.chat else "text"] = {} if record.request.chat else ""
-    chunk = {**_head(record.request, ".chunk"), "choices": [choice], "usage": usage_of(record)}
+    chunk = {
+        **_common_fields(record.request, ".chunk"),
+        "choices": [choice],
+        "usage": usage_of(record),
+    }
     return b"data: %s\n\n%s" % (msgspec.json.encode(chunk), DONE)
