--- a/src/moledale/edge/callers.py
+++ b/src/moledale/edge/callers.py
@@ -15,8 +15,8 @@
 from moledale.edge.requests import (
     KEY_HEADER,
     SESSION_HEADER,
-    Asked,
-    account_of,
+    ParsedGeneration,
+    authenticate,
     parse_generation,
     read_body,
 )
@@ -118,7 +118,7 @@
             sse.events(record, start), headers=headers, media_type="text/event-stream"
         )
 
-    async def _generate_once(self, asked: Asked, key: str) -> Response:
+    async def _generate_once(self, asked: ParsedGeneration, key: str) -> Response:
         if asked.stream:
             detail = "Idempotency-Key goes with a whole answer or with respond-async"
             return problem_response(problems.bad_request(detail))
@@ -162,7 +162,7 @@
 
     async def _find_stream(self, request: Request) -> Result[StreamRecord | Response, Problem]:
         """Return the caller's stream, or where to go on asking for it."""
-        account = account_of(self._node, request)
+        account = authenticate(self._node, request)
         if isinstance(account, Err):
             return account
         request_id = str(request.path_params["id"])
@@ -189,7 +189,7 @@
 
     # Jobs
 
-    async def _accept_job(self, asked: Asked) -> Response:
+    async def _accept_job(self, asked: ParsedGeneration) -> Response:
         node = self._node
         request = msgspec.structs.replace(
             asked.request, deadline_at=node.clock.wall() + JOB_DEADLINE_S, repeatable=True
@@ -218,7 +218,7 @@
         return await self._handle_job(request, self._node.jobs.cancel)
 
     async def _handle_job(self, request: Request, ask: JobOperation) -> Response:
-        account = account_of(self._node, request)
+        account = authenticate(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
         outcome = await ask(account.ok_value.name, str(request.path_params["id"]))
@@ -228,7 +228,7 @@
 
     async def job_result(self, request: Request) -> Response:
         """Return a job's answer, or 404 with a time to come back while it isn't done."""
-        account = account_of(self._node, request)
+        account = authenticate(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
         job_id = str(request.path_params["id"])
@@ -249,7 +249,7 @@
 
     async def issue_keys(self, request: Request) -> Response:
         """Issue idempotency keys that this node settles without the table."""
-        account = account_of(self._node, request)
+        account = authenticate(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
         text = request.query_params.get("count", "1")
@@ -301,7 +301,7 @@
 
     async def models(self, request: Request) -> Response:
         """Return the models and adapters that may be named."""
-        account = account_of(self._node, request)
+        account = authenticate(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
         bundle = self._node.bundle()
@@ -316,7 +316,7 @@
         refusal = self._node.refusal()
         if refusal is not None:
             return Err(refusal)
-        account = account_of(self._node, request)
+        account = authenticate(self._node, request)
         if isinstance(account, Err):
             return account
         admitted = self._node.accounts.admit(account.ok_value)
--- a/src/moledale/edge/requests.py
+++ b/src/moledale/edge/requests.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ParsedGeneration:
     """A generation as its caller asked for it."""
 
     request: GenerationRequest
@@ -80,7 +80,7 @@
     return value.strip() if scheme.lower() == "bearer" else ""
 
 
-def account_of(node: Node, request: Request) -> Result[Account, Problem]:
+def authenticate(node: Node, request: Request) -> Result[Account, Problem]:
     """Return the caller's account."""
     account = node.accounts.find(bearer(request))
     if account is None:
@@ -90,7 +90,7 @@
 
 def parse_generation(
     node: Node, account: Account, request: Request, body: bytes, chat: bool
-) -> Result[Asked, Problem]:
+) -> Result[ParsedGeneration, Problem]:
     """Validate a completion or chat completion against the bundle in force."""
     try:
         if chat:
@@ -133,7 +133,7 @@
         chat,
         key is None,
     )
-    return Ok(Asked(generation, stream, respond_async, key))
+    return Ok(ParsedGeneration(generation, stream, respond_async, key))
 
 
 def priority_of(
