--- a/src/moledale/edge/requests.py
+++ b/src/moledale/edge/requests.py
@@ -14,9 +14,9 @@
 from moledale.node.streams import GenerationRequest
 from moledale.problems import Problem
 
-MOST_SESSION_LENGTH = 200
+MAX_SESSION_CHARS = 200
 DEFAULT_MAX_TOKENS = 256
-LONGEST_DEADLINE_MS = 24 * 3600 * 1000
+MAX_DEADLINE_MS = 24 * 3600 * 1000
 PRIORITY_HEADER = "moledale-priority"
 SESSION_HEADER = "moledale-session"
 DEADLINE_HEADER = "moledale-deadline-ms"
@@ -107,7 +107,7 @@
     if bundle is None or bundle.model(model) is None:
         return Err(problems.not_found(f"model or adapter {model!r} is not in the bundle"))
     respond_async = "respond-async" in request.headers.get("prefer", "").lower()
-    stated = priority_of(account, request, respond_async)
+    stated = parse_priority(account, request, respond_async)
     if isinstance(stated, Err):
         return stated
     priority = stated.ok_value
@@ -115,8 +115,8 @@
     if isinstance(deadline, Err):
         return deadline
     session = request.headers.get(SESSION_HEADER, "")
-    if len(session) > MOST_SESSION_LENGTH:
-        return Err(problems.bad_request(f"{SESSION_HEADER}: over {MOST_SESSION_LENGTH} characters"))
+    if len(session) > MAX_SESSION_CHARS:
+        return Err(problems.bad_request(f"{SESSION_HEADER}: over {MAX_SESSION_CHARS} characters"))
     now = node.clock.wall()
     key = request.headers.get(KEY_HEADER)
     generation = GenerationRequest(
@@ -136,7 +136,7 @@
     return Ok(ParsedGeneration(generation, stream, respond_async, key))
 
 
-def priority_of(
+def parse_priority(
     account: Account, request: Request, respond_async: bool
 ) -> Result[Priority, Problem]:
     """Return the priority that a request states, or the usual one."""
@@ -155,7 +155,7 @@
     text = request.headers.get(DEADLINE_HEADER)
     if text is None:
         return Ok(bundle.target(priority).deadline_s)
-    if not text.isdecimal() or not 0 < int(text) <= LONGEST_DEADLINE_MS:
-        detail = f"{DEADLINE_HEADER}: {text!r} is not a number of 1 to {LONGEST_DEADLINE_MS}"
+    if not text.isdecimal() or not 0 < int(text) <= MAX_DEADLINE_MS:
+        detail = f"{DEADLINE_HEADER}: {text!r} is not a number of 1 to {MAX_DEADLINE_MS}"
         return Err(problems.bad_request(detail))
     return Ok(int(text) / 1000)
