--- a/src/moledale/edge/callers.py
+++ b/src/moledale/edge/callers.py
@@ -13,7 +13,7 @@
 from moledale.edge import sse
 from moledale.edge.answers import JSON_MEDIA_TYPE, json_response, problem_response
 from moledale.edge.requests import (
-    KEY_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
     SESSION_HEADER,
     ParsedGeneration,
     authenticate,
@@ -272,7 +272,7 @@
         if isinstance(body, Err):
             return problem_response(body.err_value)
         call = _service_call(request, body.ok_value)
-        key = request.headers.get(KEY_HEADER)
+        key = request.headers.get(IDEMPOTENCY_KEY_HEADER)
         if key is None:
             outcome = await self._node.services.call(call)
         else:
--- a/src/moledale/edge/requests.py
+++ b/src/moledale/edge/requests.py
@@ -20,7 +20,7 @@
 PRIORITY_HEADER = "moledale-priority"
 SESSION_HEADER = "moledale-session"
 DEADLINE_HEADER = "moledale-deadline-ms"
-KEY_HEADER = "idempotency-key"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 MaxTokens = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
 
 
@@ -118,7 +118,7 @@
     if len(session) > MAX_SESSION_CHARS:
         return Err(problems.bad_request(f"{SESSION_HEADER}: over {MAX_SESSION_CHARS} characters"))
     now = node.clock.wall()
-    key = request.headers.get(KEY_HEADER)
+    key = request.headers.get(IDEMPOTENCY_KEY_HEADER)
     generation = GenerationRequest(
         f"req_{node.id}_{uuid.uuid4().hex}",
         account.name,
