--- a/src/moledale/edge/operators.py
+++ b/src/moledale/edge/operators.py
@@ -15,10 +15,10 @@
 from moledale.edge.requests import bearer, read_body
 from moledale.node.node import Node
 
-_ROLL_STATUS = {"invalid": 422, "older": 409, "gap": 409, "conflict": 409, "platform": 503}
+_REFUSAL_HTTP_STATUS = {"invalid": 422, "older": 409, "gap": 409, "conflict": 409, "platform": 503}
 
 
-class ServerStanding(msgspec.Struct, frozen=True):
+class ServerStatus(msgspec.Struct, frozen=True):
     """A server as one node sees it."""
 
     id: str
@@ -45,7 +45,7 @@
     jobs: int
     leases: list[str]
     nodes: dict[str, str]
-    servers: list[ServerStanding]
+    servers: list[ServerStatus]
     build: str = ""
 
 
@@ -67,20 +67,20 @@
 
     async def status(self, request: Request) -> Response:
         """Return the node's status."""
-        if not self._allowed(request):
-            return _denied()
+        if not self._is_authorized(request):
+            return _unauthorized()
         return json_response(self._status())
 
     async def burn(self, request: Request) -> Response:
         """Return the node's counts of good and bad requests."""
-        if not self._allowed(request):
-            return _denied()
+        if not self._is_authorized(request):
+            return _unauthorized()
         return json_response(self._node.burn.page())
 
     async def roll(self, request: Request) -> Response:
         """Roll a signed bundle."""
-        if not self._allowed(request):
-            return _denied()
+        if not self._is_authorized(request):
+            return _unauthorized()
         body = await read_body(request, self._node.settings.limits.body_bytes)
         if isinstance(body, Err):
             return problem_response(body.err_value)
@@ -91,13 +91,13 @@
         outcome = await self._node.roll(signed)
         if isinstance(outcome, Err):
             refusal = outcome.err_value
-            return json_response(refusal, _ROLL_STATUS[refusal.kind])
+            return json_response(refusal, _REFUSAL_HTTP_STATUS[refusal.kind])
         return json_response(outcome.ok_value, 201)
 
     async def history(self, request: Request) -> Response:
         """Return all accepted versions."""
-        if not self._allowed(request):
-            return _denied()
+        if not self._is_authorized(request):
+            return _unauthorized()
         outcome = await store.history(self._node.platform)
         if isinstance(outcome, Err):
             return problem_response(problems.unavailable(outcome.err_value.detail, 2))
@@ -105,8 +105,8 @@
 
     async def head(self, request: Request) -> Response:
         """Return the head with its body and signatures."""
-        if not self._allowed(request):
-            return _denied()
+        if not self._is_authorized(request):
+            return _unauthorized()
         read = await store.read_head(self._node.platform)
         if isinstance(read, Err):
             return problem_response(problems.unavailable(read.err_value.detail, 2))
@@ -119,7 +119,7 @@
         signed = msgspec.json.decode(body.ok_value, type=store.SignedBundle)
         return json_response({"head": head, "bundle": signed})
 
-    def _allowed(self, request: Request) -> bool:
+    def _is_authorized(self, request: Request) -> bool:
         wanted = self._node.secrets.operator.encode()
         return hmac.compare_digest(bearer(request).encode(), wanted)
 
@@ -142,13 +142,13 @@
             node.leases_held(),
             {view.id: view.address for view in node.fleet.node_views()},
             [
-                ServerStanding(v.id, v.hall, v.standing.value, v.running, sorted(v.models))
+                ServerStatus(v.id, v.hall, v.standing.value, v.running, sorted(v.models))
                 for v in node.load_tracker.views.values()
             ],
             build_id(),
         )
 
 
-def _denied() -> Response:
+def _unauthorized() -> Response:
     detail = "send the operators' token as Authorization: Bearer"
     return problem_response(problems.unauthorized(detail))
