--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -25,12 +25,12 @@
 from moledale.problems import Problem, Ran
 from moledale.servers.types import Done, GenerateCall, ModelServers, Refused, ServerError, Token
 
-BLOCKED = "servers ended under this request"
+BLOCKED_DETAIL = "servers ended under this request"
 """What callers are told of a generation that is blocked."""
 
 RETRY_PAUSE_S = 0.05
 DEFAULT_NOTICE_S = 30.0
-TICK_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 class Dispatcher:
@@ -44,7 +44,7 @@
         load_tracker: LoadTracker,
         tally: Tally,
         bundle: Callable[[], Bundle | None],
-        most_waiting: int,
+        max_waiting: int,
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -55,7 +55,7 @@
         self._tally = tally
         self._clock = clock
         self._rng = rng
-        self._waiting = WaitingRoom(hall, load_tracker, bundle, most_waiting, clock)
+        self._waiting = WaitingRoom(hall, load_tracker, bundle, max_waiting, clock)
         self._leaving_servers = Evacuator(
             hall, servers, load_tracker, self._waiting, bundle, self._redirect, clock
         )
@@ -65,7 +65,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._attempts: dict[str, asyncio.Task[str | None]] = {}
         self._moves: dict[str, Reservation | None] = {}
-        self._held: set[str] = set()
+        self._suspended: set[str] = set()
 
     @property
     def open_requests(self) -> int:
@@ -84,7 +84,7 @@
         blocked_s = self._guard.blocked_for_s(request)
         if blocked_s > 0:
             self._tally.record_refused(request)
-            return Err(problems.unavailable(BLOCKED, math.ceil(blocked_s)))
+            return Err(problems.unavailable(BLOCKED_DETAIL, math.ceil(blocked_s)))
         refusal = self._waiting.refusal(request)
         if refusal is not None:
             self._tally.record_refused(request)
@@ -111,26 +111,26 @@
         task.cancel()
         return True
 
-    async def hold(self, record: StreamRecord) -> None:
+    async def suspend(self, record: StreamRecord) -> None:
         """Stop work on a request without ending it, so that its tokens stand still.
 
         A caller must never have more tokens than the peer that goes on with the stream.
         """
-        self._held.add(record.request.id)
+        self._suspended.add(record.request.id)
         task = self._tasks.get(record.request.id)
         if task is not None:
             task.cancel()
             await asyncio.wait([task])
 
-    def handed(self, record: StreamRecord, successor: str) -> None:
+    def finish_handover(self, record: StreamRecord, successor: str) -> None:
         """End a held request here since a peer has taken it."""
-        self._held.discard(record.request.id)
+        self._suspended.discard(record.request.id)
         record.hand_over(successor)
         self.streams.ended(record, self._clock.monotonic())
 
     def go_on(self, record: StreamRecord) -> None:
         """Go on with a held request here."""
-        self._held.discard(record.request.id)
+        self._suspended.discard(record.request.id)
         self.adopt(record)
 
     def follow(self, view: ServerView) -> None:
@@ -150,7 +150,7 @@
     async def run(self) -> None:
         """Refuse waiting requests whose deadline has passed, and drop old answers."""
         while True:
-            await self._clock.sleep(TICK_S)
+            await self._clock.sleep(POLL_INTERVAL_S)
             self._guard.update_blocks()
             self.load_tracker.end_backoffs(self._clock.monotonic())
             self._waiting.refuse_expired()
@@ -164,7 +164,7 @@
         try:
             await self._serve_attempts(record)
         except asyncio.CancelledError:
-            if not record.ended and record.request.id not in self._held:
+            if not record.ended and record.request.id not in self._suspended:
                 record.fail(problems.failed("the node stopped"))
         except Exception as error:
             emit(Event.TASK_FAILED, task=f"request/{record.request.id}", error=repr(error))
@@ -173,7 +173,7 @@
             self._tasks.pop(record.request.id, None)
             self._moves.pop(record.request.id, None)
             if record.ended:
-                self._held.discard(record.request.id)
+                self._suspended.discard(record.request.id)
                 self.streams.ended(record, self._clock.monotonic())
                 self._count(record)
             self._waiting.fill()
@@ -183,7 +183,7 @@
         while not record.ended:
             # Work that waits comes back on its own, whatever it did to servers before.
             if self._guard.blocked_for_s(record.request) > 0:
-                record.fail(problems.failed(BLOCKED))
+                record.fail(problems.failed(BLOCKED_DETAIL))
                 return
             made = self._moves.pop(record.request.id, None)
             record.wait_for_server()
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -252,7 +252,7 @@
 
     async def _hand_over(self, record: StreamRecord) -> None:
         """Hand a stream over to a peer, ranked by the request id so that any node can find it."""
-        await self.dispatcher.hold(record)
+        await self.dispatcher.suspend(record)
         if record.ended:
             return
         for view in self.successors(record.request.id)[:MAX_HANDOVER_ATTEMPTS]:
@@ -260,7 +260,7 @@
             outcome = await self._link.hand_over(peer.peer_address, record)
             if not isinstance(outcome, Err):
                 emit(Event.STREAM_HANDED, request=record.request.id, peer=peer.id)
-                self.dispatcher.handed(record, peer.address)
+                self.dispatcher.finish_handover(record, peer.address)
                 return
         self.dispatcher.go_on(record)
 
--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -45,13 +45,13 @@
         hall: str,
         load_tracker: LoadTracker,
         bundle: Callable[[], Bundle | None],
-        most_waiting: int,
+        max_waiting: int,
         clock: Clock,
     ) -> None:
         self._hall = hall
         self._load_tracker = load_tracker
         self._bundle = bundle
-        self._queue: WaitingQueue[_Waiter] = WaitingQueue(most_waiting)
+        self._queue: WaitingQueue[_Waiter] = WaitingQueue(max_waiting)
         self._clock = clock
         self._service_s = DEFAULT_SERVICE_S
 
--- a/tools/without.py
+++ b/tools/without.py
@@ -55,7 +55,7 @@
 
 async def _no_hold(self: dispatcher.Dispatcher, record: streams.StreamRecord) -> None:
     """Let a stream go on while it is sent to a peer."""
-    self._held.add(record.request.id)
+    self._suspended.add(record.request.id)
 
 
 async def _never_settle(self: journal.Journal, entry: journal.Entry) -> journal.Outcome:
@@ -140,7 +140,7 @@
     Without(
         "2 whole answer",
         "a stream stands still while it is handed over",
-        _attribute(dispatcher.Dispatcher, "hold", _no_hold),
+        _attribute(dispatcher.Dispatcher, "suspend", _no_hold),
         f"{PROMISES}.PlannedStopTest",
     ),
     Without(
