--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -128,7 +128,7 @@
         record.hand_over(successor)
         self.streams.ended(record, self._clock.monotonic())
 
-    def go_on(self, record: StreamRecord) -> None:
+    def resume(self, record: StreamRecord) -> None:
         """Go on with a held request here."""
         self._suspended.discard(record.request.id)
         self.adopt(record)
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -262,7 +262,7 @@
                 emit(Event.STREAM_HANDED, request=record.request.id, peer=peer.id)
                 self.dispatcher.finish_handover(record, peer.address)
                 return
-        self.dispatcher.go_on(record)
+        self.dispatcher.resume(record)
 
     def successors(self, request_id: str) -> list[NodeView]:
         """Return the peers that may take over a stream, in order of preference."""
