--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -60,11 +60,11 @@
             hall, servers, load_tracker, self._waiting, bundle, self._redirect, clock
         )
         self._guard = GenerationGuard(servers, clock)
-        self._budget = RetryBudget()
+        self._retry_budget = RetryBudget()
         self._background = BackgroundTasks("dispatcher")
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._attempts: dict[str, asyncio.Task[str | None]] = {}
-        self._moves: dict[str, Reservation | None] = {}
+        self._redirects: dict[str, Reservation | None] = {}
         self._suspended: set[str] = set()
 
     @property
@@ -96,7 +96,7 @@
         if not record.accepted_at:
             record.accepted_at = self._clock.monotonic()
         self.streams.add(record)
-        self._budget.record_request()
+        self._retry_budget.record_request()
         task = asyncio.create_task(self._serve(record), name=f"request/{record.request.id}")
         self._tasks[record.request.id] = task
         return record
@@ -140,11 +140,11 @@
     def handle(self, message: ServerMessage) -> None:
         """Take a message about a server; what it changes is in force when this returns."""
         if isinstance(message, ServerReported):
-            self._reported(message)
+            self._on_report(message)
         elif isinstance(message, ServerLeaving):
-            self._leaving(message)
+            self._on_leaving(message)
         else:
-            self._gone(message)
+            self._on_gone(message)
         self._waiting.fill()
 
     async def run(self) -> None:
@@ -171,11 +171,11 @@
             record.fail(problems.failed(f"internal error: {error!r}"))
         finally:
             self._tasks.pop(record.request.id, None)
-            self._moves.pop(record.request.id, None)
+            self._redirects.pop(record.request.id, None)
             if record.ended:
                 self._suspended.discard(record.request.id)
                 self.streams.ended(record, self._clock.monotonic())
-                self._count(record)
+                self._record_outcome(record)
             self._waiting.fill()
 
     async def _serve_attempts(self, record: StreamRecord) -> None:
@@ -185,15 +185,15 @@
             if self._guard.blocked_for_s(record.request) > 0:
                 record.fail(problems.failed(BLOCKED_DETAIL))
                 return
-            made = self._moves.pop(record.request.id, None)
+            made = self._redirects.pop(record.request.id, None)
             record.wait_for_server()
             if made is None:
                 slot = await self._waiting.slot(record, excluded)
                 if isinstance(slot, Problem):
-                    record.fail(_after_dispatch(slot, record))
+                    record.fail(_with_unknown_outcome(slot, record))
                     return
                 made = slot
-            detail = await self._attempt(record, made)
+            detail = await self._run_attempt(record, made)
             if detail is None:
                 continue
             excluded = excluded | {made.server}
@@ -205,32 +205,32 @@
             )
             if not record.request.repeatable:
                 record.fail(problems.outcome_unknown(f"server failed: {detail}"))
-            elif not self._budget.try_spend():
+            elif not self._retry_budget.try_spend():
                 record.fail(problems.failed(f"server failed, retry budget used up: {detail}"))
             else:
                 if len(excluded) > 1:
                     # One that broke off twice may be what ends servers: that is known first.
                     await self._guard.wait_checked(made.server)
-                if not self._any_server(record, excluded):
+                if not self._has_eligible_server(record, excluded):
                     excluded = frozenset()
                 await self._clock.sleep(RETRY_PAUSE_S * self._rng.uniform(0.5, 1.5))
 
-    def _any_server(self, record: StreamRecord, excluded: frozenset[str]) -> bool:
+    def _has_eligible_server(self, record: StreamRecord, excluded: frozenset[str]) -> bool:
         need = routing_need(record.request, [], self._hall, excluded)
         return bool(eligible(self.load_tracker.views.values(), need))
 
-    async def _attempt(self, record: StreamRecord, made: Reservation) -> str | None:
+    async def _run_attempt(self, record: StreamRecord, made: Reservation) -> str | None:
         """Make one attempt; return what broke it, or None if it ended or was moved."""
         if made.server not in self.load_tracker.views:
             self.load_tracker.release(made, self._clock.monotonic())
             return "server is gone"
         attempt = record.begin_attempt(made.server)
-        task = asyncio.create_task(self._stream(record, attempt, made))
+        task = asyncio.create_task(self._stream_attempt(record, attempt, made))
         self._attempts[record.request.id] = task
         try:
             return await task
         except asyncio.CancelledError:
-            if record.request.id in self._moves and not record.ended:
+            if record.request.id in self._redirects and not record.ended:
                 return None
             task.cancel()
             raise
@@ -239,7 +239,9 @@
             self.load_tracker.release(made, self._clock.monotonic())
             self._waiting.fill()
 
-    async def _stream(self, record: StreamRecord, attempt: str, made: Reservation) -> str | None:
+    async def _stream_attempt(
+        self, record: StreamRecord, attempt: str, made: Reservation
+    ) -> str | None:
         request = record.request
         view = self.load_tracker.views[made.server]
         address = view.address
@@ -280,7 +282,7 @@
             return str(error)
         finally:
             if not finished:
-                self._cancel_later(address, attempt)
+                self._cancel_attempt(address, attempt)
 
     def _finish(self, record: StreamRecord, attempt: str, done: Done) -> None:
         record.cached_tokens += done.cached_tokens
@@ -292,13 +294,13 @@
         if server is not None:
             self.load_tracker.record_cache(record.request.session, server, context_tokens(record))
 
-    def _cancel_later(self, address: str, attempt: str) -> None:
+    def _cancel_attempt(self, address: str, attempt: str) -> None:
         """Tell a server to stop an attempt that nobody follows any more."""
         self._background.start(self._servers.cancel(address, attempt))
 
     # Servers that come and go
 
-    def _reported(self, message: ServerReported) -> None:
+    def _on_report(self, message: ServerReported) -> None:
         view = self.load_tracker.views.get(message.report.server)
         if view is None:
             return
@@ -309,9 +311,9 @@
         # they must tell of its leaving too.
         if message.report.leaving:
             left = message.report.seconds_left
-            self._leaving(ServerLeaving(message.report.server, left, "server"))
+            self._on_leaving(ServerLeaving(message.report.server, left, "server"))
 
-    def _leaving(self, message: ServerLeaving) -> None:
+    def _on_leaving(self, message: ServerLeaving) -> None:
         view = self.load_tracker.views.get(message.server)
         if view is None or view.standing is Standing.LEAVING:
             return
@@ -321,7 +323,7 @@
         records = [record for record in self.streams.live() if record.server == view.id]
         self._leaving_servers.evacuate(view, records, notice)
 
-    def _gone(self, message: ServerGone) -> None:
+    def _on_gone(self, message: ServerGone) -> None:
         view = self.load_tracker.views.get(message.server)
         if view is None:
             return
@@ -337,19 +339,19 @@
         task = self._attempts.get(record.request.id)
         if record.ended or record.attempt != attempt or task is None or task.done():
             return False
-        self._moves[record.request.id] = target
+        self._redirects[record.request.id] = target
         task.cancel()
         moved_to = target.server if target is not None else "any"
         emit(Event.STREAM_MOVED, request=record.request.id, source=source, target=moved_to)
         return True
 
-    def _count(self, record: StreamRecord) -> None:
+    def _record_outcome(self, record: StreamRecord) -> None:
         if record.state == "finished":
             self._waiting.note_service(self._clock.monotonic() - record.accepted_at)
         self._tally.record_ended(record)
 
 
-def _after_dispatch(problem: Problem, record: StreamRecord) -> Problem:
+def _with_unknown_outcome(problem: Problem, record: StreamRecord) -> Problem:
     """A refusal after an attempt was sent can't promise that nothing ran."""
     if not record.dispatched:
         return problem
--- a/tools/without.py
+++ b/tools/without.py
@@ -146,7 +146,7 @@
     Without(
         "3 did not run",
         "a refusal after dispatch says unknown",
-        _attribute(dispatcher, "_after_dispatch", lambda problem, record: problem),
+        _attribute(dispatcher, "_with_unknown_outcome", lambda problem, record: problem),
         f"{PROMISES}.RefusalTest",
     ),
     Without(
@@ -164,7 +164,7 @@
     Without(
         "5 no new work when leaving",
         "leaving servers are not eligible",
-        _attribute(dispatcher.Dispatcher, "_leaving", lambda self, message: None),
+        _attribute(dispatcher.Dispatcher, "_on_leaving", lambda self, message: None),
         f"{PROMISES}.LeavingServerTest",
     ),
     Without(
