--- a/src/moledale/node/jobs.py
+++ b/src/moledale/node/jobs.py
@@ -32,13 +32,13 @@
 RESULT_TABLE = "job-result"
 RESULT_PREFIX = "results/"
 JOB_ID_PREFIX = "job_"
-MOST_ROW_BYTES = 16_384
-MOST_SCAN = 500
-MOST_ADOPTED = 50
-MOST_RUNNING = 200
+MAX_INLINE_TEXT_CHARS = 16_384
+MAX_SCAN_ROWS = 500
+MAX_ADOPTIONS_PER_SCAN = 50
+MAX_OWNED_JOBS = 200
 UNOWNED = ""
-FIRST_RETRY_S = 0.5
-LONGEST_RETRY_S = 15.0
+RETRY_INITIAL_S = 0.5
+RETRY_MAX_S = 15.0
 
 
 class JobState(StrEnum):
@@ -129,7 +129,7 @@
         self._clock = clock
         self._running: dict[str, asyncio.Task[None]] = {}
         self._owned: dict[str, tuple[Job, int]] = {}
-        self._being_accepted: set[str] = set()
+        self._accepting: set[str] = set()
         self._releasing = False
 
     @property
@@ -146,21 +146,21 @@
         is also why a refused `keyed` job can't be said not to run: it may have been accepted
         elsewhere before.
         """
-        if len(self._owned) >= MOST_RUNNING or self._releasing:
+        if len(self._owned) >= MAX_OWNED_JOBS or self._releasing:
             return Err(problems.overloaded("this node holds as many jobs as it may", 2))
         request = msgspec.structs.replace(request, id=job_id)
         operation = new_operation()
         job = Job(operation, job_id, request.account, self._node, self._incarnation, 0, request)
         key = row_key(job_id)
         conditions = [Condition(JOB_TABLE, key, ABSENT), Condition(RESULT_TABLE, key, ABSENT)]
-        entry = Entry(operation, conditions, [_put(JOB_TABLE, key, job)])
-        self._being_accepted.add(job_id)
+        entry = Entry(operation, conditions, [_make_write(JOB_TABLE, key, job)])
+        self._accepting.add(job_id)
         try:
             outcome = await self._journal.commit(entry)
             if outcome is Outcome.COMMITTED:
-                self._begin(job, entry.versions[0])
+                self._start(job, entry.versions[0])
         finally:
-            self._being_accepted.discard(job_id)
+            self._accepting.discard(job_id)
         if outcome in (Outcome.COMMITTED, Outcome.CONFLICT):
             return Ok(job_id)
         if outcome is Outcome.UNKNOWN:
@@ -210,11 +210,11 @@
             row, held = found.ok_value
             if isinstance(held, JobResult):
                 return Ok(JobStatus(job_id, held.state))
-            outcome = await self._end(
-                held, row.version, _ended(held, JobState.CANCELLED, self._clock.wall())
+            outcome = await self._commit_result(
+                held, row.version, _make_result(held, JobState.CANCELLED, self._clock.wall())
             )
             if outcome is Outcome.COMMITTED:
-                self._drop(job_id)
+                self._stop_running(job_id)
                 return Ok(JobStatus(job_id, JobState.CANCELLED))
             if outcome is not Outcome.CONFLICT:
                 return Err(problems.unavailable("the table service does not answer", 2))
@@ -222,13 +222,13 @@
 
     async def adopt_orphans(self, hall: str, is_live: Callable[[str], bool]) -> int:
         """Adopt jobs of a hall whose owner is gone, is unowned, or was this node before."""
-        scanned = await self._table.scan(JOB_TABLE, f"{hall}/", MOST_SCAN)
+        scanned = await self._table.scan(JOB_TABLE, f"{hall}/", MAX_SCAN_ROWS)
         if isinstance(scanned, Err):
             return 0
         adopted = 0
         for row in scanned.ok_value:
             job = msgspec.json.decode(row.value, type=Job)
-            if adopted >= MOST_ADOPTED or len(self._owned) >= MOST_RUNNING:
+            if adopted >= MAX_ADOPTIONS_PER_SCAN or len(self._owned) >= MAX_OWNED_JOBS:
                 break
             if self._is_orphan(job, is_live) and await self._adopt(job, row):
                 adopted += 1
@@ -246,13 +246,13 @@
             entry = Entry(
                 operation,
                 [Condition(JOB_TABLE, key, version)],
-                [_put(JOB_TABLE, key, unowned)],
+                [_make_write(JOB_TABLE, key, unowned)],
             )
-            self._drop(job.id)
+            self._stop_running(job.id)
             await self._journal.commit(entry)
 
     def _is_orphan(self, job: Job, is_live: Callable[[str], bool]) -> bool:
-        if job.id in self._owned or job.id in self._being_accepted:
+        if job.id in self._owned or job.id in self._accepting:
             return False
         # A row in this node's name that it doesn't run is from an earlier incarnation, or its
         # write was thought lost.
@@ -269,41 +269,41 @@
         )
         key = row_key(job.id)
         entry = Entry(
-            operation, [Condition(JOB_TABLE, key, row.version)], [_put(JOB_TABLE, key, mine)]
+            operation, [Condition(JOB_TABLE, key, row.version)], [_make_write(JOB_TABLE, key, mine)]
         )
         if await self._journal.commit(entry) is not Outcome.COMMITTED:
             return False
         emit(Event.JOB_ADOPTED, job=job.id, owner=job.owner, adoptions=mine.adoptions)
-        self._begin(mine, entry.versions[0])
+        self._start(mine, entry.versions[0])
         return True
 
-    def _begin(self, job: Job, version: int) -> None:
+    def _start(self, job: Job, version: int) -> None:
         self._owned[job.id] = (job, version)
         self._running[job.id] = asyncio.create_task(self._run(job, version))
 
     async def _run(self, job: Job, version: int) -> None:
         """Run a job to its end; failures are tried again, since accepted work must finish."""
-        pause = FIRST_RETRY_S
+        pause = RETRY_INITIAL_S
         while True:
             record = self._dispatcher.adopt(StreamRecord(job.request))
             await record.wait_ended()
             if record.state == "finished":
                 break
             await self._clock.sleep(pause)
-            pause = min(pause * 2, LONGEST_RETRY_S)
-        await self._store(job, version, record)
+            pause = min(pause * 2, RETRY_MAX_S)
+        await self._store_result(job, version, record)
         self._owned.pop(job.id, None)
         self._running.pop(job.id, None)
 
-    async def _store(self, job: Job, version: int, record: StreamRecord) -> None:
+    async def _store_result(self, job: Job, version: int, record: StreamRecord) -> None:
         """Store a result until it stands, or until somebody else has ended the job."""
         text = "".join(record.tokens)
-        result = _ended(job, JobState.DONE, self._clock.wall())
+        result = _make_result(job, JobState.DONE, self._clock.wall())
         result = msgspec.structs.replace(
             result, tokens=len(record.tokens), reason=record.reason or ""
         )
-        pause = FIRST_RETRY_S
-        stored = len(text) <= MOST_ROW_BYTES
+        pause = RETRY_INITIAL_S
+        stored = len(text) <= MAX_INLINE_TEXT_CHARS
         if stored:
             result = msgspec.structs.replace(result, text=text)
         while True:
@@ -311,23 +311,23 @@
                 put = await self._objects.put(RESULT_PREFIX + job.id, text.encode())
                 stored = isinstance(put, Ok)
             if stored:
-                outcome = await self._end(job, version, result)
+                outcome = await self._commit_result(job, version, result)
                 if outcome in (Outcome.COMMITTED, Outcome.CONFLICT):
                     return
             await self._clock.sleep(pause)
-            pause = min(pause * 2, LONGEST_RETRY_S)
+            pause = min(pause * 2, RETRY_MAX_S)
 
-    async def _end(self, job: Job, version: int, result: JobResult) -> Outcome:
+    async def _commit_result(self, job: Job, version: int, result: JobResult) -> Outcome:
         """Replace the open row by a result, if the row still is what it was."""
         key = row_key(job.id)
         entry = Entry(
             result.operation,
             [Condition(JOB_TABLE, key, version)],
-            [_put(RESULT_TABLE, key, result), Write(JOB_TABLE, key, None)],
+            [_make_write(RESULT_TABLE, key, result), Write(JOB_TABLE, key, None)],
         )
         return await self._journal.commit(entry)
 
-    def _drop(self, job_id: str) -> None:
+    def _stop_running(self, job_id: str) -> None:
         """Stop running a job here."""
         self._owned.pop(job_id, None)
         task = self._running.pop(job_id, None)
@@ -355,7 +355,7 @@
         for table, kind in kinds:
             read = await self._table.read(table, key)
             if isinstance(read, Err):
-                return Err(_unanswered(read.err_value))
+                return Err(_table_unavailable(read.err_value))
             row = read.ok_value
             if row is None:
                 continue
@@ -366,14 +366,14 @@
         return Err(problems.not_found(f"job {job_id!r}"))
 
 
-def _unanswered(failure: PlatformFailure) -> Problem:
+def _table_unavailable(failure: PlatformFailure) -> Problem:
     wait = max(1, round(failure.retry_after_s))
     return problems.unavailable("the table service does not answer", wait)
 
 
-def _ended(job: Job, state: JobState, wall: float) -> JobResult:
+def _make_result(job: Job, state: JobState, wall: float) -> JobResult:
     return JobResult(new_operation(), job.id, job.account, state, job.request, wall)
 
 
-def _put(table: str, key: str, value: Job | JobResult) -> Write:
+def _make_write(table: str, key: str, value: Job | JobResult) -> Write:
     return Write(table, key, msgspec.json.encode(value).decode())
--- a/src/moledale/node/once.py
+++ b/src/moledale/node/once.py
@@ -181,7 +181,7 @@
             self._clock.wall(),
         )
         key = claim_key(call)
-        entry = Entry(operation, [Condition(CLAIM_TABLE, key, ABSENT)], [_put(key, claim)])
+        entry = Entry(operation, [Condition(CLAIM_TABLE, key, ABSENT)], [_make_write(key, claim)])
         try:
             outcome = await self._journal.commit(entry)
         except asyncio.CancelledError:
@@ -295,7 +295,7 @@
         done = msgspec.structs.replace(
             claim, operation=operation, state=ClaimState.DONE, answer=stored
         )
-        entry = Entry(operation, [Condition(CLAIM_TABLE, key, version)], [_put(key, done)])
+        entry = Entry(operation, [Condition(CLAIM_TABLE, key, version)], [_make_write(key, done)])
         self._background.start(self._journal.commit(entry))
 
 
@@ -304,5 +304,5 @@
     return f"{call.account}/{hashlib.sha256(call.key.encode()).hexdigest()}"
 
 
-def _put(key: str, claim: Claim) -> Write:
+def _make_write(key: str, claim: Claim) -> Write:
     return Write(CLAIM_TABLE, key, msgspec.json.encode(claim).decode())
