--- a/src/moledale/node/journal.py
+++ b/src/moledale/node/journal.py
@@ -14,13 +14,13 @@
 from moledale.log import Event, emit
 from moledale.node.mailbox import Mailbox
 
-MOST_ENTRIES = 256
-MOST_BYTES = 512_000
-COMMIT_TRIES = 3
-RETRY_PAUSE_S = 0.1
+MAX_BATCH_ENTRIES = 256
+MAX_BATCH_BYTES = 512_000
+MAX_ATTEMPTS = 3
+RETRY_STEP_S = 0.1
 
 
-class Marked(msgspec.Struct):
+class JournaledRow(msgspec.Struct):
     """The one field that every journaled row has: the operation that wrote it."""
 
     operation: str
@@ -71,29 +71,29 @@
         self,
         table: TableService,
         interval_s: Callable[[], float],
-        most_bytes: int,
+        max_pending_bytes: int,
         clock: Clock,
     ) -> None:
         self._table = table
         self._interval_s = interval_s
         self._clock = clock
-        self._inbox: Mailbox[Entry] = Mailbox("journal", 4 * MOST_ENTRIES)
-        self._most_bytes = most_bytes
-        self._bytes = 0
+        self._inbox: Mailbox[Entry] = Mailbox("journal", 4 * MAX_BATCH_ENTRIES)
+        self._max_pending_bytes = max_pending_bytes
+        self._pending_bytes = 0
         self.transactions = 0
 
     async def commit(self, entry: Entry) -> Outcome:
         """Have an entry committed and return what became of it."""
-        if self._bytes + entry.size() > self._most_bytes:
+        if self._pending_bytes + entry.size() > self._max_pending_bytes:
             return Outcome.NOT_WRITTEN
         entry.done = asyncio.get_running_loop().create_future()
         if not self._inbox.put(entry):
             return Outcome.NOT_WRITTEN
-        self._bytes += entry.size()
+        self._pending_bytes += entry.size()
         try:
             return await entry.done
         finally:
-            self._bytes -= entry.size()
+            self._pending_bytes -= entry.size()
 
     async def run(self) -> None:
         """Commit batches for ever."""
@@ -109,7 +109,7 @@
         batch = [await self._inbox.get()]
         await self._clock.sleep(self._interval_s())
         size = batch[0].size()
-        while len(batch) < MOST_ENTRIES and size < MOST_BYTES:
+        while len(batch) < MAX_BATCH_ENTRIES and size < MAX_BATCH_BYTES:
             entry = self._inbox.get_nowait()
             if entry is None:
                 break
@@ -130,15 +130,15 @@
             if isinstance(outcome, Err):
                 uncertain = uncertain or outcome.err_value.uncertain
                 failures += 1
-                if failures >= COMMIT_TRIES:
-                    self._give_up(rest, uncertain)
+                if failures >= MAX_ATTEMPTS:
+                    self._abandon(rest, uncertain)
                     return
                 if outcome.err_value.uncertain:
                     emit(Event.WRITE_UNCERTAIN, entries=len(rest))
-                await self._clock.sleep(RETRY_PAUSE_S * failures)
+                await self._clock.sleep(RETRY_STEP_S * failures)
                 continue
             if outcome.ok_value.committed:
-                _committed(rest, outcome.ok_value.versions)
+                _settle_committed(rest, outcome.ok_value.versions)
                 return
             rest = await self._without_conflicts(rest, outcome.ok_value.failed, uncertain)
 
@@ -146,7 +146,7 @@
         self, batch: list[Entry], failed: list[int], uncertain: bool
     ) -> list[Entry]:
         """Settle the entries whose conditions failed and return the others."""
-        conflicting = _entries_at(batch, failed)
+        conflicting = _entries_with_conditions(batch, failed)
         for entry in conflicting:
             if uncertain:
                 _settle(entry, await self._read_back(entry))
@@ -159,21 +159,21 @@
         write = next((write for write in entry.writes if write.value is not None), None)
         if write is None:
             return Outcome.UNKNOWN
-        for _ in range(COMMIT_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             outcome = await self._table.read(write.table, write.key)
             if isinstance(outcome, Err):
-                await self._clock.sleep(RETRY_PAUSE_S)
+                await self._clock.sleep(RETRY_STEP_S)
                 continue
             row = outcome.ok_value
             if row is None:
                 return Outcome.CONFLICT
-            if msgspec.json.decode(row.value, type=Marked).operation == entry.operation:
+            if msgspec.json.decode(row.value, type=JournaledRow).operation == entry.operation:
                 entry.versions = [row.version if w is write else 0 for w in entry.writes]
                 return Outcome.COMMITTED
             return Outcome.CONFLICT
         return Outcome.UNKNOWN
 
-    def _give_up(self, batch: list[Entry], uncertain: bool) -> None:
+    def _abandon(self, batch: list[Entry], uncertain: bool) -> None:
         for entry in batch:
             _settle(entry, Outcome.UNKNOWN if uncertain else Outcome.NOT_WRITTEN)
 
@@ -183,7 +183,7 @@
         entry.done.set_result(outcome)
 
 
-def _committed(batch: list[Entry], versions: list[int]) -> None:
+def _settle_committed(batch: list[Entry], versions: list[int]) -> None:
     position = 0
     for entry in batch:
         entry.versions = versions[position : position + len(entry.writes)]
@@ -191,7 +191,7 @@
         _settle(entry, Outcome.COMMITTED)
 
 
-def _entries_at(batch: list[Entry], conditions: list[int]) -> list[Entry]:
+def _entries_with_conditions(batch: list[Entry], conditions: list[int]) -> list[Entry]:
     """Return the entries that the conditions at these indices belong to."""
     failed = set(conditions)
     found = []
