--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -33,7 +33,7 @@
 from moledale.node.journal import Journal
 from moledale.node.messages import HeadHint, ServerLeaving, ServerMessage
 from moledale.node.metrics import make_metrics
-from moledale.node.once import OnceCall, OnceKeeper
+from moledale.node.once import OnceCall, OnceRunner
 from moledale.node.server_watch import ServerWatch
 from moledale.node.services import ServiceRouter
 from moledale.node.streams import GenerationRequest, StreamRecord, StreamTable
@@ -145,7 +145,7 @@
         self.accounts = Accounts(self.bundle, lambda: len(self.fleet.nodes), clock)
         self.services = ServiceRouter(services, self.bundle, rng, clock.monotonic)
         self._link = link
-        self.once = OnceKeeper(
+        self.once = OnceRunner(
             self.id,
             self.incarnation,
             secrets.peer,
--- a/src/moledale/node/once.py
+++ b/src/moledale/node/once.py
@@ -22,9 +22,9 @@
 
 CLAIM_TABLE = "claim"
 KEY_PREFIX = "mk_"
-KEY_LIFE_S = 24 * 3600
-MOST_KEY_LENGTH = 512
-MOST_STORED_ANSWER = 32_768
+KEY_TTL_S = 24 * 3600
+MAX_KEY_CHARS = 512
+MAX_STORED_ANSWER_BYTES = 32_768
 _ALGORITHM = "HS256"
 
 
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _KeyState:
     """What this incarnation knows of a key."""
 
     fingerprint: str
@@ -89,7 +89,7 @@
     return hashlib.sha256(encoded).hexdigest()
 
 
-class OnceKeeper:
+class OnceRunner:
     """Runs not-repeatable calls.
 
     A key that this incarnation issued is settled in memory: no other process can have seen it
@@ -106,7 +106,7 @@
         journal: Journal,
         peers: OncePeers,
         dispatch: Dispatch,
-        most_keys: int,
+        max_keys: int,
         clock: Clock,
     ) -> None:
         self._node = node
@@ -116,9 +116,9 @@
         self._journal = journal
         self._peers = peers
         self._dispatch = dispatch
-        self._most_keys = most_keys
+        self._max_keys = max_keys
         self._clock = clock
-        self._known: OrderedDict[tuple[str, str], _Known] = OrderedDict()
+        self._key_states: OrderedDict[tuple[str, str], _KeyState] = OrderedDict()
         self._serial = 0
         self._background = BackgroundTasks("answers")
 
@@ -130,27 +130,29 @@
             "i": self._incarnation,
             "s": self._serial,
             "a": account,
-            "exp": int(self._clock.wall()) + KEY_LIFE_S,
+            "exp": int(self._clock.wall()) + KEY_TTL_S,
         }
         return KEY_PREFIX + jwt.encode(claims, self._secret, algorithm=_ALGORITHM)
 
     async def run(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
         """Run a call, or return what became of the key's earlier call."""
-        if not 0 < len(call.key) <= MOST_KEY_LENGTH:
-            return Err(problems.bad_request(f"Idempotency-Key: 1 to {MOST_KEY_LENGTH} characters"))
-        known = self._known.get((call.account, call.key))
+        if not 0 < len(call.key) <= MAX_KEY_CHARS:
+            return Err(problems.bad_request(f"Idempotency-Key: 1 to {MAX_KEY_CHARS} characters"))
+        known = self._key_states.get((call.account, call.key))
         if known is not None:
-            return await self._again(known, call)
+            return await self._await_earlier(known, call)
         if not call.key.startswith(KEY_PREFIX):
-            return await self._claimed(call)
-        return await self._issued(call)
+            return await self._run_claimed(call)
+        return await self._run_issued(call)
 
-    async def _again(self, known: _Known, call: OnceCall) -> Result[ServiceAnswer, Problem]:
+    async def _await_earlier(
+        self, known: _KeyState, call: OnceCall
+    ) -> Result[ServiceAnswer, Problem]:
         if known.fingerprint != call.fingerprint:
             return Err(problems.key_reused("it came with another call"))
         return await asyncio.shield(known.outcome)
 
-    async def _issued(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
+    async def _run_issued(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
         try:
             claims = jwt.decode(
                 call.key.removeprefix(KEY_PREFIX), self._secret, algorithms=[_ALGORITHM]
@@ -164,13 +166,13 @@
             return await self._peers.run_once(str(claims.get("n")), call)
         if claims.get("i") != self._incarnation:
             return Err(problems.outcome_unknown("the node that issued the key was restarted"))
-        if self._forgotten(int(claims.get("s", 0))):
+        if self._may_be_evicted(int(claims.get("s", 0))):
             return Err(problems.outcome_unknown("the key is too old to be told apart"))
-        return await self._dispatch_once(call, self._remember(call))
+        return await self._dispatch_once(call, self._track(call))
 
-    async def _claimed(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
+    async def _run_claimed(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
         """Claim a caller's own key in the table, then dispatch."""
-        known = self._remember(call)
+        known = self._track(call)
         operation = new_operation()
         claim = Claim(
             operation,
@@ -185,7 +187,9 @@
         try:
             outcome = await self._journal.commit(entry)
         except asyncio.CancelledError:
-            self._forget(call, problems.unavailable("cancelled before it was dispatched", 1))
+            self._settle_refused(
+                call, problems.unavailable("cancelled before it was dispatched", 1)
+            )
             raise
         if outcome is Outcome.COMMITTED:
             version = entry.versions[0] if entry.versions else None
@@ -193,16 +197,16 @@
             self._store_answer(key, claim, version, answer)
             return answer
         if outcome is Outcome.CONFLICT:
-            return await self._held_elsewhere(call, known)
+            return await self._resolve_conflict(call, known)
         # Nothing was dispatched here, but the same key may have run through another node before,
         # so "did not run" would not be a promise that can be kept. A claim that may have landed
         # names this incarnation; a retry finds its way back to it.
         refusal = problems.undecided("the table service does not answer", 2)
-        self._forget(call, refusal)
+        self._settle_refused(call, refusal)
         return Err(refusal)
 
-    async def _held_elsewhere(
-        self, call: OnceCall, known: _Known
+    async def _resolve_conflict(
+        self, call: OnceCall, known: _KeyState
     ) -> Result[ServiceAnswer, Problem]:
         """Find out from the claim row what became of the key."""
         read = await self._table.read(CLAIM_TABLE, claim_key(call))
@@ -231,7 +235,9 @@
         self._settle(call, known, outcome, keep=False)
         return outcome
 
-    async def _dispatch_once(self, call: OnceCall, known: _Known) -> Result[ServiceAnswer, Problem]:
+    async def _dispatch_once(
+        self, call: OnceCall, known: _KeyState
+    ) -> Result[ServiceAnswer, Problem]:
         """Dispatch; from here on the key is never dispatched again, whatever happens."""
         try:
             outcome = await self._dispatch(call)
@@ -247,35 +253,35 @@
         self._settle(call, known, outcome, keep=not did_not_run)
         return outcome
 
-    def _remember(self, call: OnceCall) -> _Known:
-        known = _Known(call.fingerprint, asyncio.get_running_loop().create_future())
-        self._known[(call.account, call.key)] = known
-        while len(self._known) > self._most_keys:
-            oldest = next(iter(self._known))
-            if not self._known[oldest].outcome.done():
+    def _track(self, call: OnceCall) -> _KeyState:
+        known = _KeyState(call.fingerprint, asyncio.get_running_loop().create_future())
+        self._key_states[(call.account, call.key)] = known
+        while len(self._key_states) > self._max_keys:
+            oldest = next(iter(self._key_states))
+            if not self._key_states[oldest].outcome.done():
                 break
-            del self._known[oldest]
+            del self._key_states[oldest]
         return known
 
     def _settle(
         self,
         call: OnceCall,
-        known: _Known,
+        known: _KeyState,
         outcome: Result[ServiceAnswer, Problem],
         keep: bool,
     ) -> None:
         if not known.outcome.done():
             known.outcome.set_result(outcome)
         if not keep:
-            self._known.pop((call.account, call.key), None)
+            self._key_states.pop((call.account, call.key), None)
 
-    def _forget(self, call: OnceCall, refusal: Problem) -> None:
-        known = self._known[(call.account, call.key)]
+    def _settle_refused(self, call: OnceCall, refusal: Problem) -> None:
+        known = self._key_states[(call.account, call.key)]
         self._settle(call, known, Err(refusal), keep=False)
 
-    def _forgotten(self, serial: int) -> bool:
+    def _may_be_evicted(self, serial: int) -> bool:
         """Say whether a key is so old that a settled outcome may have been dropped."""
-        return serial <= self._serial - self._most_keys
+        return serial <= self._serial - self._max_keys
 
     def _store_answer(
         self,
@@ -288,7 +294,7 @@
         if version is None or isinstance(outcome, Err):
             return
         answer = outcome.ok_value
-        if len(answer.body) > MOST_STORED_ANSWER:
+        if len(answer.body) > MAX_STORED_ANSWER_BYTES:
             return
         stored = StoredAnswer(answer.status, answer.content_type, answer.body)
         operation = new_operation()
--- a/tools/without.py
+++ b/tools/without.py
@@ -62,9 +62,9 @@
     return journal.Outcome.CONFLICT
 
 
-async def _claim_nothing(self: once.OnceKeeper, call: once.OnceCall) -> Any:
+async def _claim_nothing(self: once.OnceRunner, call: once.OnceCall) -> Any:
     """Dispatch a caller's key without a claim."""
-    return await self._dispatch_once(call, self._remember(call))
+    return await self._dispatch_once(call, self._track(call))
 
 
 async def _accept_first(
@@ -152,7 +152,7 @@
     Without(
         "4 at most once",
         "a key is claimed before dispatch",
-        _attribute(once.OnceKeeper, "_claimed", _claim_nothing),
+        _attribute(once.OnceRunner, "_run_claimed", _claim_nothing),
         f"{PROMISES}.OnceTest",
     ),
     Without(
