--- a/src/moledale/node/streams.py
+++ b/src/moledale/node/streams.py
@@ -29,7 +29,7 @@
     repeatable: bool = True
 
 
-_LIFE: Any = Machine(
+_STATE_MACHINE: Any = Machine(
     model=None,
     states=["accepted", "waiting", "running", "finished", "failed", "handed"],
     initial="accepted",
@@ -42,7 +42,7 @@
         {"trigger": "to_hand", "source": ["accepted", "waiting", "running"], "dest": "handed"},
     ],
 )
-ENDED = ("finished", "failed", "handed")
+ENDED_STATES = ("finished", "failed", "handed")
 
 
 class StreamRecord:
@@ -57,7 +57,7 @@
     def __init__(self, request: GenerationRequest, tokens: list[str] | None = None) -> None:
         self.request = request
         self.tokens: list[str] = tokens or []
-        self.taken_over = bool(tokens)
+        self.adopted = bool(tokens)
         self.reason: str | None = None
         self.problem: Problem | None = None
         self.successor: str | None = None
@@ -71,12 +71,12 @@
         self.first_token_at: float | None = None
         self.last_token_at: float | None = None
         self._readers: set[asyncio.Event] = set()
-        _LIFE.add_model(self)
+        _STATE_MACHINE.add_model(self)
 
     @property
     def ended(self) -> bool:
         """Whether nothing more will be added here."""
-        return self.state in ENDED
+        return self.state in ENDED_STATES
 
     def begin_attempt(self, server: str) -> str:
         """Make a new attempt the only one that may add tokens."""
@@ -104,8 +104,8 @@
         if index > len(self.tokens):
             return False
         self.tokens.append(token)
-        self._note_time(now)
-        self._wake()
+        self._record_token_time(now)
+        self._wake_readers()
         return True
 
     def finish(self, attempt: str, reason: str) -> None:
@@ -153,23 +153,23 @@
         async for _ in self.follow(len(self.tokens)):
             pass
 
-    def between_tokens_s(self) -> float:
+    def mean_token_interval_s(self) -> float:
         """Return the mean seconds between tokens."""
         if self.first_token_at is None or self.last_token_at is None or len(self.tokens) < 2:
             return 0.0
         return (self.last_token_at - self.first_token_at) / (len(self.tokens) - 1)
 
-    def _note_time(self, now: float) -> None:
+    def _record_token_time(self, now: float) -> None:
         if self.first_token_at is None:
             self.first_token_at = now
         self.last_token_at = now
 
     def _end(self, trigger: str) -> None:
         getattr(self, trigger)()
-        _LIFE.remove_model(self)
-        self._wake()
+        _STATE_MACHINE.remove_model(self)
+        self._wake_readers()
 
-    def _wake(self) -> None:
+    def _wake_readers(self) -> None:
         for reader in self._readers:
             reader.set()
 
@@ -177,17 +177,17 @@
 class StreamTable:
     """All streams of a node; finished ones stay a while, so that a caller can resume."""
 
-    def __init__(self, most_live: int, most_finished: int, finished_s: float) -> None:
+    def __init__(self, max_live: int, max_finished: int, finished_ttl_s: float) -> None:
         self._live: dict[str, StreamRecord] = {}
         self._finished: OrderedDict[str, tuple[float, StreamRecord]] = OrderedDict()
-        self._most_live = most_live
-        self._most_finished = most_finished
-        self._finished_s = finished_s
+        self._max_live = max_live
+        self._max_finished = max_finished
+        self._finished_ttl_s = finished_ttl_s
 
     @property
     def full(self) -> bool:
         """Whether no further stream may begin."""
-        return len(self._live) >= self._most_live
+        return len(self._live) >= self._max_live
 
     def live(self) -> list[StreamRecord]:
         """Return the streams that haven't ended."""
@@ -214,6 +214,6 @@
         """Drop finished streams that are too old or too many."""
         while self._finished:
             at, _ = next(iter(self._finished.values()))
-            if len(self._finished) <= self._most_finished and now - at <= self._finished_s:
+            if len(self._finished) <= self._max_finished and now - at <= self._finished_ttl_s:
                 return
             self._finished.popitem(last=False)
--- a/src/moledale/node/tally.py
+++ b/src/moledale/node/tally.py
@@ -46,7 +46,7 @@
             self._record(request, good=self._met_target(record, first_s))
 
     def _first_token_s(self, record: StreamRecord) -> float:
-        if record.first_token_at is None or record.taken_over:
+        if record.first_token_at is None or record.adopted:
             return 0.0
         return record.first_token_at - record.accepted_at
 
@@ -57,7 +57,7 @@
         target = bundle.target(record.request.priority)
         return (
             first_s * 1000 <= target.first_token_ms
-            and record.between_tokens_s() * 1000 <= target.between_tokens_ms
+            and record.mean_token_interval_s() * 1000 <= target.between_tokens_ms
             and self._clock.wall() <= record.request.deadline_at
         )
 
--- a/tools/without.py
+++ b/tools/without.py
@@ -48,8 +48,8 @@
 ) -> bool:
     """Add whatever comes, from whichever attempt."""
     self.tokens.append(token)
-    self._note_time(now)
-    self._wake()
+    self._record_token_time(now)
+    self._wake_readers()
     return True
 
 
