--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -21,7 +21,7 @@
 from moledale.node.needs import context_tokens, routing_need
 from moledale.node.streams import GenerationRequest, StreamRecord, StreamTable
 from moledale.node.tally import Tally
-from moledale.node.waiting import WaitingRoom
+from moledale.node.waiting import ReservationQueue
 from moledale.problems import Problem, Ran
 from moledale.servers.types import Done, GenerateCall, ModelServers, Refused, ServerError, Token
 
@@ -55,7 +55,7 @@
         self._tally = tally
         self._clock = clock
         self._rng = rng
-        self._waiting = WaitingRoom(hall, load_tracker, bundle, max_waiting, clock)
+        self._waiting = ReservationQueue(hall, load_tracker, bundle, max_waiting, clock)
         self._leaving_servers = Evacuator(
             hall, servers, load_tracker, self._waiting, bundle, self._redirect, clock
         )
@@ -126,7 +126,7 @@
         """End a held request here since a peer has taken it."""
         self._suspended.discard(record.request.id)
         record.hand_over(successor)
-        self.streams.ended(record, self._clock.monotonic())
+        self.streams.move_to_finished(record, self._clock.monotonic())
 
     def resume(self, record: StreamRecord) -> None:
         """Go on with a held request here."""
@@ -174,7 +174,7 @@
             self._redirects.pop(record.request.id, None)
             if record.ended:
                 self._suspended.discard(record.request.id)
-                self.streams.ended(record, self._clock.monotonic())
+                self.streams.move_to_finished(record, self._clock.monotonic())
                 self._record_outcome(record)
             self._waiting.fill()
 
--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -12,7 +12,7 @@
 from moledale.node.background import BackgroundTasks
 from moledale.node.needs import context_tokens, routing_need, routing_params
 from moledale.node.streams import StreamRecord
-from moledale.node.waiting import WaitingRoom
+from moledale.node.waiting import ReservationQueue
 from moledale.servers.types import ModelServers
 
 ASSUMED_LINK_BYTES_PER_S = 3.0e9
@@ -37,7 +37,7 @@
         hall: str,
         servers: ModelServers,
         load_tracker: LoadTracker,
-        waiting: WaitingRoom,
+        waiting: ReservationQueue,
         bundle: Callable[[], Bundle | None],
         redirect: RedirectStream,
         clock: Clock,
--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -37,7 +37,7 @@
     since: float
 
 
-class WaitingRoom:
+class ReservationQueue:
     """Gives out reservations of servers, at once or in order of rank."""
 
     def __init__(
