--- a/bench/replay.py
+++ b/bench/replay.py
@@ -26,7 +26,7 @@
     Standing,
     eligible,
 )
-from moledale.node.waiting import HOME_WAIT_S, MOST_TRIED
+from moledale.node.waiting import AFFINITY_WAIT_S, MAX_WAITERS_PER_PASS
 from moledale.servers.types import LoadReport
 from standins.engine_model import EngineModel, EngineSpec, Sequence
 
@@ -352,12 +352,12 @@
         if not len(node.queue):
             return
         full: set[Priority] = set()
-        for request in node.queue.in_order()[:MOST_TRIED]:
+        for request in node.queue.in_order()[:MAX_WAITERS_PER_PASS]:
             has_home = node.load_tracker.server_of(request.turn.session) is not None
             if request.turn.priority in full and not has_home:
                 continue
             need = self._need(request)
-            if self._now - request.queued_at >= HOME_WAIT_S:
+            if self._now - request.queued_at >= AFFINITY_WAIT_S:
                 need = replace(need, wait_for_cache=False)
             chosen = self._policy.choose(list(node.load_tracker.views.values()), need)
             if chosen is None:
--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -145,7 +145,7 @@
             self._on_leaving(message)
         else:
             self._on_gone(message)
-        self._waiting.fill()
+        self._waiting.assign_slots()
 
     async def run(self) -> None:
         """Refuse waiting requests whose deadline has passed, and drop old answers."""
@@ -154,7 +154,7 @@
             self._guard.update_blocks()
             self.load_tracker.end_backoffs(self._clock.monotonic())
             self._waiting.refuse_expired()
-            self._waiting.fill()
+            self._waiting.assign_slots()
             self.streams.sweep(self._clock.monotonic())
 
     # Running
@@ -176,7 +176,7 @@
                 self._suspended.discard(record.request.id)
                 self.streams.move_to_finished(record, self._clock.monotonic())
                 self._record_outcome(record)
-            self._waiting.fill()
+            self._waiting.assign_slots()
 
     async def _serve_attempts(self, record: StreamRecord) -> None:
         excluded: frozenset[str] = frozenset()
@@ -188,7 +188,7 @@
             made = self._redirects.pop(record.request.id, None)
             record.wait_for_server()
             if made is None:
-                slot = await self._waiting.slot(record, excluded)
+                slot = await self._waiting.wait_for_slot(record, excluded)
                 if isinstance(slot, Problem):
                     record.fail(_with_unknown_outcome(slot, record))
                     return
@@ -237,7 +237,7 @@
         finally:
             self._attempts.pop(record.request.id, None)
             self.load_tracker.release(made, self._clock.monotonic())
-            self._waiting.fill()
+            self._waiting.assign_slots()
 
     async def _stream_attempt(
         self, record: StreamRecord, attempt: str, made: Reservation
@@ -347,7 +347,7 @@
 
     def _record_outcome(self, record: StreamRecord) -> None:
         if record.state == "finished":
-            self._waiting.note_service(self._clock.monotonic() - record.accepted_at)
+            self._waiting.record_service_time(self._clock.monotonic() - record.accepted_at)
         self._tally.record_ended(record)
 
 
--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -14,16 +14,16 @@
 from moledale.node.streams import GenerationRequest, StreamRecord
 from moledale.problems import Problem, Ran
 
-HOME_WAIT_S = 2.0
+AFFINITY_WAIT_S = 2.0
 """Seconds that work waits for a slot at the server with its cache before it goes elsewhere."""
 
-MOST_TRIED = 64
+MAX_WAITERS_PER_PASS = 64
 """Waiting requests that are tried each time something changes; the first in rank."""
 
-DEFAULT_SERVICE_S = 5.0
+DEFAULT_SERVICE_TIME_S = 5.0
 """Expected time of a request before any has been measured."""
 
-SERVICE_WEIGHT = 0.1
+SERVICE_TIME_EWMA_WEIGHT = 0.1
 """Weight of the newest request in the expected time."""
 
 
@@ -34,7 +34,7 @@
     record: StreamRecord
     need: Need
     slot: "asyncio.Future[Reservation | Problem]"
-    since: float
+    waiting_since: float
 
 
 class ReservationQueue:
@@ -53,14 +53,14 @@
         self._bundle = bundle
         self._queue: WaitingQueue[_Waiter] = WaitingQueue(max_waiting)
         self._clock = clock
-        self._service_s = DEFAULT_SERVICE_S
+        self._service_time_s = DEFAULT_SERVICE_TIME_S
 
     def __len__(self) -> int:
         return len(self._queue)
 
-    def note_service(self, seconds: float) -> None:
+    def record_service_time(self, seconds: float) -> None:
         """Note how long a request took in all."""
-        self._service_s += SERVICE_WEIGHT * (seconds - self._service_s)
+        self._service_time_s += SERVICE_TIME_EWMA_WEIGHT * (seconds - self._service_time_s)
 
     def refusal(self, request: GenerationRequest) -> Problem | None:
         """Refuse at once what would wait longer than its deadline allows."""
@@ -76,7 +76,7 @@
         slots = sum(view.speeds.slots for view in ready)
         free = sum(max(0, view.speeds.slots - view.running) for view in ready)
         ahead = self._queue.count_ahead(request.priority, self._clock.wall())
-        wait = estimated_wait_s(ahead, free, slots, self._service_s)
+        wait = estimated_wait_s(ahead, free, slots, self._service_time_s)
         if self._clock.wall() + wait <= request.deadline_at:
             return None
         detail = f"would wait {wait:.1f} s, past its deadline"
@@ -88,7 +88,9 @@
         found = self._load_tracker.pick_and_reserve(need, params, self._clock.monotonic())
         return found[1] if found is not None else None
 
-    async def slot(self, record: StreamRecord, excluded: frozenset[str]) -> Reservation | Problem:
+    async def wait_for_slot(
+        self, record: StreamRecord, excluded: frozenset[str]
+    ) -> Reservation | Problem:
         """Reserve a server, or wait for one until the deadline."""
         request = record.request
         need = routing_need(request, record.tokens, self._hall, excluded)
@@ -105,14 +107,14 @@
         if offered.evicted is not None:
             refusal = problems.overloaded("more urgent work took its place", 2)
             self._resolve(offered.evicted, refusal)
-        self.fill()
+        self.assign_slots()
         try:
             return await waiter.slot
         except asyncio.CancelledError:
-            self._give_back(waiter)
+            self._withdraw(waiter)
             raise
 
-    def fill(self) -> None:
+    def assign_slots(self) -> None:
         """Give free slots to waiting requests, in order of rank."""
         if not len(self._queue):
             return
@@ -120,13 +122,13 @@
         # unless that has a server of its own that it waits for.
         full: set[tuple[str, Priority]] = set()
         now = self._clock.monotonic()
-        for waiter in self._queue.in_order()[:MOST_TRIED]:
+        for waiter in self._queue.in_order()[:MAX_WAITERS_PER_PASS]:
             need = waiter.need
             kind = (need.model, need.priority)
             has_home = self._load_tracker.server_of(need.session) is not None
             if kind in full and not has_home:
                 continue
-            if now - waiter.since >= HOME_WAIT_S:
+            if now - waiter.waiting_since >= AFFINITY_WAIT_S:
                 need = replace(need, wait_for_cache=False)
             made = self.reserve(need)
             if made is not None:
@@ -146,7 +148,7 @@
         elif isinstance(outcome, Reservation):
             self._load_tracker.release(outcome, self._clock.monotonic())
 
-    def _give_back(self, waiter: _Waiter) -> None:
+    def _withdraw(self, waiter: _Waiter) -> None:
         self._queue.remove(waiter)
         if waiter.slot.done() and not waiter.slot.cancelled():
             outcome = waiter.slot.result()
