--- a/src/moledale/edge/app.py
+++ b/src/moledale/edge/app.py
@@ -87,7 +87,7 @@
         yield
 
 
-def open_listener(listen: str) -> socket.socket:
+def bind_listener(listen: str) -> socket.socket:
     """Bind the address for callers; raises OSError if it can't be had."""
     host, port = listen.rsplit(":", 1)
     host = host.strip("[]")
--- a/src/moledale/ui/daemon.py
+++ b/src/moledale/ui/daemon.py
@@ -13,7 +13,7 @@
 from moledale import __version__
 from moledale.backing.http import http_platform
 from moledale.clock import SystemClock
-from moledale.edge.app import make_app, make_server, open_listener
+from moledale.edge.app import bind_listener, make_app, make_server
 from moledale.findings import Finding
 from moledale.log import Event, emit, log_to_stderr
 from moledale.node.node import Node
@@ -58,7 +58,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     try:
-        sock = open_listener(settings.node.listen)
+        sock = bind_listener(settings.node.listen)
     except OSError as error:
         return _report([Finding("settings", "node.listen", f"can't be bound: {error}")])
     platform_client, server_client = make_client(), make_client()
