--- a/src/moledale/edge/__init__.py
+++ b/src/moledale/edge/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers and operators."""
+"""The HTTP API for callers and operators."""
