--- a/src/moledale/edge/answers.py
+++ b/src/moledale/edge/answers.py
@@ -1,4 +1,4 @@
-"""Makes HTTP responses of problems and JSON values."""
+"""Builds HTTP responses from problems and JSON values."""
 
 import msgspec
 from starlette.responses import Response
@@ -9,7 +9,10 @@
 
 
 def problem_response(problem: Problem, request_id: str | None = None) -> Response:
-    """Answer with a problem document."""
+    """Return a problem details response (RFC 9457).
+
+    `Moledale-Ran` states whether the request may have run.
+    """
     headers = {"Moledale-Ran": problem.ran.value}
     if problem.retry_after is not None:
         headers["Retry-After"] = str(problem.retry_after)
@@ -21,5 +24,5 @@
 def json_response(
     value: object, status: int = 200, headers: dict[str, str] | None = None
 ) -> Response:
-    """Answer with a value as JSON."""
+    """Return a JSON response."""
     return Response(msgspec.json.encode(value), status, headers, media_type=JSON_MEDIA_TYPE)
