--- a/src/moledale/edge/app.py
+++ b/src/moledale/edge/app.py
@@ -20,17 +20,18 @@
 
 LISTEN_BACKLOG = 2048
 SHUTDOWN_TIMEOUT_S = 5
+"""Time that open connections get to complete when the HTTP server shuts down."""
 
 
 class HeaderLimit:
-    """Refuses requests whose headers are larger than the limit."""
+    """Middleware that rejects requests whose path and headers together exceed a size limit."""
 
     def __init__(self, app: ASGIApp, max_bytes: int) -> None:
         self._app = app
         self._max_bytes = max_bytes
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Pass a request on, or refuse it."""
+        """Forward a request to the application, or reject it with status 431."""
         if scope["type"] == "http":
             size = sum(len(name) + len(value) for name, value in scope["headers"])
             if size + len(scope["raw_path"]) > self._max_bytes:
@@ -47,7 +48,7 @@
 
 
 def make_app(node: Node) -> ASGIApp:
-    """Make the application of a node."""
+    """Return the ASGI application of a node."""
 
     async def live(_: Request) -> Response:
         return json_response({"live": True})
@@ -69,40 +70,40 @@
 
 
 async def _http_problem(_: Request, error: Exception) -> Response:
-    """Answer what no route takes with a problem, like everything else."""
+    """Return routing errors as problem details, in the format of all other errors."""
     assert isinstance(error, HTTPException)
-    titles = {404: "not-found", 405: "method-not-allowed"}
-    kind = titles.get(error.status_code, "http")
+    kinds = {404: "not-found", 405: "method-not-allowed"}
+    kind = kinds.get(error.status_code, "http")
     return problem_response(
         problems.Problem(kind, error.status_code, error.detail, error.detail, problems.Ran.NO)
     )
 
 
 class CallerServer(uvicorn.Server):
-    """uvicorn without its own signal handling: the daemon decides when to stop."""
+    """A uvicorn server without signal handlers: the daemon handles signals and stops it."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave signals alone."""
+        """Install no signal handlers."""
         yield
 
 
 def bind_listener(listen: str) -> socket.socket:
-    """Bind the address for callers; raises OSError if it can't be had."""
+    """Return a listening socket for callers; raises OSError if the address can't be bound."""
     host, port = listen.rsplit(":", 1)
     host = host.strip("[]")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     bound = socket.socket(family, socket.SOCK_STREAM)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bound.bind((host, int(port)))
-    # Listening from here on: whoever is told the port may connect at once.
+    # Listen before the port is announced, so that callers can connect at once.
     bound.listen(LISTEN_BACKLOG)
     bound.setblocking(False)
     return bound
 
 
 def make_server(app: ASGIApp) -> CallerServer:
-    """Make the HTTP server; it answers on sockets given to `serve`."""
+    """Return the HTTP server; its `serve` takes the listening sockets."""
     config = uvicorn.Config(
         app,
         http="httptools",
