--- a/src/moledale/edge/callers.py
+++ b/src/moledale/edge/callers.py
@@ -28,10 +28,15 @@
 from moledale.servers.types import ServiceAnswer, ServiceCall
 
 MAX_KEYS_PER_REQUEST = 100
+"""Idempotency keys issued by one request."""
+
 JOB_DEADLINE_S = 7 * 24 * 3600.0
-"""A job must finish, however late; this only bounds how long its row may stand."""
+"""Deadline of a job. A job must finish however late it is, so this only bounds how long its row can
+exist."""
 
 HOP_PARAMETER = "hop"
+"""Query parameter that marks a request as already redirected by another node."""
+
 _UNFORWARDED_HEADERS = {
     "authorization",
     "host",
@@ -40,18 +45,17 @@
     "transfer-encoding",
 }
 
-
 JobOperation = Callable[[str, str], Awaitable[Result[JobStatus, Problem]]]
 
 
 class CallerApi:
-    """The endpoints, bound to one node."""
+    """The caller endpoints of one node."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     def routes(self) -> list[Route]:
-        """Return the routes."""
+        """Return the routes of the caller endpoints."""
         return [
             Route("/v1/completions", self.completions, methods=["POST"]),
             Route("/v1/chat/completions", self.chat_completions, methods=["POST"]),
@@ -73,11 +77,11 @@
     # Generations
 
     async def completions(self, request: Request) -> Response:
-        """Answer an OpenAI-style completion."""
+        """Handle an OpenAI-style completion."""
         return await self._handle_generation(request, chat=False)
 
     async def chat_completions(self, request: Request) -> Response:
-        """Answer an OpenAI-style chat completion."""
+        """Handle an OpenAI-style chat completion."""
         return await self._handle_generation(request, chat=True)
 
     async def _handle_generation(self, request: Request, chat: bool) -> Response:
@@ -90,20 +94,21 @@
         parsed = parse_generation(self._node, admitted.ok_value, request, body.ok_value, chat)
         if isinstance(parsed, Err):
             return problem_response(parsed.err_value)
-        asked = parsed.ok_value
-        if asked.respond_async:
-            return await self._accept_job(asked)
-        if asked.idempotency_key is not None:
-            return await self._generate_once(asked, asked.idempotency_key)
-        submitted = self._node.dispatcher.submit(asked.request)
+        generation = parsed.ok_value
+        if generation.respond_async:
+            return await self._accept_job(generation)
+        if generation.idempotency_key is not None:
+            return await self._generate_once(generation, generation.idempotency_key)
+        submitted = self._node.dispatcher.submit(generation.request)
         if isinstance(submitted, Err):
-            return problem_response(submitted.err_value, asked.request.id)
+            return problem_response(submitted.err_value, generation.request.id)
         record = submitted.ok_value
-        if asked.stream:
+        if generation.stream:
             return self._stream_response(record, 0)
         return await self._whole_response(record)
 
     async def _whole_response(self, record: StreamRecord) -> Response:
+        """Wait for the end of a stream and return its complete answer."""
         await record.wait_ended()
         if record.problem is not None:
             return problem_response(record.problem, record.request.id)
@@ -118,15 +123,15 @@
             sse.events(record, start), headers=headers, media_type="text/event-stream"
         )
 
-    async def _generate_once(self, asked: ParsedGeneration, key: str) -> Response:
-        if asked.stream:
+    async def _generate_once(self, generation: ParsedGeneration, key: str) -> Response:
+        if generation.stream:
             detail = "Idempotency-Key goes with a whole answer or with respond-async"
             return problem_response(problems.bad_request(detail))
-        request = asked.request
-        said = [request.model, request.prompt, request.max_tokens, request.session]
+        request = generation.request
+        content = [request.model, request.prompt, request.max_tokens, request.session]
         work = msgspec.json.encode(OnceWork(generation=request))
-        mark = fingerprint(msgspec.json.encode(said))
-        outcome = await self._node.once.run(OnceCall(request.account, key, mark, work))
+        digest = fingerprint(msgspec.json.encode(content))
+        outcome = await self._node.once.run(OnceCall(request.account, key, digest, work))
         if isinstance(outcome, Err):
             return problem_response(outcome.err_value)
         return Response(
@@ -134,7 +139,7 @@
         )
 
     async def stream(self, request: Request) -> Response:
-        """Resume a stream after `Last-Event-ID`, or return its whole answer."""
+        """Resume a stream after `Last-Event-ID`; with `whole=true` return the complete answer."""
         record = await self._find_stream(request)
         if isinstance(record, Err):
             return problem_response(record.err_value)
@@ -151,7 +156,7 @@
         return self._stream_response(found, start)
 
     async def cancel_stream(self, request: Request) -> Response:
-        """Stop a stream for its caller."""
+        """Cancel a stream of the caller."""
         record = await self._find_stream(request)
         if isinstance(record, Err):
             return problem_response(record.err_value)
@@ -161,7 +166,7 @@
         return Response(status_code=204)
 
     async def _find_stream(self, request: Request) -> Result[StreamRecord | Response, Problem]:
-        """Return the caller's stream, or where to go on asking for it."""
+        """Return the caller's stream, or a redirect to the node that should have it."""
         account = authenticate(self._node, request)
         if isinstance(account, Err):
             return account
@@ -179,29 +184,33 @@
         return Ok(record)
 
     def _likely_holder(self, request_id: str) -> str | None:
-        """Return the node that should have a stream that isn't here: its own, or its heir."""
+        """Return the address of the node that should have a stream which this node lacks.
+
+        That is the node that accepted it, or its first successor if that node is gone. None if it
+        would be this node, or if there is no other.
+        """
         node = self._node
         owner = node.fleet.nodes.get(request_id.split("_")[1] if "_" in request_id else "")
         if owner is not None:
             return None if owner.id == node.id else owner.address
-        heirs = node.successors(request_id)
-        return heirs[0].address if heirs else None
+        successors = node.successors(request_id)
+        return successors[0].address if successors else None
 
     # Jobs
 
-    async def _accept_job(self, asked: ParsedGeneration) -> Response:
+    async def _accept_job(self, generation: ParsedGeneration) -> Response:
         node = self._node
         request = msgspec.structs.replace(
-            asked.request, deadline_at=node.clock.wall() + JOB_DEADLINE_S, repeatable=True
+            generation.request, deadline_at=node.clock.wall() + JOB_DEADLINE_S, repeatable=True
         )
         bundle = node.bundle()
-        assert bundle is not None, "parsing has needed one"
-        if asked.idempotency_key is None:
+        assert bundle is not None, "parse_generation rejects requests without a bundle"
+        if generation.idempotency_key is None:
             job_id = new_job_id(node.settings.node.hall)
         else:
             halls = [hall.name for hall in bundle.halls]
-            job_id = keyed_job_id(halls, request.account, asked.idempotency_key)
-        keyed = asked.idempotency_key is not None
+            job_id = keyed_job_id(halls, request.account, generation.idempotency_key)
+        keyed = generation.idempotency_key is not None
         accepted = await node.jobs.accept(request, job_id, keyed)
         if isinstance(accepted, Err):
             return problem_response(accepted.err_value)
@@ -210,24 +219,24 @@
         return json_response({"id": accepted.ok_value, "state": "accepted"}, 202, headers)
 
     async def job_status(self, request: Request) -> Response:
-        """Return a job's state."""
+        """Return the state of a job."""
         return await self._handle_job(request, self._node.jobs.status)
 
     async def cancel_job(self, request: Request) -> Response:
-        """Cancel a job."""
+        """Cancel a job and return its state."""
         return await self._handle_job(request, self._node.jobs.cancel)
 
-    async def _handle_job(self, request: Request, ask: JobOperation) -> Response:
+    async def _handle_job(self, request: Request, operation: JobOperation) -> Response:
         account = authenticate(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
-        outcome = await ask(account.ok_value.name, str(request.path_params["id"]))
+        outcome = await operation(account.ok_value.name, str(request.path_params["id"]))
         if isinstance(outcome, Err):
             return problem_response(outcome.err_value)
         return json_response(outcome.ok_value)
 
     async def job_result(self, request: Request) -> Response:
-        """Return a job's answer, or 404 with a time to come back while it isn't done."""
+        """Return the answer of a job, or 202 with Retry-After while it isn't done."""
         account = authenticate(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
@@ -235,20 +244,20 @@
         outcome = await self._node.jobs.result(account.ok_value.name, job_id)
         if isinstance(outcome, Err):
             return problem_response(outcome.err_value)
-        ended = outcome.ok_value
-        if ended is None:
+        result = outcome.ok_value
+        if result is None:
             return json_response({"id": job_id, "state": "accepted"}, 202, {"Retry-After": "1"})
-        if ended.state is not JobState.DONE:
-            detail = f"the job was {ended.state.value}"
+        if result.state is not JobState.DONE:
+            detail = f"the job was {result.state.value}"
             return problem_response(problems.conflict(detail), job_id)
-        usage = sse.Usage(ended.tokens)
-        body = sse.encode_completion(ended.request, [ended.text or ""], ended.reason, usage)
+        usage = sse.Usage(result.tokens)
+        body = sse.encode_completion(result.request, [result.text or ""], result.reason, usage)
         return Response(body, media_type=JSON_MEDIA_TYPE)
 
     # Services
 
     async def issue_keys(self, request: Request) -> Response:
-        """Issue idempotency keys that this node settles without the table."""
+        """Issue idempotency keys whose use this node tracks in memory, without the table."""
         account = authenticate(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
@@ -264,7 +273,7 @@
         return json_response({"keys": keys, "node": self._node.id})
 
     async def service(self, request: Request) -> Response:
-        """Pass a call through to a plain service."""
+        """Forward a call to a plain service."""
         admitted = self._admit(request)
         if isinstance(admitted, Err):
             return problem_response(admitted.err_value)
@@ -278,9 +287,9 @@
         else:
             account = admitted.ok_value.name
             work = msgspec.json.encode(OnceWork(service=call))
-            said = [call.service, call.method, call.path, call.body]
-            mark = fingerprint(msgspec.json.encode(said))
-            outcome = await self._node.once.run(OnceCall(account, key, mark, work))
+            content = [call.service, call.method, call.path, call.body]
+            digest = fingerprint(msgspec.json.encode(content))
+            outcome = await self._node.once.run(OnceCall(account, key, digest, work))
         if isinstance(outcome, Err):
             return problem_response(outcome.err_value)
         answer = outcome.ok_value
@@ -289,7 +298,7 @@
     # Addresses
 
     async def addresses(self, request: Request) -> Response:
-        """Return the addresses for a session, in order, and how long to keep them."""
+        """Return the node addresses for a session, the preferred one first, and their TTL."""
         session = request.query_params.get("session") or request.headers.get(SESSION_HEADER, "")
         views = self._node.addresses(session)
         if not views:
@@ -300,19 +309,19 @@
         return json_response({"session": session, "addresses": found, "ttl_s": ttl})
 
     async def models(self, request: Request) -> Response:
-        """Return the models and adapters that may be named."""
+        """Return the models and adapters that requests may name."""
         account = authenticate(self._node, request)
         if isinstance(account, Err):
             return problem_response(account.err_value)
         bundle = self._node.bundle()
-        assert bundle is not None, "an account was found in it"
+        assert bundle is not None, "the account was found in the bundle"
         names = [model.name for model in bundle.models]
         names += [adapter.name for adapter in bundle.adapters]
         data = [{"id": name, "object": "model", "owned_by": "moledale"} for name in names]
         return json_response({"object": "list", "data": data})
 
     def _admit(self, request: Request) -> Result[Account, Problem]:
-        """Check, before anything is read, that a request may be taken at all."""
+        """Check readiness, key and rate limit before the body is read; return the account."""
         refusal = self._node.refusal()
         if refusal is not None:
             return Err(refusal)
@@ -324,7 +333,11 @@
 
 
 def _redirect_to(address: str, request: Request) -> Response:
-    """Send a caller on; one hop at the most, since two nodes' lists may differ."""
+    """Redirect a caller to another node, and mark the request as redirected.
+
+    A node doesn't look for the owner of a marked request again: the fleet lists of two nodes may
+    differ, and each could redirect to the other.
+    """
     url = request.url.include_query_params(**{HOP_PARAMETER: "1"})
     return RedirectResponse(f"http://{address}{url.path}?{url.query}", 307)
 
@@ -344,7 +357,7 @@
 
 
 def _once_completion_body(request: GenerationRequest, answer: ServiceAnswer) -> bytes:
-    """Return a not-repeatable generation's answer in the usual form."""
+    """Return the completion body for the stored answer of a non-repeatable generation."""
     reason, *tokens = msgspec.json.decode(answer.body, type=list[str])
     return sse.encode_completion(request, tokens, reason, sse.Usage(len(tokens)))
 
