--- a/src/moledale/edge/operators.py
+++ b/src/moledale/edge/operators.py
@@ -1,4 +1,4 @@
-"""Endpoints for operators: rolling bundles, and looking at the fleet and the burn."""
+"""Endpoints for operators: bundle rollout, node status and error-budget burn."""
 
 import hmac
 
@@ -19,7 +19,7 @@
 
 
 class ServerStatus(msgspec.Struct, frozen=True):
-    """A server as one node sees it."""
+    """The state of a backend server as one node sees it."""
 
     id: str
     hall: str
@@ -29,7 +29,7 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """One node's view of itself and of the fleet; `build` is empty from builds that tell none."""
+    """The status of a node and its view of the fleet; older builds send no `build`."""
 
     node: str
     hall: str
@@ -50,13 +50,13 @@
 
 
 class OperatorApi:
-    """The endpoints, bound to one node."""
+    """The operator endpoints of one node."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     def routes(self) -> list[Route]:
-        """Return the routes."""
+        """Return the routes of the operator endpoints."""
         return [
             Route("/admin/v1/status", self.status, methods=["GET"]),
             Route("/admin/v1/burn", self.burn, methods=["GET"]),
@@ -66,19 +66,19 @@
         ]
 
     async def status(self, request: Request) -> Response:
-        """Return the node's status."""
+        """Return the status of the node."""
         if not self._is_authorized(request):
             return _unauthorized()
         return json_response(self._status())
 
     async def burn(self, request: Request) -> Response:
-        """Return the node's counts of good and bad requests."""
+        """Return the counts of good and bad requests, from which the burn is computed."""
         if not self._is_authorized(request):
             return _unauthorized()
         return json_response(self._node.burn.page())
 
     async def roll(self, request: Request) -> Response:
-        """Roll a signed bundle."""
+        """Roll out a signed bundle."""
         if not self._is_authorized(request):
             return _unauthorized()
         body = await read_body(request, self._node.settings.limits.body_bytes)
@@ -95,7 +95,7 @@
         return json_response(outcome.ok_value, 201)
 
     async def history(self, request: Request) -> Response:
-        """Return all accepted versions."""
+        """Return all accepted bundle versions."""
         if not self._is_authorized(request):
             return _unauthorized()
         outcome = await store.history(self._node.platform)
@@ -104,7 +104,7 @@
         return json_response(outcome.ok_value)
 
     async def head(self, request: Request) -> Response:
-        """Return the head with its body and signatures."""
+        """Return the current bundle version with its body and signatures."""
         if not self._is_authorized(request):
             return _unauthorized()
         read = await store.read_head(self._node.platform)
@@ -120,8 +120,8 @@
         return json_response({"head": head, "bundle": signed})
 
     def _is_authorized(self, request: Request) -> bool:
-        wanted = self._node.secrets.operator.encode()
-        return hmac.compare_digest(bearer(request).encode(), wanted)
+        expected = self._node.secrets.operator.encode()
+        return hmac.compare_digest(bearer(request).encode(), expected)
 
     def _status(self) -> NodeStatus:
         node = self._node
