--- a/src/moledale/edge/requests.py
+++ b/src/moledale/edge/requests.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests: bounded bodies, headers, and the fields that are understood."""
+"""Parses and validates requests of callers: bodies of bounded size, headers and known fields."""
 
 import uuid
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """The fields of a completion that matter here; further ones are ignored, as is usual."""
+    """The supported fields of a completion request; unknown fields are ignored."""
 
     model: str
     prompt: str
@@ -34,14 +34,14 @@
 
 
 class ChatMessage(msgspec.Struct, frozen=True):
-    """One message of a chat."""
+    """A message of a chat."""
 
     role: str
     content: str
 
 
 class ChatBody(msgspec.Struct, frozen=True):
-    """The fields of a chat completion that matter here."""
+    """The supported fields of a chat completion request; unknown fields are ignored."""
 
     model: str
     messages: Annotated[list[ChatMessage], msgspec.Meta(min_length=1)]
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedGeneration:
-    """A generation as its caller asked for it."""
+    """A validated generation request, and how its caller wants the answer."""
 
     request: GenerationRequest
     stream: bool
@@ -59,15 +59,15 @@
     idempotency_key: str | None
 
 
-async def read_body(request: Request, most: int) -> Result[bytes, Problem]:
-    """Read a body of at most `most` bytes."""
+async def read_body(request: Request, max_bytes: int) -> Result[bytes, Problem]:
+    """Return the body, or a problem if it exceeds `max_bytes` or the caller disconnects."""
     parts: list[bytes] = []
     size = 0
     try:
         async for part in request.stream():
             size += len(part)
-            if size > most:
-                return Err(problems.too_large(f"the body is over {most} bytes"))
+            if size > max_bytes:
+                return Err(problems.too_large(f"the body is over {max_bytes} bytes"))
             parts.append(part)
     except ClientDisconnect:
         return Err(problems.bad_request("the body was cut off"))
@@ -81,7 +81,7 @@
 
 
 def authenticate(node: Node, request: Request) -> Result[Account, Problem]:
-    """Return the caller's account."""
+    """Return the account of the caller's key, or a problem if the key is unknown."""
     account = node.accounts.find(bearer(request))
     if account is None:
         return Err(problems.unauthorized("send a known key as Authorization: Bearer"))
@@ -96,21 +96,21 @@
         if chat:
             chat_body = msgspec.json.decode(body, type=ChatBody)
             prompt = "\n".join(f"{m.role}: {m.content}" for m in chat_body.messages)
-            model, most, stream = chat_body.model, chat_body.max_tokens, chat_body.stream
+            model, max_tokens, stream = chat_body.model, chat_body.max_tokens, chat_body.stream
         else:
             completion = msgspec.json.decode(body, type=CompletionBody)
             prompt = completion.prompt
-            model, most, stream = completion.model, completion.max_tokens, completion.stream
+            model, max_tokens, stream = completion.model, completion.max_tokens, completion.stream
     except msgspec.DecodeError as error:
         return Err(problems.bad_request(f"body: {error}"))
     bundle = node.bundle()
     if bundle is None or bundle.model(model) is None:
         return Err(problems.not_found(f"model or adapter {model!r} is not in the bundle"))
     respond_async = "respond-async" in request.headers.get("prefer", "").lower()
-    stated = parse_priority(account, request, respond_async)
-    if isinstance(stated, Err):
-        return stated
-    priority = stated.ok_value
+    parsed = parse_priority(account, request, respond_async)
+    if isinstance(parsed, Err):
+        return parsed
+    priority = parsed.ok_value
     deadline = _deadline_s(bundle, request, priority)
     if isinstance(deadline, Err):
         return deadline
@@ -124,9 +124,9 @@
         account.name,
         model,
         prompt,
-        most,
+        max_tokens,
         priority,
-        # Sessions of two accounts never share anything, whatever they are called.
+        # Prefixed with the account, so that accounts never share a session.
         f"{account.name}/{session}" if session else "",
         now + deadline.ok_value,
         int(now),
@@ -139,9 +139,13 @@
 def parse_priority(
     account: Account, request: Request, respond_async: bool
 ) -> Result[Priority, Problem]:
-    """Return the priority that a request states, or the usual one."""
-    usual = Priority.CAN_WAIT if respond_async else Priority.NORMAL
-    text = request.headers.get(PRIORITY_HEADER, usual.value)
+    """Return the priority that a request states, or the default.
+
+    The default is `can-wait` for asynchronous requests, else `normal`. An account may use only the
+    priorities that the bundle grants it.
+    """
+    default = Priority.CAN_WAIT if respond_async else Priority.NORMAL
+    text = request.headers.get(PRIORITY_HEADER, default.value)
     if text not in list(Priority):
         known = ", ".join(priority.value for priority in Priority)
         return Err(problems.bad_request(f"{PRIORITY_HEADER}: {text!r} is none of {known}"))
@@ -152,6 +156,7 @@
 
 
 def _deadline_s(bundle: Bundle, request: Request, priority: Priority) -> Result[float, Problem]:
+    """Return the seconds until the deadline: the stated ones, or the priority's default."""
     text = request.headers.get(DEADLINE_HEADER)
     if text is None:
         return Ok(bundle.target(priority).deadline_s)
