--- a/src/moledale/edge/sse.py
+++ b/src/moledale/edge/sse.py
@@ -1,4 +1,4 @@
-"""Answers as server-sent events, and as one JSON body."""
+"""Encodes answers as server-sent events or as one JSON body."""
 
 from collections.abc import AsyncIterator
 
@@ -8,7 +8,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Token counts of an answer, under the names that clients know."""
+    """Token counts of an answer, under the field names of the OpenAI API."""
 
     completion_tokens: int
     prompt_tokens: int = 0
@@ -20,27 +20,27 @@
 
 
 def event_id(request_id: str, index: int) -> str:
-    """Return the id of the event that carries token `index`."""
+    """Return the id of the event with the token at `index`."""
     return f"{request_id}.{index}"
 
 
 def resume_index(request_id: str, last_event_id: str) -> int | None:
-    """Return the index to resume at, or None if the id isn't one of this stream."""
-    named, _, index = last_event_id.rpartition(".")
-    if named != request_id or not index.isdecimal():
+    """Return the token index to resume at, or None if the id isn't one of this stream."""
+    stream_id, _, index = last_event_id.rpartition(".")
+    if stream_id != request_id or not index.isdecimal():
         return None
     return int(index) + 1
 
 
 async def events(record: StreamRecord, start: int) -> AsyncIterator[bytes]:
-    """Yield a stream from token `start`; it ends in `[DONE]`, `error` or `moved`."""
-    before, after = _event_affixes(record)
+    """Yield the events of a stream from token `start`; the last is `[DONE]`, `error` or `moved`."""
+    prefix, suffix = _event_affixes(record)
     request_id = record.request.id
     encode = msgspec.json.encode
     async for position, tokens in record.follow(start):
         yield b"".join(
             b"id: %s.%d\ndata: %s%s%s\n\n"
-            % (request_id.encode(), position + offset, before, encode(token), after)
+            % (request_id.encode(), position + offset, prefix, encode(token), suffix)
             for offset, token in enumerate(tokens)
         )
     yield _final_event(record)
@@ -49,7 +49,7 @@
 def encode_completion(
     request: GenerationRequest, tokens: list[str], reason: str, usage: Usage
 ) -> bytes:
-    """Return a finished answer as one completion or chat completion."""
+    """Return the JSON body of a finished completion or chat completion."""
     text = "".join(tokens)
     choice: dict[str, object] = {"index": 0, "finish_reason": reason}
     if request.chat:
@@ -60,7 +60,7 @@
 
 
 def usage_of(record: StreamRecord) -> Usage:
-    """Return what an answer took, over all its attempts."""
+    """Return the token counts of an answer over all its attempts."""
     return Usage(
         len(record.tokens),
         record.cached_tokens + record.computed_tokens,
@@ -70,17 +70,18 @@
 
 
 def _event_affixes(record: StreamRecord) -> tuple[bytes, bytes]:
-    """Return what stands before and after the token in every event's data."""
-    head = msgspec.json.encode(_common_fields(record.request, ".chunk"))[:-1]
+    """Return the constant parts of an event's data before and after the token."""
+    fields = msgspec.json.encode(_common_fields(record.request, ".chunk"))[:-1]
     if record.request.chat:
         return (
-            head + b',"choices":[{"index":0,"delta":{"content":',
+            fields + b',"choices":[{"index":0,"delta":{"content":',
             b'},"finish_reason":null}]}',
         )
-    return head + b',"choices":[{"index":0,"text":', b',"finish_reason":null}]}'
+    return fields + b',"choices":[{"index":0,"text":', b',"finish_reason":null}]}'
 
 
 def _common_fields(request: GenerationRequest, chunk: str) -> dict[str, object]:
+    """Return the fields that whole answers and events share."""
     kind = f"chat.completion{chunk}" if request.chat else "text_completion"
     return {
         "id": request.id,
@@ -91,7 +92,7 @@
 
 
 def _final_event(record: StreamRecord) -> bytes:
-    """Return the explicit end."""
+    """Return the final event: the error, the address that the stream moved to, or the end."""
     if record.problem is not None:
         return b"event: error\ndata: %s\n\n" % record.problem.body(record.request.id)
     if record.successor is not None:
