--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs generations: queues them, picks servers, and carries answers over failures."""
+"""Runs generations: queues requests, chooses servers, and resumes answers after failures."""
 
 import asyncio
 import math
@@ -26,15 +26,20 @@
 from moledale.servers.types import Done, GenerateCall, ModelServers, Refused, ServerError, Token
 
 BLOCKED_DETAIL = "servers ended under this request"
-"""What callers are told of a generation that is blocked."""
+"""Problem detail for generations that are blocked because servers crashed while running them."""
 
 RETRY_PAUSE_S = 0.05
+"""Mean pause before a retry; jitter makes it half to one and a half times as long."""
+
 DEFAULT_NOTICE_S = 30.0
+"""Assumed time until a leaving server stops, if its notice doesn't state one."""
+
 POLL_INTERVAL_S = 0.1
+"""Interval of checks for expired deadlines, backoffs and stored answers."""
 
 
 class Dispatcher:
-    """Owns the load book, the queue and the live streams of a node."""
+    """Runs the generations of a node: owns its load tracker, request queue and live streams."""
 
     def __init__(
         self,
@@ -69,7 +74,7 @@
 
     @property
     def open_requests(self) -> int:
-        """Return the number of requests that run or wait here."""
+        """Return the number of running and waiting requests on this node."""
         return len(self._tasks)
 
     @property
@@ -78,7 +83,7 @@
         return len(self._waiting)
 
     def submit(self, request: GenerationRequest) -> Result[StreamRecord, Problem]:
-        """Accept a generation, or refuse it at once; refused means that it did not run."""
+        """Accept a generation, or reject it at once; a rejected one did not run."""
         if self.streams.full:
             return Err(problems.overloaded("this node holds as many streams as it may", 1))
         blocked_s = self._guard.blocked_for_s(request)
@@ -92,7 +97,7 @@
         return Ok(self.adopt(StreamRecord(request)))
 
     def adopt(self, record: StreamRecord) -> StreamRecord:
-        """Run a record, which may have tokens already."""
+        """Start work on a stream, which may already have tokens."""
         if not record.accepted_at:
             record.accepted_at = self._clock.monotonic()
         self.streams.add(record)
@@ -102,7 +107,7 @@
         return record
 
     def cancel(self, request_id: str) -> bool:
-        """Stop a request for its caller; return False if it isn't here."""
+        """Cancel a request for its caller; return False if none of this id is open here."""
         record = self.streams.get(request_id)
         task = self._tasks.get(request_id)
         if record is None or task is None or record.ended:
@@ -112,9 +117,9 @@
         return True
 
     async def suspend(self, record: StreamRecord) -> None:
-        """Stop work on a request without ending it, so that its tokens stand still.
+        """Stop work on a request without ending its stream, so that no more tokens are added.
 
-        A caller must never have more tokens than the peer that goes on with the stream.
+        During a handover a caller must never have more tokens than the peer that takes the stream.
         """
         self._suspended.add(record.request.id)
         task = self._tasks.get(record.request.id)
@@ -123,22 +128,22 @@
             await asyncio.wait([task])
 
     def finish_handover(self, record: StreamRecord, successor: str) -> None:
-        """End a held request here since a peer has taken it."""
+        """End a suspended request on this node after `successor` has taken its stream."""
         self._suspended.discard(record.request.id)
         record.hand_over(successor)
         self.streams.move_to_finished(record, self._clock.monotonic())
 
     def resume(self, record: StreamRecord) -> None:
-        """Go on with a held request here."""
+        """Continue a suspended request on this node."""
         self._suspended.discard(record.request.id)
         self.adopt(record)
 
     def follow(self, view: ServerView) -> None:
-        """Follow a server from now on."""
+        """Track a server, so that requests can be dispatched to it."""
         self.load_tracker.follow(view)
 
     def handle(self, message: ServerMessage) -> None:
-        """Take a message about a server; what it changes is in force when this returns."""
+        """Apply a message about a server; its changes are in effect when this returns."""
         if isinstance(message, ServerReported):
             self._on_report(message)
         elif isinstance(message, ServerLeaving):
@@ -148,7 +153,7 @@
         self._waiting.assign_slots()
 
     async def run(self) -> None:
-        """Refuse waiting requests whose deadline has passed, and drop old answers."""
+        """Reject expired waiting requests, end backoffs and drop old answers, in a loop."""
         while True:
             await self._clock.sleep(POLL_INTERVAL_S)
             self._guard.update_blocks()
@@ -160,7 +165,7 @@
     # Running
 
     async def _serve(self, record: StreamRecord) -> None:
-        """Carry a request through as many attempts as it takes."""
+        """Run a request to its end, over as many attempts as it takes."""
         try:
             await self._serve_attempts(record)
         except asyncio.CancelledError:
@@ -181,26 +186,26 @@
     async def _serve_attempts(self, record: StreamRecord) -> None:
         excluded: frozenset[str] = frozenset()
         while not record.ended:
-            # Work that waits comes back on its own, whatever it did to servers before.
+            # Jobs are retried through `adopt`, which doesn't ask the guard, so ask here each time.
             if self._guard.blocked_for_s(record.request) > 0:
                 record.fail(problems.failed(BLOCKED_DETAIL))
                 return
-            made = self._redirects.pop(record.request.id, None)
+            reservation = self._redirects.pop(record.request.id, None)
             record.wait_for_server()
-            if made is None:
+            if reservation is None:
                 slot = await self._waiting.wait_for_slot(record, excluded)
                 if isinstance(slot, Problem):
                     record.fail(_with_unknown_outcome(slot, record))
                     return
-                made = slot
-            detail = await self._run_attempt(record, made)
+                reservation = slot
+            detail = await self._run_attempt(record, reservation)
             if detail is None:
                 continue
-            excluded = excluded | {made.server}
+            excluded = excluded | {reservation.server}
             emit(
                 Event.ATTEMPT_FAILED,
                 request=record.request.id,
-                server=made.server,
+                server=reservation.server,
                 detail=detail,
             )
             if not record.request.repeatable:
@@ -209,8 +214,8 @@
                 record.fail(problems.failed(f"server failed, retry budget used up: {detail}"))
             else:
                 if len(excluded) > 1:
-                    # One that broke off twice may be what ends servers: that is known first.
-                    await self._guard.wait_checked(made.server)
+                    # After failures on two servers, wait until the guard knows if they crashed.
+                    await self._guard.wait_checked(reservation.server)
                 if not self._has_eligible_server(record, excluded):
                     excluded = frozenset()
                 await self._clock.sleep(RETRY_PAUSE_S * self._rng.uniform(0.5, 1.5))
@@ -219,13 +224,13 @@
         need = routing_need(record.request, [], self._hall, excluded)
         return bool(eligible(self.load_tracker.views.values(), need))
 
-    async def _run_attempt(self, record: StreamRecord, made: Reservation) -> str | None:
-        """Make one attempt; return what broke it, or None if it ended or was moved."""
-        if made.server not in self.load_tracker.views:
-            self.load_tracker.release(made, self._clock.monotonic())
+    async def _run_attempt(self, record: StreamRecord, reservation: Reservation) -> str | None:
+        """Run one attempt; return why it failed, or None if it ended or was redirected."""
+        if reservation.server not in self.load_tracker.views:
+            self.load_tracker.release(reservation, self._clock.monotonic())
             return "server is gone"
-        attempt = record.begin_attempt(made.server)
-        task = asyncio.create_task(self._stream_attempt(record, attempt, made))
+        attempt = record.begin_attempt(reservation.server)
+        task = asyncio.create_task(self._stream_attempt(record, attempt, reservation))
         self._attempts[record.request.id] = task
         try:
             return await task
@@ -236,14 +241,15 @@
             raise
         finally:
             self._attempts.pop(record.request.id, None)
-            self.load_tracker.release(made, self._clock.monotonic())
+            self.load_tracker.release(reservation, self._clock.monotonic())
             self._waiting.assign_slots()
 
     async def _stream_attempt(
-        self, record: StreamRecord, attempt: str, made: Reservation
+        self, record: StreamRecord, attempt: str, reservation: Reservation
     ) -> str | None:
+        """Receive an attempt's tokens; return why it failed, or None if it finished."""
         request = record.request
-        view = self.load_tracker.views[made.server]
+        view = self.load_tracker.views[reservation.server]
         address = view.address
         call = GenerateCall(
             attempt,
@@ -259,8 +265,8 @@
             async with aclosing(self._servers.generate(address, call)) as events:
                 async for event in events:
                     if isinstance(event, Token):
-                        if record.first_token_at is None or made.prefill_tokens:
-                            made = self.load_tracker.record_first_token(made)
+                        if record.first_token_at is None or reservation.prefill_tokens:
+                            reservation = self.load_tracker.record_first_token(reservation)
                         if not record.add(attempt, event.i, event.t, self._clock.monotonic()):
                             return f"token {event.i} out of order"
                     elif isinstance(event, Done):
@@ -273,12 +279,16 @@
             return "the answer ended early"
         except ServerError as error:
             if error.retry_after_s is not None:
-                # It counts for all attempts of this node, not for this one alone.
+                # The backoff applies to all attempts of this node, not to this one alone.
                 retry_at = self._clock.monotonic() + error.retry_after_s
-                self.load_tracker.back_off(made.server, retry_at)
-                emit(Event.SERVER_BACKOFF, server=made.server, retry_after_s=error.retry_after_s)
+                self.load_tracker.back_off(reservation.server, retry_at)
+                emit(
+                    Event.SERVER_BACKOFF,
+                    server=reservation.server,
+                    retry_after_s=error.retry_after_s,
+                )
             if error.may_have_run:
-                self._guard.record_broken(request, made.server, address)
+                self._guard.record_broken(request, reservation.server, address)
             return str(error)
         finally:
             if not finished:
@@ -295,10 +305,10 @@
             self.load_tracker.record_cache(record.request.session, server, context_tokens(record))
 
     def _cancel_attempt(self, address: str, attempt: str) -> None:
-        """Tell a server to stop an attempt that nobody follows any more."""
+        """Cancel an abandoned attempt at its server, in the background."""
         self._background.start(self._servers.cancel(address, attempt))
 
-    # Servers that come and go
+    # Changes of servers
 
     def _on_report(self, message: ServerReported) -> None:
         view = self.load_tracker.views.get(message.report.server)
@@ -307,8 +317,7 @@
         now = self._clock.monotonic()
         if self.load_tracker.apply_report(message.report, now - message.max_age_s, now):
             view.note_answer()  # type: ignore[attr-defined]
-        # Reports that ride along with answers keep the watch from polling a busy server, so
-        # they must tell of its leaving too.
+        # A server whose answers carry reports isn't polled, so their leaving flag counts too.
         if message.report.leaving:
             left = message.report.seconds_left
             self._on_leaving(ServerLeaving(message.report.server, left, "server"))
@@ -335,7 +344,10 @@
     def _redirect(
         self, record: StreamRecord, attempt: str, source: str, target: Reservation | None
     ) -> bool:
-        """End an attempt so that the stream goes on at `target`, or wherever there is room."""
+        """End an attempt so that the stream resumes at `target`, or at any server if that is None.
+
+        Return False if the attempt is no longer the current one or has ended.
+        """
         task = self._attempts.get(record.request.id)
         if record.ended or record.attempt != attempt or task is None or task.done():
             return False
@@ -352,7 +364,10 @@
 
 
 def _with_unknown_outcome(problem: Problem, record: StreamRecord) -> Problem:
-    """A refusal after an attempt was sent can't promise that nothing ran."""
+    """Return the problem with `ran` unknown if an attempt of the request was dispatched.
+
+    A rejection after a dispatch can't promise that nothing ran.
+    """
     if not record.dispatched:
         return problem
     return Problem(
