--- a/src/moledale/node/jobs.py
+++ b/src/moledale/node/jobs.py
@@ -1,4 +1,4 @@
-"""Work that can wait: durable before it is accepted, finished by whichever node is there."""
+"""Asynchronous jobs: stored durably before they are accepted, and finished by any live node."""
 
 import asyncio
 import hashlib
@@ -33,16 +33,20 @@
 RESULT_PREFIX = "results/"
 JOB_ID_PREFIX = "job_"
 MAX_INLINE_TEXT_CHARS = 16_384
+"""Longer result texts are stored in the object store instead of the result row."""
+
 MAX_SCAN_ROWS = 500
 MAX_ADOPTIONS_PER_SCAN = 50
 MAX_OWNED_JOBS = 200
 UNOWNED = ""
+"""Owner of a job that its node released; any node may adopt it."""
+
 RETRY_INITIAL_S = 0.5
 RETRY_MAX_S = 15.0
 
 
 class JobState(StrEnum):
-    """What a caller is told of its job."""
+    """State of a job as callers see it."""
 
     ACCEPTED = "accepted"
     RUNNING = "running"
@@ -51,7 +55,7 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """The row of an open job; whoever is `owner` runs it, and changes by conditional write."""
+    """The row of an open job. The node `owner` runs it; the owner changes by conditional write."""
 
     operation: str
     id: str
@@ -63,7 +67,7 @@
 
 
 class JobResult(msgspec.Struct, frozen=True):
-    """The row of an ended job; a long text lies in the object store instead."""
+    """The row of an ended job; `text` is None if it is in the object store or there is none."""
 
     operation: str
     id: str
@@ -77,7 +81,7 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """What `GET /v1/jobs/{id}` answers."""
+    """The body of `GET /v1/jobs/{id}`."""
 
     id: str
     state: JobState
@@ -86,20 +90,20 @@
 
 
 def new_job_id(hall: str) -> str:
-    """Return a job id that tells the hall its row is filed under."""
+    """Return a new job id; it contains the hall under whose key prefix the row is stored."""
     return f"{JOB_ID_PREFIX}{hall}_{uuid.uuid4().hex}"
 
 
 def keyed_job_id(halls: list[str], account: str, key: str) -> str:
-    """Return the same job id on every node for a caller's idempotency key."""
-    named = f"{account}\x00{key}"
-    hall = first_ranked(named, halls)
-    assert hall is not None, "a bundle states a hall"
-    return f"{JOB_ID_PREFIX}{hall}_{hashlib.sha256(named.encode()).hexdigest()[:32]}"
+    """Return the job id for an idempotency key; it is the same on every node."""
+    name = f"{account}\x00{key}"
+    hall = first_ranked(name, halls)
+    assert hall is not None, "a bundle has at least one hall"
+    return f"{JOB_ID_PREFIX}{hall}_{hashlib.sha256(name.encode()).hexdigest()[:32]}"
 
 
 def row_key(job_id: str) -> str:
-    """Return the row key of a job id; raises ValueError if it isn't one."""
+    """Return the row key of a job; raises ValueError if `job_id` isn't a job id."""
     hall, _, serial = job_id.removeprefix(JOB_ID_PREFIX).rpartition("_")
     if not job_id.startswith(JOB_ID_PREFIX) or not hall or not serial:
         raise ValueError("not a job id")
@@ -107,7 +111,7 @@
 
 
 class Jobs:
-    """Accepts, runs, adopts and answers for jobs."""
+    """Accepts, runs, adopts and cancels jobs, and returns their states and results."""
 
     def __init__(
         self,
@@ -134,17 +138,17 @@
 
     @property
     def open_jobs(self) -> int:
-        """Return the number of jobs that this node owns."""
+        """Return the number of open jobs that this node owns."""
         return len(self._owned)
 
     async def accept(
         self, request: GenerationRequest, job_id: str, keyed: bool = False
     ) -> Result[str, Problem]:
-        """Make a job durable and return its id.
+        """Store a job durably, start it and return its id.
 
-        A `job_id` that stands already, since its caller asked twice, is returned as it is. That
-        is also why a refused `keyed` job can't be said not to run: it may have been accepted
-        elsewhere before.
+        If a job of this id exists, its caller has sent the request again, and the id is returned.
+        For the same reason a rejected `keyed` job may run all the same: another node may have
+        accepted it before.
         """
         if len(self._owned) >= MAX_OWNED_JOBS or self._releasing:
             return Err(problems.overloaded("this node holds as many jobs as it may", 2))
@@ -164,8 +168,8 @@
         if outcome in (Outcome.COMMITTED, Outcome.CONFLICT):
             return Ok(job_id)
         if outcome is Outcome.UNKNOWN:
-            # The row may stand; then the job is adopted and runs although its caller was told
-            # that nobody knows.
+            # If the row was written, the job is adopted and runs, although its caller was told that
+            # the outcome is unknown.
             detail = "the table service does not answer; the job may have been accepted"
             return Err(Problem("outcome-unknown", 503, "Not known", detail, Ran.UNKNOWN, 2))
         if keyed:
@@ -173,13 +177,13 @@
         return Err(problems.unavailable("the table service does not answer", 2))
 
     async def status(self, account: str, job_id: str) -> Result[JobStatus, Problem]:
-        """Return a job's state."""
+        """Return the state of a job."""
         found = await self._find(account, job_id)
         if isinstance(found, Err):
             return found
         if isinstance(found.ok_value, JobResult):
-            ended = found.ok_value
-            return Ok(JobStatus(job_id, ended.state))
+            result = found.ok_value
+            return Ok(JobStatus(job_id, result.state))
         job = found.ok_value
         record = self._dispatcher.streams.get(job_id)
         running = record is not None and record.dispatched
@@ -191,27 +195,27 @@
         found = await self._find(account, job_id)
         if isinstance(found, Err):
             return found
-        ended = found.ok_value
-        if not isinstance(ended, JobResult):
+        result = found.ok_value
+        if not isinstance(result, JobResult):
             return Ok(None)
-        if ended.state is not JobState.DONE or ended.text is not None:
-            return Ok(ended)
+        if result.state is not JobState.DONE or result.text is not None:
+            return Ok(result)
         body = await self._objects.get(RESULT_PREFIX + job_id)
         if isinstance(body, Err) or body.ok_value is None:
             return Err(problems.unavailable("the object store does not answer", 2))
-        return Ok(msgspec.structs.replace(ended, text=body.ok_value.decode()))
+        return Ok(msgspec.structs.replace(result, text=body.ok_value.decode()))
 
     async def cancel(self, account: str, job_id: str) -> Result[JobStatus, Problem]:
-        """Cancel a job, wherever it runs; whoever ends it first wins."""
+        """Cancel a job on whichever node it runs; if it ended before, return its final state."""
         for _ in range(3):
             found = await self._find_row(account, job_id)
             if isinstance(found, Err):
                 return found
-            row, held = found.ok_value
-            if isinstance(held, JobResult):
-                return Ok(JobStatus(job_id, held.state))
+            row, job = found.ok_value
+            if isinstance(job, JobResult):
+                return Ok(JobStatus(job_id, job.state))
             outcome = await self._commit_result(
-                held, row.version, _make_result(held, JobState.CANCELLED, self._clock.wall())
+                job, row.version, _make_result(job, JobState.CANCELLED, self._clock.wall())
             )
             if outcome is Outcome.COMMITTED:
                 self._stop_running(job_id)
@@ -221,7 +225,11 @@
         return Err(problems.conflict("the job changed hands meanwhile; try again"))
 
     async def adopt_orphans(self, hall: str, is_live: Callable[[str], bool]) -> int:
-        """Adopt jobs of a hall whose owner is gone, is unowned, or was this node before."""
+        """Adopt orphaned jobs of a hall and return their number.
+
+        A job is orphaned if it has no owner, its owner isn't live, or an earlier incarnation of
+        this node owned it.
+        """
         scanned = await self._table.scan(JOB_TABLE, f"{hall}/", MAX_SCAN_ROWS)
         if isinstance(scanned, Err):
             return 0
@@ -235,7 +243,7 @@
         return adopted
 
     async def release_all(self) -> None:
-        """Give up all jobs that still run, so that other nodes adopt them at once."""
+        """Stop all jobs and clear their owner, so that other nodes can adopt them at once."""
         self._releasing = True
         for job, version in list(self._owned.values()):
             operation = new_operation()
@@ -254,8 +262,8 @@
     def _is_orphan(self, job: Job, is_live: Callable[[str], bool]) -> bool:
         if job.id in self._owned or job.id in self._accepting:
             return False
-        # A row in this node's name that it doesn't run is from an earlier incarnation, or its
-        # write was thought lost.
+        # A row that names this node as owner of a job which it doesn't run is from an earlier
+        # incarnation, or from a write whose outcome was unknown.
         return job.owner in (UNOWNED, self._node) or not is_live(job.owner)
 
     async def _adopt(self, job: Job, row: Row) -> bool:
@@ -282,7 +290,7 @@
         self._running[job.id] = asyncio.create_task(self._run(job, version))
 
     async def _run(self, job: Job, version: int) -> None:
-        """Run a job to its end; failures are tried again, since accepted work must finish."""
+        """Run a job until it finishes; retry without limit, since accepted jobs must finish."""
         pause = RETRY_INITIAL_S
         while True:
             record = self._dispatcher.adopt(StreamRecord(job.request))
@@ -296,7 +304,7 @@
         self._running.pop(job.id, None)
 
     async def _store_result(self, job: Job, version: int, record: StreamRecord) -> None:
-        """Store a result until it stands, or until somebody else has ended the job."""
+        """Store a result; retry until it is stored or another node has ended the job."""
         text = "".join(record.tokens)
         result = _make_result(job, JobState.DONE, self._clock.wall())
         result = msgspec.structs.replace(
@@ -318,7 +326,7 @@
             pause = min(pause * 2, RETRY_MAX_S)
 
     async def _commit_result(self, job: Job, version: int, result: JobResult) -> Outcome:
-        """Replace the open row by a result, if the row still is what it was."""
+        """Replace the job row by a result row, on the condition that its version is unchanged."""
         key = row_key(job.id)
         entry = Entry(
             result.operation,
@@ -328,7 +336,7 @@
         return await self._journal.commit(entry)
 
     def _stop_running(self, job_id: str) -> None:
-        """Stop running a job here."""
+        """Stop running a job on this node, without changing its row."""
         self._owned.pop(job_id, None)
         task = self._running.pop(job_id, None)
         if task is not None:
@@ -342,12 +350,12 @@
     async def _find_row(
         self, account: str, job_id: str
     ) -> Result[tuple[Row, Job | JobResult], Problem]:
-        """Look for a job among the open and the ended ones."""
+        """Return a job's row and its decoded value, from the open jobs or the results."""
         try:
             key = row_key(job_id)
         except ValueError:
             return Err(problems.not_found(f"job {job_id!r}"))
-        # A job may end between the two reads, so the open row is read first.
+        # The open row is read first, since a job may end between the two reads.
         kinds: tuple[tuple[str, type[Job] | type[JobResult]], ...] = (
             (JOB_TABLE, Job),
             (RESULT_TABLE, JobResult),
@@ -359,10 +367,10 @@
             row = read.ok_value
             if row is None:
                 continue
-            held = msgspec.json.decode(row.value, type=kind)
-            if held.account != account:
+            job = msgspec.json.decode(row.value, type=kind)
+            if job.account != account:
                 return Err(problems.not_found(f"job {job_id!r}"))
-            return Ok((row, held))
+            return Ok((row, job))
         return Err(problems.not_found(f"job {job_id!r}"))
 
 
