--- a/src/moledale/node/journal.py
+++ b/src/moledale/node/journal.py
@@ -1,4 +1,4 @@
-"""Group commit: one table transaction for the durable writes of many requests."""
+"""Group commit: combines the durable writes of many requests into one table transaction."""
 
 import asyncio
 import uuid
@@ -18,16 +18,17 @@
 MAX_BATCH_BYTES = 512_000
 MAX_ATTEMPTS = 3
 RETRY_STEP_S = 0.1
+"""Pause after a failed read; after a failed transaction, times the batch's failures so far."""
 
 
 class JournaledRow(msgspec.Struct):
-    """The one field that every journaled row has: the operation that wrote it."""
+    """The field that all rows written through the journal have: the operation that wrote them."""
 
     operation: str
 
 
 class Outcome(StrEnum):
-    """What became of an entry."""
+    """Outcome of committing an entry; `UNKNOWN` if it may or may not have been written."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
@@ -37,10 +38,11 @@
 
 @dataclass(slots=True)
 class Entry:
-    """The writes of one request; the first put carries `operation` in its value.
+    """The conditions and writes of one request; the value of its first put has `operation`.
 
-    `versions` follow the writes once the entry is committed; they are empty where the answer
-    was lost and only the row itself told that the write took effect.
+    Once committed, `versions` holds the new row versions in the order of the writes. If the answer
+    was lost and the entry was found committed by reading its first put back, only the version of
+    that row is known and the others are 0.
     """
 
     operation: str
@@ -50,21 +52,22 @@
     done: "asyncio.Future[Outcome] | None" = None
 
     def size(self) -> int:
-        """Return about how many bytes the entry adds to a transaction."""
+        """Return the approximate number of bytes that the entry adds to a transaction."""
         return sum(len(write.value or "") + len(write.key) + 64 for write in self.writes)
 
 
 def new_operation() -> str:
-    """Return a fresh operation id."""
+    """Return a new unique operation id."""
     return uuid.uuid4().hex
 
 
 class Journal:
-    """Collects entries for a short interval and commits them together.
+    """Collects entries for a short interval and commits them in one transaction.
 
-    The interval is the wait that durability adds, and bounds the writes a second that a node
-    makes; it grows with the number of nodes, so that all together stay within the table's.
-    Entries are independent: one whose condition fails is taken out, and the rest is sent again.
+    The interval is the latency that durability adds to a request. It also bounds a node's write
+    rate, and grows with the number of nodes so that all nodes together stay within the table's
+    limit. Entries are independent: one whose condition fails is removed from the batch, and the
+    rest is sent again.
     """
 
     def __init__(
@@ -83,7 +86,10 @@
         self.transactions = 0
 
     async def commit(self, entry: Entry) -> Outcome:
-        """Have an entry committed and return what became of it."""
+        """Queue an entry for the next transaction and return its outcome.
+
+        It is rejected as not written if too many bytes or entries are pending.
+        """
         if self._pending_bytes + entry.size() > self._max_pending_bytes:
             return Outcome.NOT_WRITTEN
         entry.done = asyncio.get_running_loop().create_future()
@@ -96,7 +102,7 @@
             self._pending_bytes -= entry.size()
 
     async def run(self) -> None:
-        """Commit batches for ever."""
+        """Commit batches in an endless loop."""
         while True:
             batch = await self._collect()
             try:
@@ -118,7 +124,7 @@
         return batch
 
     async def _commit_batch(self, batch: list[Entry]) -> None:
-        """Commit a batch; entries in conflict leave it one round after the other."""
+        """Commit a batch; after a conflict, retry without the conflicting entries."""
         rest = batch
         uncertain = False
         failures = 0
@@ -145,7 +151,11 @@
     async def _without_conflicts(
         self, batch: list[Entry], failed: list[int], uncertain: bool
     ) -> list[Entry]:
-        """Settle the entries whose conditions failed and return the others."""
+        """Settle the entries whose conditions failed and return the rest.
+
+        After an uncertain transaction a conflict may be with the entry's own write, so the row is
+        read back.
+        """
         conflicting = _entries_with_conditions(batch, failed)
         for entry in conflicting:
             if uncertain:
@@ -155,7 +165,7 @@
         return [entry for entry in batch if entry not in conflicting]
 
     async def _read_back(self, entry: Entry) -> Outcome:
-        """Tell an own write whose answer was lost from somebody else's."""
+        """Read an entry's row back to find out if the entry itself wrote it or another one did."""
         write = next((write for write in entry.writes if write.value is not None), None)
         if write is None:
             return Outcome.UNKNOWN
@@ -192,7 +202,7 @@
 
 
 def _entries_with_conditions(batch: list[Entry], conditions: list[int]) -> list[Entry]:
-    """Return the entries that the conditions at these indices belong to."""
+    """Return the entries whose conditions are at these indices of the batch's conditions."""
     failed = set(conditions)
     found = []
     position = 0
