--- a/src/moledale/node/once.py
+++ b/src/moledale/node/once.py
@@ -1,4 +1,4 @@
-"""Not-repeatable calls: each key is dispatched once at most, whoever asks again and where."""
+"""Non-repeatable calls: each idempotency key is dispatched at most once, over all nodes."""
 
 import asyncio
 import hashlib
@@ -25,18 +25,20 @@
 KEY_TTL_S = 24 * 3600
 MAX_KEY_CHARS = 512
 MAX_STORED_ANSWER_BYTES = 32_768
+"""Larger answers aren't stored in the claim row; only the node that ran the call has them."""
+
 _ALGORITHM = "HS256"
 
 
 class ClaimState(StrEnum):
-    """Life cycle of a claim."""
+    """State of a claim: `DONE` once its answer is stored."""
 
     CLAIMED = "claimed"
     DONE = "done"
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """An answer kept for callers that ask again; the body is base64 in JSON."""
+    """An answer stored for repeated calls with the same key; the body is base64 in JSON."""
 
     status: int
     content_type: str
@@ -44,7 +46,7 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A claim row: who may dispatch a caller's key, and the answer once it is known."""
+    """A claim row: the node incarnation that may dispatch a key, and the answer once known."""
 
     operation: str
     node: str
@@ -57,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnceCall:
-    """A not-repeatable call: `fingerprint` is a digest of everything it says."""
+    """A non-repeatable call; `fingerprint` is a digest of its content."""
 
     account: str
     key: str
@@ -66,10 +68,10 @@
 
 
 class OncePeers(Protocol):
-    """Sends a call on to the node that answers for its key."""
+    """Forwards a call to the node that owns its key."""
 
     async def run_once(self, node: str, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Have `node` run the call or say what became of it."""
+        """Forward a call to `node` and return the key's outcome there."""
         ...
 
 
@@ -78,23 +80,23 @@
 
 @dataclass(slots=True)
 class _KeyState:
-    """What this incarnation knows of a key."""
+    """A key that this incarnation has seen: the call's fingerprint and its outcome."""
 
     fingerprint: str
     outcome: "asyncio.Future[Result[ServiceAnswer, Problem]]"
 
 
 def fingerprint(encoded: bytes) -> str:
-    """Return the digest that tells one call from another with the same key."""
+    """Return the digest that distinguishes different calls with the same key."""
     return hashlib.sha256(encoded).hexdigest()
 
 
 class OnceRunner:
-    """Runs not-repeatable calls.
+    """Runs non-repeatable calls, at most once for each idempotency key.
 
-    A key that this incarnation issued is settled in memory: no other process can have seen it
-    before. Any other key is claimed in the table before it is dispatched. Either way a key has
-    one dispatcher, which dispatches it once; what may have run is never sent again.
+    A key that this incarnation issued is tracked in memory, since no other process can have run it
+    before. Any other key is claimed in the table before it is dispatched. Either way a key is
+    dispatched by one node only, and a call that may have run is never sent again.
     """
 
     def __init__(
@@ -123,7 +125,7 @@
         self._background = BackgroundTasks("answers")
 
     def issue(self, account: str) -> str:
-        """Issue a key for an account; it works at this node even while the table is down."""
+        """Return a signed key for an account; this node accepts it even while the table is down."""
         self._serial += 1
         claims = {
             "n": self._node,
@@ -135,24 +137,26 @@
         return KEY_PREFIX + jwt.encode(claims, self._secret, algorithm=_ALGORITHM)
 
     async def run(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Run a call, or return what became of the key's earlier call."""
+        """Run a call, or return the outcome of the earlier call with its key."""
         if not 0 < len(call.key) <= MAX_KEY_CHARS:
             return Err(problems.bad_request(f"Idempotency-Key: 1 to {MAX_KEY_CHARS} characters"))
-        known = self._key_states.get((call.account, call.key))
-        if known is not None:
-            return await self._await_earlier(known, call)
+        state = self._key_states.get((call.account, call.key))
+        if state is not None:
+            return await self._await_earlier(state, call)
         if not call.key.startswith(KEY_PREFIX):
             return await self._run_claimed(call)
         return await self._run_issued(call)
 
     async def _await_earlier(
-        self, known: _KeyState, call: OnceCall
+        self, state: _KeyState, call: OnceCall
     ) -> Result[ServiceAnswer, Problem]:
-        if known.fingerprint != call.fingerprint:
+        """Return the outcome of the call that came first with this key."""
+        if state.fingerprint != call.fingerprint:
             return Err(problems.key_reused("it came with another call"))
-        return await asyncio.shield(known.outcome)
+        return await asyncio.shield(state.outcome)
 
     async def _run_issued(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
+        """Run a call whose key a node issued, here or at that node."""
         try:
             claims = jwt.decode(
                 call.key.removeprefix(KEY_PREFIX), self._secret, algorithms=[_ALGORITHM]
@@ -171,8 +175,8 @@
         return await self._dispatch_once(call, self._track(call))
 
     async def _run_claimed(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Claim a caller's own key in the table, then dispatch."""
-        known = self._track(call)
+        """Claim a key chosen by the caller in the table, then dispatch the call."""
+        state = self._track(call)
         operation = new_operation()
         claim = Claim(
             operation,
@@ -193,28 +197,28 @@
             raise
         if outcome is Outcome.COMMITTED:
             version = entry.versions[0] if entry.versions else None
-            answer = await self._dispatch_once(call, known)
+            answer = await self._dispatch_once(call, state)
             self._store_answer(key, claim, version, answer)
             return answer
         if outcome is Outcome.CONFLICT:
-            return await self._resolve_conflict(call, known)
-        # Nothing was dispatched here, but the same key may have run through another node before,
-        # so "did not run" would not be a promise that can be kept. A claim that may have landed
-        # names this incarnation; a retry finds its way back to it.
+            return await self._resolve_conflict(call, state)
+        # This node dispatched nothing, but another one may have run the same key before, so the
+        # outcome can't be "did not run". If the claim was written after all, it names this
+        # incarnation, and a retry is forwarded here.
         refusal = problems.undecided("the table service does not answer", 2)
         self._settle_refused(call, refusal)
         return Err(refusal)
 
     async def _resolve_conflict(
-        self, call: OnceCall, known: _KeyState
+        self, call: OnceCall, state: _KeyState
     ) -> Result[ServiceAnswer, Problem]:
-        """Find out from the claim row what became of the key."""
+        """Return the outcome of a key that is claimed already, as its claim row states."""
         read = await self._table.read(CLAIM_TABLE, claim_key(call))
         if isinstance(read, Err) or read.ok_value is None:
             outcome: Result[ServiceAnswer, Problem] = Err(
                 problems.outcome_unknown("the key is claimed, but the table does not say by whom")
             )
-            self._settle(call, known, outcome, keep=False)
+            self._settle(call, state, outcome, keep=False)
             return outcome
         claim = msgspec.json.decode(read.ok_value.value, type=Claim)
         if claim.fingerprint != call.fingerprint:
@@ -223,64 +227,67 @@
             answer = claim.answer
             outcome = Ok(ServiceAnswer(answer.status, answer.content_type, answer.body))
         elif (claim.node, claim.incarnation) == (self._node, self._incarnation):
-            # This incarnation's own claim, landed late: what it dispatched it remembers, and
-            # it remembers nothing of this key.
-            answered = await self._dispatch_once(call, known)
+            # This incarnation's own claim, from a write whose outcome was unknown. The key wasn't
+            # dispatched, since this incarnation tracks all keys that it dispatches.
+            answered = await self._dispatch_once(call, state)
             self._store_answer(claim_key(call), claim, read.ok_value.version, answered)
             return answered
         elif claim.node == self._node:
             outcome = Err(problems.outcome_unknown("the node that took the key was restarted"))
         else:
             outcome = await self._peers.run_once(claim.node, call)
-        self._settle(call, known, outcome, keep=False)
+        self._settle(call, state, outcome, keep=False)
         return outcome
 
     async def _dispatch_once(
-        self, call: OnceCall, known: _KeyState
+        self, call: OnceCall, state: _KeyState
     ) -> Result[ServiceAnswer, Problem]:
-        """Dispatch; from here on the key is never dispatched again, whatever happens."""
+        """Dispatch a call; its key is dispatched again only if the call surely did not run."""
         try:
             outcome = await self._dispatch(call)
         except asyncio.CancelledError:
             self._settle(
-                call, known, Err(problems.outcome_unknown("the call was cut off")), keep=True
+                call, state, Err(problems.outcome_unknown("the call was cut off")), keep=True
             )
             raise
         except Exception as error:
             outcome = Err(problems.outcome_unknown(f"internal error: {error!r}"))
-        # "Did not run" is final for this request, but lets the same key be tried again.
+        # After "did not run" this request has failed, but the same key may be retried.
         did_not_run = isinstance(outcome, Err) and outcome.err_value.ran is Ran.NO
-        self._settle(call, known, outcome, keep=not did_not_run)
+        self._settle(call, state, outcome, keep=not did_not_run)
         return outcome
 
     def _track(self, call: OnceCall) -> _KeyState:
-        known = _KeyState(call.fingerprint, asyncio.get_running_loop().create_future())
-        self._key_states[(call.account, call.key)] = known
+        """Add a key without an outcome yet; evict the oldest settled keys over the limit."""
+        state = _KeyState(call.fingerprint, asyncio.get_running_loop().create_future())
+        self._key_states[(call.account, call.key)] = state
         while len(self._key_states) > self._max_keys:
             oldest = next(iter(self._key_states))
             if not self._key_states[oldest].outcome.done():
                 break
             del self._key_states[oldest]
-        return known
+        return state
 
     def _settle(
         self,
         call: OnceCall,
-        known: _KeyState,
+        state: _KeyState,
         outcome: Result[ServiceAnswer, Problem],
         keep: bool,
     ) -> None:
-        if not known.outcome.done():
-            known.outcome.set_result(outcome)
+        """Set the outcome of a key; drop the key from memory unless `keep`."""
+        if not state.outcome.done():
+            state.outcome.set_result(outcome)
         if not keep:
             self._key_states.pop((call.account, call.key), None)
 
     def _settle_refused(self, call: OnceCall, refusal: Problem) -> None:
-        known = self._key_states[(call.account, call.key)]
-        self._settle(call, known, Err(refusal), keep=False)
+        """Reject a call that was not dispatched, and drop its key so that it can be retried."""
+        state = self._key_states[(call.account, call.key)]
+        self._settle(call, state, Err(refusal), keep=False)
 
     def _may_be_evicted(self, serial: int) -> bool:
-        """Say whether a key is so old that a settled outcome may have been dropped."""
+        """Return whether an issued key is so old that its outcome may have been evicted."""
         return serial <= self._serial - self._max_keys
 
     def _store_answer(
@@ -290,7 +297,7 @@
         version: int | None,
         outcome: Result[ServiceAnswer, Problem],
     ) -> None:
-        """Put the answer into the claim row, for callers that ask another node."""
+        """Store the answer in the claim row, for repeated calls that reach another node."""
         if version is None or isinstance(outcome, Err):
             return
         answer = outcome.ok_value
@@ -306,7 +313,7 @@
 
 
 def claim_key(call: OnceCall) -> str:
-    """Return the row key of a caller's idempotency key."""
+    """Return the row key of the claim of an idempotency key."""
     return f"{call.account}/{hashlib.sha256(call.key.encode()).hexdigest()}"
 
 
