--- a/src/moledale/node/streams.py
+++ b/src/moledale/node/streams.py
@@ -1,4 +1,4 @@
-"""Live and finished streams of a node: the tokens sent so far, and who reads them."""
+"""Live and finished streams of a node: their tokens so far, and their readers."""
 
 import asyncio
 import uuid
@@ -14,7 +14,7 @@
 
 
 class GenerationRequest(msgspec.Struct, frozen=True):
-    """An accepted generation; `deadline_at` is wall-clock seconds."""
+    """An accepted generation; `deadline_at` is in wall-clock seconds."""
 
     id: str
     account: str
@@ -46,10 +46,10 @@
 
 
 class StreamRecord:
-    """One request's answer while it is made; it outlives servers and connections.
+    """The answer of one request; it outlives attempts, servers and connections of callers.
 
-    Only the current attempt may add tokens, and only the next one in order: late, crossed and
-    repeated answers change nothing.
+    Only the current attempt may add tokens, and only in order: late, duplicate and out-of-order
+    tokens change nothing. `adopted` is set if the record started with tokens from another node.
     """
 
     state: str
@@ -75,14 +75,13 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will be added here."""
+        """Return whether no more tokens will be added on this node."""
         return self.state in ENDED_STATES
 
     def begin_attempt(self, server: str) -> str:
-        """Make a new attempt the only one that may add tokens."""
+        """Start a new attempt, the only one that may add tokens from now on, and return its id."""
         self.attempts += 1
-        # Unique over nodes too: a server may see attempts of the node before and after a
-        # hand-over side by side.
+        # Unique across nodes: around a handover a server may run attempts of both nodes.
         self.attempt = f"{self.request.id}.{uuid.uuid4().hex}"
         self.server = server
         self.dispatched = True
@@ -90,13 +89,16 @@
         return self.attempt
 
     def wait_for_server(self) -> None:
-        """Note that the request has no server now."""
+        """Clear the server and attempt; no attempt may add tokens until the next one starts."""
         self.server = None
         self.attempt = ""
         self.to_wait()  # type: ignore[attr-defined]
 
     def add(self, attempt: str, index: int, token: str, now: float) -> bool:
-        """Add a token; return False if this attempt may not, or has skipped one."""
+        """Add a token; return False if the attempt isn't the current one or skipped a token.
+
+        A token that is known already is ignored, and counts as added.
+        """
         if attempt != self.attempt or self.ended:
             return False
         if index < len(self.tokens):
@@ -109,28 +111,28 @@
         return True
 
     def finish(self, attempt: str, reason: str) -> None:
-        """End the answer, if this attempt still may."""
+        """Finish the answer, if the attempt is the current one."""
         if attempt != self.attempt or self.ended:
             return
         self.reason = reason
         self._end("to_finish")
 
     def fail(self, problem: Problem) -> None:
-        """End the answer with an explicit error."""
+        """End the answer with a problem."""
         if self.ended:
             return
         self.problem = problem
         self._end("to_fail")
 
     def hand_over(self, successor: str) -> None:
-        """End the answer here; the caller goes on at `successor`."""
+        """End the answer on this node; the caller resumes it at the address `successor`."""
         if self.ended:
             return
         self.successor = successor
         self._end("to_hand")
 
     async def follow(self, start: int) -> AsyncIterator[tuple[int, list[str]]]:
-        """Yield runs of tokens from index `start` until the answer ends."""
+        """Yield `(index, tokens)` from index `start` on until the answer ends."""
         wake = asyncio.Event()
         self._readers.add(wake)
         position = start
@@ -149,12 +151,12 @@
             self._readers.discard(wake)
 
     async def wait_ended(self) -> None:
-        """Wait until the answer has ended."""
+        """Wait until the answer has ended on this node."""
         async for _ in self.follow(len(self.tokens)):
             pass
 
     def mean_token_interval_s(self) -> float:
-        """Return the mean seconds between tokens."""
+        """Return the mean time between tokens in seconds, 0.0 if fewer than two came."""
         if self.first_token_at is None or self.last_token_at is None or len(self.tokens) < 2:
             return 0.0
         return (self.last_token_at - self.first_token_at) / (len(self.tokens) - 1)
@@ -175,7 +177,7 @@
 
 
 class StreamTable:
-    """All streams of a node; finished ones stay a while, so that a caller can resume."""
+    """All streams of a node; ended ones are kept for a while, so that callers can resume them."""
 
     def __init__(self, max_live: int, max_finished: int, finished_ttl_s: float) -> None:
         self._live: dict[str, StreamRecord] = {}
@@ -186,7 +188,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether no further stream may begin."""
+        """Return whether the maximum number of live streams is reached."""
         return len(self._live) >= self._max_live
 
     def live(self) -> list[StreamRecord]:
@@ -194,24 +196,24 @@
         return list(self._live.values())
 
     def add(self, record: StreamRecord) -> None:
-        """Keep a live stream."""
+        """Add a live stream."""
         self._live[record.request.id] = record
 
     def get(self, request_id: str) -> StreamRecord | None:
-        """Return a live or finished stream."""
+        """Return a live or ended stream, or None if it is unknown or was dropped."""
         if request_id in self._live:
             return self._live[request_id]
-        kept = self._finished.get(request_id)
-        return kept[1] if kept is not None else None
+        finished = self._finished.get(request_id)
+        return finished[1] if finished is not None else None
 
-    def ended(self, record: StreamRecord, now: float) -> None:
-        """Move a stream to the finished ones."""
+    def move_to_finished(self, record: StreamRecord, now: float) -> None:
+        """Move an ended stream from the live to the finished streams."""
         self._live.pop(record.request.id, None)
         self._finished[record.request.id] = (now, record)
         self.sweep(now)
 
     def sweep(self, now: float) -> None:
-        """Drop finished streams that are too old or too many."""
+        """Drop the oldest finished streams while they exceed the maximum age or number."""
         while self._finished:
             at, _ = next(iter(self._finished.values()))
             if len(self._finished) <= self._max_finished and now - at <= self._finished_ttl_s:
