--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a server: reserved in order of rank, refused when it is too late."""
+"""Queues requests for servers: reserves slots in order of rank and rejects expired requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,21 +15,21 @@
 from moledale.problems import Problem, Ran
 
 AFFINITY_WAIT_S = 2.0
-"""Seconds that work waits for a slot at the server with its cache before it goes elsewhere."""
+"""Time that a request waits for the server with its session's cache before it may use another."""
 
 MAX_WAITERS_PER_PASS = 64
-"""Waiting requests that are tried each time something changes; the first in rank."""
+"""Number of waiting requests, first in rank, for which a slot is sought after each change."""
 
 DEFAULT_SERVICE_TIME_S = 5.0
-"""Expected time of a request before any has been measured."""
+"""Assumed service time of a request before any has been measured."""
 
 SERVICE_TIME_EWMA_WEIGHT = 0.1
-"""Weight of the newest request in the expected time."""
+"""Weight of the newest sample in the moving average of the service time."""
 
 
 @dataclass(slots=True)
 class _Waiter:
-    """A record that waits for a server."""
+    """A stream that waits for a server; `slot` is resolved with a reservation or a rejection."""
 
     record: StreamRecord
     need: Need
@@ -38,7 +38,7 @@
 
 
 class ReservationQueue:
-    """Gives out reservations of servers, at once or in order of rank."""
+    """Reserves servers for requests, at once if there is a free slot, else in order of rank."""
 
     def __init__(
         self,
@@ -59,11 +59,15 @@
         return len(self._queue)
 
     def record_service_time(self, seconds: float) -> None:
-        """Note how long a request took in all."""
+        """Add the total time of a finished request to the moving average."""
         self._service_time_s += SERVICE_TIME_EWMA_WEIGHT * (seconds - self._service_time_s)
 
     def refusal(self, request: GenerationRequest) -> Problem | None:
-        """Refuse at once what would wait longer than its deadline allows."""
+        """Return why a request is rejected now, or None.
+
+        A request is rejected if no server is available for its model or if it would probably wait
+        past its deadline.
+        """
         need = routing_need(request, [], self._hall)
         ready = eligible(self._load_tracker.views.values(), need)
         retry_in_s = self._load_tracker.retry_in_s(need.model, self._clock.monotonic())
@@ -75,15 +79,15 @@
             return problems.unavailable(f"no server holds model {request.model!r} now", 5)
         slots = sum(view.speeds.slots for view in ready)
         free = sum(max(0, view.speeds.slots - view.running) for view in ready)
-        ahead = self._queue.count_ahead(request.priority, self._clock.wall())
-        wait = estimated_wait_s(ahead, free, slots, self._service_time_s)
+        queued_ahead = self._queue.count_ahead(request.priority, self._clock.wall())
+        wait = estimated_wait_s(queued_ahead, free, slots, self._service_time_s)
         if self._clock.wall() + wait <= request.deadline_at:
             return None
         detail = f"would wait {wait:.1f} s, past its deadline"
         return problems.overloaded(detail, max(1, round(wait)))
 
     def reserve(self, need: Need) -> Reservation | None:
-        """Pick and reserve a server in one step, or return None."""
+        """Choose and reserve a server in one step; return None if none has a slot for the need."""
         params = routing_params(self._bundle())
         found = self._load_tracker.pick_and_reserve(need, params, self._clock.monotonic())
         return found[1] if found is not None else None
@@ -91,13 +95,13 @@
     async def wait_for_slot(
         self, record: StreamRecord, excluded: frozenset[str]
     ) -> Reservation | Problem:
-        """Reserve a server, or wait for one until the deadline."""
+        """Reserve a server, waiting for one until the deadline; return why if that failed."""
         request = record.request
         need = routing_need(request, record.tokens, self._hall, excluded)
         if not len(self._queue):
-            made = self.reserve(need)
-            if made is not None:
-                return made
+            reservation = self.reserve(need)
+            if reservation is not None:
+                return reservation
         slot = asyncio.get_running_loop().create_future()
         waiter = _Waiter(record, need, slot, self._clock.monotonic())
         now = self._clock.wall()
@@ -115,33 +119,34 @@
             raise
 
     def assign_slots(self) -> None:
-        """Give free slots to waiting requests, in order of rank."""
+        """Reserve free slots for waiting requests in order of rank."""
         if not len(self._queue):
             return
-        # What finds no slot for its model and priority finds none for the next one like it,
-        # unless that has a server of its own that it waits for.
+        # Once no slot was found for a model and priority, others of the same kind are skipped,
+        # unless a server has their session's cache.
         full: set[tuple[str, Priority]] = set()
         now = self._clock.monotonic()
         for waiter in self._queue.in_order()[:MAX_WAITERS_PER_PASS]:
             need = waiter.need
             kind = (need.model, need.priority)
-            has_home = self._load_tracker.server_of(need.session) is not None
-            if kind in full and not has_home:
+            has_cache = self._load_tracker.server_of(need.session) is not None
+            if kind in full and not has_cache:
                 continue
             if now - waiter.waiting_since >= AFFINITY_WAIT_S:
                 need = replace(need, wait_for_cache=False)
-            made = self.reserve(need)
-            if made is not None:
-                self._resolve(waiter, made)
-            elif not need.excluded and not has_home:
+            reservation = self.reserve(need)
+            if reservation is not None:
+                self._resolve(waiter, reservation)
+            elif not need.excluded and not has_cache:
                 full.add(kind)
 
     def refuse_expired(self) -> None:
-        """Refuse waiting requests whose deadline has passed."""
+        """Reject waiting requests whose deadline has passed."""
         for waiter in self._queue.pop_expired(self._clock.wall()):
             self._resolve(waiter, problems.deadline_passed("it passed while waiting", Ran.NO))
 
     def _resolve(self, waiter: _Waiter, outcome: Reservation | Problem) -> None:
+        """Hand an outcome to a waiter; release a reservation that it no longer takes."""
         self._queue.remove(waiter)
         if not waiter.slot.done():
             waiter.slot.set_result(outcome)
@@ -149,6 +154,7 @@
             self._load_tracker.release(outcome, self._clock.monotonic())
 
     def _withdraw(self, waiter: _Waiter) -> None:
+        """Remove a cancelled waiter; release the reservation that it may have got."""
         self._queue.remove(waiter)
         if waiter.slot.done() and not waiter.slot.cancelled():
             outcome = waiter.slot.result()
