--- a/src/moledale/backing/guard.py
+++ b/src/moledale/backing/guard.py
@@ -143,12 +143,12 @@
         self._inner = inner
         self._guard = guard
 
-    async def ask(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
+    async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
         """Ask whether a server may load a model's weights now."""
-        return await self._guard.call(lambda: self._inner.ask(server, model))
+        return await self._guard.call(lambda: self._inner.request_grant(server, model))
 
 
-def guarded(platform: Platform, clock: Clock, rng: random.Random) -> tuple[Platform, Guard]:
+def guard_platform(platform: Platform, clock: Clock, rng: random.Random) -> tuple[Platform, Guard]:
     """Put a breaker before every part; return the table's guard beside the platform."""
     table_guard = Guard(Part.TABLE, clock, rng)
     wrapped = Platform(
--- a/src/moledale/backing/http.py
+++ b/src/moledale/backing/http.py
@@ -145,7 +145,7 @@
 class HttpWeights(HttpPart):
     """The weight store over HTTP."""
 
-    async def ask(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
+    async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
         """Ask whether a server may load a model's weights now."""
         body = {"server": server, "model": model}
         return await self.decoded("POST", "/v1/grants", body, WeightGrant)
--- a/src/moledale/backing/types.py
+++ b/src/moledale/backing/types.py
@@ -206,7 +206,7 @@
 class WeightStore(Protocol):
     """The rate-limited store of model weights."""
 
-    async def ask(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
+    async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
         """Ask whether a server may load a model's weights now."""
         ...
 
--- a/src/moledale/node/hall_duty.py
+++ b/src/moledale/node/hall_duty.py
@@ -252,7 +252,7 @@
     async def _order_load(self, grant: Grant, server: Instance, bundle: Bundle, name: str) -> None:
         kind = "load_model" if bundle.adapter(name) is None else "load_adapter"
         instance_class = bundle.instance_class(server.instance_class)
-        granted = await self._platform.weights.ask(server.id, name)
+        granted = await self._platform.weights.request_grant(server.id, name)
         if isinstance(granted, Err) or not granted.ok_value.granted:
             return
         checks = instance_class is not None and instance_class.checks_fence
--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -11,7 +11,7 @@
 from transitions import Machine
 
 from moledale import problems
-from moledale.backing.guard import guarded
+from moledale.backing.guard import guard_platform
 from moledale.backing.types import Platform
 from moledale.bundle import store
 from moledale.bundle.schema import Bundle
@@ -105,7 +105,7 @@
         )
         self.clock = clock
         self.rng = rng
-        self.platform, self._table_guard = guarded(platform, clock, rng)
+        self.platform, self._table_guard = guard_platform(platform, clock, rng)
         limits, times = settings.limits, settings.times
         self.bundles = BundleWatch(
             self.platform,
--- a/tests/world.py
+++ b/tests/world.py
@@ -239,7 +239,7 @@
             Part.CLOUD, False, lambda: [n for n in found.values() if n.hall == hall]
         )
 
-    async def ask(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
+    async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
         return await self._do(Part.WEIGHTS, False, lambda: WeightGrant(True))
 
 
