--- a/src/moledale/backing/http.py
+++ b/src/moledale/backing/http.py
@@ -68,7 +68,7 @@
             return Err(PlatformFailure(self._part, detail, uncertain))
         return Ok(content)
 
-    async def decoded(
+    async def call_json(
         self, method: str, path: str, body: object, kind: type[T]
     ) -> Result[T, PlatformFailure]:
         """Send JSON and decode the answer as `kind`; a 404 or odd body is a failure."""
@@ -89,17 +89,17 @@
         self, transaction: Transaction
     ) -> Result[TransactionOutcome, PlatformFailure]:
         """Commit all writes or none."""
-        return await self.decoded("POST", "/v1/transactions", transaction, TransactionOutcome)
+        return await self.call_json("POST", "/v1/transactions", transaction, TransactionOutcome)
 
     async def read(self, table: str, key: str) -> Result[Row | None, PlatformFailure]:
         """Return a row, or None if it does not exist."""
         path = f"/v1/tables/{table}/rows/{quote(key, safe='')}"
-        return await self.decoded("GET", path, None, Row | None)  # type: ignore[arg-type]
+        return await self.call_json("GET", path, None, Row | None)  # type: ignore[arg-type]
 
     async def scan(self, table: str, prefix: str, limit: int) -> Result[list[Row], PlatformFailure]:
         """Return rows whose keys start with `prefix`."""
         path = f"/v1/tables/{table}/rows?prefix={quote(prefix, safe='')}&limit={limit}"
-        page = await self.decoded("GET", path, None, RowPage)
+        page = await self.call_json("GET", path, None, RowPage)
         return page.map(lambda found: found.rows)
 
 
@@ -121,7 +121,7 @@
 
     async def changes(self, since: int) -> Result[InstancePage, PlatformFailure]:
         """Return what changed after a revision."""
-        return await self.decoded("GET", f"/v1/instances?since={since}", None, InstancePage)
+        return await self.call_json("GET", f"/v1/instances?since={since}", None, InstancePage)
 
 
 class HttpCloud(HttpPart):
@@ -129,7 +129,7 @@
 
     async def rent(self, order: RentOrder) -> Result[Rented, PlatformFailure]:
         """Rent one instance."""
-        return await self.decoded("POST", "/v1/instances", order, Rented)
+        return await self.call_json("POST", "/v1/instances", order, Rented)
 
     async def release(self, instance_id: str) -> Result[None, PlatformFailure]:
         """Return an instance."""
@@ -138,7 +138,7 @@
 
     async def notices(self, hall: str) -> Result[list[Notice], PlatformFailure]:
         """Return the open notices of a hall."""
-        page = await self.decoded("GET", f"/v1/notices?hall={hall}", None, NoticePage)
+        page = await self.call_json("GET", f"/v1/notices?hall={hall}", None, NoticePage)
         return page.map(lambda found: found.notices)
 
 
@@ -148,7 +148,7 @@
     async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
         """Ask whether a server may load a model's weights now."""
         body = {"server": server, "model": model}
-        return await self.decoded("POST", "/v1/grants", body, WeightGrant)
+        return await self.call_json("POST", "/v1/grants", body, WeightGrant)
 
 
 def http_platform(client: aiosonic.HTTPClient, section: PlatformSection) -> Platform:
