--- a/src/moledale/servers/http.py
+++ b/src/moledale/servers/http.py
@@ -98,24 +98,24 @@
 
     async def load(self, address: str) -> Result[LoadReport, ServerFailure]:
         """Ask for a load report."""
-        return await self._decoded(address, "GET", "/v1/load", None, LoadReport)
+        return await self._call_json(address, "GET", "/v1/load", None, LoadReport)
 
     async def cache_events(
         self, address: str, after: int
     ) -> Result[list[CacheEvent], ServerFailure]:
         """Return cache events after a sequence number."""
         path = f"/v1/cache-events?after={after}"
-        page = await self._decoded(address, "GET", path, None, CacheEventPage)
+        page = await self._call_json(address, "GET", path, None, CacheEventPage)
         return page.map(lambda found: found.events)
 
     async def order(self, address: str, order: Order) -> Result[OrderReply, ServerFailure]:
         """Give a fenced order."""
-        return await self._decoded(address, "POST", "/v1/orders", order, OrderReply)
+        return await self._call_json(address, "POST", "/v1/orders", order, OrderReply)
 
     async def export_kv(self, address: str, session: str) -> Result[KvTicket, ServerFailure]:
         """Make a session's KV cache, with what runs of it, ready for another server."""
         body = {"session": session}
-        return await self._decoded(address, "POST", "/v1/kv/export", body, KvTicket)
+        return await self._call_json(address, "POST", "/v1/kv/export", body, KvTicket)
 
     async def import_kv(self, address: str, ticket: KvTicket) -> Result[None, ServerFailure]:
         """Have a server fetch a KV cache from another one."""
@@ -140,7 +140,7 @@
             return Err(ServerFailure(f"answered {response.status_code}", may_have_run=False))
         return Ok(content)
 
-    async def _decoded(
+    async def _call_json(
         self, address: str, method: str, path: str, body: object, kind: type[T]
     ) -> Result[T, ServerFailure]:
         outcome = await self._call(address, method, path, body)
