--- a/src/moledale/backing/guard.py
+++ b/src/moledale/backing/guard.py
@@ -16,8 +16,8 @@
     Part,
     Platform,
     PlatformFailure,
-    Rented,
     RentOrder,
+    RentResult,
     Row,
     TableService,
     Transaction,
@@ -123,7 +123,7 @@
         self._inner = inner
         self._guard = guard
 
-    async def rent(self, order: RentOrder) -> Result[Rented, PlatformFailure]:
+    async def rent(self, order: RentOrder) -> Result[RentResult, PlatformFailure]:
         """Rent one instance."""
         return await self._guard.call(lambda: self._inner.rent(order))
 
--- a/src/moledale/backing/http.py
+++ b/src/moledale/backing/http.py
@@ -15,8 +15,8 @@
     Part,
     Platform,
     PlatformFailure,
-    Rented,
     RentOrder,
+    RentResult,
     Row,
     RowPage,
     Transaction,
@@ -127,9 +127,9 @@
 class HttpCloud(HttpPart):
     """The cloud API over HTTP."""
 
-    async def rent(self, order: RentOrder) -> Result[Rented, PlatformFailure]:
+    async def rent(self, order: RentOrder) -> Result[RentResult, PlatformFailure]:
         """Rent one instance."""
-        return await self.call_json("POST", "/v1/instances", order, Rented)
+        return await self.call_json("POST", "/v1/instances", order, RentResult)
 
     async def release(self, instance_id: str) -> Result[None, PlatformFailure]:
         """Return an instance."""
--- a/src/moledale/backing/types.py
+++ b/src/moledale/backing/types.py
@@ -121,7 +121,7 @@
     market: str
 
 
-class Rented(msgspec.Struct, frozen=True):
+class RentResult(msgspec.Struct, frozen=True):
     """The cloud's answer: the instance's id, or why it was refused."""
 
     instance_id: str | None
@@ -190,7 +190,7 @@
 class CloudApi(Protocol):
     """Renting, returning, and notices of reclaim."""
 
-    async def rent(self, order: RentOrder) -> Result[Rented, PlatformFailure]:
+    async def rent(self, order: RentOrder) -> Result[RentResult, PlatformFailure]:
         """Rent one instance."""
         ...
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -17,8 +17,8 @@
     Notice,
     NoticePage,
     Part,
-    Rented,
     RentOrder,
+    RentResult,
     Row,
     RowPage,
     Transaction,
@@ -119,18 +119,18 @@
         ]
         return InstancePage(max(1, self.revision), full, found)
 
-    def rent(self, order: RentOrder) -> Rented:
+    def rent(self, order: RentOrder) -> RentResult:
         """Rent a spare instance of the hall and class, or refuse."""
         self.stats.cloud_calls += 1
         if order.token in self.rented:
-            return Rented(self.rented[order.token])
+            return RentResult(self.rented[order.token])
         for spare in self.spares:
             if (spare.hall, spare.instance_class) == (order.hall, order.instance_class):
                 self.spares.remove(spare)
                 self.rented[order.token] = spare.id
                 self.put_instance(msgspec.structs.replace(spare, market=order.market))
-                return Rented(spare.id)
-        return Rented(None, "no capacity")
+                return RentResult(spare.id)
+        return RentResult(None, "no capacity")
 
     def release(self, instance_id: str) -> None:
         """Take an instance back."""
--- a/tests/world.py
+++ b/tests/world.py
@@ -27,8 +27,8 @@
     Part,
     Platform,
     PlatformFailure,
-    Rented,
     RentOrder,
+    RentResult,
     Row,
     Transaction,
     TransactionOutcome,
@@ -227,7 +227,7 @@
         state = self._world.state
         return await self._do(Part.INSTANCES, False, lambda: state.changes(since))
 
-    async def rent(self, order: RentOrder) -> Result[Rented, PlatformFailure]:
+    async def rent(self, order: RentOrder) -> Result[RentResult, PlatformFailure]:
         return await self._do(Part.CLOUD, True, lambda: self._world.rent(order))
 
     async def release(self, instance_id: str) -> Result[None, PlatformFailure]:
@@ -528,17 +528,17 @@
             Instance(name, kind, hall, "north", name, state, name, "small", "reclaimable")
         )
 
-    def rent(self, order: RentOrder) -> Rented:
+    def rent(self, order: RentOrder) -> RentResult:
         """Rent without end where a test says so; the list shows it only after a while."""
         if self.boot_s is None:
             return self.state.rent(order)
         if (order.hall, order.market) in self.refused_markets:
-            return Rented(None, "no capacity")
+            return RentResult(None, "no capacity")
         if order.token not in self.state.rented:
             name = f"r{len(self.state.rented)}"
             self.state.rented[order.token] = name
             self.later(self.boot_s, lambda: self.add_engine(name, order.hall))
-        return Rented(self.state.rented[order.token])
+        return RentResult(self.state.rented[order.token])
 
     async def start_node(self, name: str, hall: str) -> Node:
         gate = Gate(name)
