--- a/src/moledale/backing/guard.py
+++ b/src/moledale/backing/guard.py
@@ -11,11 +11,11 @@
     CloudApi,
     InstanceList,
     InstancePage,
-    Notice,
     ObjectStore,
     Part,
     Platform,
     PlatformFailure,
+    ReclaimNotice,
     RentOrder,
     RentResult,
     Row,
@@ -131,7 +131,7 @@
         """Return an instance."""
         return await self._guard.call(lambda: self._inner.release(instance_id))
 
-    async def notices(self, hall: str) -> Result[list[Notice], PlatformFailure]:
+    async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
         """Return the open notices of a hall."""
         return await self._guard.call(lambda: self._inner.notices(hall))
 
--- a/src/moledale/backing/http.py
+++ b/src/moledale/backing/http.py
@@ -10,11 +10,11 @@
 
 from moledale.backing.types import (
     InstancePage,
-    Notice,
     NoticePage,
     Part,
     Platform,
     PlatformFailure,
+    ReclaimNotice,
     RentOrder,
     RentResult,
     Row,
@@ -136,7 +136,7 @@
         outcome = await self.call("DELETE", f"/v1/instances/{quote(instance_id, safe='')}")
         return outcome.map(lambda _: None)
 
-    async def notices(self, hall: str) -> Result[list[Notice], PlatformFailure]:
+    async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
         """Return the open notices of a hall."""
         page = await self.call_json("GET", f"/v1/notices?hall={hall}", None, NoticePage)
         return page.map(lambda found: found.notices)
--- a/src/moledale/backing/types.py
+++ b/src/moledale/backing/types.py
@@ -128,7 +128,7 @@
     refused: str | None = None
 
 
-class Notice(msgspec.Struct, frozen=True):
+class ReclaimNotice(msgspec.Struct, frozen=True):
     """The cloud takes an instance back in `seconds_left`."""
 
     instance_id: str
@@ -139,7 +139,7 @@
 class NoticePage(msgspec.Struct, frozen=True):
     """All open notices."""
 
-    notices: list[Notice]
+    notices: list[ReclaimNotice]
 
 
 class WeightGrant(msgspec.Struct, frozen=True):
@@ -198,7 +198,7 @@
         """Return an instance."""
         ...
 
-    async def notices(self, hall: str) -> Result[list[Notice], PlatformFailure]:
+    async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
         """Return the open notices of a hall."""
         ...
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -14,9 +14,9 @@
     Instance,
     InstancePage,
     InstanceState,
-    Notice,
     NoticePage,
     Part,
+    ReclaimNotice,
     RentOrder,
     RentResult,
     Row,
@@ -57,7 +57,7 @@
     rows: dict[tuple[str, str], Row] = field(default_factory=dict)
     objects: dict[str, bytes] = field(default_factory=dict)
     instances: dict[str, tuple[int, Instance]] = field(default_factory=dict)
-    notices: dict[str, Notice] = field(default_factory=dict)
+    notices: dict[str, ReclaimNotice] = field(default_factory=dict)
     rented: dict[str, str] = field(default_factory=dict)
     spares: list[Instance] = field(default_factory=list)
     released: list[str] = field(default_factory=list)
@@ -260,7 +260,7 @@
         return answer({})
 
     async def add_notice(request: Request) -> Response:
-        notice = msgspec.json.decode(await request.body(), type=Notice)
+        notice = msgspec.json.decode(await request.body(), type=ReclaimNotice)
         state.notices[notice.instance_id] = notice
         return answer({})
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -5,7 +5,7 @@
 
 from result import Err
 
-from moledale.backing.types import InstanceKind, InstanceState, Notice, Part
+from moledale.backing.types import InstanceKind, InstanceState, Part, ReclaimNotice
 from moledale.bundle.schema import Priority
 from moledale.node.jobs import JobState, new_job_id
 from moledale.node.messages import ServerLeaving
@@ -403,7 +403,7 @@
     async def test_the_cloud_tells(self, world: World) -> None:
         await world.up()
         await world.clock.sleep(15.0)
-        world.state.notices["e0"] = Notice("e0", "hall-a", 30.0)
+        world.state.notices["e0"] = ReclaimNotice("e0", "hall-a", 30.0)
         await self.check(world, world.clock.now)
 
     @in_world
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,10 +23,10 @@
     InstanceKind,
     InstancePage,
     InstanceState,
-    Notice,
     Part,
     Platform,
     PlatformFailure,
+    ReclaimNotice,
     RentOrder,
     RentResult,
     Row,
@@ -233,7 +233,7 @@
     async def release(self, instance_id: str) -> Result[None, PlatformFailure]:
         return await self._do(Part.CLOUD, True, lambda: self._world.state.release(instance_id))
 
-    async def notices(self, hall: str) -> Result[list[Notice], PlatformFailure]:
+    async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
         found = self._world.state.notices
         return await self._do(
             Part.CLOUD, False, lambda: [n for n in found.values() if n.hall == hall]
@@ -663,7 +663,7 @@
             return
         engine.leaving_since = self.clock.now
         engine.leaves_at = self.clock.now + notice_s
-        self.state.notices[name] = Notice(name, engine.hall, notice_s)
+        self.state.notices[name] = ReclaimNotice(name, engine.hall, notice_s)
 
         def gone() -> None:
             engine.alive = False
