--- a/src/moledale/backing/http.py
+++ b/src/moledale/backing/http.py
@@ -10,11 +10,11 @@
 
 from moledale.backing.types import (
     InstancePage,
-    NoticePage,
     Part,
     Platform,
     PlatformFailure,
     ReclaimNotice,
+    ReclaimNoticePage,
     RentOrder,
     RentResult,
     Row,
@@ -138,7 +138,7 @@
 
     async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
         """Return the open notices of a hall."""
-        page = await self.call_json("GET", f"/v1/notices?hall={hall}", None, NoticePage)
+        page = await self.call_json("GET", f"/v1/notices?hall={hall}", None, ReclaimNoticePage)
         return page.map(lambda found: found.notices)
 
 
--- a/src/moledale/backing/types.py
+++ b/src/moledale/backing/types.py
@@ -136,7 +136,7 @@
     seconds_left: float
 
 
-class NoticePage(msgspec.Struct, frozen=True):
+class ReclaimNoticePage(msgspec.Struct, frozen=True):
     """All open notices."""
 
     notices: list[ReclaimNotice]
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -14,9 +14,9 @@
     Instance,
     InstancePage,
     InstanceState,
-    NoticePage,
     Part,
     ReclaimNotice,
+    ReclaimNoticePage,
     RentOrder,
     RentResult,
     Row,
@@ -239,7 +239,7 @@
             return refused
         state.stats.cloud_calls += 1
         hall = request.query_params["hall"]
-        return answer(NoticePage([n for n in state.notices.values() if n.hall == hall]))
+        return answer(ReclaimNoticePage([n for n in state.notices.values() if n.hall == hall]))
 
     async def grants(_: Request) -> Response:
         if (refused := await ticker.before(Part.WEIGHTS)) is not None:
