--- a/src/moledale/build.py
+++ b/src/moledale/build.py
@@ -7,10 +7,10 @@
 import xxhash
 
 PACKAGE = "moledale"
-UNPACKED = "unpacked"
+UNINSTALLED_VERSION = "unpacked"
 """Version of sources that run without being installed."""
 
-DIGEST_LETTERS = 8
+DIGEST_HEX_DIGITS = 8
 """Letters of the sources' digest that operators see: enough to tell a handful of builds apart."""
 
 
@@ -22,11 +22,11 @@
     for path in sorted(root.rglob("*.py")):
         digest.update(str(path.relative_to(root)).encode())
         digest.update(path.read_bytes())
-    return f"{_version()}+{digest.hexdigest()[:DIGEST_LETTERS]}"
+    return f"{_version()}+{digest.hexdigest()[:DIGEST_HEX_DIGITS]}"
 
 
 def _version() -> str:
     try:
         return version(PACKAGE)
     except PackageNotFoundError:
-        return UNPACKED
+        return UNINSTALLED_VERSION
