--- a/src/moledale/bundle/diff.py
+++ b/src/moledale/bundle/diff.py
@@ -4,7 +4,7 @@
 
 from moledale.bundle.schema import Bundle
 
-_NAMES = ("name", "priority", "hall")
+_LABEL_KEYS = ("name", "priority", "hall")
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,8 +18,8 @@
 
 def changes(before: Bundle | None, after: Bundle) -> list[Change]:
     """Return the values that differ, in order of their paths."""
-    old = _flat("", before.model_dump(mode="json")) if before is not None else {}
-    new = _flat("", after.model_dump(mode="json"))
+    old = _flatten("", before.model_dump(mode="json")) if before is not None else {}
+    new = _flatten("", after.model_dump(mode="json"))
     paths = sorted({*old, *new})
     return [
         Change(path, old.get(path), new.get(path))
@@ -28,22 +28,22 @@
     ]
 
 
-def _flat(path: str, value: object) -> dict[str, object]:
+def _flatten(path: str, value: object) -> dict[str, object]:
     """Return every leaf under its path; list entries go by their names, not their places."""
     if isinstance(value, dict):
         found: dict[str, object] = {}
         for key, item in value.items():
-            found.update(_flat(f"{path}.{key}" if path else str(key), item))
+            found.update(_flatten(f"{path}.{key}" if path else str(key), item))
         return found
     if isinstance(value, list) and any(isinstance(item, dict) for item in value):
         found = {}
         for item in value:
-            found.update(_flat(f"{path}[{_label(item)}]", item))
+            found.update(_flatten(f"{path}[{_label(item)}]", item))
         return found
     return {path: value}
 
 
 def _label(item: dict[str, object]) -> str:
-    label = next((str(item[name]) for name in _NAMES if name in item), "")
+    label = next((str(item[name]) for name in _LABEL_KEYS if name in item), "")
     extra = item.get("instance_class")
     return f"{label}/{extra}" if extra is not None else label
