--- a/src/moledale/bundle/schema.py
+++ b/src/moledale/bundle/schema.py
@@ -29,13 +29,13 @@
     ON_DEMAND = "on-demand"
 
 
-class Part(BaseModel):
+class BundleSection(BaseModel):
     """A table of the bundle; unknown keys are findings."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Model(Part):
+class Model(BundleSection):
     """A model that callers may name."""
 
     name: Name
@@ -44,14 +44,14 @@
     kv_bytes_per_token: int = Field(default=100_000, gt=0)
 
 
-class Adapter(Part):
+class Adapter(BundleSection):
     """An adapter of a model; callers name it as the model."""
 
     name: Name
     model: Name
 
 
-class Account(Part):
+class Account(BundleSection):
     """A client account: digests of its keys, never the keys, and its limits."""
 
     name: Name
@@ -61,7 +61,7 @@
     priorities: list[Priority] = Field(default=list(Priority), min_length=1)
 
 
-class Hall(Part):
+class Hall(BundleSection):
     """A hall that may be used, and the least and most instances of it."""
 
     name: Name
@@ -69,7 +69,7 @@
     most_instances: int = Field(default=1000, ge=0)
 
 
-class InstanceClass(Part):
+class InstanceClass(BundleSection):
     """A class of backend servers and its measured speeds."""
 
     name: Name
@@ -80,7 +80,7 @@
     checks_fence: bool
 
 
-class Price(Part):
+class Price(BundleSection):
     """Price of a class in a hall, per instance and hour."""
 
     hall: Name
@@ -89,7 +89,7 @@
     on_demand: float = Field(gt=0)
 
 
-class Service(Part):
+class Service(BundleSection):
     """A plain service that calls are routed to by name."""
 
     name: Name
@@ -98,7 +98,7 @@
     timeout_s: float = Field(default=10.0, gt=0)
 
 
-class Target(Part):
+class Target(BundleSection):
     """Service level of a priority: share of requests with the first token in time."""
 
     priority: Priority
@@ -108,20 +108,20 @@
     deadline_s: float = Field(gt=0)
 
 
-class Weights(Part):
+class Weights(BundleSection):
     """How much each measure counts, as parts of one."""
 
     cost: float = Field(ge=0)
     recompute: float = Field(ge=0)
 
     @model_validator(mode="after")
-    def _some_weight(self) -> "Weights":
+    def _check_any_weight(self) -> "Weights":
         if self.cost + self.recompute <= 0:
             raise ValueError("cost and recompute can't both be 0")
         return self
 
 
-class Renting(Part):
+class Renting(BundleSection):
     """How demand becomes instances; without a share, the weights decide what is on demand."""
 
     utilization: float = Field(default=0.7, gt=0, le=1)
@@ -131,13 +131,13 @@
     least_tokens_per_s: float = Field(default=0, ge=0)
 
 
-class Routing(Part):
+class Routing(BundleSection):
     """Parameters of the routing decision."""
 
     set_aside: float = Field(default=0.2, ge=0, le=0.5)
 
 
-class Bundle(Part):
+class Bundle(BundleSection):
     """One version of everything that operators declare."""
 
     version: int = Field(ge=1)
@@ -197,28 +197,28 @@
         bundle = Bundle.model_validate(data)
     except ValidationError as error:
         return Err(from_validation(source, error))
-    findings = _unresolved(source, bundle)
+    findings = _find_inconsistencies(source, bundle)
     return Err(findings) if findings else Ok(bundle)
 
 
-def _unresolved(source: str, bundle: Bundle) -> list[Finding]:
+def _find_inconsistencies(source: str, bundle: Bundle) -> list[Finding]:
     """Find duplicate names and references to what the bundle doesn't state."""
-    findings = _duplicates(source, bundle)
+    findings = _find_duplicates(source, bundle)
     models = {model.name for model in bundle.models}
     halls = {hall.name for hall in bundle.halls}
     classes = {item.name for item in bundle.classes}
     for index, adapter in enumerate(bundle.adapters):
         if adapter.model not in models:
-            findings.append(_unknown(source, f"adapters[{index}].model", adapter.model))
+            findings.append(_unknown_name(source, f"adapters[{index}].model", adapter.model))
         if adapter.name in models:
             path = f"adapters[{index}].name"
             findings.append(Finding(source, path, f"{adapter.name!r} is a model's name too"))
     for index, price in enumerate(bundle.prices):
         if price.hall not in halls:
-            findings.append(_unknown(source, f"prices[{index}].hall", price.hall))
+            findings.append(_unknown_name(source, f"prices[{index}].hall", price.hall))
         if price.instance_class not in classes:
             path = f"prices[{index}].instance_class"
-            findings.append(_unknown(source, path, price.instance_class))
+            findings.append(_unknown_name(source, path, price.instance_class))
     stated = {target.priority for target in bundle.targets}
     for priority in Priority:
         if priority not in stated:
@@ -226,11 +226,11 @@
     return findings
 
 
-def _unknown(source: str, path: str, name: str) -> Finding:
+def _unknown_name(source: str, path: str, name: str) -> Finding:
     return Finding(source, path, f"{name!r} is not stated in this bundle")
 
 
-def _duplicates(source: str, bundle: Bundle) -> list[Finding]:
+def _find_duplicates(source: str, bundle: Bundle) -> list[Finding]:
     named: dict[str, list[str]] = {
         "models": [item.name for item in bundle.models],
         "adapters": [item.name for item in bundle.adapters],
