--- a/src/moledale/bundle/signing.py
+++ b/src/moledale/bundle/signing.py
@@ -10,7 +10,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
 # Keeps a signature over a bundle from being used for anything else.
-_CONTEXT = b"moledale bundle v1\n"
+_SIGNATURE_CONTEXT = b"moledale bundle v1\n"
 
 
 class Signature(msgspec.Struct, frozen=True):
@@ -25,7 +25,7 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def new_private_key() -> bytes:
+def generate_private_key() -> bytes:
     """Make a private key in PEM form."""
     return Ed25519PrivateKey.generate().private_bytes(
         serialization.Encoding.PEM,
@@ -43,13 +43,13 @@
     return key if isinstance(key, Ed25519PrivateKey) else None
 
 
-def public_text(key: Ed25519PrivateKey) -> str:
+def encode_public_key(key: Ed25519PrivateKey) -> str:
     """Return the public half as it stands in settings."""
     raw = key.public_key().public_bytes(serialization.Encoding.Raw, serialization.PublicFormat.Raw)
     return base64.b64encode(raw).decode()
 
 
-def public_key(text: str) -> Ed25519PublicKey | None:
+def decode_public_key(text: str) -> Ed25519PublicKey | None:
     """Read a base64 public key, or return None."""
     try:
         return Ed25519PublicKey.from_public_bytes(base64.b64decode(text, validate=True))
@@ -59,7 +59,7 @@
 
 def sign(body: bytes, operator: str, key: Ed25519PrivateKey) -> Signature:
     """Sign a bundle body in an operator's name."""
-    value = key.sign(_CONTEXT + body)
+    value = key.sign(_SIGNATURE_CONTEXT + body)
     return Signature(operator, base64.b64encode(value).decode())
 
 
@@ -70,12 +70,12 @@
     valid: set[str] = set()
     wrong: list[str] = []
     for signature in signatures:
-        key = public_key(keys.get(signature.operator, ""))
+        key = decode_public_key(keys.get(signature.operator, ""))
         if key is None:
             wrong.append(f"operator {signature.operator!r} is not known")
             continue
         try:
-            key.verify(base64.b64decode(signature.value, validate=True), _CONTEXT + body)
+            key.verify(base64.b64decode(signature.value, validate=True), _SIGNATURE_CONTEXT + body)
         except (InvalidSignature, ValueError, binascii.Error):
             wrong.append(f"signature of {signature.operator!r} does not fit these bytes")
             continue
--- a/src/moledale/settings.py
+++ b/src/moledale/settings.py
@@ -150,10 +150,10 @@
     @field_validator("operators")
     @classmethod
     def _keys_decode(cls, value: OperatorsSection) -> OperatorsSection:
-        from moledale.bundle.signing import public_key
+        from moledale.bundle.signing import decode_public_key
 
         for name, key in value.keys.items():
-            if public_key(key) is None:
+            if decode_public_key(key) is None:
                 raise ValueError(f"keys.{name} is not a base64 Ed25519 public key")
         return value
 
--- a/src/moledale/ui/bundle_commands.py
+++ b/src/moledale/ui/bundle_commands.py
@@ -198,7 +198,7 @@
 
 def new_key(options: argparse.Namespace) -> Exit:
     """Make an operator's key pair; the private half is written, the public half printed."""
-    pem = signing.new_private_key()
+    pem = signing.generate_private_key()
     target = Path(options.out)
     try:
         handle = os.open(target, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
@@ -209,7 +209,7 @@
         file.write(pem)
     key = signing.load_private_key(pem)
     assert key is not None, "it was just made"
-    public = signing.public_text(key)
+    public = signing.encode_public_key(key)
     if options.json:
         print_json({"private_key": str(target), "public_key": public})
     else:
--- a/standins/local_fleet.py
+++ b/standins/local_fleet.py
@@ -275,8 +275,8 @@
         return proc
 
     def _make_key(self, operator: str) -> None:
-        pem = signing.new_private_key()
+        pem = signing.generate_private_key()
         self.key_file(operator).write_bytes(pem)
         key = signing.load_private_key(pem)
         assert key is not None, "it was just made"
-        self._public[operator] = signing.public_text(key)
+        self._public[operator] = signing.encode_public_key(key)
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -172,9 +172,9 @@
 
 class SigningTest(unittest.TestCase):
     def test_signatures(self) -> None:
-        key = signing.load_private_key(signing.new_private_key())
+        key = signing.load_private_key(signing.generate_private_key())
         assert key is not None
-        keys = {"anna": signing.public_text(key)}
+        keys = {"anna": signing.encode_public_key(key)}
         good = signing.sign(b"body", "anna", key)
         stranger = signing.sign(b"body", "eve", key)
         odd = signing.Signature("anna", "no base64")
--- a/tests/world.py
+++ b/tests/world.py
@@ -505,7 +505,7 @@
         self.reached: Counter[str] = Counter()
         self.versions: defaultdict[str, list[int]] = defaultdict(list)
         self._fault: tuple[str, int, Action] | None = None
-        self._keys = {name: signing.new_private_key() for name in ("anna", "bram")}
+        self._keys = {name: signing.generate_private_key() for name in ("anna", "bram")}
         self._tasks: set[asyncio.Task[Any]] = set()
 
     # Parts
@@ -561,7 +561,7 @@
         return node
 
     def settings(self, name: str, hall: str) -> Settings:
-        keys = {n: signing.public_text(_loaded(pem)) for n, pem in self._keys.items()}
+        keys = {n: signing.encode_public_key(_loaded(pem)) for n, pem in self._keys.items()}
         extra = "[times]\ndrain_s = 0.3\n"
         text = settings_text(name, hall, "http://127.0.0.1:1", keys, extra)
         return parse(name, text).unwrap()
