--- a/src/moledale/bundle/signing.py
+++ b/src/moledale/bundle/signing.py
@@ -63,7 +63,7 @@
     return Signature(operator, base64.b64encode(value).decode())
 
 
-def valid_operators(
+def verify_signatures(
     body: bytes, signatures: list[Signature], keys: dict[str, str]
 ) -> tuple[set[str], list[str]]:
     """Return the operators whose signatures hold, and what is wrong with the others."""
--- a/src/moledale/bundle/store.py
+++ b/src/moledale/bundle/store.py
@@ -15,7 +15,7 @@
     Write,
 )
 from moledale.bundle import schema
-from moledale.bundle.signing import Signature, digest, valid_operators
+from moledale.bundle.signing import Signature, digest, verify_signatures
 from moledale.findings import Finding
 from moledale.settings import OperatorsSection
 
@@ -23,8 +23,8 @@
 HEAD_KEY = "head"
 HISTORY_TABLE = "bundle-history"
 OBJECT_PREFIX = "bundles/"
-MOST_HISTORY = 1_000
-WRITE_TRIES = 3
+MAX_HISTORY_ROWS = 1_000
+MAX_WRITE_ATTEMPTS = 3
 
 
 class Head(msgspec.Struct, frozen=True):
@@ -64,7 +64,7 @@
     """Validate a bundle and its signatures; all findings are reported together."""
     body = signed.body.encode()
     parsed = schema.parse(source, body)
-    valid, wrong = valid_operators(body, signed.signatures, operators.keys)
+    valid, wrong = verify_signatures(body, signed.signatures, operators.keys)
     findings = parsed.unwrap_err() if isinstance(parsed, Err) else []
     findings = [*findings, *(Finding(source, "signatures", text) for text in wrong)]
     if len(valid) < operators.required_signatures:
@@ -124,7 +124,7 @@
     head, row_version = current.ok_value
     if head is not None and (head.version, head.digest) == (bundle.version, identity):
         return Ok(head)
-    refusal = _not_next(bundle, head)
+    refusal = _version_refusal(bundle, head)
     if refusal is not None:
         return Err(refusal)
     # A second roll of the same version may carry other signatures; the body's are kept apart
@@ -148,19 +148,19 @@
         ],
     )
     uncertain = False
-    for _ in range(WRITE_TRIES):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         outcome = await platform.table.transact(transaction)
         if isinstance(outcome, Err):
             uncertain = uncertain or outcome.err_value.uncertain
             continue
         if outcome.ok_value.committed:
             return Ok(new)
-        return await _settle(platform, new)
+        return await _resolve_conflict(platform, new)
     detail = "the table did not answer"
     return Err(RollRefusal("platform", detail, uncertain=uncertain))
 
 
-async def _settle(platform: Platform, new: Head) -> Result[Head, RollRefusal]:
+async def _resolve_conflict(platform: Platform, new: Head) -> Result[Head, RollRefusal]:
     """Tell a conflict with another operator from an own write whose answer was lost."""
     history = await platform.table.read(HISTORY_TABLE, f"{new.version:012d}")
     if isinstance(history, Err):
@@ -174,7 +174,7 @@
     return Err(RollRefusal("conflict", detail, winner=winner))
 
 
-def _not_next(bundle: schema.Bundle, head: Head | None) -> RollRefusal | None:
+def _version_refusal(bundle: schema.Bundle, head: Head | None) -> RollRefusal | None:
     expected = head.version + 1 if head is not None else 1
     if bundle.version == expected:
         return None
@@ -186,7 +186,7 @@
 
 async def history(platform: Platform) -> Result[list[Head], PlatformFailure]:
     """Return all accepted versions, oldest first."""
-    outcome = await platform.table.scan(HISTORY_TABLE, "", MOST_HISTORY)
+    outcome = await platform.table.scan(HISTORY_TABLE, "", MAX_HISTORY_ROWS)
     return outcome.map(lambda rows: [msgspec.json.decode(row.value, type=Head) for row in rows])
 
 
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -178,9 +178,9 @@
         good = signing.sign(b"body", "anna", key)
         stranger = signing.sign(b"body", "eve", key)
         odd = signing.Signature("anna", "no base64")
-        valid, wrong = signing.valid_operators(b"body", [good, stranger, odd], keys)
+        valid, wrong = signing.verify_signatures(b"body", [good, stranger, odd], keys)
         self.assertEqual((valid, len(wrong)), ({"anna"}, 2))
-        changed, _ = signing.valid_operators(b"body ", [good], keys)
+        changed, _ = signing.verify_signatures(b"body ", [good], keys)
         self.assertEqual(changed, set())
         self.assertIsNone(signing.load_private_key(b"nothing"))
 
