--- a/src/moledale/clock.py
+++ b/src/moledale/clock.py
@@ -8,7 +8,7 @@
 import time
 from typing import Protocol
 
-_SUSPENDED_TOO = getattr(time, "CLOCK_BOOTTIME", None)
+_BOOTTIME_CLOCK = getattr(time, "CLOCK_BOOTTIME", None)
 """The clock that counts time in which the machine is suspended; other systems than Linux have
 none, and use the usual steady clock."""
 
@@ -18,9 +18,9 @@
 
     It takes 0.1 microseconds longer than `time.monotonic`.
     """
-    if _SUSPENDED_TOO is None:
+    if _BOOTTIME_CLOCK is None:
         return time.monotonic()
-    return time.clock_gettime(_SUSPENDED_TOO)
+    return time.clock_gettime(_BOOTTIME_CLOCK)
 
 
 class Clock(Protocol):
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -290,7 +290,7 @@
      "tests.test_platform_store tests.test_restarted_servers"),
     ("bad entries hide no other", Entries, "read", lambda _, row: entries.read_server(row),
      "tests.test_platform_store"),
-    ("durations go on while suspended", clock, "_SUSPENDED_TOO", None, "tests.test_suspension"),
+    ("durations go on while suspended", clock, "_BOOTTIME_CLOCK", None, "tests.test_suspension"),
     ("what answers say of servers counts", AnswerReader, "_on_statement", lambda *_: None, NOTICES),
     ("no list takes a server's word back", ServerNotices, "applied_to",
      lambda _, servers: servers, NOTICES),
