--- a/src/moledale/findings.py
+++ b/src/moledale/findings.py
@@ -26,12 +26,14 @@
 def from_validation(source: str, error: ValidationError) -> list[Finding]:
     """Turn every error of a pydantic validation into a finding."""
     return [
-        Finding(source, _dotted(detail["loc"]), _for_people(detail["type"], detail["msg"]))
+        Finding(
+            source, _dotted_path(detail["loc"]), _readable_message(detail["type"], detail["msg"])
+        )
         for detail in error.errors(include_url=False, include_context=False)
     ]
 
 
-def _dotted(loc: tuple[int | str, ...]) -> str:
+def _dotted_path(loc: tuple[int | str, ...]) -> str:
     """Write a location as `accounts[0].name`."""
     path = ""
     for part in loc:
@@ -42,7 +44,7 @@
     return path
 
 
-def _for_people(kind: str, message: str) -> str:
+def _readable_message(kind: str, message: str) -> str:
     if kind == "extra_forbidden":
         return "unknown key"
     if kind == "missing":
