--- a/src/moledale/http_fields.py
+++ b/src/moledale/http_fields.py
@@ -8,7 +8,7 @@
 
 RETRY_AFTER = "retry-after"
 
-MOST_LOGGED = 64
+MAX_LOGGED_CHARS = 64
 """Characters that are logged of a value which can't be read."""
 
 ONE_CONNECTION = frozenset(
@@ -67,7 +67,7 @@
         try:
             return count_of(text.encode())
         except ValueError:
-            emit(Event.HEADER_UNREADABLE, header=name, value=text[:MOST_LOGGED])
+            emit(Event.HEADER_UNREADABLE, header=name, value=text[:MAX_LOGGED_CHARS])
     return None
 
 
@@ -116,7 +116,7 @@
         seconds = _until_date_s(text, date)
     if math.isfinite(seconds) and seconds >= 0:
         return seconds
-    emit(Event.HEADER_UNREADABLE, header=RETRY_AFTER, value=text[:MOST_LOGGED])
+    emit(Event.HEADER_UNREADABLE, header=RETRY_AFTER, value=text[:MAX_LOGGED_CHARS])
     return None
 
 
@@ -136,7 +136,7 @@
         limit = math.nan
     if math.isfinite(limit) and limit >= 0:
         return limit
-    emit(Event.HEADER_UNREADABLE, header=name, value=text[:MOST_LOGGED])
+    emit(Event.HEADER_UNREADABLE, header=name, value=text[:MAX_LOGGED_CHARS])
     return None
 
 
