--- a/src/moledale/http_fields.py
+++ b/src/moledale/http_fields.py
@@ -11,7 +11,7 @@
 MAX_LOGGED_CHARS = 64
 """Characters that are logged of a value which can't be read."""
 
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP_FIELDS = frozenset(
     {
         b"connection",
         b"keep-alive",
--- a/src/moledale/platform/headers.py
+++ b/src/moledale/platform/headers.py
@@ -16,7 +16,7 @@
     ServerStatement,
 )
 from moledale.http_fields import (
-    ONE_CONNECTION,
+    HOP_BY_HOP_FIELDS,
     RETRY_AFTER,
     count_of,
     keep_alive_s,
@@ -77,7 +77,7 @@
         for name, value in head.headers:
             low = name.lower()
             had_length = had_length or low in (b"content-length", b"transfer-encoding")
-            if low in ONE_CONNECTION or low in SET_BY_SYSTEM or low in named:
+            if low in HOP_BY_HOP_FIELDS or low in SET_BY_SYSTEM or low in named:
                 continue
             if low == LAST_EVENT and facts.after_event:
                 continue
@@ -116,7 +116,9 @@
 
     def answer_headers(self, head: AnswerHead) -> Headers:
         """Return the headers of an answer that the caller gets."""
-        return [(name, value) for name, value in head.headers if name.lower() not in ONE_CONNECTION]
+        return [
+            (name, value) for name, value in head.headers if name.lower() not in HOP_BY_HOP_FIELDS
+        ]
 
     def refusal_headers(self, request_id: str, retry_after_s: float | None) -> Headers:
         """Return the headers of an answer of the system's own."""
