--- a/src/moledale/http_fields.py
+++ b/src/moledale/http_fields.py
@@ -29,18 +29,18 @@
 Fields = Iterable[tuple[bytes, bytes]]
 
 
-def texts_of(fields: Fields, wanted: str) -> list[str]:
+def field_values(fields: Fields, wanted: str) -> list[str]:
     """Return the values of all fields of a lower-case name."""
     name = wanted.encode()
     return [value.decode("latin-1") for each, value in fields if each.lower() == name]
 
 
-def text_of(value: bytes | None) -> str:
+def decode_value(value: bytes | None) -> str:
     """Return a value as text, "" if there is none."""
     return "" if value is None else value.decode("latin-1")
 
 
-def number_of(value: bytes | None, name: str) -> float | None:
+def parse_number(value: bytes | None, name: str) -> float | None:
     """Return a number, None if there is none; ValueError if it can't be read."""
     if value is None:
         return None
@@ -53,7 +53,7 @@
     return number
 
 
-def count_of(value: bytes) -> int:
+def parse_count(value: bytes) -> int:
     """Return a whole number; ValueError if it can't be read or is below zero."""
     number = int(value)
     if number < 0:
@@ -61,17 +61,17 @@
     return number
 
 
-def count_in(fields: Fields, name: str) -> int | None:
+def first_count(fields: Fields, name: str) -> int | None:
     """Return the count that the fields of a lower-case name state; what is none is logged."""
-    for text in texts_of(fields, name):
+    for text in field_values(fields, name):
         try:
-            return count_of(text.encode())
+            return parse_count(text.encode())
         except ValueError:
             emit(Event.HEADER_UNREADABLE, header=name, value=text[:MAX_LOGGED_CHARS])
     return None
 
 
-def named_in_connection(fields: Fields) -> set[bytes]:
+def connection_options(fields: Fields) -> set[bytes]:
     """Return the fields that the Connection field names, which end at this hop."""
     named: set[bytes] = set()
     for name, value in fields:
@@ -80,7 +80,7 @@
     return named - {b"close", b"keep-alive"}
 
 
-def keep_alive_s(value: bytes | None) -> float | None:
+def keep_alive_timeout_s(value: bytes | None) -> float | None:
     """Return for how long a Keep-Alive field says that a connection may rest, in seconds."""
     if value is None:
         return None
@@ -105,15 +105,15 @@
     A date counts from `date`, the answer's own one, since clocks of two machines differ. What can't
     be read states no time and is logged.
     """
-    times = [_one_retry_after_s(value.strip(), date) for value in values]
+    times = [_parse_retry_after_s(value.strip(), date) for value in values]
     return max((each for each in times if each is not None), default=None)
 
 
-def _one_retry_after_s(text: str, date: str | None) -> float | None:
+def _parse_retry_after_s(text: str, date: str | None) -> float | None:
     try:
         seconds = float(text)
     except ValueError:
-        seconds = _until_date_s(text, date)
+        seconds = _seconds_between_dates(text, date)
     if math.isfinite(seconds) and seconds >= 0:
         return seconds
     emit(Event.HEADER_UNREADABLE, header=RETRY_AFTER, value=text[:MAX_LOGGED_CHARS])
@@ -125,11 +125,11 @@
 
     What is no number, or below zero, is logged and counts as missing.
     """
-    limits = [_one_limit(value.strip(), name) for value in values]
+    limits = [_parse_limit(value.strip(), name) for value in values]
     return min((each for each in limits if each is not None), default=None)
 
 
-def _one_limit(text: str, name: str) -> float | None:
+def _parse_limit(text: str, name: str) -> float | None:
     try:
         limit = float(text)
     except ValueError:
@@ -140,7 +140,7 @@
     return None
 
 
-def _until_date_s(text: str, date: str | None) -> float:
+def _seconds_between_dates(text: str, date: str | None) -> float:
     """Return the seconds from one date to another, not a number if either can't be read."""
     if date is None:
         return math.nan
--- a/src/moledale/platform/headers.py
+++ b/src/moledale/platform/headers.py
@@ -18,14 +18,14 @@
 from moledale.http_fields import (
     HOP_BY_HOP_FIELDS,
     RETRY_AFTER,
-    count_of,
-    keep_alive_s,
+    connection_options,
+    decode_value,
+    field_values,
+    keep_alive_timeout_s,
     lowest_limit,
-    named_in_connection,
-    number_of,
+    parse_count,
+    parse_number,
     retry_after_s,
-    text_of,
-    texts_of,
 )
 from moledale.platform.entries import platform_id
 
@@ -58,21 +58,21 @@
         """Return what a request says of itself."""
         found = {name.lower(): value for name, value in head.headers}
         prompt, answer = _two_numbers(found.get(b"token-count"))
-        deadline = number_of(found.get(b"deadline-ms"), "Deadline-Ms")
+        deadline = parse_number(found.get(b"deadline-ms"), "Deadline-Ms")
         return RequestFacts(
-            text_of(found.get(b"request-id")),
+            decode_value(found.get(b"request-id")),
             _key(found.get(b"authorization")),
             None if deadline is None else deadline / 1000,
             prompt,
             answer,
             _parts(found.get(b"prompt-prefix")),
-            text_of(found.get(LAST_EVENT)),
+            decode_value(found.get(LAST_EVENT)),
         )
 
     def attempt_head(self, head: RequestHead, facts: AttemptFacts, length: int) -> bytes:
         """Return the first lines of the request as a server gets them."""
         lines = [b"%b %b HTTP/1.1" % (head.method, head.target)]
-        named = named_in_connection(head.headers)
+        named = connection_options(head.headers)
         had_length = False
         for name, value in head.headers:
             low = name.lower()
@@ -109,7 +109,7 @@
             _text_or_none(request_id),
             b"server-stamp" in found,
             b"not-executed" in found or head.status == 421,
-            keep_alive_s(found.get(b"keep-alive")),
+            keep_alive_timeout_s(found.get(b"keep-alive")),
             b"close" in found.get(b"connection", b"").lower(),
             _statement(head.headers, _text_or_none(found.get(b"date"))),
         )
@@ -160,7 +160,7 @@
         return 0, 0
     first, _, second = value.partition(b",")
     try:
-        return count_of(first), count_of(second or b"0")
+        return parse_count(first), parse_count(second or b"0")
     except ValueError:
         raise ValueError("Token-Count is not two numbers") from None
 
@@ -172,7 +172,7 @@
     for item in value.split(b","):
         name, _, tokens = item.strip().rpartition(b":")
         try:
-            parts.append(PromptPart(name.decode("latin-1"), count_of(tokens)))
+            parts.append(PromptPart(name.decode("latin-1"), parse_count(tokens)))
         except ValueError:
             raise ValueError("Prompt-Prefix is not a list of ID:TOKENS") from None
     return tuple(parts)
@@ -180,9 +180,9 @@
 
 def _statement(headers: Headers, date: str | None) -> ServerStatement:
     """Return what an answer says of its server."""
-    leaving = any(text.strip() == SAYS_YES for text in texts_of(headers, LEAVING))
-    again_s = retry_after_s(texts_of(headers, RETRY_AFTER), date)
-    limits = texts_of(headers, SERVER_LIMIT)
+    leaving = any(text.strip() == SAYS_YES for text in field_values(headers, LEAVING))
+    again_s = retry_after_s(field_values(headers, RETRY_AFTER), date)
+    limits = field_values(headers, SERVER_LIMIT)
     limit = lowest_limit(limits, SERVER_LIMIT)
     return ServerStatement(leaving, again_s, limit, bool(limits) and limit is None)
 
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -23,7 +23,7 @@
 from moledale.gateway.plan import Plan
 from moledale.gateway.state_rows import read_or_log, read_row
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion, StoreEra
-from moledale.http_fields import count_in
+from moledale.http_fields import first_count
 from moledale.platform.entries import Entries, platform_id
 from moledale.platform.records import (
     RowRecord,
@@ -259,7 +259,7 @@
         if isinstance(outcome, Err):
             return Err(Trouble(outcome.err_value.detail, uncertain=outcome.err_value.sent))
         got = outcome.ok_value
-        count = count_in(got.headers, ERA)
+        count = first_count(got.headers, ERA)
         era = UNKNOWN_ERA if count is None else count + 1
         self.era.heard(era)
         if got.status not in good:
