--- a/src/moledale/log.py
+++ b/src/moledale/log.py
@@ -11,7 +11,7 @@
 
 _logger = logbook.Logger("moledale")
 
-MOST_WAITING_LINES = 1_000
+MAX_BUFFERED_LINES = 1_000
 
 
 class EventSpec(msgspec.Struct, frozen=True):
@@ -136,42 +136,42 @@
     return handler
 
 
-class BoundedJsonHandler(logbook.Handler):  # type: ignore[misc]
+class NonBlockingHandler(logbook.Handler):  # type: ignore[misc]
     """Writes one JSON object a line; what a slow reader doesn't take is dropped and counted."""
 
     def __init__(self, descriptor: int, level: str) -> None:
         super().__init__(level=level.upper())
         self.dropped = 0
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
+        self._buffer: deque[bytes] = deque()
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write a line, or keep it until there is room."""
-        if len(self._waiting) >= MOST_WAITING_LINES:
+        if len(self._buffer) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return
-        self._waiting.append(f"{time.time():.3f} {record.message}\n".encode())
+        self._buffer.append(f"{time.time():.3f} {record.message}\n".encode())
         self._flush()
 
     def _flush(self) -> None:
-        while self._waiting:
-            line = self._waiting[0]
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
-                self._waiting.clear()
+                self._buffer.clear()
                 return
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
 
 
-def log_json_to_stdout(level: str) -> BoundedJsonHandler:
+def log_to_stdout(level: str) -> NonBlockingHandler:
     """Send events to standard output from `level` up without ever waiting for its reader."""
-    handler = BoundedJsonHandler(sys.stdout.fileno(), level)
+    handler = NonBlockingHandler(sys.stdout.fileno(), level)
     handler.push_application()
     return handler
--- a/src/moledale/ui/gateway.py
+++ b/src/moledale/ui/gateway.py
@@ -15,7 +15,7 @@
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.outside import Orders, Store
 from moledale.gateway.settings import GatewaySettings, load
-from moledale.log import Event, emit, log_json_to_stdout
+from moledale.log import Event, emit, log_to_stdout
 
 EXIT_SETTINGS = 2
 
@@ -35,7 +35,7 @@
             print(finding, file=sys.stderr)
         return EXIT_SETTINGS
     value = settings.ok_value
-    log_json_to_stdout(value.log_level)
+    log_to_stdout(value.log_level)
     node = GatewayNode(value, dialect, entry, store(value), orders(value), engines)
     code: int = uvloop.run(_run(node, path))
     return code
