--- a/src/moledale/servers/http.py
+++ b/src/moledale/servers/http.py
@@ -32,12 +32,12 @@
 T = TypeVar("T")
 _JSON = {"Content-Type": "application/json"}
 _EVENT_END = b"\n\n"
-_DATA = b"data: "
-CONNECT_S = 1.0
-CALL_S = 2.0
-STREAM_IDLE_S = 20.0
+_DATA_PREFIX = b"data: "
+CONNECT_TIMEOUT_S = 1.0
+CALL_TIMEOUT_S = 2.0
+STREAM_IDLE_TIMEOUT_S = 20.0
 MAX_CONNECTIONS = 4_000
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 """Status of a server that turns a call away."""
 
 _event_decoder = msgspec.json.Decoder(GenerateEvent)
@@ -55,10 +55,10 @@
     def __init__(self, client: aiosonic.HTTPClient) -> None:
         self._client = client
         self._stream_timeouts = Timeouts(
-            sock_connect=CONNECT_S, sock_read=STREAM_IDLE_S, request_timeout=None
+            sock_connect=CONNECT_TIMEOUT_S, sock_read=STREAM_IDLE_TIMEOUT_S, request_timeout=None
         )
         self._call_timeouts = Timeouts(
-            sock_connect=CONNECT_S, sock_read=CALL_S, request_timeout=CALL_S
+            sock_connect=CONNECT_TIMEOUT_S, sock_read=CALL_TIMEOUT_S, request_timeout=CALL_TIMEOUT_S
         )
 
     async def generate(
@@ -85,7 +85,7 @@
                 async for chunk in chunks:
                     *events, pending = (pending + chunk).split(_EVENT_END)
                     for event in events:
-                        yield _event_decoder.decode(event.removeprefix(_DATA))
+                        yield _event_decoder.decode(event.removeprefix(_DATA_PREFIX))
         except (ConnectionRefusedError, ConnectTimeout) as error:
             raise ServerError(type(error).__name__, may_have_run=False) from error
         except CALL_FAILURES as error:
@@ -164,7 +164,9 @@
         self, base: str, call: ServiceCall, timeout_s: float
     ) -> Result[ServiceAnswer, ServerFailure]:
         """Send a call once, never again."""
-        timeouts = Timeouts(sock_connect=CONNECT_S, sock_read=timeout_s, request_timeout=timeout_s)
+        timeouts = Timeouts(
+            sock_connect=CONNECT_TIMEOUT_S, sock_read=timeout_s, request_timeout=timeout_s
+        )
         headers = {name: value for name, value in call.headers if name not in _HOP_BY_HOP}
         headers["Connection"] = "close"
         headers["Content-Length"] = str(len(call.body))
@@ -189,7 +191,7 @@
 
 def _retry_after_s(response: aiosonic.HttpResponse) -> float | None:
     """Return the time that a server which turned a call away asked for, if it did."""
-    if response.status_code != UNAVAILABLE:
+    if response.status_code != SERVICE_UNAVAILABLE:
         return None
     fields = [(name.lower(), value) for name, value in response.raw_headers]
     times = [value for name, value in fields if name == RETRY_AFTER]
