--- a/src/moledale/settings.py
+++ b/src/moledale/settings.py
@@ -51,7 +51,7 @@
     required_signatures: int = Field(default=1, ge=1)
 
     @model_validator(mode="after")
-    def _enough_keys(self) -> "OperatorsSection":
+    def _check_key_count(self) -> "OperatorsSection":
         if self.required_signatures > len(self.keys):
             raise ValueError("required_signatures is larger than the number of keys")
         return self
@@ -64,7 +64,7 @@
     file: str | None = None
 
     @model_validator(mode="after")
-    def _one_source(self) -> "SecretSource":
+    def _check_single_source(self) -> "SecretSource":
         if (self.env is None) == (self.file is None):
             raise ValueError("name exactly one of env and file")
         return self
@@ -149,7 +149,7 @@
 
     @field_validator("operators")
     @classmethod
-    def _keys_decode(cls, value: OperatorsSection) -> OperatorsSection:
+    def _check_keys_decode(cls, value: OperatorsSection) -> OperatorsSection:
         from moledale.bundle.signing import decode_public_key
 
         for name, key in value.keys.items():
