--- a/src/moledale/backing/__init__.py
+++ b/src/moledale/backing/__init__.py
@@ -1,1 +1,1 @@
-"""Typed interfaces to the given platform, with an HTTP adapter."""
+"""Typed interfaces to the platform's services, and an HTTP adapter for them."""
