--- a/src/moledale/backing/guard.py
+++ b/src/moledale/backing/guard.py
@@ -1,4 +1,7 @@
-"""Breakers around the platform's parts, so that an outage costs no time and no herd."""
+"""Circuit breakers around the platform's parts.
+
+During an outage, calls fail at once instead of waiting, and nodes do not all retry together.
+"""
 
 import asyncio
 import random
@@ -33,7 +36,7 @@
 
 
 class Guard:
-    """One breaker for one part."""
+    """Makes the calls to one part of the platform through a circuit breaker."""
 
     def __init__(self, part: Part, clock: Clock, rng: random.Random) -> None:
         self.part = part
@@ -42,19 +45,19 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether the part answered last."""
+        """Whether the breaker is closed."""
         return self._breaker.state == CLOSED
 
     async def call(
-        self, make: Callable[[], Awaitable[Result[T, PlatformFailure]]]
+        self, operation: Callable[[], Awaitable[Result[T, PlatformFailure]]]
     ) -> Result[T, PlatformFailure]:
-        """Make the call unless the breaker is open; nothing has happened if it is."""
+        """Run `operation`, or fail without running it while the breaker is open."""
         now = self._clock.monotonic()
         if not self._breaker.allows(now):
             wait = max(0.1, self._breaker.wait_s(now))
             return Err(PlatformFailure(self.part, "not answering of late", False, wait))
         try:
-            outcome = await make()
+            outcome = await operation()
         except asyncio.CancelledError:
             self._breaker.record_cancelled(self._clock.monotonic())
             raise
@@ -67,7 +70,7 @@
 
 
 class GuardedTable:
-    """A table service behind a breaker."""
+    """A table service behind a circuit breaker."""
 
     def __init__(self, inner: TableService, guard: Guard) -> None:
         self._inner = inner
@@ -89,7 +92,7 @@
 
 
 class GuardedObjects:
-    """An object store behind a breaker."""
+    """An object store behind a circuit breaker."""
 
     def __init__(self, inner: ObjectStore, guard: Guard) -> None:
         self._inner = inner
@@ -105,19 +108,19 @@
 
 
 class GuardedInstances:
-    """A lagging list behind a breaker."""
+    """The eventually consistent instance list behind a circuit breaker."""
 
     def __init__(self, inner: InstanceList, guard: Guard) -> None:
         self._inner = inner
         self._guard = guard
 
     async def changes(self, since: int) -> Result[InstancePage, PlatformFailure]:
-        """Return what changed after a revision."""
+        """Return the instances that changed after revision `since`; 0 returns all."""
         return await self._guard.call(lambda: self._inner.changes(since))
 
 
 class GuardedCloud:
-    """A cloud API behind a breaker."""
+    """A cloud API behind a circuit breaker."""
 
     def __init__(self, inner: CloudApi, guard: Guard) -> None:
         self._inner = inner
@@ -128,28 +131,28 @@
         return await self._guard.call(lambda: self._inner.rent(order))
 
     async def release(self, instance_id: str) -> Result[None, PlatformFailure]:
-        """Return an instance."""
+        """Give an instance back to the cloud."""
         return await self._guard.call(lambda: self._inner.release(instance_id))
 
     async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
-        """Return the open notices of a hall."""
+        """Return the pending reclaim notices of a hall."""
         return await self._guard.call(lambda: self._inner.notices(hall))
 
 
 class GuardedWeights:
-    """A weight store behind a breaker."""
+    """A weight store behind a circuit breaker."""
 
     def __init__(self, inner: WeightStore, guard: Guard) -> None:
         self._inner = inner
         self._guard = guard
 
     async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
-        """Ask whether a server may load a model's weights now."""
+        """Request permission for a server to load a model's weights now."""
         return await self._guard.call(lambda: self._inner.request_grant(server, model))
 
 
 def guard_platform(platform: Platform, clock: Clock, rng: random.Random) -> tuple[Platform, Guard]:
-    """Put a breaker before every part; return the table's guard beside the platform."""
+    """Wrap every part in its own circuit breaker; also return the guard of the table."""
     table_guard = Guard(Part.TABLE, clock, rng)
     wrapped = Platform(
         table=GuardedTable(platform.table, table_guard),
