--- a/src/moledale/backing/http.py
+++ b/src/moledale/backing/http.py
@@ -1,4 +1,4 @@
-"""HTTP adapter to the platform's parts."""
+"""HTTP clients of the platform's parts."""
 
 from typing import TypeVar
 from urllib.parse import quote
@@ -32,7 +32,7 @@
 
 
 class HttpPart:
-    """Calls to one part of the platform, each bounded by one time-out."""
+    """Client of one part of the platform; one timeout bounds each call."""
 
     def __init__(self, client: aiosonic.HTTPClient, part: Part, base: str, timeout_s: float):
         self._client = client
@@ -45,7 +45,7 @@
     async def call(
         self, method: str, path: str, body: bytes | None = None
     ) -> Result[bytes | None, PlatformFailure]:
-        """Return the body, None for a 404, or a failure."""
+        """Send a request; return the response body, None for a 404, or a failure."""
         writes = method != "GET"
         try:
             response = await self._client.request(
@@ -69,21 +69,21 @@
         return Ok(content)
 
     async def call_json(
-        self, method: str, path: str, body: object, kind: type[T]
+        self, method: str, path: str, body: object, response_type: type[T]
     ) -> Result[T, PlatformFailure]:
-        """Send JSON and decode the answer as `kind`; a 404 or odd body is a failure."""
+        """Send `body` as JSON and decode the response; a 404 or undecodable body is a failure."""
         encoded = None if body is None else msgspec.json.encode(body)
         outcome = await self.call(method, path, encoded)
         if isinstance(outcome, Err):
             return outcome
         try:
-            return Ok(msgspec.json.decode(outcome.ok_value or b"", type=kind))
+            return Ok(msgspec.json.decode(outcome.ok_value or b"", type=response_type))
         except msgspec.DecodeError as error:
             return Err(PlatformFailure(self._part, f"odd answer: {error}", method != "GET"))
 
 
 class HttpTable(HttpPart):
-    """The table service over HTTP."""
+    """Table service over HTTP."""
 
     async def transact(
         self, transaction: Transaction
@@ -104,7 +104,7 @@
 
 
 class HttpObjects(HttpPart):
-    """The object store over HTTP."""
+    """Object store over HTTP."""
 
     async def put(self, key: str, body: bytes) -> Result[None, PlatformFailure]:
         """Store an object."""
@@ -117,47 +117,47 @@
 
 
 class HttpInstances(HttpPart):
-    """The lagging list over HTTP."""
+    """Eventually consistent instance list over HTTP."""
 
     async def changes(self, since: int) -> Result[InstancePage, PlatformFailure]:
-        """Return what changed after a revision."""
+        """Return the instances that changed after revision `since`; 0 returns all."""
         return await self.call_json("GET", f"/v1/instances?since={since}", None, InstancePage)
 
 
 class HttpCloud(HttpPart):
-    """The cloud API over HTTP."""
+    """Cloud API over HTTP."""
 
     async def rent(self, order: RentOrder) -> Result[RentResult, PlatformFailure]:
         """Rent one instance."""
         return await self.call_json("POST", "/v1/instances", order, RentResult)
 
     async def release(self, instance_id: str) -> Result[None, PlatformFailure]:
-        """Return an instance."""
+        """Give an instance back to the cloud."""
         outcome = await self.call("DELETE", f"/v1/instances/{quote(instance_id, safe='')}")
         return outcome.map(lambda _: None)
 
     async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
-        """Return the open notices of a hall."""
+        """Return the pending reclaim notices of a hall."""
         page = await self.call_json("GET", f"/v1/notices?hall={hall}", None, ReclaimNoticePage)
         return page.map(lambda found: found.notices)
 
 
 class HttpWeights(HttpPart):
-    """The weight store over HTTP."""
+    """Weight store over HTTP."""
 
     async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
-        """Ask whether a server may load a model's weights now."""
+        """Request permission for a server to load a model's weights now."""
         body = {"server": server, "model": model}
         return await self.call_json("POST", "/v1/grants", body, WeightGrant)
 
 
 def http_platform(client: aiosonic.HTTPClient, section: PlatformSection) -> Platform:
-    """Make the adapters for all parts."""
-    wait = section.timeout_s
+    """Return HTTP clients for all parts, with the addresses and timeout of the settings."""
+    timeout_s = section.timeout_s
     return Platform(
-        table=HttpTable(client, Part.TABLE, section.table, wait),
-        objects=HttpObjects(client, Part.OBJECTS, section.objects, wait),
-        instances=HttpInstances(client, Part.INSTANCES, section.instances, wait),
-        cloud=HttpCloud(client, Part.CLOUD, section.cloud, wait),
-        weights=HttpWeights(client, Part.WEIGHTS, section.weights, wait),
+        table=HttpTable(client, Part.TABLE, section.table, timeout_s),
+        objects=HttpObjects(client, Part.OBJECTS, section.objects, timeout_s),
+        instances=HttpInstances(client, Part.INSTANCES, section.instances, timeout_s),
+        cloud=HttpCloud(client, Part.CLOUD, section.cloud, timeout_s),
+        weights=HttpWeights(client, Part.WEIGHTS, section.weights, timeout_s),
     )
