--- a/src/moledale/backing/types.py
+++ b/src/moledale/backing/types.py
@@ -1,4 +1,4 @@
-"""Messages and interfaces of the given platform; adapters and fakes both implement them."""
+"""Messages and interfaces of the platform, implemented by the HTTP adapter and by test fakes."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -21,7 +21,7 @@
 
 
 class PlatformFailure(msgspec.Struct, frozen=True):
-    """A call that brought no answer; with `uncertain`, its effect may have happened."""
+    """A failed call; if `uncertain`, it may have taken effect all the same."""
 
     part: Part
     detail: str
@@ -30,7 +30,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """A row of a table: `value` is JSON text, `version` grows with each write."""
+    """A row of a table: `value` is JSON text, `version` increases with each write."""
 
     key: str
     version: int
@@ -38,13 +38,13 @@
 
 
 class RowPage(msgspec.Struct, frozen=True):
-    """Rows of a scan, in order of their keys."""
+    """Rows of a scan, sorted by key."""
 
     rows: list[Row]
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """A row must stand at this version, `ABSENT` meaning not at all."""
+    """Requires a row to have this version, or not to exist if the version is `ABSENT`."""
 
     table: str
     key: str
@@ -52,7 +52,7 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Put a row's value, or delete the row where `value` is None."""
+    """Sets a row's value, or deletes the row if `value` is None."""
 
     table: str
     key: str
@@ -60,7 +60,7 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """All writes take effect if all conditions hold, else none."""
+    """Writes that are all applied if every condition holds, otherwise none of them."""
 
     operation: str
     conditions: list[Condition]
@@ -68,7 +68,11 @@
 
 
 class TransactionOutcome(msgspec.Struct, frozen=True):
-    """`failed` lists the indices of conditions that did not hold; `versions` follow the writes."""
+    """Result of a transaction.
+
+    `failed` has the indices of the conditions that did not hold, `versions` the new row version of
+    each write, in the same order.
+    """
 
     committed: bool
     failed: list[int] = []
@@ -76,14 +80,14 @@
 
 
 class InstanceKind(StrEnum):
-    """What runs on an instance of the list."""
+    """Whether an instance runs an entry node or a backend server."""
 
     NODE = "node"
     SERVER = "server"
 
 
 class InstanceState(StrEnum):
-    """Life cycle of an instance as the lagging list tells it."""
+    """State of an instance in the eventually consistent instance list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -91,7 +95,7 @@
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """An entry of the lagging list; `address` is `host:port`."""
+    """An entry of the instance list; `address` is `host:port`."""
 
     id: str
     kind: InstanceKind
@@ -105,7 +109,7 @@
 
 
 class InstancePage(msgspec.Struct, frozen=True):
-    """Entries that changed since a revision; `full` means all that exist."""
+    """The entries that changed since a revision, or a full snapshot if `full` is set."""
 
     revision: int
     full: bool
@@ -113,7 +117,7 @@
 
 
 class RentOrder(msgspec.Struct, frozen=True):
-    """Rent one instance; the same `token` never rents a second one."""
+    """A request to rent one instance; `token` is its idempotency key."""
 
     token: str
     hall: str
@@ -122,14 +126,14 @@
 
 
 class RentResult(msgspec.Struct, frozen=True):
-    """The cloud's answer: the instance's id, or why it was refused."""
+    """The cloud's response: the id of the rented instance, or the reason of the refusal."""
 
     instance_id: str | None
     refused: str | None = None
 
 
 class ReclaimNotice(msgspec.Struct, frozen=True):
-    """The cloud takes an instance back in `seconds_left`."""
+    """Notice that the cloud will reclaim an instance in `seconds_left`."""
 
     instance_id: str
     hall: str
@@ -137,20 +141,20 @@
 
 
 class ReclaimNoticePage(msgspec.Struct, frozen=True):
-    """All open notices."""
+    """All pending reclaim notices of a hall."""
 
     notices: list[ReclaimNotice]
 
 
 class WeightGrant(msgspec.Struct, frozen=True):
-    """Whether a server may read a model's weights now, or when to ask again."""
+    """Whether a server may load a model's weights now; if not, when to retry."""
 
     granted: bool
     retry_after_s: float = 0.0
 
 
 class TableService(Protocol):
-    """Conditional transactions over several rows, and reads."""
+    """Key-value tables with conditional transactions over several rows."""
 
     async def transact(
         self, transaction: Transaction
@@ -168,7 +172,7 @@
 
 
 class ObjectStore(Protocol):
-    """Named immutable bytes."""
+    """Store of immutable objects by key."""
 
     async def put(self, key: str, body: bytes) -> Result[None, PlatformFailure]:
         """Store an object."""
@@ -180,39 +184,39 @@
 
 
 class InstanceList(Protocol):
-    """The lagging list of live and leaving instances."""
+    """Eventually consistent list of live and leaving instances."""
 
     async def changes(self, since: int) -> Result[InstancePage, PlatformFailure]:
-        """Return what changed after a revision; 0 asks for everything."""
+        """Return the instances that changed after revision `since`; 0 returns all."""
         ...
 
 
 class CloudApi(Protocol):
-    """Renting, returning, and notices of reclaim."""
+    """Cloud API to rent and release instances and to read reclaim notices."""
 
     async def rent(self, order: RentOrder) -> Result[RentResult, PlatformFailure]:
         """Rent one instance."""
         ...
 
     async def release(self, instance_id: str) -> Result[None, PlatformFailure]:
-        """Return an instance."""
+        """Give an instance back to the cloud."""
         ...
 
     async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
-        """Return the open notices of a hall."""
+        """Return the pending reclaim notices of a hall."""
         ...
 
 
 class WeightStore(Protocol):
-    """The rate-limited store of model weights."""
+    """Rate-limited store of model weights."""
 
     async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
-        """Ask whether a server may load a model's weights now."""
+        """Request permission for a server to load a model's weights now."""
         ...
 
 
 class Platform(msgspec.Struct, frozen=True):
-    """All parts of the platform."""
+    """Clients of all parts of the platform."""
 
     table: TableService
     objects: ObjectStore
