--- a/src/moledale/build.py
+++ b/src/moledale/build.py
@@ -1,4 +1,4 @@
-"""Which build runs: nodes of two builds serve side by side while machines are replaced."""
+"""Identifies the running build, since nodes of two builds coexist during a rolling replacement."""
 
 from functools import cache
 from importlib.metadata import PackageNotFoundError, version
@@ -8,15 +8,15 @@
 
 PACKAGE = "moledale"
 UNINSTALLED_VERSION = "unpacked"
-"""Version of sources that run without being installed."""
+"""Version reported when the sources run without an installed package."""
 
 DIGEST_HEX_DIGITS = 8
-"""Letters of the sources' digest that operators see: enough to tell a handful of builds apart."""
+"""Length of the source digest shown to operators: enough to distinguish a handful of builds."""
 
 
 @cache
 def build_id() -> str:
-    """Return the version, and a digest of the sources that run."""
+    """Return the package version and a digest of the running sources, as `VERSION+DIGEST`."""
     root = Path(__file__).resolve().parent
     digest = xxhash.xxh3_64()
     for path in sorted(root.rglob("*.py")):
