--- a/src/moledale/bundle/__init__.py
+++ b/src/moledale/bundle/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned bundles: their schema, signatures, storage and adoption."""
+"""Versioned configuration bundles: schema, signatures, storage and comparison."""
