--- a/src/moledale/bundle/diff.py
+++ b/src/moledale/bundle/diff.py
@@ -1,4 +1,4 @@
-"""What changes between two bundles, by the names of their parts."""
+"""Difference between two bundles, with list entries matched by name instead of index."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One value that differs; None where it isn't stated."""
+    """A value that differs between two bundles; None on the side that does not have it."""
 
     path: str
     before: object
@@ -17,7 +17,7 @@
 
 
 def changes(before: Bundle | None, after: Bundle) -> list[Change]:
-    """Return the values that differ, in order of their paths."""
+    """Return the values that differ, sorted by path."""
     old = _flatten("", before.model_dump(mode="json")) if before is not None else {}
     new = _flatten("", after.model_dump(mode="json"))
     paths = sorted({*old, *new})
@@ -29,7 +29,7 @@
 
 
 def _flatten(path: str, value: object) -> dict[str, object]:
-    """Return every leaf under its path; list entries go by their names, not their places."""
+    """Map the path of each leaf to its value; list entries are identified by label, not index."""
     if isinstance(value, dict):
         found: dict[str, object] = {}
         for key, item in value.items():
