--- a/src/moledale/bundle/schema.py
+++ b/src/moledale/bundle/schema.py
@@ -1,4 +1,4 @@
-"""What a bundle states: models, accounts, halls, classes, prices, weights and targets."""
+"""Schema of a bundle: models, accounts, halls, instance classes, prices, weights and targets."""
 
 import hashlib
 import tomllib
@@ -15,7 +15,7 @@
 
 
 class Priority(StrEnum):
-    """How soon a request must be answered."""
+    """Priority class of a request, by how soon it must be answered."""
 
     IMMEDIATE = "immediate"
     NORMAL = "normal"
@@ -23,20 +23,20 @@
 
 
 class Market(StrEnum):
-    """How an instance is rented."""
+    """Market on which an instance is rented."""
 
     RECLAIMABLE = "reclaimable"
     ON_DEMAND = "on-demand"
 
 
 class BundleSection(BaseModel):
-    """A table of the bundle; unknown keys are findings."""
+    """Base of the TOML tables of a bundle; unknown keys are validation errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class Model(BundleSection):
-    """A model that callers may name."""
+    """A model that callers may request."""
 
     name: Name
     context_tokens: int = Field(gt=0)
@@ -45,14 +45,14 @@
 
 
 class Adapter(BundleSection):
-    """An adapter of a model; callers name it as the model."""
+    """An adapter of a base model; callers request it by its own name, like a model."""
 
     name: Name
     model: Name
 
 
 class Account(BundleSection):
-    """A client account: digests of its keys, never the keys, and its limits."""
+    """A client account: its limits, and digests of its keys (never the keys themselves)."""
 
     name: Name
     key_digests: list[KeyDigest] = Field(min_length=1)
@@ -62,7 +62,7 @@
 
 
 class Hall(BundleSection):
-    """A hall that may be used, and the least and most instances of it."""
+    """A hall that may be used, and the maximum number of instances in it."""
 
     name: Name
     region: Name
@@ -70,7 +70,7 @@
 
 
 class InstanceClass(BundleSection):
-    """A class of backend servers and its measured speeds."""
+    """An instance class of backend servers, with its measured throughput and its capacity."""
 
     name: Name
     prefill_tokens_per_s: float = Field(gt=0)
@@ -81,7 +81,7 @@
 
 
 class Price(BundleSection):
-    """Price of a class in a hall, per instance and hour."""
+    """Prices of an instance class in a hall, per instance and hour."""
 
     hall: Name
     instance_class: Name
@@ -90,7 +90,7 @@
 
 
 class Service(BundleSection):
-    """A plain service that calls are routed to by name."""
+    """A plain HTTP service (not a model engine) that calls are routed to by name."""
 
     name: Name
     addresses: list[Url] = Field(min_length=1)
@@ -99,7 +99,10 @@
 
 
 class Target(BundleSection):
-    """Service level of a priority: share of requests with the first token in time."""
+    """Service level objective of a priority.
+
+    `objective` is the share of requests whose first token must arrive within `first_token_ms`.
+    """
 
     priority: Priority
     first_token_ms: float = Field(gt=0)
@@ -109,7 +112,7 @@
 
 
 class Weights(BundleSection):
-    """How much each measure counts, as parts of one."""
+    """Relative weights of cost and recomputation in decisions."""
 
     cost: float = Field(ge=0)
     recompute: float = Field(ge=0)
@@ -122,7 +125,10 @@
 
 
 class Renting(BundleSection):
-    """How demand becomes instances; without a share, the weights decide what is on demand."""
+    """Parameters of renting instances for the demand.
+
+    If `on_demand_share` is not set, it is derived from the weights.
+    """
 
     utilization: float = Field(default=0.7, gt=0, le=1)
     survive_halls: int = Field(default=1, ge=0)
@@ -138,7 +144,7 @@
 
 
 class Bundle(BundleSection):
-    """One version of everything that operators declare."""
+    """One version of the complete configuration that operators declare."""
 
     version: int = Field(ge=1)
     name: Name
@@ -156,11 +162,11 @@
     format: Literal[1] = 1
 
     def target(self, priority: Priority) -> Target:
-        """Return the target of a priority; validation has made sure of it."""
+        """Return the target of a priority; `parse` rejects bundles that lack one."""
         return next(target for target in self.targets if target.priority == priority)
 
     def model(self, name: str) -> Model | None:
-        """Return the model that a model or adapter name stands for."""
+        """Return the model of that name, or the base model of the adapter of that name."""
         base = next((a.model for a in self.adapters if a.name == name), name)
         return next((model for model in self.models if model.name == base), None)
 
@@ -177,7 +183,7 @@
         return next((item for item in self.classes if item.name == name), None)
 
     def account_for(self, key: str) -> Account | None:
-        """Return the account that a caller's key belongs to."""
+        """Return the account that owns a caller's key, or None."""
         wanted = key_digest(key)
         return next((a for a in self.accounts if wanted in a.key_digests), None)
 
@@ -188,7 +194,7 @@
 
 
 def parse(source: str, body: bytes) -> Result[Bundle, list[Finding]]:
-    """Validate a bundle body; every finding comes with its place."""
+    """Parse and validate a bundle; each finding names the key that is wrong."""
     try:
         data = tomllib.loads(body.decode("utf-8"))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -202,7 +208,7 @@
 
 
 def _find_inconsistencies(source: str, bundle: Bundle) -> list[Finding]:
-    """Find duplicate names and references to what the bundle doesn't state."""
+    """Return findings for duplicate names, dangling references and missing targets."""
     findings = _find_duplicates(source, bundle)
     models = {model.name for model in bundle.models}
     halls = {hall.name for hall in bundle.halls}
@@ -219,9 +225,9 @@
         if price.instance_class not in classes:
             path = f"prices[{index}].instance_class"
             findings.append(_unknown_name(source, path, price.instance_class))
-    stated = {target.priority for target in bundle.targets}
+    covered = {target.priority for target in bundle.targets}
     for priority in Priority:
-        if priority not in stated:
+        if priority not in covered:
             findings.append(Finding(source, "targets", f"no target for priority {priority.value}"))
     return findings
 
