--- a/src/moledale/bundle/signing.py
+++ b/src/moledale/bundle/signing.py
@@ -1,4 +1,4 @@
-"""Operators' signatures: Ed25519 over a bundle's exact bytes."""
+"""Operators' Ed25519 signatures over the exact bytes of a bundle."""
 
 import base64
 import binascii
@@ -9,7 +9,7 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
-# Keeps a signature over a bundle from being used for anything else.
+# Domain separation: a signature over a bundle is not valid for any other purpose.
 _SIGNATURE_CONTEXT = b"moledale bundle v1\n"
 
 
@@ -26,7 +26,7 @@
 
 
 def generate_private_key() -> bytes:
-    """Make a private key in PEM form."""
+    """Generate an Ed25519 private key in PEM form."""
     return Ed25519PrivateKey.generate().private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
@@ -35,7 +35,7 @@
 
 
 def load_private_key(pem: bytes) -> Ed25519PrivateKey | None:
-    """Read a PEM private key, or return None if it isn't an Ed25519 one."""
+    """Parse a PEM private key; return None if it is invalid or not an Ed25519 key."""
     try:
         key = serialization.load_pem_private_key(pem, password=None)
     except (ValueError, TypeError):
@@ -44,13 +44,13 @@
 
 
 def encode_public_key(key: Ed25519PrivateKey) -> str:
-    """Return the public half as it stands in settings."""
+    """Return the public key in base64, as the settings list it."""
     raw = key.public_key().public_bytes(serialization.Encoding.Raw, serialization.PublicFormat.Raw)
     return base64.b64encode(raw).decode()
 
 
 def decode_public_key(text: str) -> Ed25519PublicKey | None:
-    """Read a base64 public key, or return None."""
+    """Parse a base64 public key; return None if it is invalid."""
     try:
         return Ed25519PublicKey.from_public_bytes(base64.b64decode(text, validate=True))
     except (ValueError, binascii.Error):
@@ -58,7 +58,7 @@
 
 
 def sign(body: bytes, operator: str, key: Ed25519PrivateKey) -> Signature:
-    """Sign a bundle body in an operator's name."""
+    """Sign a bundle body as an operator."""
     value = key.sign(_SIGNATURE_CONTEXT + body)
     return Signature(operator, base64.b64encode(value).decode())
 
@@ -66,18 +66,18 @@
 def verify_signatures(
     body: bytes, signatures: list[Signature], keys: dict[str, str]
 ) -> tuple[set[str], list[str]]:
-    """Return the operators whose signatures hold, and what is wrong with the others."""
+    """Return the operators with a valid signature, and an error message for each invalid one."""
     valid: set[str] = set()
-    wrong: list[str] = []
+    errors: list[str] = []
     for signature in signatures:
         key = decode_public_key(keys.get(signature.operator, ""))
         if key is None:
-            wrong.append(f"operator {signature.operator!r} is not known")
+            errors.append(f"operator {signature.operator!r} is not known")
             continue
         try:
             key.verify(base64.b64decode(signature.value, validate=True), _SIGNATURE_CONTEXT + body)
         except (InvalidSignature, ValueError, binascii.Error):
-            wrong.append(f"signature of {signature.operator!r} does not fit these bytes")
+            errors.append(f"signature of {signature.operator!r} does not fit these bytes")
             continue
         valid.add(signature.operator)
-    return valid, wrong
+    return valid, errors
