--- a/src/moledale/bundle/store.py
+++ b/src/moledale/bundle/store.py
@@ -1,4 +1,4 @@
-"""Where bundles are kept: bodies in the object store, one head row that only moves forward."""
+"""Storage of bundles: bodies in the object store, and a head row whose version only increases."""
 
 import uuid
 
@@ -28,7 +28,7 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The head row: which version is accepted. `operation` names the write that put it there."""
+    """The head row: the accepted version, and in `operation` the id of the write that set it."""
 
     version: int
     digest: str
@@ -39,16 +39,17 @@
 
 
 class SignedBundle(msgspec.Struct, frozen=True):
-    """A bundle's exact text with the signatures over it."""
+    """The exact text of a bundle, and the signatures over it."""
 
     body: str
     signatures: list[Signature]
 
 
 class RollRefusal(msgspec.Struct, frozen=True):
-    """Why a roll did not take place; `winner` is the head that stands instead.
+    """Why a bundle was not rolled, that is, did not become the head.
 
-    `uncertain` means that the platform's answer was lost and the head may have moved.
+    `winner` is the head that is in place instead. `uncertain` means that the platform's response
+    was lost, so the head may have moved.
     """
 
     kind: str
@@ -61,12 +62,12 @@
 def check(
     source: str, signed: SignedBundle, operators: OperatorsSection
 ) -> Result[schema.Bundle, list[Finding]]:
-    """Validate a bundle and its signatures; all findings are reported together."""
+    """Validate a bundle and its signatures; return the bundle or the findings of both checks."""
     body = signed.body.encode()
     parsed = schema.parse(source, body)
-    valid, wrong = verify_signatures(body, signed.signatures, operators.keys)
+    valid, errors = verify_signatures(body, signed.signatures, operators.keys)
     findings = parsed.unwrap_err() if isinstance(parsed, Err) else []
-    findings = [*findings, *(Finding(source, "signatures", text) for text in wrong)]
+    findings = [*findings, *(Finding(source, "signatures", text) for text in errors)]
     if len(valid) < operators.required_signatures:
         text = f"{len(valid)} valid signatures, {operators.required_signatures} required"
         findings.append(Finding(source, "signatures", text))
@@ -76,7 +77,7 @@
 
 
 async def read_head(platform: Platform) -> Result[tuple[Head | None, int], PlatformFailure]:
-    """Return the head and its row version."""
+    """Return the head (None if there is none) and the version of its row."""
     outcome = await platform.table.read(HEAD_TABLE, HEAD_KEY)
     return outcome.map(_decode_head)
 
@@ -84,7 +85,7 @@
 async def fetch(
     platform: Platform, head: Head, operators: OperatorsSection
 ) -> Result[schema.Bundle, str]:
-    """Fetch the head's body, check it against digest and signatures, and parse it."""
+    """Fetch the bundle of a head, verify its digest and signatures, and parse it."""
     outcome = await platform.objects.get(OBJECT_PREFIX + head.digest)
     if isinstance(outcome, Err):
         return Err(outcome.err_value.detail)
@@ -105,35 +106,36 @@
 
 
 async def roll(
-    platform: Platform, signed: SignedBundle, operators: OperatorsSection, wall: float
+    platform: Platform, signed: SignedBundle, operators: OperatorsSection, rolled_at: float
 ) -> Result[Head, RollRefusal]:
-    """Make a signed bundle the head, if it is the version after the head that stands.
+    """Make a signed bundle the head if its version directly follows the current head's.
 
-    The body is stored before the head moves. A write whose answer was lost is sent again under
-    the same condition, so it takes effect once at the most; the row then says whose it was.
+    The body is stored before the head moves. If the response to a write is lost, the write is
+    retried under the same condition, so it takes effect at most once; the history row then shows
+    whose write succeeded.
     """
     checked = check("bundle", signed, operators)
     if isinstance(checked, Err):
-        found = [str(finding) for finding in checked.err_value]
-        return Err(RollRefusal("invalid", "the bundle was not accepted", found))
+        messages = [str(finding) for finding in checked.err_value]
+        return Err(RollRefusal("invalid", "the bundle was not accepted", messages))
     bundle = checked.ok_value
-    identity = digest(signed.body.encode())
+    body_digest = digest(signed.body.encode())
     current = await read_head(platform)
     if isinstance(current, Err):
         return Err(RollRefusal("platform", current.err_value.detail))
     head, row_version = current.ok_value
-    if head is not None and (head.version, head.digest) == (bundle.version, identity):
+    if head is not None and (head.version, head.digest) == (bundle.version, body_digest):
         return Ok(head)
     refusal = _version_refusal(bundle, head)
     if refusal is not None:
         return Err(refusal)
-    # A second roll of the same version may carry other signatures; the body's are kept apart
-    # by the digest of the body alone, so the first one stored is as good.
-    stored = await platform.objects.put(OBJECT_PREFIX + identity, msgspec.json.encode(signed))
+    # The key is the digest of the body alone. Another roll of the same body may store it with
+    # other signatures; either copy has passed `check`, so it does not matter which one is kept.
+    stored = await platform.objects.put(OBJECT_PREFIX + body_digest, msgspec.json.encode(signed))
     if isinstance(stored, Err):
         return Err(RollRefusal("platform", stored.err_value.detail))
     rolled_by = ", ".join(sorted({signature.operator for signature in signed.signatures}))
-    new = Head(bundle.version, identity, bundle.name, rolled_by, wall, uuid.uuid4().hex)
+    new = Head(bundle.version, body_digest, bundle.name, rolled_by, rolled_at, uuid.uuid4().hex)
     return await _move_head(platform, new, row_version)
 
 
@@ -161,7 +163,7 @@
 
 
 async def _resolve_conflict(platform: Platform, new: Head) -> Result[Head, RollRefusal]:
-    """Tell a conflict with another operator from an own write whose answer was lost."""
+    """Distinguish a conflicting roll from an own write whose response was lost."""
     history = await platform.table.read(HISTORY_TABLE, f"{new.version:012d}")
     if isinstance(history, Err):
         detail = "the head moved, but the table did not say by whom"
@@ -178,14 +180,14 @@
     expected = head.version + 1 if head is not None else 1
     if bundle.version == expected:
         return None
-    standing = f"head is version {head.version}" if head is not None else "there is no head"
-    detail = f"the bundle is version {bundle.version}, but {standing}: {expected} comes next"
+    current = f"head is version {head.version}" if head is not None else "there is no head"
+    detail = f"the bundle is version {bundle.version}, but {current}: {expected} comes next"
     kind = "older" if bundle.version < expected else "gap"
     return RollRefusal(kind, detail, winner=head)
 
 
 async def history(platform: Platform) -> Result[list[Head], PlatformFailure]:
-    """Return all accepted versions, oldest first."""
+    """Return the accepted versions, oldest first, at most `MAX_HISTORY_ROWS`."""
     outcome = await platform.table.scan(HISTORY_TABLE, "", MAX_HISTORY_ROWS)
     return outcome.map(lambda rows: [msgspec.json.decode(row.value, type=Head) for row in rows])
 
