--- a/src/moledale/findings.py
+++ b/src/moledale/findings.py
@@ -1,4 +1,4 @@
-"""Findings: what is wrong with something a person wrote, each with its place."""
+"""Findings: validation errors in files that people write, each with its location."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 import msgspec
 
 if TYPE_CHECKING:
-    # The gateway reports findings too and is deployed without this library.
+    # The gateway also reports findings, but is deployed without pydantic.
     from pydantic import ValidationError
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One thing that is wrong: `source` is a file, `path` the dotted key inside it."""
+    """A validation error: `source` is the file, `path` the dotted key in it."""
 
     source: str
     path: str
     message: str
 
     def __str__(self) -> str:
-        place = f"{self.source}: {self.path}" if self.path else self.source
-        return f"{place}: {self.message}"
+        location = f"{self.source}: {self.path}" if self.path else self.source
+        return f"{location}: {self.message}"
 
 
 def from_validation(source: str, error: ValidationError) -> list[Finding]:
-    """Turn every error of a pydantic validation into a finding."""
+    """Return a finding for each error of a pydantic validation."""
     return [
         Finding(
             source, _dotted_path(detail["loc"]), _readable_message(detail["type"], detail["msg"])
@@ -34,7 +34,7 @@
 
 
 def _dotted_path(loc: tuple[int | str, ...]) -> str:
-    """Write a location as `accounts[0].name`."""
+    """Format a location as a path such as `accounts[0].name`."""
     path = ""
     for part in loc:
         if isinstance(part, int):
