--- a/src/moledale/http_fields.py
+++ b/src/moledale/http_fields.py
@@ -1,4 +1,4 @@
-"""HTTP header fields that more than one adapter reads, and what their values mean."""
+"""Parsing of HTTP header fields that more than one adapter reads."""
 
 import math
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 RETRY_AFTER = "retry-after"
 
 MAX_LOGGED_CHARS = 64
-"""Characters that are logged of a value which can't be read."""
+"""Longest prefix of an unreadable value that is logged."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -24,24 +24,24 @@
         b"expect",
     }
 )
-"""Fields that hold for one connection and are not passed on (RFC 9110, 7.6.1)."""
+"""Fields that apply to one connection only and are not forwarded (RFC 9110, 7.6.1)."""
 
 Fields = Iterable[tuple[bytes, bytes]]
 
 
 def field_values(fields: Fields, wanted: str) -> list[str]:
-    """Return the values of all fields of a lower-case name."""
+    """Return the values of all fields whose lower-case name is `wanted`."""
     name = wanted.encode()
-    return [value.decode("latin-1") for each, value in fields if each.lower() == name]
+    return [value.decode("latin-1") for key, value in fields if key.lower() == name]
 
 
 def decode_value(value: bytes | None) -> str:
-    """Return a value as text, "" if there is none."""
+    """Return a value as text, "" if it is missing."""
     return "" if value is None else value.decode("latin-1")
 
 
 def parse_number(value: bytes | None, name: str) -> float | None:
-    """Return a number, None if there is none; ValueError if it can't be read."""
+    """Return a value as a finite number, None if missing; raise ValueError if it is invalid."""
     if value is None:
         return None
     try:
@@ -54,15 +54,18 @@
 
 
 def parse_count(value: bytes) -> int:
-    """Return a whole number; ValueError if it can't be read or is below zero."""
+    """Return a value as a non-negative integer; raise ValueError if it is not one."""
     number = int(value)
     if number < 0:
-        raise ValueError("below zero")
+        raise ValueError("count is negative")
     return number
 
 
 def first_count(fields: Fields, name: str) -> int | None:
-    """Return the count that the fields of a lower-case name state; what is none is logged."""
+    """Return the first valid count in the fields of a lower-case name, None if there is none.
+
+    Invalid values are logged and skipped.
+    """
     for text in field_values(fields, name):
         try:
             return parse_count(text.encode())
@@ -72,16 +75,16 @@
 
 
 def connection_options(fields: Fields) -> set[bytes]:
-    """Return the fields that the Connection field names, which end at this hop."""
-    named: set[bytes] = set()
+    """Return the fields listed in Connection, which must not be forwarded (RFC 9110, 7.6.1)."""
+    options: set[bytes] = set()
     for name, value in fields:
         if name.lower() == b"connection":
-            named.update(item.strip().lower() for item in value.split(b","))
-    return named - {b"close", b"keep-alive"}
+            options.update(item.strip().lower() for item in value.split(b","))
+    return options - {b"close", b"keep-alive"}
 
 
 def keep_alive_timeout_s(value: bytes | None) -> float | None:
-    """Return for how long a Keep-Alive field says that a connection may rest, in seconds."""
+    """Return the idle timeout in a Keep-Alive field, in seconds, None if it states none."""
     if value is None:
         return None
     for item in value.split(b","):
@@ -100,13 +103,13 @@
 
 
 def retry_after_s(values: Iterable[str], date: str | None) -> float | None:
-    """Return the longest time that an answer states (RFC 9110, 10.2.3), None if it states none.
+    """Return the longest delay of the Retry-After values (RFC 9110, 10.2.3), None without any.
 
-    A date counts from `date`, the answer's own one, since clocks of two machines differ. What can't
-    be read states no time and is logged.
+    An HTTP date is taken relative to `date`, the Date field of the same response, since the clocks
+    of two machines differ. Invalid values are logged and ignored.
     """
-    times = [_parse_retry_after_s(value.strip(), date) for value in values]
-    return max((each for each in times if each is not None), default=None)
+    delays = [_parse_retry_after_s(value.strip(), date) for value in values]
+    return max((delay for delay in delays if delay is not None), default=None)
 
 
 def _parse_retry_after_s(text: str, date: str | None) -> float | None:
@@ -121,12 +124,12 @@
 
 
 def lowest_limit(values: Iterable[str], name: str) -> float | None:
-    """Return the lowest number that an answer states in the fields of a name, None if it has none.
+    """Return the lowest of the limits that a response states, None without any.
 
-    What is no number, or below zero, is logged and counts as missing.
+    Values that are not numbers or are negative are logged and ignored.
     """
     limits = [_parse_limit(value.strip(), name) for value in values]
-    return min((each for each in limits if each is not None), default=None)
+    return min((limit for limit in limits if limit is not None), default=None)
 
 
 def _parse_limit(text: str, name: str) -> float | None:
@@ -141,11 +144,11 @@
 
 
 def _seconds_between_dates(text: str, date: str | None) -> float:
-    """Return the seconds from one date to another, not a number if either can't be read."""
+    """Return the seconds from HTTP date `date` to `text`, at least 0; NaN if either is invalid."""
     if date is None:
         return math.nan
     try:
-        left = parsedate_to_datetime(text) - parsedate_to_datetime(date)
+        delta = parsedate_to_datetime(text) - parsedate_to_datetime(date)
     except (ValueError, TypeError):
         return math.nan
-    return max(0.0, left.total_seconds())
+    return max(0.0, delta.total_seconds())
