--- a/src/moledale/log.py
+++ b/src/moledale/log.py
@@ -1,4 +1,4 @@
-"""Numbered log events: every line has a number that docs/EVENTS.md explains."""
+"""Numbered log events; docs/EVENTS.md lists their numbers and meanings."""
 
 import os
 import sys
@@ -12,10 +12,11 @@
 _logger = logbook.Logger("moledale")
 
 MAX_BUFFERED_LINES = 1_000
+"""Lines kept while the reader of the log is slow; further lines are dropped."""
 
 
 class EventSpec(msgspec.Struct, frozen=True):
-    """Number, level and meaning of an event; the meaning is what the catalogue prints."""
+    """Number, level and meaning of an event; `meaning` is printed in docs/EVENTS.md."""
 
     number: int
     level: int
@@ -23,7 +24,7 @@
 
 
 class Event(Enum):
-    """Every event that the daemon logs. Numbers are never reused."""
+    """All events that are logged. Numbers are never reused."""
 
     STARTING = EventSpec(100, logbook.INFO, "The daemon starts with these settings.")
     LISTENING = EventSpec(101, logbook.INFO, "The caller and peer addresses are bound.")
@@ -119,14 +120,14 @@
 
 
 def emit(event: Event, **fields: object) -> None:
-    """Log an event with its fields as JSON; nothing secret may be passed in."""
+    """Log an event, with its fields as JSON; `fields` must not contain secrets."""
     spec = event.value
     text = msgspec.json.encode(fields, enc_hook=str).decode()
     _logger.log(spec.level, f"E{spec.number} {event.name.lower()} {text}")
 
 
 def log_to_stderr(level: str) -> logbook.Handler:
-    """Send events to standard error from `level` up and return the handler."""
+    """Log events of at least `level` to standard error; return the handler."""
     handler = logbook.StreamHandler(
         sys.stderr,
         level=level.upper(),
@@ -137,7 +138,11 @@
 
 
 class NonBlockingHandler(logbook.Handler):  # type: ignore[misc]
-    """Writes one JSON object a line; what a slow reader doesn't take is dropped and counted."""
+    """Writes a line per event to a descriptor without blocking.
+
+    Lines are buffered while the reader is slow; once the buffer is full, new lines are dropped and
+    counted in `dropped`.
+    """
 
     def __init__(self, descriptor: int, level: str) -> None:
         super().__init__(level=level.upper())
@@ -147,7 +152,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a line, or keep it until there is room."""
+        """Write a line, or buffer it until the descriptor is writable."""
         if len(self._buffer) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return
@@ -171,7 +176,7 @@
 
 
 def log_to_stdout(level: str) -> NonBlockingHandler:
-    """Send events to standard output from `level` up without ever waiting for its reader."""
+    """Log events of at least `level` to standard output, never blocking on a slow reader."""
     handler = NonBlockingHandler(sys.stdout.fileno(), level)
     handler.push_application()
     return handler
