--- a/src/moledale/problems.py
+++ b/src/moledale/problems.py
@@ -1,4 +1,4 @@
-"""Refusals towards callers: RFC 9457 problems that say whether the request ran."""
+"""Error responses to callers: RFC 9457 problems that state whether the request ran."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class Ran(StrEnum):
-    """Whether a refused or failed request ran: `no` is a promise, `unknown` is not."""
+    """Whether a failed request ran: `no` guarantees that it did not, `unknown` leaves it open."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A refusal: `retry_after` is in seconds, None where coming back doesn't help."""
+    """An error response; `retry_after` is in seconds, None if a retry would not help."""
 
     kind: str
     status: int
@@ -28,7 +28,7 @@
     retry_after: int | None = None
 
     def body(self, request_id: str | None = None) -> bytes:
-        """Encode as an `application/problem+json` body."""
+        """Return the `application/problem+json` body."""
         fields: dict[str, object] = {
             "type": TYPE_PREFIX + self.kind,
             "title": self.title,
@@ -44,67 +44,67 @@
 
 
 def bad_request(detail: str) -> Problem:
-    """Make a 400 for a request that is malformed."""
+    """Return a 400 for a malformed request."""
     return Problem("bad-request", 400, "The request is malformed", detail, Ran.NO)
 
 
 def unauthorized(detail: str) -> Problem:
-    """Make a 401 for an unknown account key."""
+    """Return a 401 for an unknown account key."""
     return Problem("unauthorized", 401, "The account key is not known", detail, Ran.NO)
 
 
 def forbidden(detail: str) -> Problem:
-    """Make a 403 for something that the caller may not do."""
+    """Return a 403 for an operation that the caller is not allowed to do."""
     return Problem("forbidden", 403, "Not allowed", detail, Ran.NO)
 
 
 def not_found(detail: str, ran: Ran = Ran.NO) -> Problem:
-    """Make a 404 for an unknown model, service, stream or job."""
+    """Return a 404 for an unknown model, service, stream or job."""
     return Problem("not-found", 404, "Not known here", detail, ran)
 
 
 def conflict(detail: str) -> Problem:
-    """Make a 409 for a request that another one has overtaken."""
+    """Return a 409 for a request that conflicts with another one that came first."""
     return Problem("conflict", 409, "Overtaken by another request", detail, Ran.NO)
 
 
 def too_large(detail: str) -> Problem:
-    """Make a 413 for a body over the limit."""
+    """Return a 413 for a body over the size limit."""
     return Problem("too-large", 413, "The body is too large", detail, Ran.NO)
 
 
 def key_reused(detail: str) -> Problem:
-    """Make a 422 for an idempotency key that came with another body before."""
+    """Return a 422 for an idempotency key that was used before with a different body."""
     return Problem("key-reused", 422, "The idempotency key was used before", detail, Ran.NO)
 
 
 def limited(detail: str, retry_after: int) -> Problem:
-    """Make a 429 for an account over its limit."""
+    """Return a 429 for an account over its rate limit."""
     return Problem("limited", 429, "Over the account's limit", detail, Ran.NO, retry_after)
 
 
 def overloaded(detail: str, retry_after: int) -> Problem:
-    """Make a 503 for work that has no room or can't make its deadline."""
+    """Return a 503 for work that there is no capacity for, or that would miss its deadline."""
     return Problem("overloaded", 503, "No room for this request", detail, Ran.NO, retry_after)
 
 
 def unavailable(detail: str, retry_after: int) -> Problem:
-    """Make a 503 for a node or platform that can't take the request now."""
+    """Return a 503 for a node or platform that can't accept the request now."""
     return Problem("unavailable", 503, "Not available now", detail, Ran.NO, retry_after)
 
 
 def failed(detail: str) -> Problem:
-    """Make a 502 for a request whose servers failed; it may have run in part."""
+    """Return a 502 for a request whose servers failed; it may have run partially."""
     return Problem("failed", 502, "Backend servers failed", detail, Ran.UNKNOWN, 1)
 
 
 def outcome_unknown(detail: str) -> Problem:
-    """Make a 502 for a not-repeatable call that may have run and won't be sent again."""
+    """Return a 502 for a non-repeatable call that may have run and is not retried."""
     return Problem("outcome-unknown", 502, "The outcome is not known", detail, Ran.UNKNOWN)
 
 
 def undecided(detail: str, retry_after: int) -> Problem:
-    """Make a 503 for a keyed call that did nothing here, but whose key may have run elsewhere."""
+    """Return a 503 for a call that did not run here, but whose key may have run elsewhere."""
     return Problem(
         "undecided",
         503,
@@ -116,5 +116,5 @@
 
 
 def deadline_passed(detail: str, ran: Ran) -> Problem:
-    """Make a 504 for a request whose deadline passed."""
+    """Return a 504 for a request whose deadline passed."""
     return Problem("deadline", 504, "The deadline has passed", detail, ran)
