--- a/src/moledale/servers/__init__.py
+++ b/src/moledale/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Typed interface to backend servers, with an HTTP adapter."""
+"""Typed interfaces to backend servers, and an HTTP adapter for them."""
