--- a/src/moledale/servers/http.py
+++ b/src/moledale/servers/http.py
@@ -1,4 +1,4 @@
-"""HTTP adapter to backend servers."""
+"""HTTP clients of backend servers."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -35,22 +35,22 @@
 _DATA_PREFIX = b"data: "
 CONNECT_TIMEOUT_S = 1.0
 CALL_TIMEOUT_S = 2.0
-STREAM_IDLE_TIMEOUT_S = 20.0
-MAX_CONNECTIONS = 4_000
+STREAM_IDLE_TIMEOUT_S = 20.0  # longest pause between two reads of a stream
+MAX_CONNECTIONS = 4_000  # room for every stream of a node
 SERVICE_UNAVAILABLE = 503
-"""Status of a server that turns a call away."""
+"""Status of a server that rejects a call."""
 
 _event_decoder = msgspec.json.Decoder(GenerateEvent)
 _HOP_BY_HOP = {"connection", "transfer-encoding", "keep-alive", "content-length", "host"}
 
 
 def make_client() -> aiosonic.HTTPClient:
-    """Make a client with room for every stream of a node."""
+    """Return an HTTP client whose pool has room for every stream of a node."""
     return aiosonic.HTTPClient(TCPConnector({":default": PoolConfig(size=MAX_CONNECTIONS)}))
 
 
 class HttpModelServers:
-    """Model engines over HTTP, their streams as server-sent events."""
+    """Model engines over HTTP; streams are server-sent events."""
 
     def __init__(self, client: aiosonic.HTTPClient) -> None:
         self._client = client
@@ -64,7 +64,7 @@
     async def generate(
         self, address: str, call: GenerateCall
     ) -> AsyncGenerator[GenerateEvent, None]:
-        """Start an attempt and yield its events."""
+        """Start an attempt and yield its events; raise `ServerError` if it fails."""
         try:
             response = await self._client.request(
                 f"http://{address}/v1/generate",
@@ -92,33 +92,33 @@
             raise ServerError(type(error).__name__) from error
 
     async def cancel(self, address: str, attempt: str) -> Result[None, ServerFailure]:
-        """Stop an attempt."""
+        """Cancel an attempt."""
         outcome = await self._call(address, "POST", "/v1/cancel", {"attempt": attempt})
         return outcome.map(lambda _: None)
 
     async def load(self, address: str) -> Result[LoadReport, ServerFailure]:
-        """Ask for a load report."""
+        """Return the server's load report."""
         return await self._call_json(address, "GET", "/v1/load", None, LoadReport)
 
     async def cache_events(
         self, address: str, after: int
     ) -> Result[list[CacheEvent], ServerFailure]:
-        """Return cache events after a sequence number."""
+        """Return the cache events after sequence number `after`."""
         path = f"/v1/cache-events?after={after}"
         page = await self._call_json(address, "GET", path, None, CacheEventPage)
         return page.map(lambda found: found.events)
 
     async def order(self, address: str, order: Order) -> Result[OrderReply, ServerFailure]:
-        """Give a fenced order."""
+        """Send a fenced order."""
         return await self._call_json(address, "POST", "/v1/orders", order, OrderReply)
 
     async def export_kv(self, address: str, session: str) -> Result[KvTicket, ServerFailure]:
-        """Make a session's KV cache, with what runs of it, ready for another server."""
+        """Prepare a session's KV cache, including its running generation, for another server."""
         body = {"session": session}
         return await self._call_json(address, "POST", "/v1/kv/export", body, KvTicket)
 
     async def import_kv(self, address: str, ticket: KvTicket) -> Result[None, ServerFailure]:
-        """Have a server fetch a KV cache from another one."""
+        """Make a server fetch an exported KV cache from the server that holds it."""
         outcome = await self._call(address, "POST", "/v1/kv/import", ticket)
         return outcome.map(lambda _: None)
 
@@ -141,29 +141,29 @@
         return Ok(content)
 
     async def _call_json(
-        self, address: str, method: str, path: str, body: object, kind: type[T]
+        self, address: str, method: str, path: str, body: object, response_type: type[T]
     ) -> Result[T, ServerFailure]:
         outcome = await self._call(address, method, path, body)
         if isinstance(outcome, Err):
             return outcome
         try:
-            return Ok(msgspec.json.decode(outcome.ok_value, type=kind))
+            return Ok(msgspec.json.decode(outcome.ok_value, type=response_type))
         except msgspec.DecodeError as error:
-            return Err(ServerFailure(f"odd answer: {error}", may_have_run=True))
+            return Err(ServerFailure(f"undecodable response: {error}", may_have_run=True))
 
 
 class HttpPlainServices:
-    """Plain services over HTTP, each call on a connection of its own.
+    """Plain services over HTTP, with a new connection per call.
 
-    A new connection for each call tells a call that never left (the connection was refused)
-    from one that may have run. And the client library sends idempotent methods a second time
-    only when a kept connection drops, which this is not.
+    On a new connection, a call that was never sent (connection refused) can be distinguished from
+    one that may have run. It also rules out retries by the client library, which resends
+    idempotent methods only if a kept-alive connection drops.
     """
 
     async def call(
         self, base: str, call: ServiceCall, timeout_s: float
     ) -> Result[ServiceAnswer, ServerFailure]:
-        """Send a call once, never again."""
+        """Send a call exactly once, without retries."""
         timeouts = Timeouts(
             sock_connect=CONNECT_TIMEOUT_S, sock_read=timeout_s, request_timeout=timeout_s
         )
@@ -190,9 +190,9 @@
 
 
 def _retry_after_s(response: aiosonic.HttpResponse) -> float | None:
-    """Return the time that a server which turned a call away asked for, if it did."""
+    """Return the Retry-After delay of a 503 response, or None."""
     if response.status_code != SERVICE_UNAVAILABLE:
         return None
     fields = [(name.lower(), value) for name, value in response.raw_headers]
-    times = [value for name, value in fields if name == RETRY_AFTER]
-    return retry_after_s(times, next((value for name, value in fields if name == "date"), None))
+    values = [value for name, value in fields if name == RETRY_AFTER]
+    return retry_after_s(values, next((value for name, value in fields if name == "date"), None))
