--- a/src/moledale/servers/types.py
+++ b/src/moledale/servers/types.py
@@ -1,4 +1,4 @@
-"""Messages and interface of backend servers: model engines and plain services."""
+"""Messages and interfaces of backend servers: model engines and plain services."""
 
 from collections.abc import AsyncGenerator
 from typing import Protocol
@@ -8,7 +8,7 @@
 
 
 class GenerateCall(msgspec.Struct, frozen=True):
-    """One attempt at a generation; `resume` holds the tokens that the caller already has."""
+    """One attempt at a generation; `resume` has the tokens that the caller already received."""
 
     attempt: str
     model: str
@@ -20,7 +20,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """A server's own view of its load; it lags, and `sequence` orders reports."""
+    """A server's report of its load; it may be out of date, and `sequence` orders reports."""
 
     server: str
     sequence: int
@@ -34,17 +34,17 @@
 
 
 class Token(msgspec.Struct, frozen=True, tag="token", tag_field="k"):
-    """One generated token and its index in the whole answer."""
+    """One generated token `t` and its index `i` in the whole answer."""
 
     i: int
     t: str
 
 
 class Done(msgspec.Struct, frozen=True, tag="done", tag_field="k"):
-    """End of a generation, with the load report that rides along.
+    """End of a generation, with a piggybacked load report.
 
-    `cached_tokens` is how much of the prompt (and of the resumed part) was in the cache,
-    `computed_tokens` how much was prefilled.
+    Of the prompt and the resumed tokens, `cached_tokens` were in the cache and `computed_tokens`
+    were prefilled.
     """
 
     reason: str
@@ -54,7 +54,7 @@
 
 
 class Refused(msgspec.Struct, frozen=True, tag="refused", tag_field="k"):
-    """The server did not start the attempt."""
+    """The server rejected the attempt without starting it."""
 
     detail: str
 
@@ -63,14 +63,14 @@
 
 
 class ServerFailure(msgspec.Struct, frozen=True):
-    """A call to a server that failed; `ran` is False only if nothing can have run."""
+    """A failed call to a server; `may_have_run` is False only if it certainly did not run."""
 
     detail: str
     may_have_run: bool
 
 
 class Order(msgspec.Struct, frozen=True):
-    """A fenced order; carrying it out twice is the same as once."""
+    """An idempotent order to a server, fenced by the epoch of the sender's lease."""
 
     id: str
     lease: str
@@ -80,7 +80,7 @@
 
 
 class OrderReply(msgspec.Struct, frozen=True):
-    """Whether the order was taken; `epoch` is the highest the server has seen, if it checks."""
+    """Whether an order was accepted; `epoch` is the highest one seen by a server that checks it."""
 
     taken: bool
     detail: str = ""
@@ -88,7 +88,7 @@
 
 
 class KvTicket(msgspec.Struct, frozen=True):
-    """A KV cache that a server holds ready for another one to fetch."""
+    """A KV cache that server `source` holds ready for another server to fetch."""
 
     ticket: str
     source: str
@@ -97,7 +97,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A prompt prefix was stored or evicted for a session."""
+    """The cached prefix of a session was stored or evicted."""
 
     sequence: int
     kind: str
@@ -106,13 +106,13 @@
 
 
 class CacheEventPage(msgspec.Struct, frozen=True):
-    """Events after a sequence number; a jump in the numbers is a gap."""
+    """Cache events after a sequence number; a jump in the numbers means that events were missed."""
 
     events: list[CacheEvent]
 
 
 class ServiceCall(msgspec.Struct, frozen=True):
-    """A call to a plain service; the body is passed through unread."""
+    """A call to a plain service; the body is passed through unchanged."""
 
     service: str
     method: str
@@ -122,7 +122,7 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True):
-    """A plain service's answer; with `retry_after_s` it asked for no other call before."""
+    """A plain service's response; `retry_after_s` is the delay requested before the next call."""
 
     status: int
     content_type: str
@@ -131,53 +131,53 @@
 
 
 class ModelServers(Protocol):
-    """What the system asks of model engines; `address` is `host:port`."""
+    """Client interface of model engines; `address` is `host:port`."""
 
     def generate(self, address: str, call: GenerateCall) -> AsyncGenerator[GenerateEvent, None]:
-        """Start an attempt and yield its events; raises `ServerError` on a broken answer."""
+        """Start an attempt and yield its events; raise `ServerError` if it fails."""
         ...
 
     async def cancel(self, address: str, attempt: str) -> Result[None, ServerFailure]:
-        """Stop an attempt."""
+        """Cancel an attempt."""
         ...
 
     async def load(self, address: str) -> Result[LoadReport, ServerFailure]:
-        """Ask for a load report."""
+        """Return the server's load report."""
         ...
 
     async def cache_events(
         self, address: str, after: int
     ) -> Result[list[CacheEvent], ServerFailure]:
-        """Return cache events after a sequence number."""
+        """Return the cache events after sequence number `after`."""
         ...
 
     async def order(self, address: str, order: Order) -> Result[OrderReply, ServerFailure]:
-        """Give a fenced order."""
+        """Send a fenced order."""
         ...
 
     async def export_kv(self, address: str, session: str) -> Result[KvTicket, ServerFailure]:
-        """Make a session's KV cache, with what runs of it, ready for another server."""
+        """Prepare a session's KV cache, including its running generation, for another server."""
         ...
 
     async def import_kv(self, address: str, ticket: KvTicket) -> Result[None, ServerFailure]:
-        """Have a server fetch a KV cache from another one."""
+        """Make a server fetch an exported KV cache from the server that holds it."""
         ...
 
 
 class PlainServices(Protocol):
-    """What the system asks of plain services."""
+    """Client interface of plain services; `base` is the base URL."""
 
     async def call(
         self, base: str, call: ServiceCall, timeout_s: float
     ) -> Result[ServiceAnswer, ServerFailure]:
-        """Send a call once, never again."""
+        """Send a call exactly once, without retries."""
         ...
 
 
 class ServerError(Exception):
-    """A generation broke off; with `may_have_run` false it never reached the server.
+    """A generation failed; if `may_have_run` is False, the server certainly did not run it.
 
-    With `retry_after_s` the server turned it away and asked for no other before.
+    `retry_after_s` is set if the server rejected the call and stated when to retry.
     """
 
     def __init__(
