--- a/src/moledale/settings.py
+++ b/src/moledale/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one node, read from TOML; every finding is reported with its key path."""
+"""Settings of one node, read from TOML; each validation error names its key."""
 
 import os
 import tomllib
@@ -17,13 +17,13 @@
 
 
 class Section(BaseModel):
-    """A table of the file; unknown keys are findings and types are not coerced."""
+    """Base of the TOML tables; unknown keys are errors and types are not coerced."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class NodeSection(Section):
-    """Who this node is and where it listens."""
+    """Identity and listen addresses of this node."""
 
     id: Name
     hall: Name
@@ -33,7 +33,7 @@
 
 
 class PlatformSection(Section):
-    """Base addresses of the platform's parts and the bounds on calls to them."""
+    """Base URLs of the platform's parts, the timeout of calls and the poll interval."""
 
     table: Url
     objects: Url
@@ -45,7 +45,7 @@
 
 
 class OperatorsSection(Section):
-    """Ed25519 public keys (base64) of those who may sign off a bundle."""
+    """Base64 Ed25519 public keys of the operators who may sign bundles."""
 
     keys: dict[Name, str] = Field(min_length=1)
     required_signatures: int = Field(default=1, ge=1)
@@ -58,7 +58,7 @@
 
 
 class SecretSource(Section):
-    """Where a secret comes from: exactly one of an environment variable and a file."""
+    """Source of a secret: either an environment variable or a file."""
 
     env: str | None = None
     file: str | None = None
@@ -70,7 +70,7 @@
         return self
 
     def read(self) -> Result[str, str]:
-        """Return the secret, or what is wrong with its source."""
+        """Return the secret, or an error message."""
         if self.env is not None:
             value = os.environ.get(self.env)
             if value is None:
@@ -86,14 +86,14 @@
 
 
 class SecretsSection(Section):
-    """Secrets of the node; their values are never logged."""
+    """Sources of the node's secrets; the values are never logged."""
 
     peer: SecretSource
     operator: SecretSource
 
 
 class LimitsSection(Section):
-    """Bounds of one node; each map and queue has its cap here."""
+    """Limits of one node: sizes and rates, with a cap for each map and queue."""
 
     body_bytes: int = Field(default=1_000_000, ge=1024, le=64_000_000)
     header_bytes: int = Field(default=16_384, ge=1024, le=262_144)
@@ -110,7 +110,7 @@
 
 
 class TimesSection(Section):
-    """Durations in seconds that a node lives by."""
+    """Timeouts, intervals and lifetimes, in seconds."""
 
     lease_ttl_s: float = Field(default=10.0, gt=0)
     order_max_s: float = Field(default=2.0, gt=0)
@@ -123,14 +123,14 @@
 
 
 class MetricsSection(Section):
-    """Where statsd listens; left out, no metrics are sent."""
+    """Address of the statsd server; without it, no metrics are sent."""
 
     statsd: HostPort | None = None
     prefix: Name = "moledale"
 
 
 class LogSection(Section):
-    """The lowest level that is written."""
+    """Lowest level that is logged."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
 
@@ -159,14 +159,14 @@
 
 
 class Secrets(BaseModel):
-    """The values of the secrets, kept out of every representation."""
+    """Values of the secrets, excluded from `repr`."""
 
     peer: str = Field(repr=False)
     operator: str = Field(repr=False)
 
 
 def parse(source: str, text: str) -> Result[Settings, list[Finding]]:
-    """Validate TOML text; `source` is the file named in findings."""
+    """Parse and validate TOML text; `source` is the file name to put into findings."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -187,7 +187,7 @@
 
 
 def read_secrets(source: str, settings: Settings) -> Result[Secrets, list[Finding]]:
-    """Read every secret; all that are missing are reported together."""
+    """Read all secrets; return a finding for each one that can't be read."""
     peer = settings.secrets.peer.read()
     operator = settings.secrets.operator.read()
     findings = [
