--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -40,7 +40,7 @@
     BlockNews,
     ClearedNews,
     EndNews,
-    QuarantineNews,
+    QuarantineMessage,
     QuarantineSharing,
 )
 from moledale.gateway.quarantine_store import QuarantineStore
@@ -407,7 +407,7 @@
         self._gossip.tell(PlacementNews(node.id, self.life, self._sequence, placed), targets)
 
     def _tell_quarantine(
-        self, news: QuarantineNews, *, everyone: bool = False, peer: str | None = None
+        self, news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
     ) -> None:
         if self._gossip is None:
             return
@@ -454,7 +454,7 @@
             self.fleet.heard(message)
             return
         if isinstance(message, EndNews | ClearedNews | BlockNews):
-            self.quarantine.heard(message)
+            self.quarantine.on_message(message)
             return
         if isinstance(message, PermitAsk | PermitAnswer):
             self.server_limits.on_message(message)
@@ -495,7 +495,7 @@
         if state.lease_heard is not None:
             relayed = state.lease_heard
             self.keeper.on_renewal(relayed.holder, relayed.news, now, relayed=True)
-        self.quarantine.heard_digest(state.peer, state.blocks)
+        self.quarantine.on_peer_digest(state.peer, state.blocks)
         if state.era is not None:
             self._store.era.heard(state.era.number, state.era.age_s)
         if state.servers is not None:
--- a/src/moledale/gateway/quarantine_store.py
+++ b/src/moledale/gateway/quarantine_store.py
@@ -90,13 +90,13 @@
     async def _look(self) -> None:
         """Wait until there is a block to write, or until it is time to look."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(None if self._sharing.informed else LOOK_S):
+            async with asyncio.timeout(None if self._sharing.synced else LOOK_S):
                 await self._decided.wait()
 
     def _blocked(self, block: Block) -> None:
         self._unwritten[block.fingerprint] = block
         self._decided.set()
-        self._sharing.tell_block(block)
+        self._sharing.broadcast_block(block)
 
     def _write_again(self) -> None:
         """Have the blocks written again that still hold."""
@@ -115,7 +115,7 @@
 
         A node listens for peers before it serves, for longer than these take to tell their state.
         """
-        return self._serves() and not self._sharing.informed
+        return self._serves() and not self._sharing.synced
 
     async def _read(self) -> bool:
         outcome = await self._store.read(BLOCK_TABLE, CALL_TIMEOUT_S)
@@ -128,7 +128,7 @@
         for block in known:
             if not block.is_expired(self._now()):
                 self._guard.quarantine.merge_block(block)
-        self._sharing.informed = True
+        self._sharing.synced = True
         await self._remove([block for block in known if block.is_expired(self._now())])
         return True
 
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -12,7 +12,7 @@
 from moledale.gateway.quarantine_sharing import (
     BlockNews,
     EndNews,
-    QuarantineNews,
+    QuarantineMessage,
     QuarantineSharing,
 )
 from moledale.gateway.quarantine_store import BLOCK_TABLE
@@ -193,20 +193,22 @@
     """Guards of several nodes, whose datagrams are delivered or lost."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
-        self.loses: Callable[[QuarantineNews], bool] = lambda _: False
+        self.loses: Callable[[QuarantineMessage], bool] = lambda _: False
         self.guards: dict[str, RequestGuard] = {}
         self.sharing: dict[str, QuarantineSharing] = {}
         for name in names:
             guard = self.guards[name] = RequestGuard(ConnectionPool(monotonic))
             self.sharing[name] = QuarantineSharing(guard, self.teller(name))
-            self.sharing[name].informed = True
-            guard.on_block = self.sharing[name].tell_block
+            self.sharing[name].synced = True
+            guard.on_block = self.sharing[name].broadcast_block
 
     def teller(self, own: str) -> Callable[..., None]:
-        def tell(news: QuarantineNews, *, everyone: bool = False, peer: str | None = None) -> None:
+        def tell(
+            news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
+        ) -> None:
             for name in [peer] if peer is not None else self.sharing:
                 if name != own and not self.loses(news):
-                    self.sharing[name].heard(news)
+                    self.sharing[name].on_message(news)
 
         return tell
 
@@ -219,7 +221,7 @@
         for name, sharing in self.sharing.items():
             for other, theirs in self.sharing.items():
                 if other != name:
-                    sharing.heard_digest(other, theirs.digest())
+                    sharing.on_peer_digest(other, theirs.digest())
 
     def blocked(self) -> list[str]:
         """Return the nodes that have the guilty request blocked."""
@@ -284,7 +286,7 @@
             started = network.sharing["n4"] = QuarantineSharing(guard, network.teller("n4"))
             self.assertIsNone(started.digest())
             network.tell_states()
-            self.assertTrue(started.informed)
+            self.assertTrue(started.synced)
             self.assertEqual(network.blocked(), ["n1", "n2", "n3", "n4"])
 
         over_network(work)
@@ -292,9 +294,9 @@
     def test_nodes_that_start_together_do_not_take_each_other_for_informed(self) -> None:
         async def work(network: Network) -> None:
             for sharing in network.sharing.values():
-                sharing.informed = False
+                sharing.synced = False
             network.tell_states()
-            self.assertEqual([each.informed for each in network.sharing.values()], [False] * 3)
+            self.assertEqual([each.synced for each in network.sharing.values()], [False] * 3)
 
         over_network(work)
 
@@ -313,13 +315,13 @@
         async def work(network: Network) -> None:
             sizes: list[int] = []
 
-            def tell(news: QuarantineNews, **_: object) -> None:
+            def tell(news: QuarantineMessage, **_: object) -> None:
                 if isinstance(news, EndNews):
                     sizes.append(len(news.requests))
 
             sharing = QuarantineSharing(RequestGuard(ConnectionPool(monotonic)), tell)
             many = [b"r%d" % number for number in range(150)]
-            sharing._send_end(ObservedCrash("s1", many, monotonic()))
+            sharing._send_crash(ObservedCrash("s1", many, monotonic()))
             self.assertEqual(sizes, [64, 64, 22])
 
         over_network(work)
@@ -349,7 +351,7 @@
     def test_block_that_the_store_did_not_take_is_written_when_it_is_back(self) -> None:
         async def work(cluster: Cluster) -> None:
             await self.a_blocked_one(cluster, "n1")
-            await until(lambda: cluster.nodes["n1"].quarantine.informed)
+            await until(lambda: cluster.nodes["n1"].quarantine.synced)
             cluster.platform.mood = Mood.BUSY
             await self.ask_guilty(cluster, "n1")
             await until(lambda: bool(cluster.nodes["n1"].forwarder.guard.quarantine.blocks))
@@ -367,7 +369,7 @@
             until_s = monotonic() + 100.0
             cluster.platform.put(BLOCK_TABLE, "ab12", {"until_s": until_s, "times": 1})
             node = await cluster.start("n1")
-            await until(lambda: node.quarantine.informed)
+            await until(lambda: node.quarantine.synced)
             self.assertEqual(list(node.forwarder.guard.quarantine.blocks), [b"\xab\x12"])
 
         on_cluster(work)
@@ -378,7 +380,7 @@
             for key, until_s in (("aa", now_s - 1_000.0), ("bb", now_s - 10.0)):
                 cluster.platform.put(BLOCK_TABLE, key, {"until_s": until_s, "times": 1})
             node = await cluster.start("n1")
-            await until(lambda: node.quarantine.informed)
+            await until(lambda: node.quarantine.synced)
             rows = cluster.platform.rows
             await until(lambda: rows[(BLOCK_TABLE, "", "aa")].gone)
             self.assertFalse(rows[(BLOCK_TABLE, "", "bb")].gone)
@@ -392,7 +394,7 @@
             await self.a_blocked_one(cluster, "n1")
             other = await cluster.start("n2", (cluster.nodes["n1"].settings.node.control,))
             await until(ready(other))
-            await until(lambda: other.quarantine.informed)
+            await until(lambda: other.quarantine.synced)
             for name in ("n1", "n2", "n1"):
                 await self.ask_guilty(cluster, name)
             await until(lambda: len(self.rows(cluster)) == 1)
