--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -365,7 +365,7 @@
             declined=self.balancer.declined(now),
             limits=self.balancer.limits(now),
             formats=FORMATS,
-            era=self._store.era.news(),
+            era=self._store.era.to_broadcast(),
         )
 
     def _tell_state(self, everyone: bool = True) -> None:
@@ -497,7 +497,7 @@
             self.keeper.on_renewal(relayed.holder, relayed.news, now, relayed=True)
         self.quarantine.on_peer_digest(state.peer, state.blocks)
         if state.era is not None:
-            self._store.era.heard(state.era.number, state.era.age_s)
+            self._store.era.observe(state.era.number, state.era.age_s)
         if state.servers is not None:
             self.fleet.heard_head(state.servers, state.control, state.power)
         index = self.forwarder.index
--- a/src/moledale/gateway/store_era.py
+++ b/src/moledale/gateway/store_era.py
@@ -47,7 +47,7 @@
         self.on_restored: list[Callable[[], None]] = []
         self._now = now
 
-    def heard(self, era: int, age_s: float = 0.0) -> None:
+    def observe(self, era: int, age_s: float = 0.0) -> None:
         """Note an era that an answer or a peer names, and its least age."""
         if era < self.number or era == UNKNOWN_ERA:
             return
@@ -66,7 +66,7 @@
         """Say whether the store came back from an older copy so lately."""
         return self._now() - self.restored_at < span_s
 
-    def news(self) -> EraNews | None:
+    def to_broadcast(self) -> EraNews | None:
         """Return what this node tells its peers, None while it knows no era."""
         if self.number == UNKNOWN_ERA:
             return None
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -261,7 +261,7 @@
         got = outcome.ok_value
         count = first_count(got.headers, ERA)
         era = UNKNOWN_ERA if count is None else count + 1
-        self.era.heard(era)
+        self.era.observe(era)
         if got.status not in good:
             gone = got.status == HISTORY_GONE
             return Err(Trouble(f"status {got.status}", uncertain=False, history_gone=gone))
--- a/tests/test_gateway_lease.py
+++ b/tests/test_gateway_lease.py
@@ -36,7 +36,7 @@
     def restore(self, row: StateRow | None, version: int) -> None:
         """Come back from an older copy."""
         self.row, self.version = row, version
-        self.era.heard(self.era.number + 1)
+        self.era.observe(self.era.number + 1)
 
     def clock(self) -> float:
         """Return the store's clock, whose start is its own."""
@@ -273,7 +273,7 @@
 
     def setUp(self) -> None:
         self.store = OneRow()
-        self.store.era.heard(1)
+        self.store.era.observe(1)
         self.one, self.two = keeper(self.store, "one"), keeper(self.store, "two")
         # Times of the test are shorter than those of nodes.
         short = mock.patch.object(lease_keeper, "RESTORE_GRACE_S", 0.02)
@@ -345,7 +345,7 @@
             version = self.two.lease.version
             others = LeaseRow("other", 9, "other/1", self.store.clock(), era=2)
             era = self.two._store.era = StoreEra()
-            era.heard(1)
+            era.observe(1)
             self.store.restore(StateRow(LEASE_KEY, msgspec.json.encode(others), version), version)
             await self.two.step(0)
             self.assertIsNone(self.two.grant())
--- a/tests/test_lease_over_restores.py
+++ b/tests/test_lease_over_restores.py
@@ -61,7 +61,7 @@
         if monotonic() < self.cut_until:
             return Err(Trouble("cut off"))
         answer = await self._store.read(table, timeout_s)
-        self.era.heard(self._store.era.number)
+        self.era.observe(self._store.era.number)
         return answer
 
     async def write(
@@ -75,7 +75,7 @@
         answer = await self._store.write(table, key, value, expected, timeout_s)
         if self._chance.random() < 0.05:
             return Err(Trouble("lost"))
-        self.era.heard(self._store.era.number)
+        self.era.observe(self._store.era.number)
         return answer
 
 
@@ -120,7 +120,7 @@
     async def play(self, seed: int) -> None:
         self.chance.seed(seed)
         store = ForgetfulStore(self.chance)
-        store.era.heard(1)
+        store.era.observe(1)
         store.note()
         nodes = [NodesStore(store, self.chance) for _ in range(KEEPERS)]
         keepers = [
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -229,7 +229,7 @@
     def setUp(self) -> None:
         self.now = 100.0
         self.era = StoreEra(lambda: self.now)
-        self.era.heard(1)
+        self.era.observe(1)
         self.rollouts = Rollouts(
             LoadBalancer("hall-a"),
             Membership("n1", 1),
@@ -247,7 +247,7 @@
         return RolloutOrder(SERVICE, revision, target, 12.0, self.now, era)
 
     def test_version_that_was_found_bad_stays_so_when_its_order_is_written_again(self) -> None:
-        self.era.heard(2)
+        self.era.observe(2)
         for revision in (70, 95):
             self.now += 0.5
             self.rollouts.apply_order(self.order(revision, era=2))
@@ -256,14 +256,14 @@
             self.assertEqual(known.order.sequence, (2, revision))
 
     def test_order_for_the_same_version_that_comes_later_is_a_new_one(self) -> None:
-        self.era.heard(2)
+        self.era.observe(2)
         self.rollouts.apply_order(self.order(70, era=2))
         self.now += REWRITE_WINDOW_S + 0.1
         self.rollouts.apply_order(self.order(95, era=2))
         self.assertIs(self.rollouts.services[SERVICE].phase, Phase.TRIAL)
 
     def test_new_order_counts_though_its_revision_is_lower_than_one_of_the_former_era(self) -> None:
-        self.era.heard(2)
+        self.era.observe(2)
         self.rollouts.apply_order(self.order(60, era=2, target="v3"))
         known = self.rollouts.services[SERVICE]
         self.assertEqual((known.order.target, known.phase), ("v3", Phase.TRIAL))
@@ -271,7 +271,7 @@
     def test_trial_goes_on_with_what_was_seen_when_its_order_is_written_again(self) -> None:
         self.rollouts.apply_order(self.order(91, era=1, target="v3"))
         self.rollouts.services[SERVICE].record_trial("r")
-        self.era.heard(2)
+        self.era.observe(2)
         self.rollouts.apply_order(self.order(80, era=2, target="v3"))
         own = self.rollouts.services[SERVICE].own
         self.assertEqual((own.tried, own.revision), (1, 80))
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -107,7 +107,7 @@
         self.at = 1_000.0
         self.store = OneRow()
         self.store.era = StoreEra(self.now)
-        self.store.era.heard(1)
+        self.store.era.observe(1)
         self.log = ReportLog()
 
     def now(self) -> float:
@@ -214,8 +214,8 @@
             await world.run(self.first, 1_006.0)
             restarted = Holder("n2", world)
             world.store.era = restarted.duties._store.era = StoreEra(world.now)
-            world.store.era.heard(1)
-            world.store.era.heard(1, age_s=60.0)
+            world.store.era.observe(1)
+            world.store.era.observe(1, age_s=60.0)
             restarted.sharing.started("north")
             restarted.sharing.usage.started = {200: {"north": 2}}
             await world.run(restarted, 1_009.0)
