--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -277,9 +277,9 @@
         outcome = await self._store.servers(READ_TIMEOUT_S, before)
         if isinstance(outcome, Err):
             self._failed_at = self._now()
-            self._health.failed(outcome.err_value.detail)
+            self._health.record_failure(outcome.err_value.detail)
             return False
-        self._health.answered()
+        self._health.record_success()
         listed = outcome.ok_value
         self._true_time.record_store_clock(listed.store_s, sent_at, self._now())
         if listed.at < self.list.era_version:
--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -107,11 +107,11 @@
             if isinstance(outcome, Err):
                 position = None
                 self.reached_at = -1e9
-                self._health.failed(outcome.err_value.detail)
+                self._health.record_failure(outcome.err_value.detail)
                 await self._wait_again()
                 continue
             self._backoff.answered()
-            self._health.answered()
+            self._health.record_success()
             self.reached_at = monotonic()
             news = outcome.ok_value
             if position is None:
@@ -130,7 +130,7 @@
         """Read the plan from the store, since no peer delivers it; say whether it answered."""
         outcome = await self._store.plan(FALLBACK_TIMEOUT_S)
         if isinstance(outcome, Err):
-            self._health.failed(outcome.err_value.detail)
+            self._health.record_failure(outcome.err_value.detail)
             return False
         self._take_news(outcome.ok_value)
         return True
--- a/src/moledale/gateway/quarantine_store.py
+++ b/src/moledale/gateway/quarantine_store.py
@@ -83,7 +83,7 @@
                 continue
             if done:
                 self._backoff.answered()
-                self._health.answered()
+                self._health.record_success()
             else:
                 await asyncio.sleep(self._backoff.next_s())
 
@@ -120,7 +120,7 @@
     async def _read(self) -> bool:
         outcome = await self._store.read(BLOCK_TABLE, CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
-            self._health.failed(outcome.err_value.detail)
+            self._health.record_failure(outcome.err_value.detail)
             return False
         reading = outcome.ok_value
         blocks = [self._decode_block(row, reading.store_s) for row in reading.rows]
@@ -146,7 +146,7 @@
             key = block.fingerprint.hex()
             trouble = await self._store.remove(BLOCK_TABLE, key, CALL_TIMEOUT_S)
             if trouble is not None:
-                self._health.failed(trouble.detail)
+                self._health.record_failure(trouble.detail)
                 return
 
     async def _write(self) -> bool:
@@ -159,7 +159,7 @@
         value = msgspec.json.encode(stored)
         trouble = await self._store.put(BLOCK_TABLE, fingerprint.hex(), value, CALL_TIMEOUT_S)
         if trouble is not None:
-            self._health.failed(trouble.detail)
+            self._health.record_failure(trouble.detail)
             return False
         if self._unwritten.get(fingerprint) is block:
             del self._unwritten[fingerprint]
--- a/src/moledale/gateway/store_health.py
+++ b/src/moledale/gateway/store_health.py
@@ -8,19 +8,19 @@
 
     def __init__(self, purpose: str) -> None:
         self._purpose = purpose
-        self._failed = 0
-        self._told: set[str] = set()
+        self._failures = 0
+        self._logged_reasons: set[str] = set()
 
-    def failed(self, why: str) -> None:
+    def record_failure(self, why: str) -> None:
         """Note a call that brought nothing."""
-        self._failed += 1
-        if why not in self._told:
-            self._told.add(why)
-            emit(Event.PLATFORM_DOWN, part=self._purpose, why=why, failed=self._failed)
+        self._failures += 1
+        if why not in self._logged_reasons:
+            self._logged_reasons.add(why)
+            emit(Event.PLATFORM_DOWN, part=self._purpose, why=why, failed=self._failures)
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """Note a call that was answered."""
-        if self._failed:
-            emit(Event.PLATFORM_UP, part=self._purpose, failed=self._failed)
-            self._failed = 0
-            self._told.clear()
+        if self._failures:
+            emit(Event.PLATFORM_UP, part=self._purpose, failed=self._failures)
+            self._failures = 0
+            self._logged_reasons.clear()
