--- a/src/moledale/gateway/document_fetch.py
+++ b/src/moledale/gateway/document_fetch.py
@@ -96,7 +96,7 @@
         self._newer = asyncio.Event()
         self._transfer = Transfer()
         self._whole_only = False
-        self._random = random.Random()
+        self._rng = random.Random()
 
     def heard(self, control: str, version: EraVersion, power: float, now: float) -> None:
         """Note a node's word of the document that it has."""
@@ -142,7 +142,7 @@
                 got_at = monotonic()
 
     def _patience_s(self) -> float:
-        return STORE_AFTER_S + STORE_SPREAD_S * self._random.random()
+        return STORE_AFTER_S + STORE_SPREAD_S * self._rng.random()
 
     def _newer_sources(self) -> dict[str, Source]:
         own = self._own_version()
@@ -155,7 +155,7 @@
         if not free:
             return None
         weights = [sources[name].power for name in free]
-        return self._random.choices(free, weights)[0]
+        return self._rng.choices(free, weights)[0]
 
     async def _ask(self, control: str) -> bool:
         """Ask a source for the next piece; say whether one came."""
@@ -194,7 +194,7 @@
             )
             return Err(FAILED_PAUSE_S)
         if outcome.ok_value.status != 200:
-            return Err(BUSY_PAUSE_S * (1.0 + self._random.random()))
+            return Err(BUSY_PAUSE_S * (1.0 + self._rng.random()))
         try:
             return Ok(msgspec.msgpack.decode(outcome.ok_value.body, type=DocumentPiece))
         except msgspec.DecodeError as error:
--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -16,7 +16,7 @@
 from moledale.gateway.usage import TrueTime
 
 MEMBER_TABLE = "members"
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 STORE_TIMEOUT_S = 0.8
 """A call has this long: 200 times its usual answer."""
@@ -27,7 +27,7 @@
 RETRY_MAX_S = 1.0
 """Longest pause, for a node alone."""
 
-SPREAD_S = 0.5
+JITTER_S = 0.5
 """Nodes register again within this time for each `neighbours.FEW` of them, by chance."""
 
 
@@ -51,8 +51,8 @@
         self._own_address = own_address
         self._addresses = addresses
         self._true_time = true_time
-        self._crowd = crowd
-        self._random = random.Random()
+        self._interval_factor = crowd
+        self._rng = random.Random()
         self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, crowd)
         self._restored = asyncio.Event()
         store.era.on_restored.append(self._restored.set)
@@ -63,7 +63,7 @@
             self._restored.clear()
             await self._register()
             await self._restored.wait()
-            await asyncio.sleep(SPREAD_S * self._crowd() * self._random.random())
+            await asyncio.sleep(JITTER_S * self._interval_factor() * self._rng.random())
 
     async def _register(self) -> None:
         """Register, repeating what fails."""
@@ -87,17 +87,17 @@
         now = monotonic()
         self._true_time.record_store_clock(outcome.ok_value.store_s, sent_at, now)
         for row in outcome.ok_value.rows:
-            address = parse_or_log(MEMBER_TABLE, row.key, partial(_address_in, row))
+            address = parse_or_log(MEMBER_TABLE, row.key, partial(_parse_address, row))
             if address is not None:
                 self._addresses.add(address, now)
         return True
 
 
-def _address_in(row: StateRow) -> str:
+def _parse_address(row: StateRow) -> str:
     """Return the address `IP:port` that a row tells, ValueError if it tells none."""
     address = row.value.decode("ascii")
     host, _, port = address.rpartition(":")
     ipaddress.ip_address(host)
-    if not 0 < int(port) <= HIGHEST_PORT:
+    if not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"no port: {port}")
     return address
