--- a/src/moledale/gateway/admission.py
+++ b/src/moledale/gateway/admission.py
@@ -10,7 +10,7 @@
 from moledale.gateway.events import EventSplitter
 from moledale.gateway.job import Job
 from moledale.gateway.messages import Caller, InboundRequest, Refusal, RequestFacts
-from moledale.gateway.plan import Account, Plan, PlanIndex, Route, chosen_service
+from moledale.gateway.plan import Account, Plan, PlanIndex, Route, choose_service
 from moledale.gateway.reply import Reply
 from moledale.log import Event, emit
 
@@ -110,7 +110,7 @@
             facts,
             route,
             caller,
-            chosen_service(route, self._rng.random()),
+            choose_service(route, self._rng.random()),
             request.arrived_at + limit,
             reply,
             EventSplitter(facts.resumed_after),
--- a/src/moledale/gateway/plan.py
+++ b/src/moledale/gateway/plan.py
@@ -70,8 +70,8 @@
 class Renting(msgspec.Struct, frozen=True):
     """How many servers of a service each hall may have, and what they cost a second."""
 
-    least: int
-    most: int
+    min_per_hall: int
+    max_per_hall: int
     boot_s: float
     spot_price: float
     hall_prices: dict[str, float]
@@ -93,7 +93,7 @@
     keys: tuple[str, ...] = ()
     priority: int | None = None
     unit: str = ""
-    plain_tokens: float = 1.0
+    default_tokens: float = 1.0
     rate_per_s: float = 0.0
     burst: float = 0.0
 
@@ -101,7 +101,7 @@
         """Return what a request with this many tokens takes of the limit."""
         if self.unit != TOKENS:
             return 1.0
-        return float(tokens) if tokens else self.plain_tokens
+        return float(tokens) if tokens else self.default_tokens
 
 
 class Limits(msgspec.Struct, frozen=True):
@@ -161,7 +161,7 @@
     return host.lower().partition(":")[0]
 
 
-def chosen_service(route: Route, chance: float) -> str:
+def choose_service(route: Route, chance: float) -> str:
     """Return the service for a request; `chance` is uniform in [0, 1)."""
     if len(route.split) == 1:
         return route.split[0].service
--- a/src/moledale/gateway/renting.py
+++ b/src/moledale/gateway/renting.py
@@ -222,7 +222,7 @@
                 running[server.hall][server.spot] += 1
         need = self.need(renting)
         per_hall = ceil(need.spot * SPOT_FACTOR / max(1, len(running) - 1))
-        wanted_spot = max(renting.least, min(per_hall, renting.most))
+        wanted_spot = max(renting.min_per_hall, min(per_hall, renting.max_per_hall))
         never_used = self.first_start and self.demand.idle
         may_lower = never_used or self.demand.observed_s >= DEMAND_WINDOW_S
         due = []
@@ -239,7 +239,7 @@
 
         Before demand is known they follow from the maximum that operators allow.
         """
-        allowed = renting.most * len(renting.hall_prices)
+        allowed = renting.max_per_hall * len(renting.hall_prices)
         initial = max(MIN_START_SERVERS, ceil(START_SHARE * allowed))
         need = self.demand.need(initial, renting.boot_s)
         return Need(need.spot + self.unavailable, need.on_demand + self.unavailable)
@@ -280,7 +280,7 @@
         prices = renting.hall_prices
         for keep_ordered in (True, False):
             for hall in sorted(prices, key=lambda hall: prices[hall]):
-                room = renting.most - max(spot[hall], 0)
+                room = renting.max_per_hall - max(spot[hall], 0)
                 limit = min(room, ordered[hall]) if keep_ordered else room
                 added = max(0, min(wanted - sum(result.values()), limit - result[hall]))
                 result[hall] += added
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -18,7 +18,7 @@
     PlanIndex,
     Route,
     Share,
-    chosen_service,
+    choose_service,
 )
 from moledale.gateway.server_list import ServerChange
 from moledale.gateway.server_view import record_silence
@@ -92,7 +92,7 @@
     def test_split_by_weight(self) -> None:
         shares = (Share("one", 90), Share("two", 10))
         route = Route("r", "x", "/", Kind.SAFE, shares, 1.0, 1.0)
-        picks = [chosen_service(route, number / 1000) for number in range(1000)]
+        picks = [choose_service(route, number / 1000) for number in range(1000)]
         self.assertEqual(picks.count("two"), 100)
 
 
