--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -350,7 +350,7 @@
             self.balancer.work,
             self.neighbours.serving,
             power_of(node.cores, node.link_mbps),
-            now - self.plans.reached_at,
+            now - self.plans.store_reached_at,
             self.sharing.offset_s(),
             self.keeper.lease_update(),
             lease_heard=self.keeper.lease_to_relay(now),
--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -22,10 +22,10 @@
 from moledale.gateway.usage import TrueTime
 from moledale.log import Event, emit
 
-WATCH_S = 3.0
+WATCH_TIMEOUT_S = 3.0
 """Longest wait of one watch; a watch that the store forgot is noticed after this time."""
 
-WATCHERS = 3
+WATCHER_COUNT = 3
 """Nodes that watch the store at once: two may be dark or cut off before a plan comes late."""
 
 POLL_INTERVAL_S = 0.2
@@ -71,31 +71,31 @@
             PLAN_PATH,
             self.archive,
             lambda: EraVersion(number=self._version),
-            self._fetched,
+            self._on_fetched,
             self._read_for_want_of_peers,
         )
-        self.reached_at = -1e9
+        self.store_reached_at = -1e9
         self._version = -1
-        self._turn = turn
+        self._watch_rank = turn
         self._store = store
         self._health = StoreHealth("plan")
         self._true_time = true_time
         self._adopt = adopt
-        self._adopted = adopted
-        self._ordered = ordered
-        self._start = start
+        self._on_adopted = adopted
+        self._on_rollout = ordered
+        self._cold_start = start
         self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, crowd)
-        self._brought = asyncio.Event()
+        self._plan_arrived = asyncio.Event()
 
     async def watch(self) -> None:
         """Watch the store while it is this node's turn, for ever."""
-        if self._start is not None:
-            await self._start.wait(
+        if self._cold_start is not None:
+            await self._cold_start.wait(
                 lambda: self._version >= 0, lambda: self.fetch.behind(monotonic())
             )
         position: EraVersion | None = None
         while True:
-            if self._version >= 0 and self._turn() >= WATCHERS:
+            if self._version >= 0 and self._watch_rank() >= WATCHER_COUNT:
                 position = None
                 await asyncio.sleep(POLL_INTERVAL_S)
                 continue
@@ -103,28 +103,28 @@
             if position is None:
                 outcome = await self._store.plan(CALL_TIMEOUT_S)
             else:
-                outcome = await self._store.watch_plan(position, WATCH_S)
+                outcome = await self._store.watch_plan(position, WATCH_TIMEOUT_S)
             if isinstance(outcome, Err):
                 position = None
-                self.reached_at = -1e9
+                self.store_reached_at = -1e9
                 self._health.record_failure(outcome.err_value.detail)
-                await self._wait_again()
+                await self._wait_before_retry()
                 continue
             self._backoff.answered()
             self._health.record_success()
-            self.reached_at = monotonic()
+            self.store_reached_at = monotonic()
             news = outcome.ok_value
             if position is None:
                 self._true_time.record_store_clock(news.store_s, sent_at, monotonic())
             position = news.position
-            self._take_news(news)
+            self._apply_update(news)
 
-    async def _wait_again(self) -> None:
+    async def _wait_before_retry(self) -> None:
         """Wait after a call that failed; a plan that others brought ends the wait."""
-        self._brought.clear()
+        self._plan_arrived.clear()
         with suppress(TimeoutError):
             async with asyncio.timeout(self._backoff.next_s()):
-                await self._brought.wait()
+                await self._plan_arrived.wait()
 
     async def _read_for_want_of_peers(self) -> bool:
         """Read the plan from the store, since no peer delivers it; say whether it answered."""
@@ -132,31 +132,31 @@
         if isinstance(outcome, Err):
             self._health.record_failure(outcome.err_value.detail)
             return False
-        self._take_news(outcome.ok_value)
+        self._apply_update(outcome.ok_value)
         return True
 
-    def _take_news(self, news: PlanNews) -> None:
+    def _apply_update(self, news: PlanNews) -> None:
         for rollout in news.rollouts:
-            self._ordered(rollout)
+            self._on_rollout(rollout)
         if news.plan is not None:
-            self._take(news.plan, news.raw, from_store=True)
+            self._adopt_plan(news.plan, news.raw, from_store=True)
 
-    def _fetched(self, version: EraVersion, raw: bytes) -> None:
+    def _on_fetched(self, version: EraVersion, raw: bytes) -> None:
         """Take over a plan that a peer passed on."""
         try:
             plan = self._store.decode_plan(raw)
         except ValueError as error:
             emit(Event.BUNDLE_REFUSED, version=version.number, why=str(error))
             return
-        self._take(plan, raw, from_store=False)
+        self._adopt_plan(plan, raw, from_store=False)
 
-    def _take(self, plan: Plan, raw: bytes, from_store: bool) -> None:
+    def _adopt_plan(self, plan: Plan, raw: bytes, from_store: bool) -> None:
         if not self._adopt(plan):
             return
         self._version = plan.version
-        self._brought.set()
+        self._plan_arrived.set()
         self.archive.keep(EraVersion(number=plan.version), raw)
-        self._adopted(from_store)
+        self._on_adopted(from_store)
         emit(
             Event.BUNDLE_ADOPTED,
             version=plan.version,
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -135,7 +135,7 @@
             task = asyncio.create_task(watch.watch())
             await asyncio.sleep(2.0)
             asked = store.calls
-            watch._fetched(EraVersion(number=9), config_bytes(9, 5))
+            watch._on_fetched(EraVersion(number=9), config_bytes(9, 5))
             await asyncio.sleep(0.1)
             self.assertGreater(store.calls, asked)
             task.cancel()
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -23,7 +23,7 @@
     TOKENS,
     Account,
 )
-from moledale.gateway.plan_watch import WATCHERS
+from moledale.gateway.plan_watch import WATCHER_COUNT
 from moledale.gateway.rate import Rate
 from moledale.gateway.settings import Bounds
 from moledale.gateway.sharing import Sharing
@@ -219,7 +219,7 @@
         own = state("n0")
         self.assertEqual(neighbours.watch_turn(own, 10.0), 0)
         members.heard(state("n1", serving=True, store_age_s=0.2), 10.0)
-        self.assertGreaterEqual(neighbours.watch_turn(own, 10.0), WATCHERS)
+        self.assertGreaterEqual(neighbours.watch_turn(own, 10.0), WATCHER_COUNT)
         members.heard(state("n1", serving=True, sequence=2, store_age_s=60.0), 10.0)
         self.assertEqual(neighbours.watch_turn(own, 10.0), 0)
 
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -14,7 +14,7 @@
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.outside import ABSENT
 from moledale.gateway.peers import Standing
-from moledale.gateway.plan_watch import WATCH_S
+from moledale.gateway.plan_watch import WATCH_TIMEOUT_S
 from moledale.gateway.settings import Bounds, GatewaySettings, Identity, Outside, load, parse
 from moledale.platform.cloud import PlatformCloud
 from moledale.platform.engines import PlatformEngines
@@ -279,7 +279,7 @@
             silent = RowsPlatform(mood=Mood.SILENT)
             await silent.start()
             second.plans._store = PlatformStore(silent.address)
-            await asyncio.sleep(WATCH_S + 0.3)
+            await asyncio.sleep(WATCH_TIMEOUT_S + 0.3)
             cluster.platform.put("op", "config", config(4))
             await until(lambda: version_of(second) == 4, 2.0)
             await silent.stop()
@@ -292,7 +292,7 @@
             for node in nodes:
                 await until(ready(node))
             await asyncio.sleep(7.5)
-            watching = [node for node in nodes if monotonic() - node.plans.reached_at < 3.5]
+            watching = [node for node in nodes if monotonic() - node.plans.store_reached_at < 3.5]
             self.assertEqual(len(watching), 3)
             cluster.platform.put("op", "config", config(4))
             await until(lambda: all(version_of(node) == 4 for node in nodes), 0.8)
@@ -306,7 +306,9 @@
                 await until(ready(node))
             await asyncio.sleep(7.5)
             watching = [
-                name for name, node in nodes.items() if monotonic() - node.plans.reached_at < 3.5
+                name
+                for name, node in nodes.items()
+                if monotonic() - node.plans.store_reached_at < 3.5
             ]
             for name in watching:
                 cluster.kill(name)
