--- a/src/moledale/gateway/document_archive.py
+++ b/src/moledale/gateway/document_archive.py
@@ -19,10 +19,10 @@
 PIECE_BYTES = 16_384
 """Size of a piece: 26 ms on a link of 5 Mbit/s."""
 
-MOST_KEPT = 4
+MAX_DOCUMENTS = 4
 """Documents kept as bases of differences; operators may change several plans in a second."""
 
-MOST_FRAMES = 8
+MAX_FRAMES = 8
 """Frames of the newest document that are kept, one for each base that nodes asked with."""
 
 LINK_SHARE = 0.5
@@ -95,7 +95,7 @@
 
     link_mbps: float
     now: Callable[[], float]
-    most_kept: int = MOST_KEPT
+    most_kept: int = MAX_DOCUMENTS
     _kept: OrderedDict[str, KeptDocument] = msgspec.field(default_factory=OrderedDict)
     _frames: OrderedDict[str, tuple[str, bytes]] = msgspec.field(default_factory=OrderedDict)
     _budget: UploadBudget = msgspec.field(default_factory=lambda: UploadBudget(0.0))
@@ -150,6 +150,6 @@
             frame = encode(self._kept[digest].raw, self._kept[base].raw if base else b"")
             found = xxhash.xxh3_64_hexdigest(frame), frame
             self._frames[base] = found
-            while len(self._frames) > MOST_FRAMES:
+            while len(self._frames) > MAX_FRAMES:
                 self._frames.popitem(last=False)
         return found
