--- a/src/moledale/gateway/document_archive.py
+++ b/src/moledale/gateway/document_archive.py
@@ -57,7 +57,7 @@
         return EraVersion(self.era, self.version)
 
 
-class PieceWanted(msgspec.Struct, frozen=True):
+class PieceRequest(msgspec.Struct, frozen=True):
     """What a node that fetches has: its document's digest, and how far it is in which frame."""
 
     have: str = ""
@@ -129,7 +129,7 @@
         kept = self._kept.get(digest)
         return None if kept is None else kept.raw
 
-    def piece(self, wanted: PieceWanted) -> DocumentPiece | None:
+    def piece(self, wanted: PieceRequest) -> DocumentPiece | None:
         """Return a piece of the newest document; None without one, or while others are served."""
         digest = self.newest
         if not digest:
--- a/src/moledale/gateway/document_fetch.py
+++ b/src/moledale/gateway/document_fetch.py
@@ -16,7 +16,7 @@
 
 from moledale.clock import monotonic
 from moledale.gateway.calls import HttpCaller
-from moledale.gateway.document_archive import DocumentArchive, DocumentPiece, PieceWanted
+from moledale.gateway.document_archive import DocumentArchive, DocumentPiece, PieceRequest
 from moledale.gateway.document_codec import DocumentUnreadable, decode
 from moledale.gateway.store_era import EraVersion
 from moledale.log import Event, emit
@@ -44,7 +44,7 @@
 """Word of a newer document that nobody delivers within this time is not believed any longer."""
 
 
-def piece_path(path: str, wanted: PieceWanted) -> str:
+def piece_path(path: str, wanted: PieceRequest) -> str:
     """Return the path that asks for a piece."""
     return f"{path}?{urlencode(msgspec.structs.asdict(wanted))}"
 
@@ -182,7 +182,7 @@
         if transfer.frame:
             # Sources keep different bases; all of them can go on with the frame that was begun.
             have = transfer.base
-        wanted = PieceWanted(have, transfer.frame, len(transfer.data))
+        wanted = PieceRequest(have, transfer.frame, len(transfer.data))
         caller = HttpCaller(control)
         outcome = await caller.call(
             "GET", piece_path(self._path, wanted), timeout_s=PIECE_TIMEOUT_S
--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from moledale.clock import monotonic
-from moledale.gateway.document_archive import DocumentArchive, PieceWanted
+from moledale.gateway.document_archive import DocumentArchive, PieceRequest
 from moledale.gateway.document_fetch import PLAN_PATH, SERVERS_PATH
 from moledale.gateway.entry import Asked, EntryDialect
 from moledale.gateway.inbound import Listener
@@ -61,7 +61,7 @@
     def _give_piece(self, reply: Reply, archive: DocumentArchive, query: str) -> None:
         """Answer a node that fetches a document; 503 while there is none or others are served."""
         try:
-            wanted = msgspec.convert(dict(parse_qsl(query)), PieceWanted, strict=False)
+            wanted = msgspec.convert(dict(parse_qsl(query)), PieceRequest, strict=False)
         except msgspec.ValidationError:
             reply.send_whole(400, [], b"")
             return
--- a/tests/test_plan_spread.py
+++ b/tests/test_plan_spread.py
@@ -14,7 +14,7 @@
     LINK_SHARE,
     PIECE_BYTES,
     DocumentArchive,
-    PieceWanted,
+    PieceRequest,
 )
 from moledale.gateway.document_codec import DocumentUnreadable, decode, digest_of, encode
 from moledale.gateway.document_fetch import BEHIND_S
@@ -76,13 +76,13 @@
         self.archive = DocumentArchive(THIN_MBPS, lambda: self.now)
 
     def test_nothing_is_given_without_a_plan(self) -> None:
-        self.assertIsNone(self.archive.piece(PieceWanted()))
+        self.assertIsNone(self.archive.piece(PieceRequest()))
 
     def test_fetches_take_a_share_of_the_link_only(self) -> None:
         self.archive.keep(EraVersion(number=9), LARGE)
         given = 0
         for _ in range(1_000):
-            piece = self.archive.piece(PieceWanted())
+            piece = self.archive.piece(PieceRequest())
             given += len(piece.data) if piece is not None else 0
             self.now += 0.001
         share = THIN_MBPS * BYTES_PER_MBIT * LINK_SHARE
@@ -93,16 +93,16 @@
         other = DocumentArchive(100.0, lambda: self.now)
         self.archive.keep(EraVersion(number=9), LARGE)
         other.keep(EraVersion(number=9), LARGE)
-        first = self.archive.piece(PieceWanted())
+        first = self.archive.piece(PieceRequest())
         assert first is not None
-        second = other.piece(PieceWanted("", first.frame, len(first.data)))
+        second = other.piece(PieceRequest("", first.frame, len(first.data)))
         assert second is not None
         self.assertEqual(second.offset, len(first.data))
         self.assertEqual(first.data + second.data, encode(LARGE)[: 2 * PIECE_BYTES])
 
     def test_a_base_that_is_not_kept_gives_the_whole_plan(self) -> None:
         self.archive.keep(EraVersion(number=9), LARGE)
-        piece = self.archive.piece(PieceWanted(have="unknown"))
+        piece = self.archive.piece(PieceRequest(have="unknown"))
         assert piece is not None
         self.assertEqual(piece.base, "")
 
