--- a/src/moledale/gateway/document_archive.py
+++ b/src/moledale/gateway/document_archive.py
@@ -52,7 +52,7 @@
     era: int = UNKNOWN_ERA
 
     @property
-    def at(self) -> EraVersion:
+    def era_version(self) -> EraVersion:
         """Return the version with its era."""
         return EraVersion(self.era, self.version)
 
@@ -65,7 +65,7 @@
     offset: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
-class KeptDocument(msgspec.Struct):
+class ArchivedDocument(msgspec.Struct):
     """A document's bytes and version."""
 
     version: EraVersion
@@ -77,13 +77,13 @@
 
     bytes_per_s: float
     level: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def take(self, size: int, now: float) -> bool:
         """Take bytes if they are there."""
         most = max(float(PIECE_BYTES), self.bytes_per_s * BURST_S)
-        self.level = min(most, self.level + (now - self.at) * self.bytes_per_s)
-        self.at = now
+        self.level = min(most, self.level + (now - self.updated_at) * self.bytes_per_s)
+        self.updated_at = now
         if self.level < min(size, most):
             return False
         self.level -= size
@@ -95,8 +95,8 @@
 
     link_mbps: float
     now: Callable[[], float]
-    most_kept: int = MAX_DOCUMENTS
-    _kept: OrderedDict[str, KeptDocument] = msgspec.field(default_factory=OrderedDict)
+    max_documents: int = MAX_DOCUMENTS
+    _documents: OrderedDict[str, ArchivedDocument] = msgspec.field(default_factory=OrderedDict)
     _frames: OrderedDict[str, tuple[str, bytes]] = msgspec.field(default_factory=OrderedDict)
     _budget: UploadBudget = msgspec.field(default_factory=lambda: UploadBudget(0.0))
 
@@ -106,27 +106,27 @@
     def keep(self, version: EraVersion, raw: bytes) -> None:
         """Keep a document that is newer than all before it; it may have been there before."""
         digest = digest_of(raw)
-        self._kept[digest] = KeptDocument(version, raw)
-        self._kept.move_to_end(digest)
+        self._documents[digest] = ArchivedDocument(version, raw)
+        self._documents.move_to_end(digest)
         self._frames.clear()
-        while len(self._kept) > self.most_kept:
-            self._kept.popitem(last=False)
+        while len(self._documents) > self.max_documents:
+            self._documents.popitem(last=False)
 
     def renew(self, version: EraVersion) -> None:
         """Note that the newest document is that of a later version, too."""
-        if self._kept:
-            self._kept[self.newest].version = version
+        if self._documents:
+            self._documents[self.newest].version = version
 
     @property
     def newest(self) -> str:
         """Return the digest of the newest document, or "" if there is none."""
-        return next(reversed(self._kept), "")
+        return next(reversed(self._documents), "")
 
     def raw(self, digest: str) -> bytes | None:
         """Return a document that is kept; b"" for the digest of none."""
         if not digest:
             return b""
-        kept = self._kept.get(digest)
+        kept = self._documents.get(digest)
         return None if kept is None else kept.raw
 
     def piece(self, wanted: PieceRequest) -> DocumentPiece | None:
@@ -134,20 +134,20 @@
         digest = self.newest
         if not digest:
             return None
-        base = wanted.have if wanted.have in self._kept else ""
+        base = wanted.have if wanted.have in self._documents else ""
         name, frame = self._frame(digest, base)
         offset = wanted.offset if wanted.frame == name else 0
         data = frame[offset : offset + PIECE_BYTES]
         if not self._budget.take(len(data), self.now()):
             return None
-        version = self._kept[digest].version
+        version = self._documents[digest].version
         size = len(frame)
         return DocumentPiece(version.number, digest, base, name, size, offset, data, version.era)
 
     def _frame(self, digest: str, base: str) -> tuple[str, bytes]:
         found = self._frames.get(base)
         if found is None:
-            frame = encode(self._kept[digest].raw, self._kept[base].raw if base else b"")
+            frame = encode(self._documents[digest].raw, self._documents[base].raw if base else b"")
             found = xxhash.xxh3_64_hexdigest(frame), frame
             self._frames[base] = found
             while len(self._frames) > MAX_FRAMES:
--- a/tests/test_plan_spread.py
+++ b/tests/test_plan_spread.py
@@ -198,7 +198,7 @@
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
                 node = await world.add(100.0, SMALL)
-                node.archive._kept[digest_of(SMALL)].raw = SMALL[:-1]
+                node.archive._documents[digest_of(SMALL)].raw = SMALL[:-1]
                 world.roll(LARGE, [source])
                 await world.wait_for(9, IN_FORCE_S)
                 self.assertEqual(node.archive.raw(digest_of(LARGE)), LARGE)
