--- a/src/moledale/gateway/document_fetch.py
+++ b/src/moledale/gateway/document_fetch.py
@@ -166,7 +166,7 @@
             source.paused_until = now + outcome.err_value
             return False
         piece = outcome.ok_value
-        if piece.at <= self._own_version():
+        if piece.era_version <= self._own_version():
             del self._sources[control]
             return False
         self._transfer.add(piece)
@@ -223,5 +223,5 @@
             )
             return False
         self._whole_only = False
-        self._took(piece.at, raw)
-        return self._own_version() >= piece.at
+        self._took(piece.era_version, raw)
+        return self._own_version() >= piece.era_version
