--- a/src/moledale/gateway/document_archive.py
+++ b/src/moledale/gateway/document_archive.py
@@ -103,7 +103,7 @@
     def __post_init__(self) -> None:
         self._budget = UploadBudget(self.link_mbps * BYTES_PER_MBIT * LINK_SHARE)
 
-    def keep(self, version: EraVersion, raw: bytes) -> None:
+    def add(self, version: EraVersion, raw: bytes) -> None:
         """Keep a document that is newer than all before it; it may have been there before."""
         digest = digest_of(raw)
         self._documents[digest] = ArchivedDocument(version, raw)
@@ -112,7 +112,7 @@
         while len(self._documents) > self.max_documents:
             self._documents.popitem(last=False)
 
-    def renew(self, version: EraVersion) -> None:
+    def update_version(self, version: EraVersion) -> None:
         """Note that the newest document is that of a later version, too."""
         if self._documents:
             self._documents[self.newest].version = version
--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -296,7 +296,7 @@
         if marks_fell:
             self._believe()
         if difference is None:
-            self.archive.renew(self.list.era_version)
+            self.archive.update_version(self.list.era_version)
             self.drop_lapsed()
             self._tell_unchanged()
         else:
@@ -367,7 +367,7 @@
             self._newest_head = head
 
     def _confirmed(self, head: ListHead) -> None:
-        self.archive.renew(self.list.era_version)
+        self.archive.update_version(self.list.era_version)
         read_at = self._true_time.to_local(head.read_s)
         if read_at is not None:
             self._note_fresh(min(read_at, self._now()), head.read_s)
