--- a/src/moledale/gateway/document_codec.py
+++ b/src/moledale/gateway/document_codec.py
@@ -16,10 +16,10 @@
 HASH_LOG = 17
 """Entries of the match table, as a power of two: 2 MB."""
 
-SHORTEST_MATCH = 7
+MIN_MATCH_BYTES = 7
 """Shortest repetition that is looked for, in bytes."""
 
-MOST_BYTES = 1 << WINDOW_LOG
+MAX_DOCUMENT_BYTES = 1 << WINDOW_LOG
 
 
 class DocumentUnreadable(Exception):
@@ -37,7 +37,7 @@
         window_log=WINDOW_LOG,
         hash_log=HASH_LOG,
         chain_log=HASH_LOG,
-        min_match=SHORTEST_MATCH,
+        min_match=MIN_MATCH_BYTES,
         strategy=zstandard.STRATEGY_FAST,
         write_content_size=True,
         write_checksum=True,
@@ -51,13 +51,13 @@
 def decode(frame: bytes, base: bytes, digest: str) -> bytes:
     """Return the document in a frame; DocumentUnreadable unless its digest is the announced one."""
     decompressor = zstandard.ZstdDecompressor(
-        dict_data=_dictionary(base), max_window_size=MOST_BYTES
+        dict_data=_dictionary(base), max_window_size=MAX_DOCUMENT_BYTES
     )
     try:
         size = zstandard.frame_content_size(frame)
-        if not 0 <= size <= MOST_BYTES:
+        if not 0 <= size <= MAX_DOCUMENT_BYTES:
             raise DocumentUnreadable(f"{size} bytes are no document")
-        raw = decompressor.decompress(frame, max_output_size=MOST_BYTES)
+        raw = decompressor.decompress(frame, max_output_size=MAX_DOCUMENT_BYTES)
     except zstandard.ZstdError as error:
         raise DocumentUnreadable(str(error)) from error
     if digest_of(raw) != digest:
