--- a/src/moledale/gateway/document_fetch.py
+++ b/src/moledale/gateway/document_fetch.py
@@ -27,20 +27,20 @@
 """Time for one piece, with a new connection: 26 ms at 5 Mbit/s, and others before it in the
 queue."""
 
-BUSY_PAUSE_S = 0.03
+BUSY_RETRY_S = 0.03
 """A source that is busy is asked again after this time: that of a piece at 5 Mbit/s, 26 ms."""
 
-FAILED_PAUSE_S = 1.0
+FAILED_RETRY_S = 1.0
 """A source that failed is not asked again for this long while there are others."""
 
-STORE_AFTER_S = 1.0
+STORE_FALLBACK_S = 1.0
 """Without a piece from any source for this long, the store is asked."""
 
-STORE_SPREAD_S = 0.6
+STORE_FALLBACK_JITTER_S = 0.6
 """The store is asked up to this much later, by chance: 390 nodes ask it 650 times a second at
 most."""
 
-BEHIND_S = 5.0
+NEWER_VERSION_TTL_S = 5.0
 """Word of a newer document that nobody delivers within this time is not believed any longer."""
 
 
@@ -98,7 +98,7 @@
         self._whole_only = False
         self._rng = random.Random()
 
-    def heard(self, control: str, version: EraVersion, power: float, now: float) -> None:
+    def add_source(self, control: str, version: EraVersion, power: float, now: float) -> None:
         """Note a node's word of the document that it has."""
         known = self._sources.get(control)
         if known is not None and known.version >= version:
@@ -108,9 +108,9 @@
             self._heard_at = now
         self._newer.set()
 
-    def behind(self, now: float) -> bool:
+    def is_behind(self, now: float) -> bool:
         """Say whether a newer document is known of that is not here yet."""
-        return self._newer.is_set() and now - self._heard_at < BEHIND_S
+        return self._newer.is_set() and now - self._heard_at < NEWER_VERSION_TTL_S
 
     async def run(self) -> None:
         """Fetch newer documents for ever."""
@@ -128,7 +128,7 @@
             if not sources:
                 return
             now = monotonic()
-            if now - self._heard_at > BEHIND_S:
+            if now - self._heard_at > NEWER_VERSION_TTL_S:
                 self._sources.clear()
                 return
             if now - got_at > patience_s:
@@ -137,12 +137,12 @@
                 continue
             control = self._choose(sources, now)
             if control is None:
-                await asyncio.sleep(BUSY_PAUSE_S)
+                await asyncio.sleep(BUSY_RETRY_S)
             elif await self._ask(control):
                 got_at = monotonic()
 
     def _patience_s(self) -> float:
-        return STORE_AFTER_S + STORE_SPREAD_S * self._rng.random()
+        return STORE_FALLBACK_S + STORE_FALLBACK_JITTER_S * self._rng.random()
 
     def _newer_sources(self) -> dict[str, Source]:
         own = self._own_version()
@@ -171,7 +171,7 @@
             return False
         self._transfer.add(piece)
         if len(self._transfer.data) >= piece.size and not self._finish(piece):
-            source.paused_until = now + FAILED_PAUSE_S
+            source.paused_until = now + FAILED_RETRY_S
             return False
         return True
 
@@ -192,14 +192,14 @@
             emit(
                 Event.PEER_FETCH_FAILED, what=self._path, peer=control, why=outcome.err_value.detail
             )
-            return Err(FAILED_PAUSE_S)
+            return Err(FAILED_RETRY_S)
         if outcome.ok_value.status != 200:
-            return Err(BUSY_PAUSE_S * (1.0 + self._rng.random()))
+            return Err(BUSY_RETRY_S * (1.0 + self._rng.random()))
         try:
             return Ok(msgspec.msgpack.decode(outcome.ok_value.body, type=DocumentPiece))
         except msgspec.DecodeError as error:
             emit(Event.PEER_FETCH_FAILED, what=self._path, peer=control, why=str(error))
-            return Err(FAILED_PAUSE_S)
+            return Err(FAILED_RETRY_S)
 
     def _finish(self, piece: DocumentPiece) -> bool:
         """Read a frame that came whole; one that can't be read is fetched without a base.
--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -184,7 +184,7 @@
     async def watch(self) -> None:
         """Read the list whenever it is this node's turn, for ever."""
         if self._start is not None:
-            await self._start.wait(lambda: self.known, lambda: self.fetch.behind(self._now()))
+            await self._start.wait(lambda: self.known, lambda: self.fetch.is_behind(self._now()))
         while True:
             left_s = self.due_at() - self._now()
             if left_s > 0:
@@ -216,7 +216,7 @@
             reading = self._start_reading()
             left_s = self._reading_since + CURRENT_WAIT_S - self._now()
             await asyncio.wait([reading], timeout=max(0.0, left_s))
-        return self._is_fresh() or not self.fetch.behind(self._now())
+        return self._is_fresh() or not self.fetch.is_behind(self._now())
 
     def _may_read_for_request(self) -> bool:
         now = self._now()
@@ -232,7 +232,7 @@
             self._follow_era()
             self._confirmed(head)
         elif head.era_version > self.list.era_version:
-            self.fetch.heard(control, head.era_version, power, self._now())
+            self.fetch.add_source(control, head.era_version, power, self._now())
 
     def heard(self, change: ServerChange) -> None:
         """Take over a change that another node told, and pass it on the first time."""
@@ -250,7 +250,7 @@
             source = self._control if heard.confirmed else change.source
             self._tell([msgspec.structs.replace(change, source=source)], False)
         if heard.needs_fetch:
-            self.fetch.heard(change.source, change.head.era_version, 1.0, self._now())
+            self.fetch.add_source(change.source, change.head.era_version, 1.0, self._now())
 
     def drop_lapsed(self) -> None:
         """Take servers that are still missing as gone; called often, as lists come seldom."""
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -136,7 +136,7 @@
             self.pool,
             self.sharing,
             engines,
-            newer_plan=lambda: self.plans.fetch.behind(monotonic()),
+            newer_plan=lambda: self.plans.fetch.is_behind(monotonic()),
             list_is_current=lambda: self.fleet.current(),
             first_start=node.first_start,
             trial_share=self.rollouts.trial_share,
@@ -503,7 +503,7 @@
         index = self.forwarder.index
         if state.plan_version > (index.version if index is not None else -1):
             version = EraVersion(number=state.plan_version)
-            self.plans.fetch.heard(state.control, version, state.power, now)
+            self.plans.fetch.add_source(state.control, version, state.power, now)
 
     def _rollout_changed(self, news: RolloutNews) -> None:
         """Tell all others of a roll-out at once, and empty old servers when requests move."""
--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -91,7 +91,7 @@
         """Watch the store while it is this node's turn, for ever."""
         if self._cold_start is not None:
             await self._cold_start.wait(
-                lambda: self._version >= 0, lambda: self.fetch.behind(monotonic())
+                lambda: self._version >= 0, lambda: self.fetch.is_behind(monotonic())
             )
         position: EraVersion | None = None
         while True:
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -108,7 +108,7 @@
         self.wanted = EraVersion()
         self.fetched = 0
 
-    def heard(self, control: str, version: EraVersion, _power: float, _now: float) -> None:
+    def add_source(self, control: str, version: EraVersion, _power: float, _now: float) -> None:
         """Fetch a newer list soon."""
         if version <= self.wanted:
             return
@@ -124,7 +124,7 @@
         self.fetched += 1
         self.node.watch._fetched(source.watch.list.era_version, source.watch.list.raw)
 
-    def behind(self, _now: float) -> bool:
+    def is_behind(self, _now: float) -> bool:
         """Say whether a newer list is on its way."""
         return self.wanted > EraVersion()
 
--- a/tests/plan_world.py
+++ b/tests/plan_world.py
@@ -132,7 +132,7 @@
         if other.version > self.version:
             power = min(20.0, other.link_mbps / 5)
             version = EraVersion(number=other.version)
-            self.fetch.heard(other.address, version, power, monotonic())
+            self.fetch.add_source(other.address, version, power, monotonic())
 
 
 class PlanWorld:
--- a/tests/test_plan_spread.py
+++ b/tests/test_plan_spread.py
@@ -17,7 +17,7 @@
     PieceRequest,
 )
 from moledale.gateway.document_codec import DocumentUnreadable, decode, digest_of, encode
-from moledale.gateway.document_fetch import BEHIND_S
+from moledale.gateway.document_fetch import NEWER_VERSION_TTL_S
 from moledale.gateway.messages import InboundRequest, Refusal, RequestHead
 from moledale.gateway.store_era import EraVersion
 from moledale.platform.headers import PlatformHeaders
@@ -243,8 +243,8 @@
                 source.version = 9
                 now = monotonic()
                 node.hear(source)
-                self.assertTrue(node.fetch.behind(now))
-                self.assertFalse(node.fetch.behind(now + BEHIND_S + 0.1))
+                self.assertTrue(node.fetch.is_behind(now))
+                self.assertFalse(node.fetch.is_behind(now + NEWER_VERSION_TTL_S + 0.1))
 
         quietly(story())
 
