--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -244,7 +244,7 @@
     ("fetches take a part of a link", UploadBudget, "take", lambda *_: True, SPREAD),
     ("a base that is kept is used", DocumentArchive, "newest", "", SPREAD),
     ("a plan's digest is compared", document_codec, "digest_of", lambda _: "", SPREAD),
-    ("a newer plan is waited for", DocumentFetch, "behind", lambda *_: False, SPREAD),
+    ("a newer plan is waited for", DocumentFetch, "is_behind", lambda *_: False, SPREAD),
     ("the store is asked at last", document_fetch, "STORE_FALLBACK_S", 1e9, SPREAD),
     ("many repeat calls more seldom", Backoff, "next_s", lambda _: 0.2, "tests.test_backoff"),
     ("servers' speed is learnt", SpeedEstimator, "_fit", lambda _: (40_000.0, 0.03), LEARNING),
