--- a/src/moledale/gateway/document_fetch.py
+++ b/src/moledale/gateway/document_fetch.py
@@ -89,13 +89,13 @@
         self._path = path
         self._archive = archive
         self._own_version = own_version
-        self._took = took
+        self._on_document = took
         self._read_store = read_store
         self._sources: dict[str, Source] = {}
-        self._heard_at = -1e9
-        self._newer = asyncio.Event()
+        self._newer_since = -1e9
+        self._newer_known = asyncio.Event()
         self._transfer = Transfer()
-        self._whole_only = False
+        self._ignore_bases = False
         self._rng = random.Random()
 
     def add_source(self, control: str, version: EraVersion, power: float, now: float) -> None:
@@ -104,44 +104,44 @@
         if known is not None and known.version >= version:
             return
         self._sources[control] = Source(version, power)
-        if not self._newer.is_set():
-            self._heard_at = now
-        self._newer.set()
+        if not self._newer_known.is_set():
+            self._newer_since = now
+        self._newer_known.set()
 
     def is_behind(self, now: float) -> bool:
         """Say whether a newer document is known of that is not here yet."""
-        return self._newer.is_set() and now - self._heard_at < NEWER_VERSION_TTL_S
+        return self._newer_known.is_set() and now - self._newer_since < NEWER_VERSION_TTL_S
 
     async def run(self) -> None:
         """Fetch newer documents for ever."""
         while True:
-            await self._newer.wait()
-            await self._fetch()
-            self._newer.clear()
+            await self._newer_known.wait()
+            await self._fetch_newest()
+            self._newer_known.clear()
 
-    async def _fetch(self) -> None:
+    async def _fetch_newest(self) -> None:
         """Ask sources until none of them has a newer document than this node."""
-        patience_s = self._patience_s()
+        patience_s = self._fallback_delay_s()
         got_at = monotonic()
         while True:
             sources = self._newer_sources()
             if not sources:
                 return
             now = monotonic()
-            if now - self._heard_at > NEWER_VERSION_TTL_S:
+            if now - self._newer_since > NEWER_VERSION_TTL_S:
                 self._sources.clear()
                 return
             if now - got_at > patience_s:
                 await self._read_store()
-                got_at, patience_s = monotonic(), self._patience_s()
+                got_at, patience_s = monotonic(), self._fallback_delay_s()
                 continue
             control = self._choose(sources, now)
             if control is None:
                 await asyncio.sleep(BUSY_RETRY_S)
-            elif await self._ask(control):
+            elif await self._fetch_piece(control):
                 got_at = monotonic()
 
-    def _patience_s(self) -> float:
+    def _fallback_delay_s(self) -> float:
         return STORE_FALLBACK_S + STORE_FALLBACK_JITTER_S * self._rng.random()
 
     def _newer_sources(self) -> dict[str, Source]:
@@ -157,10 +157,10 @@
         weights = [sources[name].power for name in free]
         return self._rng.choices(free, weights)[0]
 
-    async def _ask(self, control: str) -> bool:
+    async def _fetch_piece(self, control: str) -> bool:
         """Ask a source for the next piece; say whether one came."""
         source = self._sources[control]
-        outcome = await self._call(control)
+        outcome = await self._request_piece(control)
         now = monotonic()
         if isinstance(outcome, Err):
             source.paused_until = now + outcome.err_value
@@ -170,15 +170,15 @@
             del self._sources[control]
             return False
         self._transfer.add(piece)
-        if len(self._transfer.data) >= piece.size and not self._finish(piece):
+        if len(self._transfer.data) >= piece.size and not self._finish_transfer(piece):
             source.paused_until = now + FAILED_RETRY_S
             return False
         return True
 
-    async def _call(self, control: str) -> Result[DocumentPiece, float]:
+    async def _request_piece(self, control: str) -> Result[DocumentPiece, float]:
         """Return a piece, or for how long the source should be left alone."""
         transfer = self._transfer
-        have = "" if self._whole_only else self._archive.newest
+        have = "" if self._ignore_bases else self._archive.newest
         if transfer.frame:
             # Sources keep different bases; all of them can go on with the frame that was begun.
             have = transfer.base
@@ -201,7 +201,7 @@
             emit(Event.PEER_FETCH_FAILED, what=self._path, peer=control, why=str(error))
             return Err(FAILED_RETRY_S)
 
-    def _finish(self, piece: DocumentPiece) -> bool:
+    def _finish_transfer(self, piece: DocumentPiece) -> bool:
         """Read a frame that came whole; one that can't be read is fetched without a base.
 
         Return whether its document was taken over here.
@@ -213,7 +213,7 @@
                 raise DocumentUnreadable("its base is not here")
             raw = decode(bytes(transfer.data), base, piece.digest)
         except DocumentUnreadable as error:
-            self._whole_only = True
+            self._ignore_bases = True
             emit(
                 Event.PEER_FETCH_FAILED,
                 what=self._path,
@@ -222,6 +222,6 @@
                 why=str(error),
             )
             return False
-        self._whole_only = False
-        self._took(piece.era_version, raw)
+        self._ignore_bases = False
+        self._on_document(piece.era_version, raw)
         return self._own_version() >= piece.era_version
