--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -83,7 +83,7 @@
 
     def _on_statement(self, placement: Placement, status: int, facts: AnswerFacts) -> None:
         """Record what a response states about its server, for the placement of later requests."""
-        if not (facts.signed or facts.not_run):
+        if not (facts.stamped or facts.not_run):
             return
         view = placement.view
         stated = facts.statement
@@ -105,7 +105,7 @@
         if facts.not_run:
             await self._read_whole(connection)
             return Attempt(AttemptOutcome.NOT_RUN, why=str(head.status))
-        if not facts.signed:
+        if not facts.stamped:
             connection.usable = False
             return self.handle_cut(job, run.placement, Cut.GARBLED)
         if job.route.kind is Kind.STREAM and head.status < 300:
--- a/src/moledale/gateway/messages.py
+++ b/src/moledale/gateway/messages.py
@@ -94,7 +94,7 @@
     """What an answer says of itself and of its server, whatever its headers are called."""
 
     request_id: str | None
-    signed: bool
+    stamped: bool
     not_run: bool
     keep_alive_s: float | None
     closes: bool
@@ -106,7 +106,7 @@
 
     server_id: str
     account: str | None
-    left_s: float | None
+    remaining_s: float | None
     priority: int | None
     after_event: str = ""
     continued_from: str = ""
--- a/src/moledale/platform/headers.py
+++ b/src/moledale/platform/headers.py
@@ -84,8 +84,8 @@
             lines.append(name + b": " + value)
         if length or had_length:
             lines.append(b"Content-Length: %d" % length)
-        if facts.left_s is not None:
-            lines.append(b"Deadline-Ms: %d" % max(1, int(facts.left_s * 1000)))
+        if facts.remaining_s is not None:
+            lines.append(b"Deadline-Ms: %d" % max(1, int(facts.remaining_s * 1000)))
         lines.append(b"Expect-Instance: " + platform_id(facts.server_id).encode())
         if facts.account is not None:
             lines.append(b"Tenant: " + facts.account.encode())
