--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -398,7 +398,7 @@
 
     def _changed(self, from_store: bool) -> None:
         """Hand on a list that differs from the one before."""
-        self.archive.keep(self.list.era_version, self.list.raw)
+        self.archive.add(self.list.era_version, self.list.raw)
         self._believe()
         emit(
             Event.SERVERS_CHANGED,
--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -155,7 +155,7 @@
             return
         self._version = plan.version
         self._plan_arrived.set()
-        self.archive.keep(EraVersion(number=plan.version), raw)
+        self.archive.add(EraVersion(number=plan.version), raw)
         self._on_adopted(from_store)
         emit(
             Event.BUNDLE_ADOPTED,
--- a/tests/plan_world.py
+++ b/tests/plan_world.py
@@ -122,7 +122,7 @@
             return
         self.version = version
         self.adopted_at[version] = monotonic()
-        self.archive.keep(at, raw)
+        self.archive.add(at, raw)
         others = [each for each in self.world.nodes if each is not self]
         for each in self.world.chance.sample(others, min(FANOUT, len(others))):
             each.hear(self)
@@ -158,7 +158,7 @@
         self.nodes.append(node)
         if raw:
             node.version = read_config(raw).version
-            node.archive.keep(EraVersion(number=node.version), raw)
+            node.archive.add(EraVersion(number=node.version), raw)
         return node
 
     def roll(self, raw: bytes, watchers: list[PlanNode]) -> None:
--- a/tests/test_plan_spread.py
+++ b/tests/test_plan_spread.py
@@ -79,7 +79,7 @@
         self.assertIsNone(self.archive.piece(PieceRequest()))
 
     def test_fetches_take_a_share_of_the_link_only(self) -> None:
-        self.archive.keep(EraVersion(number=9), LARGE)
+        self.archive.add(EraVersion(number=9), LARGE)
         given = 0
         for _ in range(1_000):
             piece = self.archive.piece(PieceRequest())
@@ -91,8 +91,8 @@
 
     def test_a_frame_that_was_begun_goes_on_at_another_node(self) -> None:
         other = DocumentArchive(100.0, lambda: self.now)
-        self.archive.keep(EraVersion(number=9), LARGE)
-        other.keep(EraVersion(number=9), LARGE)
+        self.archive.add(EraVersion(number=9), LARGE)
+        other.add(EraVersion(number=9), LARGE)
         first = self.archive.piece(PieceRequest())
         assert first is not None
         second = other.piece(PieceRequest("", first.frame, len(first.data)))
@@ -101,7 +101,7 @@
         self.assertEqual(first.data + second.data, encode(LARGE)[: 2 * PIECE_BYTES])
 
     def test_a_base_that_is_not_kept_gives_the_whole_plan(self) -> None:
-        self.archive.keep(EraVersion(number=9), LARGE)
+        self.archive.add(EraVersion(number=9), LARGE)
         piece = self.archive.piece(PieceRequest(have="unknown"))
         assert piece is not None
         self.assertEqual(piece.base, "")
@@ -170,11 +170,11 @@
                 node = await world.add(100.0, SMALL)
                 pieces = -(-len(encode(LARGEST, SMALL)) // PIECE_BYTES)
                 self.assertGreater(pieces, 1)
-                breaking.archive.keep(EraVersion(number=9), LARGEST)
+                breaking.archive.add(EraVersion(number=9), LARGEST)
                 breaking.version = 9
                 node.hear(breaking)
                 await asyncio.sleep(0.2)
-                sound.archive.keep(EraVersion(number=9), LARGEST)
+                sound.archive.add(EraVersion(number=9), LARGEST)
                 sound.version = 9
                 node.hear(sound)
                 await world.wait_for(9, IN_FORCE_S)
