--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -72,7 +72,7 @@
             self.archive,
             lambda: EraVersion(number=self._version),
             self._on_fetched,
-            self._read_for_want_of_peers,
+            self._read_without_peers,
         )
         self.store_reached_at = -1e9
         self._version = -1
@@ -126,7 +126,7 @@
             async with asyncio.timeout(self._backoff.next_s()):
                 await self._plan_arrived.wait()
 
-    async def _read_for_want_of_peers(self) -> bool:
+    async def _read_without_peers(self) -> bool:
         """Read the plan from the store, since no peer delivers it; say whether it answered."""
         outcome = await self._store.plan(FALLBACK_TIMEOUT_S)
         if isinstance(outcome, Err):
