--- a/src/moledale/gateway/document_archive.py
+++ b/src/moledale/gateway/document_archive.py
@@ -1,9 +1,8 @@
-"""The newest documents of one kind, plans or lists of servers, as other nodes fetch them.
+"""The newest documents of one kind, plans or server lists, which other nodes fetch from this one.
 
-They come in pieces, and no faster than the link of the node bears.
-
-A piece is small enough for a thin link, so that one that does not come is soon asked for elsewhere
-and what came before it is kept.
+Documents are served in pieces, at a rate that this node's link can carry. A piece is small enough
+for a slow link, so that a missing one is soon requested from another node, and the pieces received
+before are kept.
 """
 
 from collections import OrderedDict
@@ -17,29 +16,30 @@
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion
 
 PIECE_BYTES = 16_384
-"""Size of a piece: 26 ms on a link of 5 Mbit/s."""
+"""Takes 26 ms on a link of 5 Mbit/s."""
 
 MAX_DOCUMENTS = 4
-"""Documents kept as bases of differences; operators may change several plans in a second."""
+"""Documents kept as bases for deltas; operators may change the plan several times a second."""
 
 MAX_FRAMES = 8
-"""Frames of the newest document that are kept, one for each base that nodes asked with."""
+"""Cached frames of the newest document, one per base that nodes requested."""
 
 LINK_SHARE = 0.5
-"""Part of a node's link that other nodes' fetches may take; requests go through it too."""
+"""Share of a node's link that fetches by other nodes may use; requests need the rest."""
 
 BURST_S = 0.1
-"""Fetches may use this much of that part at once, in seconds of it; one piece always."""
+"""Size of the bucket for fetches, in seconds at their rate; it always holds at least one piece."""
 
 BYTES_PER_MBIT = 125_000
-"""A unit."""
+"""Bytes in one megabit (1,000,000 bits)."""
 
 
 class DocumentPiece(msgspec.Struct, frozen=True, array_like=True):
-    """A piece of a frame: of which document, made from which base, its place and the frame's size.
+    """A piece of a frame, which is a compressed document or its delta from a base.
 
-    `base` is "" for one that is compressed by itself; `frame` is the digest of the whole frame.
-    `era` is that of the version, unknown for plans and in pieces of earlier builds.
+    `version` and `digest` name the document, `base` is the digest of the base or "" for a frame
+    without one, and `frame` is the digest of the whole frame of `size` bytes. `data` begins at
+    `offset`. `era` is that of the version; it is unknown for plans and in pieces of earlier builds.
     """
 
     version: int
@@ -58,7 +58,11 @@
 
 
 class PieceRequest(msgspec.Struct, frozen=True):
-    """What a node that fetches has: its document's digest, and how far it is in which frame."""
+    """A request for the next piece of the newest document.
+
+    `have` is the digest of the document that the requesting node has, `frame` the frame that it has
+    begun to fetch, and `offset` the number of bytes received of it.
+    """
 
     have: str = ""
     frame: str = ""
@@ -66,32 +70,35 @@
 
 
 class ArchivedDocument(msgspec.Struct):
-    """A document's bytes and version."""
+    """The bytes and version of a document."""
 
     version: EraVersion
     raw: bytes
 
 
 class UploadBudget(msgspec.Struct):
-    """Bytes that fetches may take of this node's link; a bucket that fills at `bytes_per_s`."""
+    """Token bucket of bytes that fetches may use of this node's link; refills at `bytes_per_s`."""
 
     bytes_per_s: float
     level: float = 0.0
     updated_at: float = 0.0
 
     def take(self, size: int, now: float) -> bool:
-        """Take bytes if they are there."""
-        most = max(float(PIECE_BYTES), self.bytes_per_s * BURST_S)
-        self.level = min(most, self.level + (now - self.updated_at) * self.bytes_per_s)
+        """Take `size` bytes if the bucket holds them; return whether it did."""
+        capacity = max(float(PIECE_BYTES), self.bytes_per_s * BURST_S)
+        self.level = min(capacity, self.level + (now - self.updated_at) * self.bytes_per_s)
         self.updated_at = now
-        if self.level < min(size, most):
+        if self.level < min(size, capacity):
             return False
         self.level -= size
         return True
 
 
 class DocumentArchive(msgspec.Struct):
-    """Documents by digest, the newest last, and the frames made of the newest one."""
+    """Holds the latest documents by digest, the newest last, and serves the newest in pieces.
+
+    Frames of the newest document are cached by base.
+    """
 
     link_mbps: float
     now: Callable[[], float]
@@ -104,7 +111,7 @@
         self._budget = UploadBudget(self.link_mbps * BYTES_PER_MBIT * LINK_SHARE)
 
     def add(self, version: EraVersion, raw: bytes) -> None:
-        """Keep a document that is newer than all before it; it may have been there before."""
+        """Add a document as the newest one; its content may equal that of an earlier one."""
         digest = digest_of(raw)
         self._documents[digest] = ArchivedDocument(version, raw)
         self._documents.move_to_end(digest)
@@ -113,7 +120,7 @@
             self._documents.popitem(last=False)
 
     def update_version(self, version: EraVersion) -> None:
-        """Note that the newest document is that of a later version, too."""
+        """Assign a later version to the newest document, whose content did not change."""
         if self._documents:
             self._documents[self.newest].version = version
 
@@ -123,20 +130,20 @@
         return next(reversed(self._documents), "")
 
     def raw(self, digest: str) -> bytes | None:
-        """Return a document that is kept; b"" for the digest of none."""
+        """Return the document with a digest, b"" for the empty digest; None if not archived."""
         if not digest:
             return b""
-        kept = self._documents.get(digest)
-        return None if kept is None else kept.raw
+        document = self._documents.get(digest)
+        return None if document is None else document.raw
 
-    def piece(self, wanted: PieceRequest) -> DocumentPiece | None:
-        """Return a piece of the newest document; None without one, or while others are served."""
+    def piece(self, request: PieceRequest) -> DocumentPiece | None:
+        """Return a piece of the newest document; None without one or if the budget is used up."""
         digest = self.newest
         if not digest:
             return None
-        base = wanted.have if wanted.have in self._documents else ""
+        base = request.have if request.have in self._documents else ""
         name, frame = self._frame(digest, base)
-        offset = wanted.offset if wanted.frame == name else 0
+        offset = request.offset if request.frame == name else 0
         data = frame[offset : offset + PIECE_BYTES]
         if not self._budget.take(len(data), self.now()):
             return None
