--- a/src/moledale/gateway/document_codec.py
+++ b/src/moledale/gateway/document_codec.py
@@ -1,38 +1,38 @@
-"""Plans and lists of servers as compressed differences from an earlier one, so that a change of a
-large document stays small.
+"""Encoding of plans and server lists as compressed deltas, so that a small change of a large
+document takes few bytes.
 
-The earlier one is the compressor's dictionary. zstd was chosen for that: its dictionaries may be
-as large as a plan, where those of zlib end at 32 KiB. A frame made from nothing is a document
-compressed by itself. Frames of the same document and base are the same bytes on all nodes that run
-the same release, so a transfer that breaks off can be taken up at another node.
+A delta is the document compressed with an earlier document, its base, as the dictionary. zstd
+allows dictionaries as large as a plan, while those of zlib are limited to 32 KiB. A frame without a
+base is the whole document compressed. Nodes that run the same release encode the same document and
+base to the same bytes, so an interrupted transfer can be continued from another node.
 """
 
 import xxhash
 import zstandard
 
 WINDOW_LOG = 23
-"""Compressor's window, as a power of two in bytes: the store takes no larger object (8 MiB)."""
+"""Window of the compressor, as a power of two in bytes: the store's maximum object size, 8 MiB."""
 
 HASH_LOG = 17
-"""Entries of the match table, as a power of two: 2 MB."""
+"""Entries of the compressor's match table, as a power of two; the table takes 2 MB."""
 
 MIN_MATCH_BYTES = 7
-"""Shortest repetition that is looked for, in bytes."""
+"""Shortest repetition that the compressor looks for."""
 
 MAX_DOCUMENT_BYTES = 1 << WINDOW_LOG
 
 
 class DocumentUnreadable(Exception):
-    """A frame could not be decoded, or its document is not the one that was announced."""
+    """A frame could not be decoded, or it holds another document than the announced one."""
 
 
 def digest_of(raw: bytes) -> str:
-    """Return a short name of a document's exact bytes; "" for none at all."""
+    """Return the digest of a document's bytes; "" if it is empty."""
     return xxhash.xxh3_128_hexdigest(raw) if raw else ""
 
 
 def encode(raw: bytes, base: bytes = b"") -> bytes:
-    """Return a document as a frame that is read with the same base."""
+    """Compress a document into a frame, which is decoded with the same base."""
     parameters = zstandard.ZstdCompressionParameters(
         window_log=WINDOW_LOG,
         hash_log=HASH_LOG,
@@ -49,19 +49,19 @@
 
 
 def decode(frame: bytes, base: bytes, digest: str) -> bytes:
-    """Return the document in a frame; DocumentUnreadable unless its digest is the announced one."""
+    """Return the document in a frame; raise DocumentUnreadable if its digest is not `digest`."""
     decompressor = zstandard.ZstdDecompressor(
         dict_data=_dictionary(base), max_window_size=MAX_DOCUMENT_BYTES
     )
     try:
         size = zstandard.frame_content_size(frame)
         if not 0 <= size <= MAX_DOCUMENT_BYTES:
-            raise DocumentUnreadable(f"{size} bytes are no document")
+            raise DocumentUnreadable(f"invalid document size of {size} bytes")
         raw = decompressor.decompress(frame, max_output_size=MAX_DOCUMENT_BYTES)
     except zstandard.ZstdError as error:
         raise DocumentUnreadable(str(error)) from error
     if digest_of(raw) != digest:
-        raise DocumentUnreadable("the digest differs")
+        raise DocumentUnreadable("digest mismatch")
     return raw
 
 
