--- a/src/moledale/gateway/document_fetch.py
+++ b/src/moledale/gateway/document_fetch.py
@@ -1,9 +1,9 @@
-"""Fetching a newer document, the plan or the list of servers, from nodes that have it.
+"""Fetching of a newer document, the plan or the server list, from nodes that have it.
 
-Documents come piece by piece. Each node that has one serves it to others, so the number of sources
-doubles as it spreads. A source that is dark, slow or busy is left for another, and what came before
-is kept. Where no source delivers, the document is read from the store after a time that differs by
-chance, so that not all come at once.
+Documents are fetched piece by piece. Each node that has a document serves it to others, so the
+number of sources doubles as it spreads. An unreachable, slow or busy source is replaced by another,
+and the pieces received so far are kept. If no source delivers, the document is read from the store
+after a random delay, so that not all nodes read it at once.
 """
 
 import asyncio
@@ -24,33 +24,33 @@
 PLAN_PATH = "/peer/plan"
 SERVERS_PATH = "/peer/servers"
 PIECE_TIMEOUT_S = 0.4
-"""Time for one piece, with a new connection: 26 ms at 5 Mbit/s, and others before it in the
-queue."""
+"""Timeout for one piece, including a new connection: it takes 26 ms at 5 Mbit/s, and other pieces
+may be queued ahead."""
 
 BUSY_RETRY_S = 0.03
-"""A source that is busy is asked again after this time: that of a piece at 5 Mbit/s, 26 ms."""
+"""Pause before a busy source is asked again, about the 26 ms that one piece takes at 5 Mbit/s."""
 
 FAILED_RETRY_S = 1.0
-"""A source that failed is not asked again for this long while there are others."""
+"""Pause before a failed source is asked again."""
 
 STORE_FALLBACK_S = 1.0
-"""Without a piece from any source for this long, the store is asked."""
+"""The store is read after this time without a piece from any source."""
 
 STORE_FALLBACK_JITTER_S = 0.6
-"""The store is asked up to this much later, by chance: 390 nodes ask it 650 times a second at
-most."""
+"""Maximum random delay added to `STORE_FALLBACK_S`: with it, 390 nodes read the store at most 650
+times a second."""
 
 NEWER_VERSION_TTL_S = 5.0
-"""Word of a newer document that nobody delivers within this time is not believed any longer."""
+"""A claim of a newer document is discarded if nobody delivers the document within this time."""
 
 
-def piece_path(path: str, wanted: PieceRequest) -> str:
-    """Return the path that asks for a piece."""
-    return f"{path}?{urlencode(msgspec.structs.asdict(wanted))}"
+def piece_path(path: str, request: PieceRequest) -> str:
+    """Return the path and query of a request for a piece."""
+    return f"{path}?{urlencode(msgspec.structs.asdict(request))}"
 
 
 class Source(msgspec.Struct):
-    """A node that says it has a document, and what it can carry (see `directory.power_of`)."""
+    """A node that announced a document, with its capacity (see `directory.power_of`)."""
 
     version: EraVersion
     power: float
@@ -58,14 +58,14 @@
 
 
 class Transfer(msgspec.Struct):
-    """What came of one frame so far."""
+    """The part of a frame that was received so far."""
 
     base: str = ""
     frame: str = ""
     data: bytearray = msgspec.field(default_factory=bytearray)
 
     def add(self, piece: DocumentPiece) -> None:
-        """Add a piece; one of another frame begins anew."""
+        """Append a piece; one of another frame restarts the transfer."""
         if piece.frame != self.frame:
             self.base, self.frame, self.data = piece.base, piece.frame, bytearray()
         if piece.offset == len(self.data):
@@ -73,9 +73,10 @@
 
 
 class DocumentFetch:
-    """Brings the newest document that other nodes have under `path`.
+    """Fetches the newest document that other nodes serve under `path`.
 
-    `took` gets its version and bytes; `read_store` says whether the store answered.
+    `on_document` is called with its version and bytes. `read_store` reads the document from the
+    store instead and returns whether the store answered.
     """
 
     def __init__(
@@ -83,13 +84,13 @@
         path: str,
         archive: DocumentArchive,
         own_version: Callable[[], EraVersion],
-        took: Callable[[EraVersion, bytes], None],
+        on_document: Callable[[EraVersion, bytes], None],
         read_store: Callable[[], Awaitable[bool]],
     ) -> None:
         self._path = path
         self._archive = archive
         self._own_version = own_version
-        self._on_document = took
+        self._on_document = on_document
         self._read_store = read_store
         self._sources: dict[str, Source] = {}
         self._newer_since = -1e9
@@ -99,7 +100,7 @@
         self._rng = random.Random()
 
     def add_source(self, control: str, version: EraVersion, power: float, now: float) -> None:
-        """Note a node's word of the document that it has."""
+        """Record the version that a node announced; `control` is the node's address for fetches."""
         known = self._sources.get(control)
         if known is not None and known.version >= version:
             return
@@ -109,20 +110,20 @@
         self._newer_known.set()
 
     def is_behind(self, now: float) -> bool:
-        """Say whether a newer document is known of that is not here yet."""
+        """Return whether a newer document is known but not fetched yet."""
         return self._newer_known.is_set() and now - self._newer_since < NEWER_VERSION_TTL_S
 
     async def run(self) -> None:
-        """Fetch newer documents for ever."""
+        """Fetch newer documents, forever."""
         while True:
             await self._newer_known.wait()
             await self._fetch_newest()
             self._newer_known.clear()
 
     async def _fetch_newest(self) -> None:
-        """Ask sources until none of them has a newer document than this node."""
-        patience_s = self._fallback_delay_s()
-        got_at = monotonic()
+        """Fetch pieces until no source has a newer document than this node."""
+        fallback_delay_s = self._fallback_delay_s()
+        last_piece_at = monotonic()
         while True:
             sources = self._newer_sources()
             if not sources:
@@ -131,15 +132,15 @@
             if now - self._newer_since > NEWER_VERSION_TTL_S:
                 self._sources.clear()
                 return
-            if now - got_at > patience_s:
+            if now - last_piece_at > fallback_delay_s:
                 await self._read_store()
-                got_at, patience_s = monotonic(), self._fallback_delay_s()
+                last_piece_at, fallback_delay_s = monotonic(), self._fallback_delay_s()
                 continue
             control = self._choose(sources, now)
             if control is None:
                 await asyncio.sleep(BUSY_RETRY_S)
             elif await self._fetch_piece(control):
-                got_at = monotonic()
+                last_piece_at = monotonic()
 
     def _fallback_delay_s(self) -> float:
         return STORE_FALLBACK_S + STORE_FALLBACK_JITTER_S * self._rng.random()
@@ -150,7 +151,7 @@
         return self._sources
 
     def _choose(self, sources: dict[str, Source], now: float) -> str | None:
-        """Choose among the sources that are not paused; strong ones more often."""
+        """Choose at random among the sources that are not paused, weighted by their capacity."""
         free = [name for name, each in sources.items() if each.paused_until <= now]
         if not free:
             return None
@@ -158,7 +159,7 @@
         return self._rng.choices(free, weights)[0]
 
     async def _fetch_piece(self, control: str) -> bool:
-        """Ask a source for the next piece; say whether one came."""
+        """Fetch the next piece from a source; return whether a usable one arrived."""
         source = self._sources[control]
         outcome = await self._request_piece(control)
         now = monotonic()
@@ -176,16 +177,17 @@
         return True
 
     async def _request_piece(self, control: str) -> Result[DocumentPiece, float]:
-        """Return a piece, or for how long the source should be left alone."""
+        """Request a piece; the error is the number of seconds for which to pause the source."""
         transfer = self._transfer
         have = "" if self._ignore_bases else self._archive.newest
         if transfer.frame:
-            # Sources keep different bases; all of them can go on with the frame that was begun.
+            # Sources have different bases; with the base of the begun frame any of them can
+            # continue it.
             have = transfer.base
-        wanted = PieceRequest(have, transfer.frame, len(transfer.data))
+        request = PieceRequest(have, transfer.frame, len(transfer.data))
         caller = HttpCaller(control)
         outcome = await caller.call(
-            "GET", piece_path(self._path, wanted), timeout_s=PIECE_TIMEOUT_S
+            "GET", piece_path(self._path, request), timeout_s=PIECE_TIMEOUT_S
         )
         caller.close()
         if isinstance(outcome, Err):
@@ -202,15 +204,15 @@
             return Err(FAILED_RETRY_S)
 
     def _finish_transfer(self, piece: DocumentPiece) -> bool:
-        """Read a frame that came whole; one that can't be read is fetched without a base.
+        """Decode a complete frame and return whether its document was adopted.
 
-        Return whether its document was taken over here.
+        After a frame that can't be decoded, the document is fetched without a base.
         """
         transfer, self._transfer = self._transfer, Transfer()
         base = self._archive.raw(transfer.base)
         try:
             if base is None:
-                raise DocumentUnreadable("its base is not here")
+                raise DocumentUnreadable("the base is not archived")
             raw = decode(bytes(transfer.data), base, piece.digest)
         except DocumentUnreadable as error:
             self._ignore_bases = True
