--- a/src/moledale/gateway/messages.py
+++ b/src/moledale/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between the parts of a gateway node."""
+"""Types that the parts of a gateway node exchange."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class RequestHead(msgspec.Struct):
-    """The first lines of a caller's request, as they came."""
+    """The request line and headers of a caller's request, as received."""
 
     method: bytes
     target: bytes
@@ -14,27 +14,27 @@
 
     @property
     def bodiless(self) -> bool:
-        """Say whether the answer has first lines only."""
+        """Return whether the answer has no body (HEAD)."""
         return self.method == b"HEAD"
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first header of a lower-case name."""
+        """Return the first value of a header, given its lower-case name; None if it is missing."""
         return first_header(self.headers, name)
 
 
 class AnswerHead(msgspec.Struct):
-    """The first lines of a server's answer, as they came."""
+    """The status and headers of a server's answer, as received."""
 
     status: int
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first header of a lower-case name."""
+        """Return the first value of a header, given its lower-case name; None if it is missing."""
         return first_header(self.headers, name)
 
 
 def first_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a lower-case header name."""
+    """Return the first value of a header, given its lower-case name; None if it is missing."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -42,15 +42,18 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True, array_like=True):
-    """A part of a prompt that other requests may share; `tokens` is its length."""
+    """A part of a prompt that other requests may share, with its length in tokens."""
 
     id: str
     tokens: int
 
 
 class Placed(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt that a node placed on a server, its `work` there, and what the node has there with
-    it."""
+    """A prompt that a node placed on a server, and the node's load there including it.
+
+    `work` is the work of this prompt; `running` and `prefill` are totals of the node's requests on
+    the server.
+    """
 
     server: str
     running: int
@@ -60,7 +63,12 @@
 
 
 class RequestFacts(msgspec.Struct, frozen=True):
-    """What a request says of itself, whatever its headers are called."""
+    """Metadata of a request, independent of the names of its headers.
+
+    `key` is the API key, `deadline_s` the time left until the caller's deadline, `parts` are the
+    shareable parts of the prompt, and `resumed_after` is the id of the last event that the caller
+    received of a stream that it resumes.
+    """
 
     id: str = ""
     key: str = ""
@@ -72,16 +80,17 @@
 
     @property
     def tokens(self) -> int:
-        """Return the tokens that count against a limit."""
+        """Return the number of tokens that count against a rate limit."""
         return self.prompt_tokens + self.answer_tokens
 
 
 class ServerStatement(msgspec.Struct, frozen=True):
-    """What an answer says of its server, for all requests that come after.
+    """What an answer states about its server, which applies to later requests too.
 
-    With `leaving` the server ends soon. `retry_after_s` is None where the answer states no time
-    that can be read. `limit_per_s` are the requests a second that the server takes from all nodes
-    together, None if it names no limit; with `limit_unreadable` it names one that can't be read.
+    `leaving` is set if the server terminates soon. `retry_after_s` is None if the answer states no
+    readable time. `limit_per_s` is the number of requests per second that the server accepts from
+    all nodes together, None if it states no limit; `limit_unreadable` is set if the stated limit
+    can't be parsed.
     """
 
     leaving: bool = False
@@ -91,7 +100,11 @@
 
 
 class AnswerFacts(msgspec.Struct, frozen=True):
-    """What an answer says of itself and of its server, whatever its headers are called."""
+    """Metadata of an answer, independent of the names of its headers.
+
+    `stamped` is set if a backend server marked the answer as its own, `not_run` if the request was
+    not executed, and `closes` if the server closes the connection after it.
+    """
 
     request_id: str | None
     stamped: bool
@@ -102,7 +115,12 @@
 
 
 class AttemptFacts(msgspec.Struct, frozen=True):
-    """What the system adds to a request that it sends to a server."""
+    """Metadata that a node adds to a request when it sends it to a server.
+
+    `remaining_s` is the time left until the deadline. A stream is resumed after the event
+    `after_event`, and continues a run of another server given by `continued_from`. `fetch_from` is
+    the address of a server from which to fetch the cached prefix of the prompt.
+    """
 
     server_id: str
     account: str | None
@@ -117,9 +135,9 @@
 class Server(msgspec.Struct, frozen=True):
     """A backend server as the platform lists it.
 
-    `id` names one life of it: a server that starts again has another, and nothing that is known of
-    the one before holds for it. `leaves_s` is the time it has left, if told, and `version` that of
-    its software.
+    `id` names one incarnation of the server: after a restart it has another id, and nothing known
+    about the former incarnation applies to it. `leaves_s` is the time until it terminates, if
+    known, and `version` the version of its software.
     """
 
     id: str
@@ -134,7 +152,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """An answer of the system's own; with `retry_after_s` the request has not run."""
+    """An error answer made by a node itself; with `retry_after_s` the request has not run."""
 
     status: int
     reason: str
@@ -143,14 +161,17 @@
 
 
 class Caller(msgspec.Struct):
-    """Who asks: the account behind a key, or nobody on a public route."""
+    """The account and priority of a request; both may be None on a public route."""
 
     account: str | None
     priority: int | None
 
 
 class InboundRequest(msgspec.Struct):
-    """A whole request of a caller; `arrived_at` is on the monotonic clock."""
+    """A complete request of a caller; `arrived_at` is on the monotonic clock.
+
+    `closing` is set if the connection is to be closed after the answer.
+    """
 
     head: RequestHead
     body: bytes
