--- a/src/moledale/gateway/plan.py
+++ b/src/moledale/gateway/plan.py
@@ -1,4 +1,7 @@
-"""What operators want forwarded: routes, services, client accounts and limits of one version."""
+"""The plan: routes, services, client accounts and limits, as operators configure them.
+
+Each change by operators makes a new version of the whole plan.
+"""
 
 from bisect import bisect_right
 from enum import StrEnum
@@ -10,7 +13,11 @@
 
 
 class Kind(StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether requests of a route may be retried, and whether answers are streams.
+
+    `SAFE` requests may run more than once, `ONCE` requests may not. The answer to a `STREAM`
+    request is a stream of events; see `Route.repeatable` for its retries.
+    """
 
     SAFE = "safe"
     ONCE = "once"
@@ -18,17 +25,19 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """A service that takes a part of a route's requests in proportion to `weight`."""
+    """A service that gets a share of a route's requests in proportion to `weight`."""
 
     service: str
     weight: float = 1.0
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Requests to one host below one path; times are in seconds.
+    """Requests to one host whose path begins with `prefix`; times are in seconds.
 
-    `max_servers` bounds the servers that one request may be sent to. `target_s` is the time in
-    which an answer earns its full worth, `gap_s` the longest pause in a stream that still does.
+    `split` distributes the requests over services. `max_servers` is the maximum number of servers
+    that one request may be sent to. `target_s` is the time within which an answer earns its full
+    value, and `gap_s` the longest pause with which a stream still does. A `public` route needs no
+    key. With `resumable` a broken stream may be continued at another server.
     """
 
     name: str
@@ -47,13 +56,15 @@
 
     @property
     def repeatable(self) -> bool:
-        """Say whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind is Kind.SAFE or (self.kind is Kind.STREAM and self.resumable)
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """What the model servers of a service have in common; sizes in tokens and bytes.
+    """Properties that all model servers of a service share.
 
+    A server runs up to `slots` requests at once and caches `cache_tokens` tokens, each of which
+    takes `token_bytes` bytes. With `moves` servers can transfer cached tokens to each other.
     `event_tokens` is the number of tokens in one event of a stream.
     """
 
@@ -68,7 +79,11 @@
 
 
 class Renting(msgspec.Struct, frozen=True):
-    """How many servers of a service each hall may have, and what they cost a second."""
+    """Minimum and maximum number of servers of a service in each hall, and their prices per second.
+
+    `boot_s` is the time from the order of a server until it serves. `hall_prices` gives prices by
+    hall, and `spot_price` is that of a spot server.
+    """
 
     min_per_hall: int
     max_per_hall: int
@@ -78,7 +93,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A set of interchangeable backend servers; `max_connections` is for each server."""
+    """A set of interchangeable backend servers; `max_connections` is per server."""
 
     name: str
     max_connections: int = 100
@@ -87,7 +102,11 @@
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account: its keys and its limit in requests or tokens a second, 0 for none."""
+    """A client account with its API keys and its rate limit, a token bucket.
+
+    `unit` says whether `rate_per_s` and `burst` count requests or tokens; a rate of 0 sets no
+    limit. `default_tokens` is charged for a request that does not state its tokens.
+    """
 
     name: str
     keys: tuple[str, ...] = ()
@@ -98,14 +117,14 @@
     burst: float = 0.0
 
     def price(self, tokens: int) -> float:
-        """Return what a request with this many tokens takes of the limit."""
+        """Return the amount that a request with this many tokens uses of the limit, in its unit."""
         if self.unit != TOKENS:
             return 1.0
         return float(tokens) if tokens else self.default_tokens
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """Bounds on what a caller may send (bytes) and on how long it may take (seconds)."""
+    """Maximum sizes of a caller's request in bytes, and timeouts for sending it in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -114,7 +133,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One version of everything that operators state."""
+    """One version of everything that operators configure."""
 
     version: int
     routes: tuple[Route, ...]
@@ -124,7 +143,7 @@
 
 
 class PlanIndex:
-    """A plan, arranged for looking up routes, services and keys."""
+    """Looks up the routes, services and accounts of a plan."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -139,7 +158,7 @@
             self._hosts.setdefault(route.host.lower(), {})[route.prefix] = route
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of a host whose prefix of the path is the longest."""
+        """Return the host's route with the longest prefix of the path; None if none matches."""
         routes = self._hosts.get(_host_name(host))
         if routes is None:
             return None
@@ -153,7 +172,7 @@
         return None
 
     def account(self, key: str) -> Account | None:
-        """Return the account that holds a key."""
+        """Return the account with an API key; None if the key is unknown."""
         return self._by_key.get(key)
 
 
@@ -161,9 +180,9 @@
     return host.lower().partition(":")[0]
 
 
-def choose_service(route: Route, chance: float) -> str:
-    """Return the service for a request; `chance` is uniform in [0, 1)."""
+def choose_service(route: Route, draw: float) -> str:
+    """Return the service for a request by weight; `draw` is a random number in [0, 1)."""
     if len(route.split) == 1:
         return route.split[0].service
     sums = list(accumulate(share.weight for share in route.split))
-    return route.split[min(bisect_right(sums, chance * sums[-1]), len(sums) - 1)].service
+    return route.split[min(bisect_right(sums, draw * sums[-1]), len(sums) - 1)].service
