--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -1,7 +1,8 @@
-"""Keeping the newest plan: a few nodes watch the store, the others fetch it from them.
+"""Distribution of the newest plan: a few nodes watch the store, the others fetch it from them.
 
-A node watches unless enough nodes before it do that reach the store. A watching node tells all
-others of a newer plan at once; a node that fetched it tells a few, so that the sources spread.
+A node watches the store unless enough nodes of lower rank do so and can reach it. A watching node
+announces a newer plan to all peers at once; a node that fetched it announces it to a few, so that
+the number of sources grows.
 """
 
 import asyncio
@@ -23,48 +24,54 @@
 from moledale.log import Event, emit
 
 WATCH_TIMEOUT_S = 3.0
-"""Longest wait of one watch; a watch that the store forgot is noticed after this time."""
+"""Maximum duration of one long poll, after which a poll that the store lost is noticed."""
 
 WATCHER_COUNT = 3
-"""Nodes that watch the store at once: two may be dark or cut off before a plan comes late."""
+"""Nodes that watch the store at once: two may be unreachable or partitioned from it before a plan
+arrives late."""
 
 POLL_INTERVAL_S = 0.2
-"""A node looks this often whether it is to watch."""
+"""Interval at which a node that does not watch checks whether it should."""
 
 RETRY_INITIAL_S = 0.2
 RETRY_MAX_S = 0.4
-"""Nodes that watch for others notice the store's return within about this time."""
+"""First and longest pause after a failed call, for a node that watches for others: it notices that
+the store is back within about this time."""
 
 CALL_TIMEOUT_S = 0.8
-"""A reading of the plan has this long while others may watch as well."""
+"""Timeout for reading the plan while other nodes may watch as well."""
 
 FALLBACK_TIMEOUT_S = 3.0
-"""Time in which a plan of 1,500 routes, 0.5 MB as the store spells it, comes over 5 Mbit/s."""
+"""Timeout for reading the plan as a fallback: enough to transfer a plan of 1,500 routes, 0.5 MB in
+the store's encoding, over 5 Mbit/s."""
 
 
 def _no_rollout(_: StoredRollout) -> None:
-    """Carry out no roll-out."""
+    """Ignore a roll-out."""
 
 
 class PlanWatch:
-    """Brings each newer plan to `adopt`, which says whether it is in force now.
-
-    `adopted` is then told whether the plan came from the store, for others to be told of it.
-    `ordered` hears of roll-outs, which operators order at the same place. `start` tells when a
-    starting node is to ask the store, at once if it is None.
+    """Passes each newer plan to `adopt`, which returns whether it was put into force.
+
+    `watch_rank` returns how many live nodes watch the store before this one. `on_adopted` is called
+    after a plan was adopted, with whether it came from the store, so that it can be announced to
+    peers. `on_rollout` is called with roll-outs, which operators order in the same place.
+    `cold_start` decides when a starting node asks the store; without it the node asks at once.
+    `store_reached_at` is the monotonic time of the last answer to a watch, far in the past after a
+    failed one.
     """
 
     def __init__(
         self,
         store: Store,
         true_time: TrueTime,
-        turn: Callable[[], int],
+        watch_rank: Callable[[], int],
         adopt: Callable[[Plan], bool],
-        adopted: Callable[[bool], None],
-        crowd: Callable[[], float],
+        on_adopted: Callable[[bool], None],
+        interval_factor: Callable[[], float],
         link_mbps: float,
-        ordered: Callable[[StoredRollout], None] = _no_rollout,
-        start: ColdStart | None = None,
+        on_rollout: Callable[[StoredRollout], None] = _no_rollout,
+        cold_start: ColdStart | None = None,
     ) -> None:
         self.archive = DocumentArchive(link_mbps, monotonic)
         self.fetch = DocumentFetch(
@@ -76,19 +83,19 @@
         )
         self.store_reached_at = -1e9
         self._version = -1
-        self._watch_rank = turn
+        self._watch_rank = watch_rank
         self._store = store
         self._health = StoreHealth("plan")
         self._true_time = true_time
         self._adopt = adopt
-        self._on_adopted = adopted
-        self._on_rollout = ordered
-        self._cold_start = start
-        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, crowd)
+        self._on_adopted = on_adopted
+        self._on_rollout = on_rollout
+        self._cold_start = cold_start
+        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, interval_factor)
         self._plan_arrived = asyncio.Event()
 
     async def watch(self) -> None:
-        """Watch the store while it is this node's turn, for ever."""
+        """Watch the store whenever this node's rank is low enough, forever."""
         if self._cold_start is not None:
             await self._cold_start.wait(
                 lambda: self._version >= 0, lambda: self.fetch.is_behind(monotonic())
@@ -113,21 +120,21 @@
             self._backoff.answered()
             self._health.record_success()
             self.store_reached_at = monotonic()
-            news = outcome.ok_value
+            update = outcome.ok_value
             if position is None:
-                self._true_time.record_store_clock(news.store_s, sent_at, monotonic())
-            position = news.position
-            self._apply_update(news)
+                self._true_time.record_store_clock(update.store_s, sent_at, monotonic())
+            position = update.position
+            self._apply_update(update)
 
     async def _wait_before_retry(self) -> None:
-        """Wait after a call that failed; a plan that others brought ends the wait."""
+        """Wait after a failed call; a plan that arrives from a peer ends the wait."""
         self._plan_arrived.clear()
         with suppress(TimeoutError):
             async with asyncio.timeout(self._backoff.next_s()):
                 await self._plan_arrived.wait()
 
     async def _read_without_peers(self) -> bool:
-        """Read the plan from the store, since no peer delivers it; say whether it answered."""
+        """Read the plan from the store when no peer delivers it; return whether that succeeded."""
         outcome = await self._store.plan(FALLBACK_TIMEOUT_S)
         if isinstance(outcome, Err):
             self._health.record_failure(outcome.err_value.detail)
@@ -135,14 +142,14 @@
         self._apply_update(outcome.ok_value)
         return True
 
-    def _apply_update(self, news: PlanNews) -> None:
-        for rollout in news.rollouts:
+    def _apply_update(self, update: PlanNews) -> None:
+        for rollout in update.rollouts:
             self._on_rollout(rollout)
-        if news.plan is not None:
-            self._adopt_plan(news.plan, news.raw, from_store=True)
+        if update.plan is not None:
+            self._adopt_plan(update.plan, update.raw, from_store=True)
 
     def _on_fetched(self, version: EraVersion, raw: bytes) -> None:
-        """Take over a plan that a peer passed on."""
+        """Decode and adopt a plan fetched from a peer; log one that can't be decoded."""
         try:
             plan = self._store.decode_plan(raw)
         except ValueError as error:
