--- a/src/moledale/gateway/quarantine_sharing.py
+++ b/src/moledale/gateway/quarantine_sharing.py
@@ -1,8 +1,8 @@
-"""What nodes tell each other of requests that end servers.
+"""Exchange between nodes of what they know about requests that crash servers.
 
-Ends of servers are told at once to the nodes that serve, and once more in case a datagram was lost;
-each node decides by itself on what it heard. Blocks are told to all. Each state names a digest of
-the blocks that its node has, so one that missed some is told again by those that have others.
+A server crash is sent at once to the serving nodes, and resent once in case the datagram was lost.
+Each node decides by itself which requests to block. Blocks are sent to all nodes. Each gossiped
+state carries a digest of its node's blocks, so peers whose blocks differ send theirs.
 """
 
 import asyncio
@@ -16,18 +16,21 @@
 from moledale.gateway.request_guard import ObservedCrash, RequestGuard
 
 RESEND_DELAY_S = 0.3
-"""The word of an end is told once more after this time, more than a round of states: where 3 in 100
-datagrams get lost, both do 0.1 times in 100."""
+"""A crash is resent once after this time, which is longer than a gossip round. With 3 in 100
+datagrams lost, both copies are lost 0.1 times in 100."""
 
 PEER_SYNC_INTERVAL_S = 1.0
-"""A node whose blocks differ is told once in this time by each other node."""
+"""Minimum interval at which a node sends its blocks to a peer whose digest differs."""
 
 MAX_FINGERPRINTS_PER_DATAGRAM = 64
-"""Requests named in a datagram, 1.2 KB: what runs on a server at once."""
+"""As many requests as run on a server at once; such a datagram has 1.2 KB."""
 
 
 class EndNews(msgspec.Struct, array_like=True, tag="ended"):
-    """A server that ended so long ago, and the requests that a node had running there."""
+    """A server that crashed `age_s` ago, and the requests that the sender had running on it.
+
+    Requests are given by their fingerprints.
+    """
 
     server: str
     requests: list[bytes]
@@ -35,13 +38,16 @@
 
 
 class ClearedNews(msgspec.Struct, array_like=True, tag="cleared"):
-    """Suspected requests that a server survived."""
+    """Fingerprints of suspected requests that a server completed without crashing."""
 
     requests: list[bytes]
 
 
 class ToldBlock(msgspec.Struct, array_like=True):
-    """A block that ends in `left_s` seconds, or has ended if that is below zero."""
+    """A block that expires in `left_s` seconds; negative if it has expired.
+
+    `times` is how often the request has been blocked.
+    """
 
     fingerprint: bytes
     left_s: float
@@ -49,7 +55,7 @@
 
 
 class BlockNews(msgspec.Struct, array_like=True, tag="blocks"):
-    """Blocks that a node has; `all` tells that it has no others."""
+    """Blocks that the sender has; `all` is set if it has no others."""
 
     blocks: list[ToldBlock]
     all: bool = False
@@ -59,51 +65,54 @@
 
 
 class QuarantineSender(Protocol):
-    """Sends news to the nodes that serve, to `everyone`, or to one `peer`."""
+    """Sends a message to the serving nodes, to all nodes (`everyone`), or to one `peer`."""
 
     def __call__(
         self, news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
     ) -> None:
-        """Send the news."""
+        """Send the message."""
         ...
 
 
 class QuarantineSharing:
-    """Tells the other nodes what a guard sees, and the guard what they tell."""
+    """Sends what a request guard observes to peers, and passes what they send to the guard.
+
+    `synced` is true once this node has all known blocks, from a peer or from the store.
+    """
 
     def __init__(
-        self, guard: RequestGuard, tell: QuarantineSender, now: Callable[[], float] = monotonic
+        self, guard: RequestGuard, send: QuarantineSender, now: Callable[[], float] = monotonic
     ) -> None:
         self.synced = False
         self._guard = guard
-        self._send = tell
+        self._send = send
         self._now = now
         self._peer_synced_at: dict[str, float] = {}
         guard.on_crash = self._send_crash_twice
         guard.on_cleared = self._send_cleared
 
     def digest(self) -> int | None:
-        """Return what this node's state says of its blocks; None while it knows of none yet."""
+        """Return the digest of this node's blocks for its gossiped state; None until synced."""
         return self._guard.quarantine.digest() if self.synced else None
 
     def broadcast_block(self, block: Block) -> None:
-        """Tell all nodes of a block."""
+        """Send a block to all nodes."""
         self._send(BlockNews([self._to_wire(block)]), everyone=True)
 
-    def on_message(self, news: QuarantineMessage) -> None:
-        """Take over what another node told."""
-        if isinstance(news, EndNews):
-            at = self._now() - news.age_s
-            self._guard.record_peer_crash(news.server, news.requests, at)
-        elif isinstance(news, ClearedNews):
-            self._guard.record_peer_cleared(news.requests)
+    def on_message(self, message: QuarantineMessage) -> None:
+        """Apply a message from a peer."""
+        if isinstance(message, EndNews):
+            at = self._now() - message.age_s
+            self._guard.record_peer_crash(message.server, message.requests, at)
+        elif isinstance(message, ClearedNews):
+            self._guard.record_peer_cleared(message.requests)
         else:
-            self._merge_blocks(news)
+            self._merge_blocks(message)
 
-    def on_peer_digest(self, peer: str, theirs: int | None) -> None:
-        """Compare another node's blocks with those here; tell it of these if they differ."""
+    def on_peer_digest(self, peer: str, peer_digest: int | None) -> None:
+        """Compare a peer's digest with this node's; send it this node's blocks if they differ."""
         own = self._guard.quarantine.digest()
-        if theirs == own:
+        if peer_digest == own:
             self.synced = True
             return
         now = self._now()
@@ -121,22 +130,22 @@
             ]
             self._send(BlockNews(part, all=len(blocks) <= MAX_FINGERPRINTS_PER_DATAGRAM), peer=peer)
 
-    def _merge_blocks(self, news: BlockNews) -> None:
+    def _merge_blocks(self, message: BlockNews) -> None:
         now = self._now()
-        for told in news.blocks:
-            block = Block(told.fingerprint, now + told.left_s, told.times)
+        for received in message.blocks:
+            block = Block(received.fingerprint, now + received.left_s, received.times)
             self._guard.quarantine.merge_block(block)
-        self.synced = self.synced or news.all
+        self.synced = self.synced or message.all
 
-    def _send_crash_twice(self, end: ObservedCrash) -> None:
-        self._send_crash(end)
-        asyncio.get_running_loop().call_later(RESEND_DELAY_S, self._send_crash, end)
+    def _send_crash_twice(self, crash: ObservedCrash) -> None:
+        self._send_crash(crash)
+        asyncio.get_running_loop().call_later(RESEND_DELAY_S, self._send_crash, crash)
 
-    def _send_crash(self, end: ObservedCrash) -> None:
-        age_s = self._now() - end.at
-        for start in range(0, len(end.requests), MAX_FINGERPRINTS_PER_DATAGRAM):
-            some = end.requests[start : start + MAX_FINGERPRINTS_PER_DATAGRAM]
-            self._send(EndNews(end.server, some, age_s))
+    def _send_crash(self, crash: ObservedCrash) -> None:
+        age_s = self._now() - crash.at
+        for start in range(0, len(crash.requests), MAX_FINGERPRINTS_PER_DATAGRAM):
+            part = crash.requests[start : start + MAX_FINGERPRINTS_PER_DATAGRAM]
+            self._send(EndNews(crash.server, part, age_s))
 
     def _send_cleared(self, fingerprint: bytes) -> None:
         self._send(ClearedNews([fingerprint]))
