--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -1,4 +1,4 @@
-"""Telling the store of this node, and learning from it of others to send news to."""
+"""Registration of this node in the store, and discovery of its peers there."""
 
 import asyncio
 import ipaddress
@@ -19,22 +19,25 @@
 MAX_PORT = 65_535
 
 STORE_TIMEOUT_S = 0.8
-"""A call has this long: 200 times its usual answer."""
+"""Timeout of a store call; 200 times its usual duration."""
 
 RETRY_INITIAL_S = 0.2
-"""First pause after a call that failed."""
+"""First pause after a failed call."""
 
 RETRY_MAX_S = 1.0
-"""Longest pause, for a node alone."""
+"""Longest pause of a node alone; it grows with the number of nodes."""
 
 JITTER_S = 0.5
-"""Nodes register again within this time for each `neighbours.FEW` of them, by chance."""
+"""After a restore of the store, nodes register again after a random delay of up to this time per
+`neighbours.FEW` nodes."""
 
 
 class Registration:
-    """Writes one row and reads all, once in each era of the store, which may have lost the row.
+    """Writes this node's address to the store and reads those of all nodes, once in each era.
 
-    The answer tells the store's clock, too, by which the age of a list is told.
+    A restore of the store, which starts a new era, may have lost the row. The read also returns the
+    store's clock, from which `true_time` derives the age of server lists. `interval_factor`
+    stretches pauses as the number of nodes grows (see `Backoff`).
     """
 
     def __init__(
@@ -43,7 +46,7 @@
         node: str,
         own_address: str,
         addresses: AddressBook,
-        crowd: Callable[[], float],
+        interval_factor: Callable[[], float],
         true_time: TrueTime,
     ) -> None:
         self._store = store
@@ -51,14 +54,14 @@
         self._own_address = own_address
         self._addresses = addresses
         self._true_time = true_time
-        self._interval_factor = crowd
+        self._interval_factor = interval_factor
         self._rng = random.Random()
-        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, crowd)
+        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, interval_factor)
         self._restored = asyncio.Event()
         store.era.on_restored.append(self._restored.set)
 
     async def run(self) -> None:
-        """Register in each era, for ever."""
+        """Register in each era, forever."""
         while True:
             self._restored.clear()
             await self._register()
@@ -66,7 +69,7 @@
             await asyncio.sleep(JITTER_S * self._interval_factor() * self._rng.random())
 
     async def _register(self) -> None:
-        """Register, repeating what fails."""
+        """Write this node's row and read all rows, retrying what fails."""
         registered = read = False
         while not (registered and read):
             registered = registered or await self._write()
@@ -94,10 +97,10 @@
 
 
 def _parse_address(row: StateRow) -> str:
-    """Return the address `IP:port` that a row tells, ValueError if it tells none."""
+    """Return the address `IP:port` in a row; raise ValueError if it is malformed."""
     address = row.value.decode("ascii")
     host, _, port = address.rpartition(":")
     ipaddress.ip_address(host)
     if not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"no port: {port}")
+        raise ValueError(f"port out of range: {port}")
     return address
