--- a/src/moledale/gateway/settings.py
+++ b/src/moledale/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway node, read from TOML; every finding is reported with its place."""
+"""Settings of a gateway node, read from TOML; all errors are reported with their location."""
 
 import tomllib
 from pathlib import Path
@@ -10,14 +10,15 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file; unknown keys are findings."""
+    """Base of the tables in the file; unknown keys are reported as findings."""
 
 
 class Identity(Table, frozen=True):
-    """Who this node is and where it listens (`host:port`).
+    """Identity of this node and the addresses on which it listens (`host:port`).
 
-    `first_start` tells that the whole system starts for the first time, so nothing was served yet.
-    `cores` and `link_mbps` are what the instance has, `halls` all halls where nodes may serve.
+    `first_start` is set if the whole system starts for the first time, so that no request was
+    served before. `cores` and `link_mbps` describe the instance, and `halls` lists all halls in
+    which nodes may serve.
     """
 
     id: str
@@ -36,21 +37,24 @@
 
 
 class Outside(Table, frozen=True):
-    """Addresses of what is given (`host:port`)."""
+    """Addresses of the platform's services (`host:port`)."""
 
     store: str
     cloud: str = ""
 
 
 class Bounds(Table, frozen=True):
-    """Times and shares that the whole system keeps; times are in seconds.
-
-    `stop_s` is what a planned stop may take, `address_ttl_s` how long callers keep an answer of
-    the directory, `lease_s` the least time between two holders of a duty. In each `limit_window_s`
-    an account may have its rate over that span and its burst; 0.0 grants the burst once. In a
-    window that may be exceeded by `limit_share` of it and `limit_tokens` beyond. A new
-    version of servers that turns out bad may have got `exposure_share` of the requests and
-    `exposure_free` beyond.
+    """Times and ratios that the whole system observes; times are in seconds.
+
+    `stop_s` is the maximum duration of a planned stop, `leave_s` the time after which a leaving
+    server may get no new work, `address_ttl_s` the time for which callers cache an answer of the
+    directory, and `lease_s` the minimum time between two holders of a duty. Retries within
+    `retry_window_s` are limited to `retry_ratio` of the requests plus `retry_slack`.
+
+    Within each `limit_window_s` an account may use its rate over that time plus its burst; with 0.0
+    the burst is granted only once. The total of a window may be exceeded by the fraction
+    `limit_share` of it plus `limit_tokens`. By the time a new server version is found to be bad, it
+    may have received the fraction `exposure_share` of the requests plus `exposure_free`.
     """
 
     stop_s: float = 8.0
@@ -80,7 +84,7 @@
 
 
 def parse(source: str, text: str) -> Result[GatewaySettings, list[Finding]]:
-    """Validate TOML text; `source` is the file named in findings."""
+    """Parse and validate TOML text; `source` is the file name reported in findings."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -106,7 +110,7 @@
 def _check(source: str, settings: GatewaySettings) -> list[Finding]:
     findings = []
     node = settings.node
-    places = {
+    addresses = {
         "node.callers": node.callers,
         "node.control": node.control,
         "node.directory": node.directory,
@@ -114,7 +118,7 @@
         "node.peers": node.peers,
         "outside.store": settings.outside.store,
     }
-    for path, address in places.items():
+    for path, address in addresses.items():
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit() or int(port) > 65_535:
             findings.append(Finding(source, path, f"{address!r} is not host:port"))
