--- a/src/moledale/gateway/state_rows.py
+++ b/src/moledale/gateway/state_rows.py
@@ -1,4 +1,4 @@
-"""Reading rows of the store, which other writers may have spoilt."""
+"""Decoding of rows of the store, which other writers may have corrupted."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -11,15 +11,15 @@
 T = TypeVar("T")
 
 
-def parse_or_log(table: str, key: str, read: Callable[[], T]) -> T | None:
-    """Return what `read` makes of a row; its ValueError is logged and makes None of the row."""
+def parse_or_log(table: str, key: str, parse: Callable[[], T]) -> T | None:
+    """Return the result of `parse`, or None if it raises ValueError, which is logged."""
     try:
-        return read()
+        return parse()
     except ValueError as error:
         emit(Event.ROW_UNREADABLE, table=table, key=key, why=str(error))
         return None
 
 
-def decode_row(table: str, row: StateRow, kind: type[T]) -> T | None:
-    """Return what a row that nodes keep holds, or None for one that can't be read."""
-    return parse_or_log(table, row.key, lambda: msgspec.json.decode(row.value, type=kind))
+def decode_row(table: str, row: StateRow, value_type: type[T]) -> T | None:
+    """Decode the JSON value of a row that nodes wrote; None, logged, if it is corrupt."""
+    return parse_or_log(table, row.key, lambda: msgspec.json.decode(row.value, type=value_type))
