--- a/src/moledale/gateway/store_era.py
+++ b/src/moledale/gateway/store_era.py
@@ -1,6 +1,7 @@
-"""Eras of the platform's store: it may come back from an older copy and lose what it acknowledged.
+"""Eras of the platform's store, which may be restored from an older copy.
 
-Versions then go back and are given out again, so a version is compared together with its era.
+A restore loses acknowledged writes, and the store then assigns the same versions again, so versions
+are compared together with their era. Each restore starts a new era.
 """
 
 import math
@@ -12,32 +13,33 @@
 from moledale.log import Event, emit
 
 UNKNOWN_ERA = 0
-"""The era where nothing tells one: before the first answer, or in messages of earlier builds."""
+"""No era is known: before the first answer of the store, or in messages of earlier builds."""
 
 
 class EraVersion(msgspec.Struct, frozen=True, order=True):
-    """A version and the era that it was given out in; any version of a later era is newer."""
+    """A version and the era in which it was assigned; any version of a later era is newer."""
 
     era: int = UNKNOWN_ERA
     number: int = -1
 
     def is_restored_since(self, earlier: "EraVersion") -> bool:
-        """Say whether the store came back from an older copy between two versions."""
+        """Return whether the store was restored between the earlier version and this one."""
         return self.era > earlier.era > UNKNOWN_ERA
 
 
 class EraNews(msgspec.Struct, frozen=True, array_like=True):
-    """The newest era that a node knows, and for how long at least it has lasted, in seconds."""
+    """The newest era that the sender knows, and its minimum age in seconds."""
 
     number: int
     age_s: float
 
 
 class StoreEra:
-    """The newest era that this node knows, from answers of the store or from its peers.
+    """Tracks the newest era that this node knows, from answers of the store or from its peers.
 
-    `since` is when this era had begun at the latest, and `restored_at` when the store came back
-    last in this life of the process; both on the monotonic clock. `on_restored` are called then.
+    `since` is the latest time at which this era can have begun, and `restored_at` the time of the
+    last restore during this process; both on the monotonic clock. The `on_restored` callbacks are
+    called after each restore.
     """
 
     def __init__(self, now: Callable[[], float] = monotonic) -> None:
@@ -48,7 +50,7 @@
         self._now = now
 
     def observe(self, era: int, age_s: float = 0.0) -> None:
-        """Note an era that an answer or a peer names, and its least age."""
+        """Record an era named by the store or a peer, and its minimum age; ignore older eras."""
         if era < self.number or era == UNKNOWN_ERA:
             return
         began_at = self._now() - age_s
@@ -59,15 +61,15 @@
         if before != UNKNOWN_ERA:
             self.restored_at = began_at
             emit(Event.STORE_RESTORED, era=era, before=before)
-            for hear in self.on_restored:
-                hear()
+            for callback in self.on_restored:
+                callback()
 
     def restored_within(self, span_s: float) -> bool:
-        """Say whether the store came back from an older copy so lately."""
+        """Return whether the store was restored within the last `span_s` seconds."""
         return self._now() - self.restored_at < span_s
 
     def to_broadcast(self) -> EraNews | None:
-        """Return what this node tells its peers, None while it knows no era."""
+        """Return the era for this node's gossiped state; None while no era is known."""
         if self.number == UNKNOWN_ERA:
             return None
         return EraNews(self.number, self._now() - self.since)
