--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -340,7 +340,7 @@
      "tests.test_usage_reports"),
     ("an order that is written again is no new one", RolloutOrder, "is_equivalent",
      lambda *_: False, "tests.test_rollouts.RestoredOrderTest"),
-    ("rows that the store may have lost are written again", StoreEra, "heard", _restore_unheard,
+    ("rows that the store may have lost are written again", StoreEra, "observe", _restore_unheard,
      RESTORED),
     ("a plan that can't be read ends no task", store, "parse_or_log", _read_or_fail,
      f"{ROWS}.PlanOfOthersTest"),
