--- a/src/moledale/peers/auth.py
+++ b/src/moledale/peers/auth.py
@@ -5,7 +5,7 @@
 from moledale.clock import Clock
 
 METADATA_KEY = "moledale-peer"
-TOKEN_LIFE_S = 60
+TOKEN_TTL_S = 60
 _AUDIENCE = "moledale-peers"
 _ALGORITHM = "HS256"
 
@@ -24,9 +24,9 @@
         """Return a token of this node, made anew when half its life is over."""
         now = self._clock.wall()
         if now >= self._renew_at:
-            claims = {"iss": self._node, "aud": _AUDIENCE, "exp": int(now) + TOKEN_LIFE_S}
+            claims = {"iss": self._node, "aud": _AUDIENCE, "exp": int(now) + TOKEN_TTL_S}
             self._token = jwt.encode(claims, self._secret, algorithm=_ALGORITHM)
-            self._renew_at = now + TOKEN_LIFE_S / 2
+            self._renew_at = now + TOKEN_TTL_S / 2
         return self._token
 
     def check(self, token: str) -> str | None:
