--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -39,7 +39,7 @@
 from moledale.node.streams import GenerationRequest, StreamRecord, StreamTable
 from moledale.node.supervisor import Supervisor
 from moledale.node.tally import Tally
-from moledale.peers.gossip import PEERS_FOR_NEWS, PEERS_TO_PASS_ON, Gossip
+from moledale.peers.gossip import PEERS_PER_UPDATE, PEERS_TO_PASS_ON, Gossip
 from moledale.peers.link import PeerLink
 from moledale.peers.pb import peers_pb2
 from moledale.problems import Problem
@@ -234,7 +234,7 @@
         """Drain for a planned stop: let requests finish, and hand over those that don't in time."""
         self.to_drain()  # type: ignore[attr-defined]
         emit(Event.DRAINING, open=self.dispatcher.open_requests, jobs=self.jobs.open_jobs)
-        await self._gossip.exchange(PEERS_FOR_NEWS)
+        await self._gossip.exchange(PEERS_PER_UPDATE)
         await self.jobs.release_all()
         deadline = self.clock.monotonic() + self.settings.times.drain_s
         while self.dispatcher.open_requests and self.clock.monotonic() < deadline:
@@ -364,7 +364,7 @@
         if isinstance(message, ServerLeaving):
             self._relay_leaving(message.server)
 
-    def gossip_soon(self, peers: int = PEERS_FOR_NEWS) -> None:
+    def gossip_soon(self, peers: int = PEERS_PER_UPDATE) -> None:
         """Exchange digests with several peers after a short delay that batches updates."""
         if self._pending_fanout == 0:
             self._background.start(self._gossip_after_delay())
--- a/src/moledale/peers/gossip.py
+++ b/src/moledale/peers/gossip.py
@@ -12,8 +12,8 @@
 from moledale.peers.link import PeerLink
 from moledale.peers.pb import peers_pb2
 
-PEERS_EACH_ROUND = 1
-PEERS_FOR_NEWS = 6
+PEERS_PER_ROUND = 1
+PEERS_PER_UPDATE = 6
 """Peers that are told at once by the node where something new is learnt."""
 
 PEERS_TO_PASS_ON = 3
@@ -46,7 +46,7 @@
         """Exchange digests for ever."""
         while True:
             await self._clock.sleep(self._interval_s * self._rng.uniform(0.75, 1.25))
-            await self.exchange(PEERS_EACH_ROUND)
+            await self.exchange(PEERS_PER_ROUND)
 
     async def exchange(self, peers: int) -> None:
         """Exchange digests with some random peers."""
