--- a/src/moledale/peers/gossip.py
+++ b/src/moledale/peers/gossip.py
@@ -28,7 +28,7 @@
         link: PeerLink,
         fleet: Fleet,
         own_digest: Callable[[], peers_pb2.DigestMessage],
-        heard: Callable[[peers_pb2.DigestMessage], None],
+        on_digest: Callable[[peers_pb2.DigestMessage], None],
         interval_s: float,
         clock: Clock,
         rng: random.Random,
@@ -36,7 +36,7 @@
         self._link = link
         self._fleet = fleet
         self._own_digest = own_digest
-        self._heard = heard
+        self._on_digest = on_digest
         self._interval_s = interval_s
         self._clock = clock
         self._rng = rng
@@ -62,4 +62,4 @@
                 emit(Event.PEER_DOWN, peer=peer.id, detail=outcome.err_value)
             return
         self._down.discard(peer.id)
-        self._heard(outcome.ok_value)
+        self._on_digest(outcome.ok_value)
