--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -443,7 +443,7 @@
             return Err(problems.outcome_unknown(f"node {node}, which took the key, is gone"))
         return await self._link.run_once(peer.peer_address, call)
 
-    async def run_once_here(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
+    async def run_once_locally(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
         """Run a call that a peer forwarded."""
         return await self.once.run(call)
 
--- a/src/moledale/peers/link.py
+++ b/src/moledale/peers/link.py
@@ -22,7 +22,7 @@
         """Take a live stream; return why not, or None if it was taken."""
         ...
 
-    async def run_once_here(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
+    async def run_once_locally(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
         """Run a not-repeatable call whose key this node answers for."""
         ...
 
--- a/src/moledale/peers/server.py
+++ b/src/moledale/peers/server.py
@@ -54,7 +54,7 @@
         except msgspec.DecodeError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, f"damaged call: {error}")
             raise AssertionError("abort raises") from error
-        outcome = await self._handler.run_once_here(call)
+        outcome = await self._handler.run_once_locally(call)
         if isinstance(outcome, Err):
             problem = outcome.err_value
             fields = {"kind": problem.kind, "title": problem.title, "detail": problem.detail}
--- a/tests/world.py
+++ b/tests/world.py
@@ -475,7 +475,7 @@
         handler = await self._reach(address)
         if handler is None:
             return Err(problems.outcome_unknown("unreachable"))
-        return await handler.run_once_here(call)
+        return await handler.run_once_locally(call)
 
     async def close(self) -> None:
         self._world.handlers.pop(self._gate.name, None)
