--- a/src/moledale/peers/grpc_link.py
+++ b/src/moledale/peers/grpc_link.py
@@ -20,7 +20,7 @@
 DIGEST_TIMEOUT_S = 1.0
 HAND_OVER_TIMEOUT_S = 2.0
 RUN_ONCE_TIMEOUT_S = 60.0
-MOST_CHANNELS = 64
+MAX_CHANNELS = 64
 STOP_GRACE_S = 1.0
 
 
@@ -100,7 +100,7 @@
     async def _stub(self, address: str) -> peers_pb2_grpc.PeersStub:
         channel = self._channels.get(address)
         if channel is None:
-            if len(self._channels) >= MOST_CHANNELS:
+            if len(self._channels) >= MAX_CHANNELS:
                 oldest = next(iter(self._channels))
                 await self._channels.pop(oldest).close()
             channel = grpc.aio.insecure_channel(address)
