--- a/src/moledale/peers/server.py
+++ b/src/moledale/peers/server.py
@@ -14,7 +14,7 @@
 from moledale.peers.pb import peers_pb2, peers_pb2_grpc
 from moledale.peers.wire import decode_request
 
-MOST_MESSAGE_BYTES = 16_000_000
+MAX_MESSAGE_BYTES = 16_000_000
 
 
 class PeerServer(peers_pb2_grpc.PeersServicer):  # type: ignore[misc]
@@ -80,7 +80,7 @@
     """Start the service and return it with its port."""
     server = grpc.aio.server(
         options=[
-            ("grpc.max_receive_message_length", MOST_MESSAGE_BYTES),
+            ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
             ("grpc.so_reuseport", 0),
         ]
     )
