--- a/src/moledale/platform/cloud.py
+++ b/src/moledale/platform/cloud.py
@@ -10,7 +10,7 @@
 CALL_TIMEOUT_S = 1.5
 """An order has this long: half of the lease."""
 
-NONE_TO_BE_HAD = 409
+STATUS_NO_CAPACITY = 409
 """The answer to an order for servers that are not to be had at present."""
 
 
@@ -25,7 +25,7 @@
     ) -> Trouble | None:
         """Report a window's counts."""
         body = encode({"window": window, "counts": counts})
-        outcome = await self._duty("/usage", holder, fence, body)
+        outcome = await self._call_as_holder("/usage", holder, fence, body)
         if isinstance(outcome, Err):
             return outcome.err_value
         status = outcome.ok_value
@@ -38,15 +38,17 @@
         body: dict[str, object] = {"service": service, "zone": hall, "desired": number}
         if spot:
             body["spot"] = True
-        outcome = await self._duty("/scale", holder, fence, encode(body))
+        outcome = await self._call_as_holder("/scale", holder, fence, encode(body))
         if isinstance(outcome, Err):
             return outcome
         status = outcome.ok_value
-        if status in (200, NONE_TO_BE_HAD):
+        if status in (200, STATUS_NO_CAPACITY):
             return Ok(status == 200)
         return Err(Trouble(f"status {status}", uncertain=False))
 
-    async def _duty(self, path: str, holder: str, fence: int, body: bytes) -> Result[int, Trouble]:
+    async def _call_as_holder(
+        self, path: str, holder: str, fence: int, body: bytes
+    ) -> Result[int, Trouble]:
         headers: Headers = [
             (b"Duty-Holder", holder.encode()),
             (b"Fence-Token", str(fence).encode()),
