--- a/src/moledale/platform/engines.py
+++ b/src/moledale/platform/engines.py
@@ -10,11 +10,11 @@
 from moledale.gateway.messages import Headers
 from moledale.platform.records import encode
 
-JSON: Headers = [(b"Content-Type", b"application/json")]
+JSON_HEADERS: Headers = [(b"Content-Type", b"application/json")]
 RELEASE_TIMEOUT_S = 1.0
 """Freeing a copy has this long; one that is not freed ends by itself."""
 
-MOST_CALLERS = 200
+MAX_CALLERS = 200
 """Engines to which connections are kept for orders."""
 
 
@@ -39,7 +39,7 @@
         if last:
             body["last"] = True
         outcome = await self._caller(source).call(
-            "POST", "/v1/kv-move", encode(body), JSON, timeout_s
+            "POST", "/v1/kv-move", encode(body), JSON_HEADERS, timeout_s
         )
         if isinstance(outcome, Err):
             return Err(MoveRefused(outcome.err_value.detail))
@@ -58,7 +58,7 @@
         await self._caller(source).call("DELETE", path, timeout_s=RELEASE_TIMEOUT_S)
 
     def _caller(self, address: str) -> HttpCaller:
-        if len(self._callers) > MOST_CALLERS:
+        if len(self._callers) > MAX_CALLERS:
             for caller in self._callers.values():
                 caller.close()
             self._callers.clear()
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -35,7 +35,7 @@
     status_body,
 )
 
-JSON: Headers = [(b"Content-Type", b"application/json")]
+JSON_HEADERS: Headers = [(b"Content-Type", b"application/json")]
 ERA = "store-era"
 CONFIG_TABLE = "op"
 CONFIG_KEY = "config"
@@ -255,7 +255,9 @@
         body: bytes = b"",
         good: tuple[int, ...] = (200,),
     ) -> Result[Answer, Trouble]:
-        outcome = await self._calls.call(method, path, body, JSON if body else [], timeout_s)
+        outcome = await self._calls.call(
+            method, path, body, JSON_HEADERS if body else [], timeout_s
+        )
         if isinstance(outcome, Err):
             return Err(Trouble(outcome.err_value.detail, uncertain=outcome.err_value.sent))
         got = outcome.ok_value
