--- a/src/moledale/platform/entries.py
+++ b/src/moledale/platform/entries.py
@@ -12,11 +12,11 @@
 from moledale.log import Event, emit
 from moledale.platform.records import Record, RowRecord
 
-LIFE = "#"
+INCARNATION_SEPARATOR = "#"
 """Parts a server's id from the start of its process: one that starts again under its id holds and
 knows nothing of before, so the product takes it for another server."""
 
-MOST_TOLD = 1_000
+MAX_LOGGED_ENTRIES = 1_000
 """Entries that can't be read of which it is remembered that they were logged: 0.1 MB."""
 
 Address = Annotated[str, msgspec.Meta(pattern=r"^[^:\s]+:[1-9][0-9]{0,4}$")]
@@ -37,19 +37,19 @@
     born: Annotated[int, msgspec.Meta(ge=0)] | None = None
 
 
-class Entries:
+class EntryReader:
     """Reads entries, and logs each one that can't be read once for each change of it."""
 
     def __init__(self) -> None:
-        self._told: LRUCache[str, int] = LRUCache(MOST_TOLD)
+        self._logged: LRUCache[str, int] = LRUCache(MAX_LOGGED_ENTRIES)
 
     def read(self, row: RowRecord) -> Server | None:
         """Return the server that an entry names, or None if it names none."""
         try:
             return read_server(row)
         except (msgspec.DecodeError, ValueError) as error:
-            if self._told.get(row.key) != row.ver:
-                self._told[row.key] = row.ver
+            if self._logged.get(row.key) != row.ver:
+                self._logged[row.key] = row.ver
                 emit(Event.ROW_UNREADABLE, table=row.table, key=row.key, why=str(error))
             return None
 
@@ -58,7 +58,7 @@
     """Make a server of an entry; `msgspec.DecodeError` or `ValueError` if it can't be read."""
     record = msgspec.json.decode(row.body(), type=ServerRecord)
     return Server(
-        row.key if record.born is None else f"{row.key}{LIFE}{record.born}",
+        row.key if record.born is None else f"{row.key}{INCARNATION_SEPARATOR}{record.born}",
         record.service,
         record.address,
         record.zone,
@@ -72,4 +72,4 @@
 
 def platform_id(server: str) -> str:
     """Return the id under which the platform knows a server, whichever life it is in."""
-    return server.partition(LIFE)[0]
+    return server.partition(INCARNATION_SEPARATOR)[0]
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -24,7 +24,7 @@
 from moledale.gateway.state_rows import decode_row, parse_or_log
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion, StoreEra
 from moledale.http_fields import first_count
-from moledale.platform.entries import Entries, platform_id
+from moledale.platform.entries import EntryReader, platform_id
 from moledale.platform.records import (
     RowRecord,
     RowsRecord,
@@ -74,7 +74,7 @@
     def __init__(self, address: str) -> None:
         self.era = StoreEra()
         self._calls = HttpCaller(address)
-        self._entries = Entries()
+        self._entries = EntryReader()
 
     async def read(self, table: str, timeout_s: float) -> Result[Reading, Trouble]:
         """Return all rows of a table."""
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -14,7 +14,7 @@
 from moledale.gateway.messages import AnswerHead, RequestHead, Server
 from moledale.gateway.state_packing import pack_alone
 from moledale.http_fields import retry_after_s
-from moledale.platform.entries import Entries
+from moledale.platform.entries import EntryReader
 from moledale.platform.headers import PlatformHeaders
 from moledale.platform.records import RowRecord, read_config, read_phase, read_rollout
 from tests.gateway_states import state
@@ -108,7 +108,7 @@
 
     def assert_server_or_none(self, entry: RowRecord) -> None:
         with logbook.NullHandler().applicationbound():
-            server = Entries().read(entry)
+            server = EntryReader().read(entry)
         self.assertTrue(server is None or isinstance(server, Server))
         if server is not None:
             self.assertGreaterEqual(server.slots, 1)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -13,7 +13,7 @@
 from moledale.core.rollouts import Phase, RolloutNews, RolloutOrder
 from moledale.gateway.messages import AttemptFacts, RequestHead
 from moledale.gateway.outside import ServerList
-from moledale.platform.entries import Entries, platform_id
+from moledale.platform.entries import EntryReader, platform_id
 from moledale.platform.headers import PlatformHeaders
 from moledale.platform.records import RowRecord
 from moledale.platform.store import PlatformStore
@@ -128,7 +128,7 @@
     def test_any_bytes_name_a_server_or_none(self, raw: bytes) -> None:
         row = RowRecord("servers", "a", base64.b64encode(raw).decode(), 1)
         with logbook.NullHandler().applicationbound():
-            self.assertIsNone(Entries().read(row))
+            self.assertIsNone(EntryReader().read(row))
 
 
 class OrdersOfOthersTest(unittest.TestCase):
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -68,7 +68,7 @@
 from moledale.gateway.upstream import UpstreamConnection
 from moledale.gateway.work import WorkMeter
 from moledale.platform import entries, store
-from moledale.platform.entries import Entries
+from moledale.platform.entries import EntryReader
 from moledale.platform.headers import PlatformHeaders
 
 BYTES = "tests.test_gateway_forwarding"
@@ -286,9 +286,9 @@
      BLOCKS),
     ("blocks are kept in the store", QuarantineStore, "_write", _write_nothing, BLOCKS),
     ("an end is one failure of a version", RequestGuard, "_on_probe_result", _blame_each, BLOCKS),
-    ("a server that starts again is another", entries, "LIFE", "",
+    ("a server that starts again is another", entries, "INCARNATION_SEPARATOR", "",
      "tests.test_platform_store tests.test_restarted_servers"),
-    ("bad entries hide no other", Entries, "read", lambda _, row: entries.read_server(row),
+    ("bad entries hide no other", EntryReader, "read", lambda _, row: entries.read_server(row),
      "tests.test_platform_store"),
     ("durations go on while suspended", clock, "_BOOTTIME_CLOCK", None, "tests.test_suspension"),
     ("what answers say of servers counts", AnswerReader, "_on_statement", lambda *_: None, NOTICES),
