--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -74,7 +74,7 @@
     def __init__(self, address: str) -> None:
         self.era = StoreEra()
         self._calls = HttpCaller(address)
-        self._entries = EntryReader()
+        self._entry_reader = EntryReader()
 
     async def read(self, table: str, timeout_s: float) -> Result[Reading, Trouble]:
         """Return all rows of a table."""
@@ -135,7 +135,7 @@
         if isinstance(outcome, Err):
             return outcome
         record = outcome.ok_value
-        read = (self._entries.read(row) for row in record.rows)
+        read = (self._entry_reader.read(row) for row in record.rows)
         servers = tuple(server for server in read if server is not None)
         return Ok(ServerList(servers, record.ver, record.now_ms / 1000, era=record.era))
 
@@ -153,7 +153,7 @@
                 return outcome
             record = outcome.ok_value
             for row in record.rows:
-                changes[row.key] = None if row.gone else self._entries.read(row)
+                changes[row.key] = None if row.gone else self._entry_reader.read(row)
             if len(record.rows) < FEED_AGAIN_ROWS or record.ver <= position:
                 break
             position = record.ver
