--- a/src/moledale/platform/headers.py
+++ b/src/moledale/platform/headers.py
@@ -29,8 +29,8 @@
 )
 from moledale.platform.entries import platform_id
 
-BEARER = b"bearer "
-SET_BY_SYSTEM = frozenset(
+BEARER_PREFIX = b"bearer "
+RESERVED_HEADERS = frozenset(
     {
         b"authorization",
         b"tenant",
@@ -45,10 +45,10 @@
         b"expect-version",
     }
 )
-LAST_EVENT = b"last-event-id"
-LEAVING = "server-leaving"
-SERVER_LIMIT = "server-limit"
-SAYS_YES = "1"
+LAST_EVENT_ID_HEADER = b"last-event-id"
+LEAVING_HEADER = "server-leaving"
+SERVER_LIMIT_HEADER = "server-limit"
+TRUE_VALUE = "1"
 
 
 class PlatformHeaders:
@@ -57,16 +57,16 @@
     def read_request(self, head: RequestHead) -> RequestFacts:
         """Return what a request says of itself."""
         found = {name.lower(): value for name, value in head.headers}
-        prompt, answer = _two_numbers(found.get(b"token-count"))
+        prompt, answer = _token_counts(found.get(b"token-count"))
         deadline = parse_number(found.get(b"deadline-ms"), "Deadline-Ms")
         return RequestFacts(
             decode_value(found.get(b"request-id")),
-            _key(found.get(b"authorization")),
+            _bearer_token(found.get(b"authorization")),
             None if deadline is None else deadline / 1000,
             prompt,
             answer,
-            _parts(found.get(b"prompt-prefix")),
-            decode_value(found.get(LAST_EVENT)),
+            _prompt_parts(found.get(b"prompt-prefix")),
+            decode_value(found.get(LAST_EVENT_ID_HEADER)),
         )
 
     def attempt_head(self, head: RequestHead, facts: AttemptFacts, length: int) -> bytes:
@@ -77,9 +77,9 @@
         for name, value in head.headers:
             low = name.lower()
             had_length = had_length or low in (b"content-length", b"transfer-encoding")
-            if low in HOP_BY_HOP or low in SET_BY_SYSTEM or low in named:
+            if low in HOP_BY_HOP or low in RESERVED_HEADERS or low in named:
                 continue
-            if low == LAST_EVENT and facts.after_event:
+            if low == LAST_EVENT_ID_HEADER and facts.after_event:
                 continue
             lines.append(name + b": " + value)
         if length or had_length:
@@ -111,7 +111,7 @@
             b"not-executed" in found or head.status == 421,
             keep_alive_timeout_s(found.get(b"keep-alive")),
             b"close" in found.get(b"connection", b"").lower(),
-            _statement(head.headers, _text_or_none(found.get(b"date"))),
+            _server_statement(head.headers, _text_or_none(found.get(b"date"))),
         )
 
     def answer_headers(self, head: AnswerHead) -> Headers:
@@ -147,13 +147,13 @@
         return [(b"Content-Type", b"application/json")], body
 
 
-def _key(value: bytes | None) -> str:
-    if value is None or not value.lower().startswith(BEARER):
+def _bearer_token(value: bytes | None) -> str:
+    if value is None or not value.lower().startswith(BEARER_PREFIX):
         return ""
-    return value[len(BEARER) :].strip().decode("latin-1")
+    return value[len(BEARER_PREFIX) :].strip().decode("latin-1")
 
 
-def _two_numbers(value: bytes | None) -> tuple[int, int]:
+def _token_counts(value: bytes | None) -> tuple[int, int]:
     if not value:
         return 0, 0
     first, _, second = value.partition(b",")
@@ -163,7 +163,7 @@
         raise ValueError("Token-Count is not two numbers") from None
 
 
-def _parts(value: bytes | None) -> tuple[PromptPart, ...]:
+def _prompt_parts(value: bytes | None) -> tuple[PromptPart, ...]:
     if not value:
         return ()
     parts = []
@@ -176,12 +176,12 @@
     return tuple(parts)
 
 
-def _statement(headers: Headers, date: str | None) -> ServerStatement:
+def _server_statement(headers: Headers, date: str | None) -> ServerStatement:
     """Return what an answer says of its server."""
-    leaving = any(text.strip() == SAYS_YES for text in field_values(headers, LEAVING))
+    leaving = any(text.strip() == TRUE_VALUE for text in field_values(headers, LEAVING_HEADER))
     again_s = retry_after_s(field_values(headers, RETRY_AFTER), date)
-    limits = field_values(headers, SERVER_LIMIT)
-    limit = lowest_limit(limits, SERVER_LIMIT)
+    limits = field_values(headers, SERVER_LIMIT_HEADER)
+    limit = lowest_limit(limits, SERVER_LIMIT_HEADER)
     return ServerStatement(leaving, again_s, limit, bool(limits) and limit is None)
 
 
