--- a/src/moledale/platform/records.py
+++ b/src/moledale/platform/records.py
@@ -10,10 +10,10 @@
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion
 
 RUNNING = "running"
-STATES = {Phase.COMPLETED: "completed", Phase.ROLLED_BACK: "rolled_back"}
-PHASES = {state: phase for phase, state in STATES.items()}
+STATE_BY_PHASE = {Phase.COMPLETED: "completed", Phase.ROLLED_BACK: "rolled_back"}
+PHASE_BY_STATE = {state: phase for phase, state in STATE_BY_PHASE.items()}
 
-KINDS = {"safe": plan.Kind.SAFE, "unsafe": plan.Kind.ONCE, "streaming": plan.Kind.STREAM}
+KIND_BY_NAME = {"safe": plan.Kind.SAFE, "unsafe": plan.Kind.ONCE, "streaming": plan.Kind.STREAM}
 
 
 class Record(msgspec.Struct, frozen=True, rename="camel"):
@@ -149,7 +149,7 @@
     era: int = UNKNOWN_ERA
 
     @property
-    def at(self) -> EraVersion:
+    def era_version(self) -> EraVersion:
         """Return the version with its era."""
         return EraVersion(self.era, self.ver)
 
@@ -177,7 +177,7 @@
         name=record.name,
         host=record.host,
         prefix=record.path_prefix,
-        kind=KINDS[record.kind],
+        kind=KIND_BY_NAME[record.kind],
         split=split or (plan.Share(record.service),),
         time_limit_s=record.timeout_ms / 1000,
         target_s=record.slo_ms / 1000,
@@ -235,12 +235,12 @@
     record = msgspec.json.decode(row.body(), type=StatusRecord)
     if row.ver < order.revision or record.target_version != order.target:
         return None
-    return PHASES.get(record.state, Phase.TRIAL)
+    return PHASE_BY_STATE.get(record.state, Phase.TRIAL)
 
 
 def status_body(news: RolloutNews) -> dict[str, object]:
     """Return the status of a roll-out as the operator reads it."""
-    return {"state": STATES.get(news.phase, RUNNING), "targetVersion": news.order.target}
+    return {"state": STATE_BY_PHASE.get(news.phase, RUNNING), "targetVersion": news.order.target}
 
 
 def encode(body: Any) -> bytes:
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -288,7 +288,7 @@
             order = parse_or_log(row.table, row.key, read)
             if order is not None:
                 rollouts.append(StoredRollout(order))
-    return PlanNews(plan, raw, record.at, now_s, tuple(rollouts))
+    return PlanNews(plan, raw, record.era_version, now_s, tuple(rollouts))
 
 
 def _plan_of(row: RowRecord) -> Plan:
