--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -36,24 +36,24 @@
 )
 
 JSON_HEADERS: Headers = [(b"Content-Type", b"application/json")]
-ERA = "store-era"
+ERA_HEADER = "store-era"
 CONFIG_TABLE = "op"
 CONFIG_KEY = "config"
 ROLLOUT_PREFIX = "rollout/"
 STATUS_TABLE = "status"
-KEPT_TABLE = "rollouts"
+ROLLOUT_TABLE = "rollouts"
 SERVER_TABLE = "servers"
-HISTORY_GONE = 410
+STATUS_HISTORY_GONE = 410
 """Status of an answer that can't tell what changed since the asked version."""
 
-OTHER_ERA = Trouble("the store came back from an older copy", uncertain=False, history_gone=True)
-WATCH_MARGIN_S = 0.7
+ERA_CHANGED = Trouble("the store came back from an older copy", uncertain=False, history_gone=True)
+WATCH_TIMEOUT_MARGIN_S = 0.7
 """A watch is given up so long after the time that it was to wait."""
 
-PAGE_ROWS = 500
+MAX_PAGE_ROWS = 500
 """Rows of an answer at most, as the platform's pages tell."""
 
-FEED_AGAIN_ROWS = 100
+FULL_FEED_ROWS = 100
 """An answer of so many changes may not be all of them, so it is asked for more."""
 
 
@@ -63,9 +63,9 @@
     status: int
     rows: RowsRecord
 
-    def of(self, era: int) -> Result[RowsRecord, Trouble]:
+    def rows_if_era(self, era: int) -> Result[RowsRecord, Trouble]:
         """Return what it says of rows if it is of an era."""
-        return Ok(self.rows) if self.rows.era == era else Err(OTHER_ERA)
+        return Ok(self.rows) if self.rows.era == era else Err(ERA_CHANGED)
 
 
 class PlatformStore:
@@ -78,7 +78,7 @@
 
     async def read(self, table: str, timeout_s: float) -> Result[Reading, Trouble]:
         """Return all rows of a table."""
-        outcome = await self._rows(table, timeout_s)
+        outcome = await self._read_table(table, timeout_s)
         if isinstance(outcome, Err):
             return outcome
         record = outcome.ok_value
@@ -92,7 +92,7 @@
         name = {"table": table, "part": "", "key": key}
         body = {
             "expectedRev": [{**name, "ver": expected}],
-            "put": [{**name, "value": _in_base64(value)}],
+            "put": [{**name, "value": _to_base64(value)}],
             "remove": [],
         }
         outcome = await self._call("POST", "/v1/rows-tx", timeout_s, encode(body), (200, 412))
@@ -107,13 +107,13 @@
 
     async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> Trouble | None:
         """Put a row without a condition."""
-        row = {"table": table, "part": "", "key": key, "value": _in_base64(value)}
-        return await self._change({"expectedRev": [], "put": [row], "remove": []}, timeout_s)
+        row = {"table": table, "part": "", "key": key, "value": _to_base64(value)}
+        return await self._commit({"expectedRev": [], "put": [row], "remove": []}, timeout_s)
 
     async def remove(self, table: str, key: str, timeout_s: float) -> Trouble | None:
         """Remove a row."""
         row = {"table": table, "part": "", "key": key}
-        return await self._change({"expectedRev": [], "put": [], "remove": [row]}, timeout_s)
+        return await self._commit({"expectedRev": [], "put": [], "remove": [row]}, timeout_s)
 
     async def servers(
         self, timeout_s: float, before: ServerList | None = None
@@ -124,14 +124,14 @@
             if isinstance(outcome, Ok) or not outcome.err_value.history_gone:
                 return outcome
         outcome = await self._all_servers(timeout_s)
-        if isinstance(outcome, Err) or len(outcome.ok_value.servers) < PAGE_ROWS:
+        if isinstance(outcome, Err) or len(outcome.ok_value.servers) < MAX_PAGE_ROWS:
             return outcome
         # Pages are each of their own moment; what changed between them comes by the feed.
         whole = await self._servers_since(outcome.ok_value, timeout_s)
         return whole.map(lambda listed: msgspec.structs.replace(listed, changed=True))
 
     async def _all_servers(self, timeout_s: float) -> Result[ServerList, Trouble]:
-        outcome = await self._rows(SERVER_TABLE, timeout_s)
+        outcome = await self._read_table(SERVER_TABLE, timeout_s)
         if isinstance(outcome, Err):
             return outcome
         record = outcome.ok_value
@@ -148,13 +148,13 @@
         while True:
             path = f"/v1/rows-feed?table={SERVER_TABLE}&startAfter={position}&waitMs=0"
             answer = await self._call("GET", path, timeout_s)
-            outcome = answer.and_then(lambda answer: answer.of(before.era))
+            outcome = answer.and_then(lambda answer: answer.rows_if_era(before.era))
             if isinstance(outcome, Err):
                 return outcome
             record = outcome.ok_value
             for row in record.rows:
                 changes[row.key] = None if row.gone else self._entry_reader.read(row)
-            if len(record.rows) < FEED_AGAIN_ROWS or record.ver <= position:
+            if len(record.rows) < FULL_FEED_ROWS or record.ver <= position:
                 break
             position = record.ver
         now_s = record.now_ms / 1000
@@ -169,13 +169,13 @@
 
     async def plan(self, timeout_s: float) -> Result[PlanNews, Trouble]:
         """Return the newest plan."""
-        outcome = await self._rows(CONFIG_TABLE, timeout_s)
+        outcome = await self._read_table(CONFIG_TABLE, timeout_s)
         if isinstance(outcome, Err):
             return outcome
         news = _plan_news(outcome.ok_value)
         if not news.rollouts:
             return Ok(news)
-        statuses = await self._rows(STATUS_TABLE, timeout_s)
+        statuses = await self._read_table(STATUS_TABLE, timeout_s)
         if isinstance(statuses, Err):
             return statuses
         rows = {row.key: row for row in statuses.ok_value.rows}
@@ -186,8 +186,8 @@
         """Return the newest plan once there is one after `position`, or after `wait_s`."""
         wait = int(wait_s * 1000)
         path = f"/v1/rows-feed?table={CONFIG_TABLE}&startAfter={position.number}&waitMs={wait}"
-        outcome = await self._call("GET", path, wait_s + WATCH_MARGIN_S)
-        return outcome.and_then(lambda answer: answer.of(position.era)).map(_plan_news)
+        outcome = await self._call("GET", path, wait_s + WATCH_TIMEOUT_MARGIN_S)
+        return outcome.and_then(lambda answer: answer.rows_if_era(position.era)).map(_plan_news)
 
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
@@ -197,12 +197,12 @@
         key = ROLLOUT_PREFIX + order.service
         ordered = {"table": CONFIG_TABLE, "part": "", "key": key, "ver": order.revision}
         status = {"table": STATUS_TABLE, "part": "", "key": key}
-        kept = {"table": KEPT_TABLE, "part": "", "key": order.service}
+        kept = {"table": ROLLOUT_TABLE, "part": "", "key": order.service}
         body = {
             "expectedRev": [ordered, {**status, "ver": expected}],
             "put": [
-                {**status, "value": _in_base64(encode(status_body(news)))},
-                {**kept, "value": _in_base64(msgspec.json.encode(news))},
+                {**status, "value": _to_base64(encode(status_body(news)))},
+                {**kept, "value": _to_base64(msgspec.json.encode(news))},
             ],
             "remove": [],
         }
@@ -211,20 +211,22 @@
             return outcome
         record = outcome.ok_value.rows
         if record.era != order.era:
-            return Err(OTHER_ERA)
+            return Err(ERA_CHANGED)
         committed = outcome.ok_value.status == 200
-        return Ok(StatusWritten(True, record.ver) if committed else _in_the_way(record, order))
+        return Ok(
+            StatusWritten(True, record.ver) if committed else _conflict_outcome(record, order)
+        )
 
     async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], Trouble]:
         """Return what earlier holders kept of roll-outs."""
-        outcome = await self._rows(KEPT_TABLE, timeout_s)
+        outcome = await self._read_table(ROLLOUT_TABLE, timeout_s)
         return outcome.map(_kept_rollouts)
 
     def decode_plan(self, raw: bytes) -> Plan:
         """Read a configuration that a peer passed on."""
         return read_config(raw)
 
-    async def _rows(self, table: str, timeout_s: float) -> Result[RowsRecord, Trouble]:
+    async def _read_table(self, table: str, timeout_s: float) -> Result[RowsRecord, Trouble]:
         """Return all rows of a table, page by page, with the version as of the first page."""
         rows: list[RowRecord] = []
         start = ""
@@ -237,13 +239,13 @@
             page = outcome.ok_value.rows
             first = first or page
             if page.era != first.era:
-                return Err(OTHER_ERA)
+                return Err(ERA_CHANGED)
             rows.extend(page.rows)
             if not page.more or not page.rows:
                 return Ok(msgspec.structs.replace(first, rows=tuple(rows), more=False))
             start = page.rows[-1].key + "\x00"
 
-    async def _change(self, body: dict[str, object], timeout_s: float) -> Trouble | None:
+    async def _commit(self, body: dict[str, object], timeout_s: float) -> Trouble | None:
         outcome = await self._call("POST", "/v1/rows-tx", timeout_s, encode(body))
         return outcome.err_value if isinstance(outcome, Err) else None
 
@@ -261,11 +263,11 @@
         if isinstance(outcome, Err):
             return Err(Trouble(outcome.err_value.detail, uncertain=outcome.err_value.sent))
         got = outcome.ok_value
-        count = first_count(got.headers, ERA)
+        count = first_count(got.headers, ERA_HEADER)
         era = UNKNOWN_ERA if count is None else count + 1
         self.era.observe(era)
         if got.status not in good:
-            gone = got.status == HISTORY_GONE
+            gone = got.status == STATUS_HISTORY_GONE
             return Err(Trouble(f"status {got.status}", uncertain=False, history_gone=gone))
         try:
             rows = msgspec.json.decode(got.body, type=RowsRecord)
@@ -281,7 +283,7 @@
     there = [row for row in record.rows if not row.gone]
     for row in there:
         if row.key == CONFIG_KEY:
-            plan = parse_or_log(row.table, row.key, partial(_plan_of, row))
+            plan = parse_or_log(row.table, row.key, partial(_read_plan, row))
             raw = b"" if plan is None else row.body()
         elif row.key.startswith(ROLLOUT_PREFIX):
             read = partial(read_rollout, row, now_s, record.era)
@@ -291,7 +293,7 @@
     return PlanNews(plan, raw, record.era_version, now_s, tuple(rollouts))
 
 
-def _plan_of(row: RowRecord) -> Plan:
+def _read_plan(row: RowRecord) -> Plan:
     return read_config(row.body())
 
 
@@ -301,22 +303,22 @@
 
 
 def _kept_rollouts(record: RowsRecord) -> tuple[RolloutNews, ...]:
-    rows = [decode_row(KEPT_TABLE, _state_row(row), RolloutNews) for row in record.rows]
+    rows = [decode_row(ROLLOUT_TABLE, _state_row(row), RolloutNews) for row in record.rows]
     return tuple(news for news in rows if news is not None)
 
 
-def _phase_of(row: RowRecord, order: RolloutOrder) -> Phase | None:
+def _read_phase(row: RowRecord, order: RolloutOrder) -> Phase | None:
     return parse_or_log(row.table, row.key, lambda: read_phase(row, order))
 
 
 def _with_status(stored: StoredRollout, statuses: dict[str, RowRecord]) -> StoredRollout:
     """Return an order with the phase that its status tells, if there is one."""
     row = statuses.get(ROLLOUT_PREFIX + stored.order.service)
-    phase = _phase_of(row, stored.order) if row is not None else None
+    phase = _read_phase(row, stored.order) if row is not None else None
     return stored if phase is None else StoredRollout(stored.order, phase)
 
 
-def _in_the_way(record: RowsRecord, order: RolloutOrder) -> StatusWritten:
+def _conflict_outcome(record: RowsRecord, order: RolloutOrder) -> StatusWritten:
     """Tell from the rows that stand why a status was not written."""
     standing = {row.table: row for row in record.rows if not row.gone}
     ordered = standing.get(CONFIG_TABLE)
@@ -325,8 +327,8 @@
     status = standing.get(STATUS_TABLE)
     if status is None:
         return StatusWritten(False, 0)
-    return StatusWritten(False, status.ver, _phase_of(status, order))
+    return StatusWritten(False, status.ver, _read_phase(status, order))
 
 
-def _in_base64(value: bytes) -> str:
+def _to_base64(value: bytes) -> str:
     return base64.b64encode(value).decode()
