--- a/src/moledale/ui/bundle_commands.py
+++ b/src/moledale/ui/bundle_commands.py
@@ -12,7 +12,7 @@
 from moledale.bundle.diff import changes
 from moledale.findings import Finding
 from moledale.ui.client import Answer, NodeClient
-from moledale.ui.output import Exit, complain, print_json, print_table, report_findings
+from moledale.ui.output import Exit, print_error, print_json, print_table, report_findings
 
 STDIN = "-"
 SIGNATURE_SUFFIX = ".sig"
@@ -28,7 +28,7 @@
         return Err([Finding(name, "", f"can't be read: {error.strerror}")])
 
 
-def _parsed(name: str) -> Result[tuple[bytes, schema.Bundle], list[Finding]]:
+def _parse_file(name: str) -> Result[tuple[bytes, schema.Bundle], list[Finding]]:
     body = read_body(name)
     if isinstance(body, Err):
         return body
@@ -38,7 +38,7 @@
 
 def check(options: argparse.Namespace) -> Exit:
     """Validate a bundle."""
-    parsed = _parsed(options.file)
+    parsed = _parse_file(options.file)
     if isinstance(parsed, Err):
         return report_findings(parsed.err_value, options.json)
     body, bundle = parsed.ok_value
@@ -59,22 +59,22 @@
 
 def diff(options: argparse.Namespace, client: NodeClient) -> Exit:
     """Show what a bundle changes, against another file or the head."""
-    after = _parsed(options.file)
+    after = _parse_file(options.file)
     if isinstance(after, Err):
         return report_findings(after.err_value, options.json)
     before: schema.Bundle | None
     if options.against is not None:
-        parsed = _parsed(options.against)
+        parsed = _parse_file(options.against)
         if isinstance(parsed, Err):
             return report_findings(parsed.err_value, options.json)
         before = parsed.ok_value[1]
     else:
         answer = client.ask("/admin/v1/bundles/head")
         if isinstance(answer, Err):
-            complain(answer.err_value)
+            print_error(answer.err_value)
             return Exit.FAILED
         if answer.ok_value.status not in (200, 404):
-            return _refused(answer.ok_value)
+            return _report_unexpected_status(answer.ok_value)
         before = _bundle_of_head(answer.ok_value)
     found = changes(before, after.ok_value[1])
     if options.json:
@@ -93,24 +93,24 @@
 
 def sign(options: argparse.Namespace) -> Exit:
     """Sign a bundle off; the signature goes beside the file, or to standard output for `-`."""
-    parsed = _parsed(options.file)
+    parsed = _parse_file(options.file)
     if isinstance(parsed, Err):
         return report_findings(parsed.err_value, options.json)
     body, bundle = parsed.ok_value
     try:
         key = signing.load_private_key(Path(options.key).read_bytes())
     except OSError as error:
-        complain(f"{options.key}: can't be read: {error.strerror}")
+        print_error(f"{options.key}: can't be read: {error.strerror}")
         return Exit.FINDINGS
     if key is None:
-        complain(f"{options.key}: is not an Ed25519 private key")
+        print_error(f"{options.key}: is not an Ed25519 private key")
         return Exit.FINDINGS
     signature = signing.sign(body, options.operator, key)
     if options.file == STDIN:
         print_json([signature])
         return Exit.OK
     target = Path(options.file + SIGNATURE_SUFFIX)
-    others = _signatures(target)
+    others = _read_signatures(target)
     if isinstance(others, Err):
         return report_findings(others.err_value, options.json)
     kept = [other for other in others.ok_value if other.operator != options.operator]
@@ -122,7 +122,7 @@
     return Exit.OK
 
 
-def _signatures(path: Path) -> Result[list[signing.Signature], list[Finding]]:
+def _read_signatures(path: Path) -> Result[list[signing.Signature], list[Finding]]:
     if not path.exists():
         return Ok([])
     try:
@@ -133,22 +133,22 @@
 
 def roll(options: argparse.Namespace, client: NodeClient) -> Exit:
     """Roll a signed bundle across the fleet."""
-    parsed = _parsed(options.file)
+    parsed = _parse_file(options.file)
     if isinstance(parsed, Err):
         return report_findings(parsed.err_value, options.json)
     named = options.signatures or options.file + SIGNATURE_SUFFIX
-    signatures = _signatures(Path(named))
+    signatures = _read_signatures(Path(named))
     if isinstance(signatures, Err):
         return report_findings(signatures.err_value, options.json)
     signed = store.SignedBundle(parsed.ok_value[0].decode(), signatures.ok_value)
     answer = client.send("/admin/v1/bundles", msgspec.json.encode(signed))
     if isinstance(answer, Err):
-        complain(f"{answer.err_value}; run the same roll again to find out")
+        print_error(f"{answer.err_value}; run the same roll again to find out")
         return Exit.UNCERTAIN
-    return _rolled(answer.ok_value, options.json)
+    return _report_roll(answer.ok_value, options.json)
 
 
-def _rolled(answer: Answer, as_json: bool) -> Exit:
+def _report_roll(answer: Answer, as_json: bool) -> Exit:
     if answer.status == 201:
         head = msgspec.json.decode(answer.body, type=store.Head)
         if as_json:
@@ -157,16 +157,16 @@
             print(f"version {head.version} ({head.digest[:12]}) is the head")
         return Exit.OK
     if answer.status not in (409, 422, 503):
-        return _refused(answer)
+        return _report_unexpected_status(answer)
     try:
         refusal = msgspec.json.decode(answer.body, type=store.RollRefusal)
     except msgspec.DecodeError:
-        return _refused(answer)
+        return _report_unexpected_status(answer)
     if as_json:
         print_json(refusal)
-    complain(refusal.detail)
+    print_error(refusal.detail)
     for finding in refusal.findings:
-        complain(finding)
+        print_error(finding)
     if refusal.kind == "invalid":
         return Exit.FINDINGS
     if refusal.kind == "platform":
@@ -178,10 +178,10 @@
     """List the accepted versions."""
     answer = client.ask("/admin/v1/bundles")
     if isinstance(answer, Err):
-        complain(answer.err_value)
+        print_error(answer.err_value)
         return Exit.FAILED
     if answer.ok_value.status != 200:
-        return _refused(answer.ok_value)
+        return _report_unexpected_status(answer.ok_value)
     heads = msgspec.json.decode(answer.ok_value.body, type=list[store.Head])
     if options.json:
         print_json(heads)
@@ -191,8 +191,8 @@
     return Exit.OK
 
 
-def _refused(answer: Answer) -> Exit:
-    complain(f"{answer.node} answered {answer.status}: {answer.body.decode(errors='replace')}")
+def _report_unexpected_status(answer: Answer) -> Exit:
+    print_error(f"{answer.node} answered {answer.status}: {answer.body.decode(errors='replace')}")
     return Exit.FAILED
 
 
@@ -203,7 +203,7 @@
     try:
         handle = os.open(target, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     except OSError as error:
-        complain(f"{target}: can't be made: {error.strerror}")
+        print_error(f"{target}: can't be made: {error.strerror}")
         return Exit.FAILED
     with os.fdopen(handle, "wb") as file:
         file.write(pem)
--- a/src/moledale/ui/fleet_commands.py
+++ b/src/moledale/ui/fleet_commands.py
@@ -11,7 +11,7 @@
 from moledale.edge.operators import NodeStatus
 from moledale.node.burn import WINDOWS_S, BurnCount, BurnPage, BurnRow, burn_rows
 from moledale.ui.client import NodeClient
-from moledale.ui.output import Exit, complain, print_json, print_table
+from moledale.ui.output import Exit, print_error, print_json, print_table
 
 STATUS_PATH = "/admin/v1/status"
 
@@ -40,7 +40,7 @@
     """Show which version is in force on each node."""
     found = _statuses(client)
     if isinstance(found, Err):
-        complain(found.err_value)
+        print_error(found.err_value)
         return Exit.FAILED
     statuses, failures = found.ok_value
     versions = {status.bundle_version for status in statuses}
@@ -62,7 +62,7 @@
     """Show nodes, servers and leases."""
     found = _statuses(client)
     if isinstance(found, Err):
-        complain(found.err_value)
+        print_error(found.err_value)
         return Exit.FAILED
     statuses, failures = found.ok_value
     if options.json:
@@ -99,7 +99,7 @@
 
 def _complain_of(failures: list[str]) -> Exit:
     for failure in failures:
-        complain(failure)
+        print_error(failure)
     return Exit.FAILED
 
 
@@ -111,7 +111,7 @@
     """Report how fast each account's error budget burns."""
     found = _burn(client)
     if isinstance(found, Err):
-        complain(found.err_value)
+        print_error(found.err_value)
         return Exit.FAILED
     rows, failures = found.ok_value
     if options.plot is not None:
--- a/src/moledale/ui/output.py
+++ b/src/moledale/ui/output.py
@@ -37,7 +37,7 @@
         print("  ".join(cells).rstrip())
 
 
-def complain(message: str) -> None:
+def print_error(message: str) -> None:
     """Print an error, red only on a terminal."""
     colour = sys.stderr.isatty() and "NO_COLOR" not in os.environ
     text = f"{_RED}moledale: {message}{_PLAIN}" if colour else f"moledale: {message}"
@@ -49,5 +49,5 @@
     if as_json:
         print_json([{"source": f.source, "path": f.path, "message": f.message} for f in findings])
     for finding in findings:
-        complain(str(finding))
+        print_error(str(finding))
     return Exit.FINDINGS
