--- a/src/moledale/ui/cli.py
+++ b/src/moledale/ui/cli.py
@@ -51,53 +51,59 @@
     parser.add_argument("--version", action="version", version=f"moledale {__version__}")
     groups = parser.add_subparsers(required=True, metavar="COMMAND")
     _add_bundle(groups)
-    _add_others(groups)
+    _add_other_groups(groups)
     return parser
 
 
 def _add_bundle(groups: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     bundle = groups.add_parser("bundle", help="check, compare, sign off and roll bundles")
     commands = bundle.add_subparsers(required=True, metavar="COMMAND")
-    check = _add(commands, "check", bundle_commands.check, "validate a bundle")
+    check = _add_command(commands, "check", bundle_commands.check, "validate a bundle")
     check.add_argument("file", metavar="FILE", help="a bundle, or - for standard input")
-    diff = _add_remote(commands, "diff", bundle_commands.diff, "show what a bundle changes")
+    diff = _add_remote_command(commands, "diff", bundle_commands.diff, "show what a bundle changes")
     diff.add_argument("file", metavar="FILE")
     diff.add_argument("--against", metavar="FILE", help="instead of the head")
-    sign = _add(commands, "sign", bundle_commands.sign, "sign a bundle off")
+    sign = _add_command(commands, "sign", bundle_commands.sign, "sign a bundle off")
     sign.add_argument("file", metavar="FILE")
     sign.add_argument("--key", required=True, metavar="PEM")
     sign.add_argument("--operator", required=True, metavar="NAME")
-    roll = _add_remote(commands, "roll", bundle_commands.roll, "roll a signed bundle")
+    roll = _add_remote_command(commands, "roll", bundle_commands.roll, "roll a signed bundle")
     roll.add_argument("file", metavar="FILE")
     roll.add_argument("--signatures", metavar="FILE", help="instead of FILE.sig")
-    _add_remote(commands, "status", fleet_commands.bundle_status, "show the version on each node")
-    _add_remote(commands, "history", bundle_commands.history, "list the accepted versions")
+    _add_remote_command(
+        commands, "status", fleet_commands.bundle_status, "show the version on each node"
+    )
+    _add_remote_command(commands, "history", bundle_commands.history, "list the accepted versions")
 
 
-def _add_others(groups: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+def _add_other_groups(groups: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     fleet = groups.add_parser("fleet", help="look at nodes, servers and leases")
     commands = fleet.add_subparsers(required=True, metavar="COMMAND")
-    _add_remote(commands, "show", fleet_commands.fleet_show, "show nodes, servers and leases")
+    _add_remote_command(
+        commands, "show", fleet_commands.fleet_show, "show nodes, servers and leases"
+    )
     settings = groups.add_parser("settings", help="check a node's settings")
     commands = settings.add_subparsers(required=True, metavar="COMMAND")
-    check = _add(commands, "check", _check_settings, "validate a settings file")
+    check = _add_command(commands, "check", _check_settings, "validate a settings file")
     check.add_argument("file", metavar="FILE", type=Path)
     check.add_argument("--gateway", action="store_true", help="the file is a gateway node's")
     check.add_argument("--secrets", action="store_true", help="read the secrets too")
     report = groups.add_parser("report", help="reports over all nodes")
     commands = report.add_subparsers(required=True, metavar="COMMAND")
-    burn = _add_remote(commands, "burn", fleet_commands.report_burn, "error-budget burn")
+    burn = _add_remote_command(commands, "burn", fleet_commands.report_burn, "error-budget burn")
     burn.add_argument("--plot", metavar="FILE", help="draw it too: .svg, .png or .pdf")
-    explain = _add(groups, "explain", explain_command.explain, "tell a request's story from logs")
+    explain = _add_command(
+        groups, "explain", explain_command.explain, "tell a request's story from logs"
+    )
     explain.add_argument("request", metavar="ID")
     explain.add_argument("files", metavar="FILE", nargs="+", help="logs of nodes, or -")
     key = groups.add_parser("key", help="operators' keys")
     commands = key.add_subparsers(required=True, metavar="COMMAND")
-    new = _add(commands, "new", bundle_commands.new_key, "make a key pair")
+    new = _add_command(commands, "new", bundle_commands.new_key, "make a key pair")
     new.add_argument("--out", required=True, metavar="PEM", help="where the private half goes")
 
 
-def _add(
+def _add_command(
     commands: "argparse._SubParsersAction[argparse.ArgumentParser]",
     name: str,
     command: Command,
@@ -109,14 +115,14 @@
     return parser
 
 
-def _add_remote(
+def _add_remote_command(
     commands: "argparse._SubParsersAction[argparse.ArgumentParser]",
     name: str,
     command: Callable[[argparse.Namespace, NodeClient], Exit],
     text: str,
 ) -> argparse.ArgumentParser:
     """Add a command that asks nodes."""
-    parser = _add(commands, name, lambda options: command(options, _client(options)), text)
+    parser = _add_command(commands, name, lambda options: command(options, _client(options)), text)
     parser.add_argument("--node", action="append", metavar="HOST:PORT", help="may be repeated")
     return parser
 
@@ -124,7 +130,7 @@
 def _check_settings(options: argparse.Namespace) -> Exit:
     """Validate a settings file, and with --secrets that each secret can be read."""
     if options.gateway:
-        return _check_gateway(options)
+        return _check_gateway_settings(options)
     settings = load(options.file)
     if isinstance(settings, Err):
         return report_findings(settings.err_value, options.json)
@@ -139,7 +145,7 @@
     return Exit.OK
 
 
-def _check_gateway(options: argparse.Namespace) -> Exit:
+def _check_gateway_settings(options: argparse.Namespace) -> Exit:
     settings = load_gateway(options.file)
     if isinstance(settings, Err):
         return report_findings(settings.err_value, options.json)
