--- a/src/moledale/ui/bundle_commands.py
+++ b/src/moledale/ui/bundle_commands.py
@@ -69,7 +69,7 @@
             return report_findings(parsed.err_value, options.json)
         before = parsed.ok_value[1]
     else:
-        answer = client.ask("/admin/v1/bundles/head")
+        answer = client.get("/admin/v1/bundles/head")
         if isinstance(answer, Err):
             print_error(answer.err_value)
             return Exit.FAILED
@@ -141,7 +141,7 @@
     if isinstance(signatures, Err):
         return report_findings(signatures.err_value, options.json)
     signed = store.SignedBundle(parsed.ok_value[0].decode(), signatures.ok_value)
-    answer = client.send("/admin/v1/bundles", msgspec.json.encode(signed))
+    answer = client.post("/admin/v1/bundles", msgspec.json.encode(signed))
     if isinstance(answer, Err):
         print_error(f"{answer.err_value}; run the same roll again to find out")
         return Exit.UNCERTAIN
@@ -176,7 +176,7 @@
 
 def history(options: argparse.Namespace, client: NodeClient) -> Exit:
     """List the accepted versions."""
-    answer = client.ask("/admin/v1/bundles")
+    answer = client.get("/admin/v1/bundles")
     if isinstance(answer, Err):
         print_error(answer.err_value)
         return Exit.FAILED
--- a/src/moledale/ui/client.py
+++ b/src/moledale/ui/client.py
@@ -9,7 +9,7 @@
 
 from moledale.http_failures import CALL_FAILURES
 
-CALL_S = 10.0
+CALL_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,22 +28,22 @@
     addresses: tuple[str, ...]
     token: str
 
-    def ask(self, path: str) -> Result[Answer, str]:
+    def get(self, path: str) -> Result[Answer, str]:
         """Ask the nodes in order until one answers."""
-        return asyncio.run(self._ask(path))
+        return asyncio.run(self._get(path))
 
-    def send(self, path: str, body: bytes) -> Result[Answer, str]:
+    def post(self, path: str, body: bytes) -> Result[Answer, str]:
         """Send a body to the first node that takes the connection; never to a second one.
 
         Only a refused connection makes it go on: after that, the first node may have acted.
         """
-        return asyncio.run(self._send(path, body))
+        return asyncio.run(self._post(path, body))
 
-    def ask_each(self, addresses: list[str], path: str) -> list[Result[Answer, str]]:
+    def get_each(self, addresses: list[str], path: str) -> list[Result[Answer, str]]:
         """Ask several nodes side by side."""
-        return asyncio.run(self._ask_each(addresses, path))
+        return asyncio.run(self._get_each(addresses, path))
 
-    async def _ask(self, path: str) -> Result[Answer, str]:
+    async def _get(self, path: str) -> Result[Answer, str]:
         failure: Result[Answer, str] = Err("no node is named: use --node or MOLEDALE_NODES")
         async with aiosonic.HTTPClient() as client:
             for address in self.addresses:
@@ -52,7 +52,7 @@
                     return failure
         return failure
 
-    async def _send(self, path: str, body: bytes) -> Result[Answer, str]:
+    async def _post(self, path: str, body: bytes) -> Result[Answer, str]:
         outcome: Result[Answer, str] = Err("no node is named: use --node or MOLEDALE_NODES")
         async with aiosonic.HTTPClient() as client:
             for address in self.addresses:
@@ -61,7 +61,7 @@
                     return outcome
         return outcome
 
-    async def _ask_each(self, addresses: list[str], path: str) -> list[Result[Answer, str]]:
+    async def _get_each(self, addresses: list[str], path: str) -> list[Result[Answer, str]]:
         async with aiosonic.HTTPClient() as client:
             calls = (self._call(client, address, "GET", path, None) for address in addresses)
             return list(await asyncio.gather(*calls))
@@ -75,7 +75,9 @@
         body: bytes | None,
     ) -> Result[Answer, str]:
         headers = {"Authorization": f"Bearer {self.token}", "Content-Type": "application/json"}
-        timeouts = Timeouts(sock_connect=2, sock_read=CALL_S, request_timeout=CALL_S)
+        timeouts = Timeouts(
+            sock_connect=2, sock_read=CALL_TIMEOUT_S, request_timeout=CALL_TIMEOUT_S
+        )
         try:
             response = await client.request(
                 f"http://{address}{path}",
--- a/src/moledale/ui/fleet_commands.py
+++ b/src/moledale/ui/fleet_commands.py
@@ -18,7 +18,7 @@
 
 def _statuses(client: NodeClient) -> Result[tuple[list[NodeStatus], list[str]], str]:
     """Ask one node for all others, then every node for its status."""
-    first = client.ask(STATUS_PATH)
+    first = client.get(STATUS_PATH)
     if isinstance(first, Err):
         return first
     if first.ok_value.status != 200:
@@ -26,7 +26,7 @@
     seen = msgspec.json.decode(first.ok_value.body, type=NodeStatus)
     addresses = list(seen.nodes.values()) or [first.ok_value.node]
     statuses, failures = [], []
-    for answer in client.ask_each(addresses, STATUS_PATH):
+    for answer in client.get_each(addresses, STATUS_PATH):
         if isinstance(answer, Ok) and answer.ok_value.status == 200:
             statuses.append(msgspec.json.decode(answer.ok_value.body, type=NodeStatus))
         elif isinstance(answer, Ok):
@@ -137,7 +137,7 @@
 
 
 def _burn(client: NodeClient) -> Result[tuple[list[BurnRow], list[str]], str]:
-    head = client.ask("/admin/v1/bundles/head")
+    head = client.get("/admin/v1/bundles/head")
     found = _statuses(client)
     if isinstance(head, Err):
         return head
@@ -149,7 +149,7 @@
     addresses = sorted(set(found.ok_value[0][0].nodes.values())) if found.ok_value[0] else []
     counts: list[BurnCount] = []
     failures: list[str] = []
-    for answer in client.ask_each(addresses, "/admin/v1/burn"):
+    for answer in client.get_each(addresses, "/admin/v1/burn"):
         if isinstance(answer, Ok) and answer.ok_value.status == 200:
             counts.extend(msgspec.json.decode(answer.ok_value.body, type=BurnPage).counts)
         else:
