--- a/src/moledale/ui/explain_command.py
+++ b/src/moledale/ui/explain_command.py
@@ -11,14 +11,16 @@
 from moledale.log import Event
 from moledale.ui.output import Exit, print_json
 
-LINE = re.compile(r"(?P<time>\d+\.\d+) E(?P<number>\d+) (?P<name>\w+) (?P<fields>\{.*\})\s*$")
-NODE = re.compile(r"^\s*-?\d+\.\d+ (?P<node>\S+) \d+\.\d+ E\d+ ")
+LINE_PATTERN = re.compile(
+    r"(?P<time>\d+\.\d+) E(?P<number>\d+) (?P<name>\w+) (?P<fields>\{.*\})\s*$"
+)
+NODE_PREFIX_PATTERN = re.compile(r"^\s*-?\d+\.\d+ (?P<node>\S+) \d+\.\d+ E\d+ ")
 MEANINGS = {event.value.number: event.value.meaning for event in Event}
 
-AROUND_S = 1.0
+CONTEXT_BEFORE_S = 1.0
 """What a node believed this long before a request counts as its surroundings."""
 
-SURROUNDINGS = frozenset(
+CONTEXT_EVENT_NUMBERS = frozenset(
     event.value.number
     for event in (
         Event.STARTING,
@@ -52,10 +54,10 @@
     """Read events; other lines are passed over. A leading time and name tell the node."""
     node = source
     for line in lines:
-        match = LINE.search(line)
+        match = LINE_PATTERN.search(line)
         if match is None:
             continue
-        named = NODE.match(line)
+        named = NODE_PREFIX_PATTERN.match(line)
         try:
             fields = msgspec.json.decode(match["fields"], type=dict[str, object])
         except msgspec.DecodeError:
@@ -71,14 +73,14 @@
         )
 
 
-def story(lines: Iterable[LogLine], request: str) -> list[LogLine]:
+def select_events(lines: Iterable[LogLine], request: str) -> list[LogLine]:
     """Return what was logged of a request, with what its nodes and servers were in meanwhile."""
     everything = sorted(lines, key=lambda line: line.time)
     own = [line for line in everything if line.about(request)]
     if not own:
         return []
-    held_s = max(_held_s(line) for line in own)
-    begin = own[0].time - held_s - AROUND_S
+    held_s = max(_logged_duration_s(line) for line in own)
+    begin = own[0].time - held_s - CONTEXT_BEFORE_S
     nodes = {line.node for line in own}
     servers = {str(line.fields["server"]) for line in own if "server" in line.fields}
     chosen = [line for line in everything if line.time <= own[-1].time]
@@ -86,18 +88,18 @@
         line
         for line in chosen
         if line.about(request)
-        or (line.node in nodes and line.time >= begin and _surrounds(line, servers))
-        or line is _last_list(chosen, nodes, own[0].time)
+        or (line.node in nodes and line.time >= begin and _is_context(line, servers))
+        or line is _last_server_list(chosen, nodes, own[0].time)
     ]
 
 
-def _surrounds(line: LogLine, servers: set[str]) -> bool:
+def _is_context(line: LogLine, servers: set[str]) -> bool:
     if line.fields.get("request") is not None:
         return False
-    return line.number in SURROUNDINGS or str(line.fields.get("server")) in servers
+    return line.number in CONTEXT_EVENT_NUMBERS or str(line.fields.get("server")) in servers
 
 
-def _last_list(lines: list[LogLine], nodes: set[str], time: float) -> LogLine | None:
+def _last_server_list(lines: list[LogLine], nodes: set[str], time: float) -> LogLine | None:
     """Return the list of servers that the first node believed when the request was tried."""
     number = Event.SERVERS_CHANGED.value.number
     known = [
@@ -106,7 +108,7 @@
     return known[-1] if known else None
 
 
-def _held_s(line: LogLine) -> float:
+def _logged_duration_s(line: LogLine) -> float:
     for name in ("ms", "held_ms"):
         value = line.fields.get(name)
         if isinstance(value, int | float):
@@ -124,7 +126,7 @@
             print(f"{name}: can't be read: {type(error).__name__}", file=sys.stderr)
             return Exit.FAILED
         lines.extend(read_lines(Path(name).stem, text.splitlines()))
-    told = story(lines, options.request)
+    told = select_events(lines, options.request)
     if not told:
         print(f"no event of request {options.request}", file=sys.stderr)
         return Exit.FAILED
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,7 +9,7 @@
 
 from moledale.log import Event
 from moledale.ui.cli import main
-from moledale.ui.explain_command import read_lines, story
+from moledale.ui.explain_command import read_lines, select_events
 
 ROOT = Path(__file__).resolve().parent.parent
 LOG = """\
@@ -26,7 +26,7 @@
 
 class ExplainTest(unittest.TestCase):
     def test_story_of_one_request(self) -> None:
-        told = story(read_lines("file", LOG.splitlines()), "r1")
+        told = select_events(read_lines("file", LOG.splitlines()), "r1")
         self.assertEqual([line.number for line in told], [420, 411, 417, 410])
         self.assertEqual({line.node for line in told}, {"n1"})
 
