--- a/src/moledale/ui/fleet_commands.py
+++ b/src/moledale/ui/fleet_commands.py
@@ -16,7 +16,7 @@
 STATUS_PATH = "/admin/v1/status"
 
 
-def _statuses(client: NodeClient) -> Result[tuple[list[NodeStatus], list[str]], str]:
+def _fetch_statuses(client: NodeClient) -> Result[tuple[list[NodeStatus], list[str]], str]:
     """Ask one node for all others, then every node for its status."""
     first = client.get(STATUS_PATH)
     if isinstance(first, Err):
@@ -38,7 +38,7 @@
 
 def bundle_status(options: argparse.Namespace, client: NodeClient) -> Exit:
     """Show which version is in force on each node."""
-    found = _statuses(client)
+    found = _fetch_statuses(client)
     if isinstance(found, Err):
         print_error(found.err_value)
         return Exit.FAILED
@@ -51,16 +51,22 @@
         print_json({"nodes": nodes, "not_answering": failures, "agreed": len(versions) == 1})
     else:
         rows = [
-            (s.node, s.bundle_version, s.bundle_digest[:12], s.verdict, _ago(s.confirmed_ago_s))
+            (
+                s.node,
+                s.bundle_version,
+                s.bundle_digest[:12],
+                s.verdict,
+                _format_ago(s.confirmed_ago_s),
+            )
             for s in statuses
         ]
         print_table(["node", "version", "digest", "standing", "confirmed"], rows)
-    return _complain_of(failures) if failures or len(versions) != 1 else Exit.OK
+    return _report_failures(failures) if failures or len(versions) != 1 else Exit.OK
 
 
 def fleet_show(options: argparse.Namespace, client: NodeClient) -> Exit:
     """Show nodes, servers and leases."""
-    found = _statuses(client)
+    found = _fetch_statuses(client)
     if isinstance(found, Err):
         print_error(found.err_value)
         return Exit.FAILED
@@ -94,22 +100,22 @@
             for s in sorted(servers.values(), key=lambda one: one.id)
         ],
     )
-    return _complain_of(failures) if failures else Exit.OK
+    return _report_failures(failures) if failures else Exit.OK
 
 
-def _complain_of(failures: list[str]) -> Exit:
+def _report_failures(failures: list[str]) -> Exit:
     for failure in failures:
         print_error(failure)
     return Exit.FAILED
 
 
-def _ago(seconds: float | None) -> str:
+def _format_ago(seconds: float | None) -> str:
     return "never" if seconds is None else f"{seconds:.1f} s ago"
 
 
 def report_burn(options: argparse.Namespace, client: NodeClient) -> Exit:
     """Report how fast each account's error budget burns."""
-    found = _burn(client)
+    found = _fetch_burn(client)
     if isinstance(found, Err):
         print_error(found.err_value)
         return Exit.FAILED
@@ -133,12 +139,12 @@
             for r in rows
         ],
     )
-    return _complain_of(failures) if failures else Exit.OK
+    return _report_failures(failures) if failures else Exit.OK
 
 
-def _burn(client: NodeClient) -> Result[tuple[list[BurnRow], list[str]], str]:
+def _fetch_burn(client: NodeClient) -> Result[tuple[list[BurnRow], list[str]], str]:
     head = client.get("/admin/v1/bundles/head")
-    found = _statuses(client)
+    found = _fetch_statuses(client)
     if isinstance(head, Err):
         return head
     if isinstance(found, Err):
