--- a/src/moledale/ui/output.py
+++ b/src/moledale/ui/output.py
@@ -10,7 +10,7 @@
 from moledale.findings import Finding
 
 _RED = "\x1b[31m"
-_PLAIN = "\x1b[0m"
+_RESET = "\x1b[0m"
 
 
 class Exit(IntEnum):
@@ -40,7 +40,7 @@
 def print_error(message: str) -> None:
     """Print an error, red only on a terminal."""
     colour = sys.stderr.isatty() and "NO_COLOR" not in os.environ
-    text = f"{_RED}moledale: {message}{_PLAIN}" if colour else f"moledale: {message}"
+    text = f"{_RED}moledale: {message}{_RESET}" if colour else f"moledale: {message}"
     print(text, file=sys.stderr)
 
 
