--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -39,7 +39,7 @@
 from moledale.node.streams import GenerationRequest, StreamRecord, StreamTable
 from moledale.node.supervisor import Supervisor
 from moledale.node.tally import Tally
-from moledale.peers.gossip import PEERS_PER_RELAY, PEERS_PER_UPDATE, Gossip
+from moledale.peers.gossip import PEERS_PER_UPDATE, PEERS_PER_UPDATE_RELAY, Gossip
 from moledale.peers.link import PeerLink
 from moledale.peers.pb import peers_pb2
 from moledale.problems import Problem
@@ -111,7 +111,7 @@
             self.platform,
             settings.operators,
             settings.platform.poll_s,
-            lambda: self.gossip_soon(PEERS_PER_RELAY),
+            lambda: self.gossip_soon(PEERS_PER_UPDATE_RELAY),
             clock,
             rng,
         )
@@ -420,7 +420,7 @@
             return
         self._leaving_seen[server] = True
         self._leaving_to_gossip[server] = self.clock.monotonic()
-        self.gossip_soon(PEERS_PER_RELAY)
+        self.gossip_soon(PEERS_PER_UPDATE_RELAY)
 
     def adopt_stream(self, record: StreamRecord) -> str | None:
         """Adopt a live stream from a leaving peer; return why not, or None on success.
--- a/src/moledale/peers/gossip.py
+++ b/src/moledale/peers/gossip.py
@@ -16,7 +16,7 @@
 PEERS_PER_UPDATE = 6
 """Peers that are told at once by the node where something new is learnt."""
 
-PEERS_PER_RELAY = 3
+PEERS_PER_UPDATE_RELAY = 3
 """Peers that each node passes news on to at once, the first time that it hears them."""
 
 
