--- a/src/moledale/platform/cloud.py
+++ b/src/moledale/platform/cloud.py
@@ -25,7 +25,7 @@
     ) -> Trouble | None:
         """Report a window's counts."""
         body = encode({"window": window, "counts": counts})
-        outcome = await self._call_as_holder("/usage", holder, fence, body)
+        outcome = await self._post("/usage", holder, fence, body)
         if isinstance(outcome, Err):
             return outcome.err_value
         status = outcome.ok_value
@@ -38,7 +38,7 @@
         body: dict[str, object] = {"service": service, "zone": hall, "desired": number}
         if spot:
             body["spot"] = True
-        outcome = await self._call_as_holder("/scale", holder, fence, encode(body))
+        outcome = await self._post("/scale", holder, fence, encode(body))
         if isinstance(outcome, Err):
             return outcome
         status = outcome.ok_value
@@ -46,9 +46,7 @@
             return Ok(status == 200)
         return Err(Trouble(f"status {status}", uncertain=False))
 
-    async def _call_as_holder(
-        self, path: str, holder: str, fence: int, body: bytes
-    ) -> Result[int, Trouble]:
+    async def _post(self, path: str, holder: str, fence: int, body: bytes) -> Result[int, Trouble]:
         headers: Headers = [
             (b"Duty-Holder", holder.encode()),
             (b"Fence-Token", str(fence).encode()),
