--- a/src/moledale/platform/engines.py
+++ b/src/moledale/platform/engines.py
@@ -10,7 +10,7 @@
 from moledale.gateway.messages import Headers
 from moledale.platform.records import encode
 
-JSON_HEADERS: Headers = [(b"Content-Type", b"application/json")]
+JSON_TYPE: Headers = [(b"Content-Type", b"application/json")]
 RELEASE_TIMEOUT_S = 1.0
 """Freeing a copy has this long; one that is not freed ends by itself."""
 
@@ -39,7 +39,7 @@
         if last:
             body["last"] = True
         outcome = await self._caller(source).call(
-            "POST", "/v1/kv-move", encode(body), JSON_HEADERS, timeout_s
+            "POST", "/v1/kv-move", encode(body), JSON_TYPE, timeout_s
         )
         if isinstance(outcome, Err):
             return Err(MoveRefused(outcome.err_value.detail))
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -35,7 +35,7 @@
     status_body,
 )
 
-JSON_HEADERS: Headers = [(b"Content-Type", b"application/json")]
+JSON_TYPE: Headers = [(b"Content-Type", b"application/json")]
 ERA_HEADER = "store-era"
 CONFIG_TABLE = "op"
 CONFIG_KEY = "config"
@@ -213,9 +213,7 @@
         if record.era != order.era:
             return Err(ERA_CHANGED)
         committed = outcome.ok_value.status == 200
-        return Ok(
-            StatusWritten(True, record.ver) if committed else _conflict_outcome(record, order)
-        )
+        return Ok(StatusWritten(True, record.ver) if committed else _write_conflict(record, order))
 
     async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], Trouble]:
         """Return what earlier holders kept of roll-outs."""
@@ -257,9 +255,7 @@
         body: bytes = b"",
         good: tuple[int, ...] = (200,),
     ) -> Result[Answer, Trouble]:
-        outcome = await self._calls.call(
-            method, path, body, JSON_HEADERS if body else [], timeout_s
-        )
+        outcome = await self._calls.call(method, path, body, JSON_TYPE if body else [], timeout_s)
         if isinstance(outcome, Err):
             return Err(Trouble(outcome.err_value.detail, uncertain=outcome.err_value.sent))
         got = outcome.ok_value
@@ -318,7 +314,7 @@
     return stored if phase is None else StoredRollout(stored.order, phase)
 
 
-def _conflict_outcome(record: RowsRecord, order: RolloutOrder) -> StatusWritten:
+def _write_conflict(record: RowsRecord, order: RolloutOrder) -> StatusWritten:
     """Tell from the rows that stand why a status was not written."""
     standing = {row.table: row for row in record.rows if not row.gone}
     ordered = standing.get(CONFIG_TABLE)
