--- a/src/moledale/peers/__init__.py
+++ b/src/moledale/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Traffic between entry instances over gRPC."""
+"""Communication between entry nodes over gRPC."""
