--- a/src/moledale/peers/auth.py
+++ b/src/moledale/peers/auth.py
@@ -1,4 +1,4 @@
-"""Short-lived signed tokens on every call between nodes."""
+"""Short-lived signed tokens that authenticate calls between nodes."""
 
 import jwt
 
@@ -11,7 +11,7 @@
 
 
 class PeerTokens:
-    """Makes and checks tokens with the secret that all nodes share."""
+    """Issues and verifies tokens with the secret that all nodes share."""
 
     def __init__(self, node: str, secret: str, clock: Clock) -> None:
         self._node = node
@@ -21,7 +21,7 @@
         self._renew_at = 0.0
 
     def token(self) -> str:
-        """Return a token of this node, made anew when half its life is over."""
+        """Return a token of this node; it is renewed after half of its TTL."""
         now = self._clock.wall()
         if now >= self._renew_at:
             claims = {"iss": self._node, "aud": _AUDIENCE, "exp": int(now) + TOKEN_TTL_S}
@@ -30,7 +30,10 @@
         return self._token
 
     def check(self, token: str) -> str | None:
-        """Return the node that a valid token names, or None."""
+        """Return the node that issued a token, or None if it is invalid.
+
+        The leeway on the expiry tolerates clocks that differ between nodes.
+        """
         try:
             claims = jwt.decode(
                 token, self._secret, algorithms=[_ALGORITHM], audience=_AUDIENCE, leeway=30
