--- a/src/moledale/peers/gossip.py
+++ b/src/moledale/peers/gossip.py
@@ -1,4 +1,4 @@
-"""Small digests to a few random peers: the bundle head, leaving servers, open requests."""
+"""Gossip of small digests with random peers: bundle head, leaving servers, open requests."""
 
 import random
 from collections.abc import Callable
@@ -14,14 +14,17 @@
 
 PEERS_PER_ROUND = 1
 PEERS_PER_UPDATE = 6
-"""Peers that are told at once by the node where something new is learnt."""
+"""Peers with which a node exchanges digests at once when it learns of an update itself."""
 
 PEERS_PER_UPDATE_RELAY = 3
-"""Peers that each node passes news on to at once, the first time that it hears them."""
+"""Peers to which a node relays an update at once when it receives it for the first time."""
 
 
 class Gossip:
-    """Exchanges digests with one random peer a round, and at once when there is news."""
+    """Exchanges digests with one random peer per round, and with several at once on an update.
+
+    `own_digest` returns the digest to send, and `on_digest` is called with each one received.
+    """
 
     def __init__(
         self,
@@ -43,15 +46,15 @@
         self._down: set[str] = set()
 
     async def run(self) -> None:
-        """Exchange digests for ever."""
+        """Exchange digests periodically, with jitter, until cancelled."""
         while True:
             await self._clock.sleep(self._interval_s * self._rng.uniform(0.75, 1.25))
             await self.exchange(PEERS_PER_ROUND)
 
-    async def exchange(self, peers: int) -> None:
-        """Exchange digests with some random peers."""
-        others = [node for node in self._fleet.peer_nodes() if node.peer_address]
-        for peer in self._rng.sample(others, min(peers, len(others))):
+    async def exchange(self, number: int) -> None:
+        """Exchange digests with up to `number` random peers, one after the other."""
+        peers = [node for node in self._fleet.peer_nodes() if node.peer_address]
+        for peer in self._rng.sample(peers, min(number, len(peers))):
             await self._exchange_with(peer)
 
     async def _exchange_with(self, peer: Instance) -> None:
