--- a/src/moledale/peers/grpc_link.py
+++ b/src/moledale/peers/grpc_link.py
@@ -1,4 +1,4 @@
-"""The link to other nodes over gRPC."""
+"""Implementation of the link to other nodes over gRPC."""
 
 from typing import Any
 
@@ -25,7 +25,10 @@
 
 
 class GrpcLink:
-    """The link over gRPC; it keeps a bounded number of channels."""
+    """Calls peers over gRPC and serves their calls.
+
+    The number of channels is bounded: a new one beyond the maximum closes the oldest.
+    """
 
     def __init__(self, node: str, listen: str, tokens: PeerTokens) -> None:
         self._node = node
@@ -35,14 +38,14 @@
         self._channels: dict[str, grpc.aio.Channel] = {}
 
     async def serve(self, handler: PeerHandler) -> int:
-        """Start to answer peers and return the port."""
+        """Start the service for peers and return its port."""
         self._server, port = await start(handler, self._tokens, self._listen)
         return port
 
     async def digest(
         self, address: str, message: peers_pb2.DigestMessage
     ) -> Result[peers_pb2.DigestMessage, str]:
-        """Exchange digests."""
+        """Send this node's digest and return the peer's, or an error text."""
         stub = await self._stub(address)
         try:
             return Ok(
@@ -52,7 +55,7 @@
             return Err(f"{error.code().name}: {error.details()}")
 
     async def hand_over(self, address: str, record: StreamRecord) -> Result[None, str]:
-        """Give a live stream to a peer."""
+        """Hand a live stream over to a peer; the error is why it was not adopted."""
         state = peers_pb2.StreamState(
             request_id=record.request.id,
             request=encode_request(record.request),
@@ -69,9 +72,9 @@
         return Ok(None) if reply.accepted else Err(str(reply.reason))
 
     async def run_once(self, address: str, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Have the node that answers for a key run the call, or tell what became of it.
+        """Run a call on the node that owns its key, and return the answer or the problem.
 
-        Whatever goes wrong on the way leaves the outcome unknown: the peer may have run it.
+        A failed RPC leaves the outcome unknown: the peer may have run the call.
         """
         message = peers_pb2.OnceRequest(key=call.key, call=msgspec.json.encode(call))
         stub = await self._stub(address)
@@ -90,7 +93,7 @@
         return Ok(ServiceAnswer(reply.status, reply.content_type, reply.body))
 
     async def close(self) -> None:
-        """Stop answering and close all channels."""
+        """Stop the service and close all channels."""
         if self._server is not None:
             await self._server.stop(STOP_GRACE_S)
         for channel in self._channels.values():
