--- a/src/moledale/peers/link.py
+++ b/src/moledale/peers/link.py
@@ -1,4 +1,4 @@
-"""The link to other nodes: what a node asks of them, and what they may ask of it."""
+"""Interfaces of the link to other nodes: outgoing calls, and the handler of incoming ones."""
 
 from typing import Protocol
 
@@ -12,42 +12,42 @@
 
 
 class PeerHandler(Protocol):
-    """The node's side of the calls."""
+    """Handles calls from peers; the node implements it."""
 
     def exchange_digest(self, message: peers_pb2.DigestMessage) -> peers_pb2.DigestMessage:
-        """Take a peer's digest and return this node's own."""
+        """Apply a peer's digest and return this node's own."""
         ...
 
     def adopt_stream(self, record: StreamRecord) -> str | None:
-        """Take a live stream; return why not, or None if it was taken."""
+        """Adopt a live stream; return the reason if it is rejected, or None."""
         ...
 
     async def run_once_locally(self, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Run a not-repeatable call whose key this node answers for."""
+        """Run a non-repeatable call whose key this node owns."""
         ...
 
 
 class PeerLink(Protocol):
-    """Calls to peers at `host:port`, and the service that peers call."""
+    """Calls peers, whose addresses are `host:port`, and serves their calls."""
 
     async def serve(self, handler: PeerHandler) -> int:
-        """Start to answer peers and return the port."""
+        """Start the service for peers and return its port."""
         ...
 
     async def digest(
         self, address: str, message: peers_pb2.DigestMessage
     ) -> Result[peers_pb2.DigestMessage, str]:
-        """Exchange digests."""
+        """Send this node's digest and return the peer's, or an error text."""
         ...
 
     async def hand_over(self, address: str, record: StreamRecord) -> Result[None, str]:
-        """Give a live stream to a peer."""
+        """Hand a live stream over to a peer; the error is why it was not adopted."""
         ...
 
     async def run_once(self, address: str, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Have the node that answers for a key run the call, or tell what became of it."""
+        """Run a call on the node that owns its key, and return the answer or the problem."""
         ...
 
     async def close(self) -> None:
-        """Stop answering and close all channels."""
+        """Stop the service and close all channels."""
         ...
