--- a/src/moledale/peers/server.py
+++ b/src/moledale/peers/server.py
@@ -1,4 +1,4 @@
-"""What other nodes may ask of this one."""
+"""The gRPC service that other nodes call."""
 
 from typing import Any
 
@@ -18,7 +18,10 @@
 
 
 class PeerServer(peers_pb2_grpc.PeersServicer):  # type: ignore[misc]
-    """The gRPC service; calls without a valid token are refused."""
+    """Decodes calls from peers and passes them to a handler.
+
+    Calls without a valid token are rejected.
+    """
 
     def __init__(self, handler: PeerHandler, tokens: PeerTokens) -> None:
         self._handler = handler
@@ -27,14 +30,14 @@
     async def Digest(
         self, request: peers_pb2.DigestMessage, context: Any
     ) -> peers_pb2.DigestMessage:
-        """Exchange digests."""
+        """Apply a peer's digest and reply with this node's own."""
         await self._authenticate(context)
         return self._handler.exchange_digest(request)
 
     async def HandOver(
         self, request: peers_pb2.StreamState, context: Any
     ) -> peers_pb2.HandOverReply:
-        """Take a live stream."""
+        """Adopt a live stream, or reply with the reason why not."""
         peer = await self._authenticate(context)
         try:
             decoded = decode_request(request.request)
@@ -47,7 +50,7 @@
         return peers_pb2.HandOverReply(accepted=reason is None, reason=reason or "")
 
     async def RunOnce(self, request: peers_pb2.OnceRequest, context: Any) -> peers_pb2.OnceReply:
-        """Run a not-repeatable call."""
+        """Run a non-repeatable call; `ran` is set in the reply only for a problem."""
         await self._authenticate(context)
         try:
             call = msgspec.json.decode(request.call, type=OnceCall)
@@ -77,7 +80,7 @@
 
 
 async def start(handler: PeerHandler, tokens: PeerTokens, listen: str) -> tuple[Any, int]:
-    """Start the service and return it with its port."""
+    """Start the service and return the server with its port."""
     server = grpc.aio.server(
         options=[
             ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
