--- a/src/moledale/peers/wire.py
+++ b/src/moledale/peers/wire.py
@@ -1,4 +1,4 @@
-"""Encoding of requests that travel inside peer messages."""
+"""Encoding of generation requests inside peer messages."""
 
 import msgspec
 
@@ -11,5 +11,5 @@
 
 
 def decode_request(body: bytes) -> GenerationRequest:
-    """Decode a peer's request; raises msgspec.DecodeError on a damaged one."""
+    """Decode a request from a peer; raise `msgspec.DecodeError` if it is malformed."""
     return msgspec.msgpack.decode(body, type=GenerationRequest)
