--- a/src/moledale/platform/__init__.py
+++ b/src/moledale/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform as it speaks: names, formats and calls, and nothing that decides."""
+"""Adapters for the users' platform: its names, wire formats and calls; no decisions."""
