--- a/src/moledale/platform/cloud.py
+++ b/src/moledale/platform/cloud.py
@@ -1,4 +1,4 @@
-"""The calls to the platform that are the duty of one node at a time."""
+"""Calls to the platform that only the holder of the duties lease makes."""
 
 from result import Err, Ok, Result
 
@@ -8,14 +8,14 @@
 from moledale.platform.records import encode
 
 CALL_TIMEOUT_S = 1.5
-"""An order has this long: half of the lease."""
+"""Timeout of a call: half of the default lease TTL."""
 
 STATUS_NO_CAPACITY = 409
-"""The answer to an order for servers that are not to be had at present."""
+"""Status of the response to an order for servers that are not available now."""
 
 
 class PlatformCloud:
-    """Usage reports and orders of servers."""
+    """Reports usage and orders servers, in the name of the lease holder."""
 
     def __init__(self, address: str) -> None:
         self._calls = HttpCaller(address)
@@ -23,7 +23,7 @@
     async def report_usage(
         self, holder: str, fence: int, window: int, counts: dict[str, int]
     ) -> Trouble | None:
-        """Report a window's counts."""
+        """Report the counts of a usage window; return the error, or None."""
         body = encode({"window": window, "counts": counts})
         outcome = await self._post("/usage", holder, fence, body)
         if isinstance(outcome, Err):
@@ -34,7 +34,7 @@
     async def order_servers(
         self, holder: str, fence: int, service: str, hall: str, number: int, spot: bool
     ) -> Result[bool, Trouble]:
-        """Order how many servers a hall shall have."""
+        """Order the number of servers that a hall is to have; False if none are available now."""
         body: dict[str, object] = {"service": service, "zone": hall, "desired": number}
         if spot:
             body["spot"] = True
