--- a/src/moledale/platform/engines.py
+++ b/src/moledale/platform/engines.py
@@ -1,4 +1,4 @@
-"""Orders to model servers as the platform spells them."""
+"""Orders to model servers in the platform's wire format."""
 
 from urllib.parse import quote
 
@@ -12,21 +12,21 @@
 
 JSON_TYPE: Headers = [(b"Content-Type", b"application/json")]
 RELEASE_TIMEOUT_S = 1.0
-"""Freeing a copy has this long; one that is not freed ends by itself."""
+"""Timeout of releasing a copy; a copy that is not released expires by itself."""
 
 MAX_CALLERS = 200
-"""Engines to which connections are kept for orders."""
+"""Engines to which idle connections are kept for orders; with more, all are closed."""
 
 
 class MoveRecord(msgspec.Struct, frozen=True):
-    """The answer to a move."""
+    """The response to a move: the handle of the copy and the number of events made."""
 
     handle: str = ""
     made: int = 0
 
 
 class PlatformEngines:
-    """Moves of runs between model servers."""
+    """Moves runs between model servers."""
 
     def __init__(self) -> None:
         self._callers: dict[str, HttpCaller] = {}
@@ -34,7 +34,7 @@
     async def move(
         self, source: str, run: str, target: str, last: bool, timeout_s: float
     ) -> Result[Moved, MoveRefused]:
-        """Copy a run's memory between two addresses; with `last` the run stops first."""
+        """Copy a run's KV cache between two addresses; with `last` the run is stopped first."""
         body: dict[str, object] = {"id": run, "targetVersion": target}
         if last:
             body["last"] = True
@@ -53,7 +53,7 @@
         return Err(MoveRefused(f"status {answer.status}", record.handle))
 
     async def release(self, source: str, handle: str) -> None:
-        """Free a copy that nobody will use."""
+        """Release a copy that will not be used."""
         path = f"/v1/kv-handle/{quote(handle)}"
         await self._caller(source).call("DELETE", path, timeout_s=RELEASE_TIMEOUT_S)
 
