--- a/src/moledale/platform/entries.py
+++ b/src/moledale/platform/entries.py
@@ -1,7 +1,4 @@
-"""Entries of the list of servers, which others than our servers may have written as well.
-
-An entry that is not as the platform says names no server, and the others hold.
-"""
+"""Reads entries of the server list; malformed ones of other writers are logged and skipped."""
 
 from typing import Annotated, Literal
 
@@ -13,17 +10,17 @@
 from moledale.platform.records import Record, RowRecord
 
 INCARNATION_SEPARATOR = "#"
-"""Parts a server's id from the start of its process: one that starts again under its id holds and
-knows nothing of before, so the product takes it for another server."""
+"""Separates a server's id from the start time of its process. A server that restarts under the same
+id has lost all its state, so each incarnation counts as a different server."""
 
 MAX_LOGGED_ENTRIES = 1_000
-"""Entries that can't be read of which it is remembered that they were logged: 0.1 MB."""
+"""Maximum unreadable entries that are remembered as already logged: 0.1 MB."""
 
 Address = Annotated[str, msgspec.Meta(pattern=r"^[^:\s]+:[1-9][0-9]{0,4}$")]
 
 
 class ServerRecord(Record, frozen=True):
-    """An entry; `born` is the Unix millisecond at which the server's process started."""
+    """An entry; `born` is when the server's process started, in Unix milliseconds."""
 
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: Address
@@ -38,13 +35,13 @@
 
 
 class EntryReader:
-    """Reads entries, and logs each one that can't be read once for each change of it."""
+    """Reads entries, and logs each unreadable one once per version of its row."""
 
     def __init__(self) -> None:
         self._logged: LRUCache[str, int] = LRUCache(MAX_LOGGED_ENTRIES)
 
     def read(self, row: RowRecord) -> Server | None:
-        """Return the server that an entry names, or None if it names none."""
+        """Return the server that an entry describes, or None if it can't be read."""
         try:
             return read_server(row)
         except (msgspec.DecodeError, ValueError) as error:
@@ -55,7 +52,7 @@
 
 
 def read_server(row: RowRecord) -> Server:
-    """Make a server of an entry; `msgspec.DecodeError` or `ValueError` if it can't be read."""
+    """Decode an entry; raise `msgspec.DecodeError` or `ValueError` if it can't be read."""
     record = msgspec.json.decode(row.body(), type=ServerRecord)
     return Server(
         row.key if record.born is None else f"{row.key}{INCARNATION_SEPARATOR}{record.born}",
@@ -71,5 +68,5 @@
 
 
 def platform_id(server: str) -> str:
-    """Return the id under which the platform knows a server, whichever life it is in."""
+    """Return the id under which the platform knows a server, without its incarnation."""
     return server.partition(INCARNATION_SEPARATOR)[0]
