--- a/src/moledale/platform/headers.py
+++ b/src/moledale/platform/headers.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the platform spells them."""
+"""The platform's wire format of requests and responses."""
 
 from urllib.parse import parse_qs
 
@@ -52,10 +52,10 @@
 
 
 class PlatformHeaders:
-    """Reads and writes the headers of callers and servers."""
+    """Implements `Dialect`: reads and writes the headers of callers and servers."""
 
     def read_request(self, head: RequestHead) -> RequestFacts:
-        """Return what a request says of itself."""
+        """Return the facts that the head of a request states; raise ValueError if it is invalid."""
         found = {name.lower(): value for name, value in head.headers}
         prompt, answer = _token_counts(found.get(b"token-count"))
         deadline = parse_number(found.get(b"deadline-ms"), "Deadline-Ms")
@@ -70,7 +70,7 @@
         )
 
     def attempt_head(self, head: RequestHead, facts: AttemptFacts, length: int) -> bytes:
-        """Return the first lines of the request as a server gets them."""
+        """Return the head that is sent to a server, without the caller's own reserved headers."""
         lines = [b"%b %b HTTP/1.1" % (head.method, head.target)]
         named = connection_options(head.headers)
         had_length = False
@@ -102,7 +102,7 @@
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Return what a server's answer says of itself."""
+        """Return the facts that the head of a server's response states."""
         found = {name.lower(): value for name, value in head.headers}
         request_id = found.get(b"request-id")
         return AnswerFacts(
@@ -115,11 +115,11 @@
         )
 
     def answer_headers(self, head: AnswerHead) -> Headers:
-        """Return the headers of an answer that the caller gets."""
+        """Return the headers of a server's response that are relayed to the caller."""
         return [(name, value) for name, value in head.headers if name.lower() not in HOP_BY_HOP]
 
     def refusal_headers(self, request_id: str, retry_after_s: float | None) -> Headers:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of a response of the node's own."""
         headers: Headers = [(b"Content-Type", b"application/json")]
         if request_id:
             headers.append((b"Request-Id", request_id.encode("latin-1")))
@@ -129,10 +129,10 @@
 
 
 class PlatformEntry:
-    """The questions that callers and the platform ask a node."""
+    """Implements `EntryDialect`: readiness checks and address lookups at a node."""
 
     def read_question(self, head: RequestHead) -> Question | None:
-        """Return the question, or None for any other request."""
+        """Return the question of a request, or None for any other request."""
         path, _, query = head.target.partition(b"?")
         if path == b"/v1/ready":
             return Question(Asked.READY)
@@ -142,7 +142,7 @@
         return None
 
     def addresses(self, addresses: list[str], ttl_s: float) -> tuple[Headers, bytes]:
-        """Return headers and body that tell which addresses to use."""
+        """Return headers and body of a response with the addresses that a client uses."""
         body = msgspec.json.encode({"addresses": addresses, "ttlS": ttl_s})
         return [(b"Content-Type", b"application/json")], body
 
@@ -177,12 +177,12 @@
 
 
 def _server_statement(headers: Headers, date: str | None) -> ServerStatement:
-    """Return what an answer says of its server."""
+    """Return what a response states about its server."""
     leaving = any(text.strip() == TRUE_VALUE for text in field_values(headers, LEAVING_HEADER))
-    again_s = retry_after_s(field_values(headers, RETRY_AFTER), date)
+    retry_s = retry_after_s(field_values(headers, RETRY_AFTER), date)
     limits = field_values(headers, SERVER_LIMIT_HEADER)
     limit = lowest_limit(limits, SERVER_LIMIT_HEADER)
-    return ServerStatement(leaving, again_s, limit, bool(limits) and limit is None)
+    return ServerStatement(leaving, retry_s, limit, bool(limits) and limit is None)
 
 
 def _text_or_none(value: bytes | None) -> str | None:
