--- a/src/moledale/platform/records.py
+++ b/src/moledale/platform/records.py
@@ -1,4 +1,4 @@
-"""Records of the platform, and the product's own messages made of them."""
+"""Records in the platform's wire format, and their conversion to the gateway's own types."""
 
 import base64
 from typing import Any, Literal
@@ -17,18 +17,18 @@
 
 
 class Record(msgspec.Struct, frozen=True, rename="camel"):
-    """A record whose unknown fields are passed over."""
+    """Base class of records: names in camel case, unknown fields are ignored."""
 
 
 class SplitRecord(Record, frozen=True):
-    """A part of a route's requests."""
+    """A service and its weight in a route's traffic split."""
 
     service: str
     weight: float = 1.0
 
 
 class RouteRecord(Record, frozen=True):
-    """A route."""
+    """A route of a configuration."""
 
     name: str
     host: str
@@ -47,7 +47,7 @@
 
 
 class EngineRecord(Record, frozen=True):
-    """The model servers of a service."""
+    """Properties of the model servers of a service."""
 
     slots: int = 1
     kv_capacity: int = 0
@@ -60,7 +60,7 @@
 
 
 class ScalingRecord(Record, frozen=True):
-    """Bounds and prices of a service's servers."""
+    """Minimum, maximum and prices of a service's servers."""
 
     min: int = 0
     max: int = 0
@@ -70,7 +70,7 @@
 
 
 class ServiceRecord(Record, frozen=True):
-    """A service."""
+    """A service of a configuration."""
 
     name: str
     max_conns: int = 100
@@ -79,7 +79,7 @@
 
 
 class LimitsRecord(Record, frozen=True):
-    """Bounds on what a client may send."""
+    """Limits on the requests of clients."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -88,7 +88,7 @@
 
 
 class TenantRecord(Record, frozen=True):
-    """A tenant."""
+    """A tenant, which is a client account of the gateway."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -100,7 +100,7 @@
 
 
 class ConfigRecord(Record, frozen=True):
-    """A configuration."""
+    """A configuration, from which the gateway's plan is made."""
 
     version: int
     routes: tuple[RouteRecord, ...] = ()
@@ -118,7 +118,7 @@
 
 
 class StatusRecord(Record, frozen=True):
-    """How far a roll-out is."""
+    """The status of a rollout."""
 
     state: str
     target_version: str
@@ -140,7 +140,7 @@
 
 
 class RowsRecord(msgspec.Struct, frozen=True):
-    """An answer about rows; `era` comes with its header."""
+    """A response with rows; `era` is taken from its header."""
 
     rows: tuple[RowRecord, ...] = ()
     more: bool = False
@@ -155,7 +155,7 @@
 
 
 def read_config(raw: bytes) -> plan.Plan:
-    """Make a plan of a configuration; ValueError if it can't be read."""
+    """Decode a configuration to a plan; raise ValueError if it can't be read."""
     record = msgspec.json.decode(raw, type=ConfigRecord)
     return plan.Plan(
         record.version,
@@ -225,13 +225,13 @@
 
 
 def read_rollout(row: RowRecord, now_s: float, era: int) -> RolloutOrder:
-    """Make an order of its row; ValueError if it can't be read."""
-    told = msgspec.json.decode(row.body(), type=RolloutRecord)
-    return RolloutOrder(told.service, row.ver, told.target_version, told.duration_s, now_s, era)
+    """Decode a rollout order from its row; raise ValueError if it can't be read."""
+    body = msgspec.json.decode(row.body(), type=RolloutRecord)
+    return RolloutOrder(body.service, row.ver, body.target_version, body.duration_s, now_s, era)
 
 
 def read_phase(row: RowRecord, order: RolloutOrder) -> Phase | None:
-    """Return the phase that a status tells of an order, None if it is of another one."""
+    """Return the phase of an order from a status row, or None if that is of another order."""
     record = msgspec.json.decode(row.body(), type=StatusRecord)
     if row.ver < order.revision or record.target_version != order.target:
         return None
@@ -239,10 +239,10 @@
 
 
 def status_body(news: RolloutNews) -> dict[str, object]:
-    """Return the status of a roll-out as the operator reads it."""
+    """Return the status of a rollout in the format that operators read."""
     return {"state": STATE_BY_PHASE.get(news.phase, RUNNING), "targetVersion": news.order.target}
 
 
 def encode(body: Any) -> bytes:
-    """Encode a body as the platform wants it."""
+    """Encode a request body as JSON."""
     return msgspec.json.encode(body)
