--- a/src/moledale/platform/start.py
+++ b/src/moledale/platform/start.py
@@ -1,4 +1,4 @@
-"""Start of a node on the platform: settings from its file, adapters for what is given."""
+"""Entry point of a node on the platform: reads its settings and connects the adapters."""
 
 import os
 import sys
@@ -24,7 +24,7 @@
 
 
 def main() -> int:
-    """Run a node with the settings that the platform names."""
+    """Run a node with the settings file that the platform names in the environment."""
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     return run_gateway(path, PlatformHeaders(), PlatformEntry(), _store, _orders, PlatformEngines())
 
