--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: its calls, and the rows it gives."""
+"""Adapter for the platform's store: its calls and its rows."""
 
 import base64
 from functools import partial
@@ -44,32 +44,32 @@
 ROLLOUT_TABLE = "rollouts"
 SERVER_TABLE = "servers"
 STATUS_HISTORY_GONE = 410
-"""Status of an answer that can't tell what changed since the asked version."""
+"""Status of a feed response if the changes since the given version are no longer known."""
 
 ERA_CHANGED = Trouble("the store came back from an older copy", uncertain=False, history_gone=True)
 WATCH_TIMEOUT_MARGIN_S = 0.7
-"""A watch is given up so long after the time that it was to wait."""
+"""Timeout of a watch beyond the time that the store may wait before it responds."""
 
 MAX_PAGE_ROWS = 500
-"""Rows of an answer at most, as the platform's pages tell."""
+"""Maximum rows of a response, as the platform documents it."""
 
 FULL_FEED_ROWS = 100
-"""An answer of so many changes may not be all of them, so it is asked for more."""
+"""A feed response with this many changes may be incomplete, so the rest is requested."""
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """An answer of the store: its status and what it says of rows."""
+    """A response of the store: its status and its rows."""
 
     status: int
     rows: RowsRecord
 
     def rows_if_era(self, era: int) -> Result[RowsRecord, Trouble]:
-        """Return what it says of rows if it is of an era."""
+        """Return the rows, or an error if they are not of this era."""
         return Ok(self.rows) if self.rows.era == era else Err(ERA_CHANGED)
 
 
 class PlatformStore:
-    """Rows, configuration and server list of the platform."""
+    """Reads and writes rows, the configuration and the server list in the platform's store."""
 
     def __init__(self, address: str) -> None:
         self.era = StoreEra()
@@ -88,7 +88,7 @@
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
     ) -> Result[Written, Trouble]:
-        """Put a row if it stands at version `expected`."""
+        """Put a row if its version is still `expected`."""
         name = {"table": table, "part": "", "key": key}
         body = {
             "expectedRev": [{**name, "ver": expected}],
@@ -100,8 +100,8 @@
             return outcome
         record = outcome.ok_value.rows
         committed = outcome.ok_value.status == 200
-        there = (row for row in record.rows if row.key == key and not row.gone and row.ver)
-        row = None if committed else next(there, None)
+        existing = (row for row in record.rows if row.key == key and not row.gone and row.ver)
+        row = None if committed else next(existing, None)
         standing = None if row is None else _state_row(row)
         return Ok(Written(record.ver, committed, standing, record.now_ms / 1000, record.era))
 
@@ -126,9 +126,9 @@
         outcome = await self._all_servers(timeout_s)
         if isinstance(outcome, Err) or len(outcome.ok_value.servers) < MAX_PAGE_ROWS:
             return outcome
-        # Pages are each of their own moment; what changed between them comes by the feed.
-        whole = await self._servers_since(outcome.ok_value, timeout_s)
-        return whole.map(lambda listed: msgspec.structs.replace(listed, changed=True))
+        # Each page is a snapshot of its own; the feed has what changed between them.
+        complete = await self._servers_since(outcome.ok_value, timeout_s)
+        return complete.map(lambda listed: msgspec.structs.replace(listed, changed=True))
 
     async def _all_servers(self, timeout_s: float) -> Result[ServerList, Trouble]:
         outcome = await self._read_table(SERVER_TABLE, timeout_s)
@@ -142,7 +142,7 @@
     async def _servers_since(
         self, before: ServerList, timeout_s: float
     ) -> Result[ServerList, Trouble]:
-        """Return a list made of an earlier one and what changed."""
+        """Return an earlier list with the changes since applied."""
         changes: dict[str, Server | None] = {}
         position = before.version
         while True:
@@ -164,8 +164,8 @@
             platform_id(server.id): server for server in before.servers
         }
         servers.update(changes)
-        there = tuple(server for server in servers.values() if server is not None)
-        return Ok(ServerList(there, record.ver, now_s, era=before.era))
+        remaining = tuple(server for server in servers.values() if server is not None)
+        return Ok(ServerList(remaining, record.ver, now_s, era=before.era))
 
     async def plan(self, timeout_s: float) -> Result[PlanNews, Trouble]:
         """Return the newest plan."""
@@ -183,7 +183,7 @@
         return Ok(msgspec.structs.replace(news, rollouts=rollouts))
 
     async def watch_plan(self, position: EraVersion, wait_s: float) -> Result[PlanNews, Trouble]:
-        """Return the newest plan once there is one after `position`, or after `wait_s`."""
+        """Return what changed after `position`, once there is a change or after `wait_s`."""
         wait = int(wait_s * 1000)
         path = f"/v1/rows-feed?table={CONFIG_TABLE}&startAfter={position.number}&waitMs={wait}"
         outcome = await self._call("GET", path, wait_s + WATCH_TIMEOUT_MARGIN_S)
@@ -192,7 +192,7 @@
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
     ) -> Result[StatusWritten, Trouble]:
-        """Write a roll-out's status, and beside it what a later holder needs."""
+        """Write a rollout's status, and in the same transaction the state for later holders."""
         order = news.order
         key = ROLLOUT_PREFIX + order.service
         ordered = {"table": CONFIG_TABLE, "part": "", "key": key, "ver": order.revision}
@@ -216,16 +216,16 @@
         return Ok(StatusWritten(True, record.ver) if committed else _write_conflict(record, order))
 
     async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], Trouble]:
-        """Return what earlier holders kept of roll-outs."""
+        """Return the state of rollouts that earlier holders stored."""
         outcome = await self._read_table(ROLLOUT_TABLE, timeout_s)
         return outcome.map(_kept_rollouts)
 
     def decode_plan(self, raw: bytes) -> Plan:
-        """Read a configuration that a peer passed on."""
+        """Decode a configuration that a peer sent; raise ValueError if it can't be read."""
         return read_config(raw)
 
     async def _read_table(self, table: str, timeout_s: float) -> Result[RowsRecord, Trouble]:
-        """Return all rows of a table, page by page, with the version as of the first page."""
+        """Read all pages of a table and return the rows with the version of the first page."""
         rows: list[RowRecord] = []
         start = ""
         first: RowsRecord | None = None
@@ -260,7 +260,7 @@
             return Err(Trouble(outcome.err_value.detail, uncertain=outcome.err_value.sent))
         got = outcome.ok_value
         count = first_count(got.headers, ERA_HEADER)
-        era = UNKNOWN_ERA if count is None else count + 1
+        era = UNKNOWN_ERA if count is None else count + 1  # the count may be 0, as UNKNOWN_ERA is
         self.era.observe(era)
         if got.status not in good:
             gone = got.status == STATUS_HISTORY_GONE
@@ -276,8 +276,8 @@
     plan, raw = None, b""
     now_s = record.now_ms / 1000
     rollouts = []
-    there = [row for row in record.rows if not row.gone]
-    for row in there:
+    present = [row for row in record.rows if not row.gone]
+    for row in present:
         if row.key == CONFIG_KEY:
             plan = parse_or_log(row.table, row.key, partial(_read_plan, row))
             raw = b"" if plan is None else row.body()
@@ -294,7 +294,7 @@
 
 
 def _state_row(row: RowRecord) -> StateRow:
-    """Return a row that nodes keep; one that another writer spoilt holds nothing."""
+    """Decode a row that nodes write; one that another writer corrupted gets an empty value."""
     return StateRow(row.key, parse_or_log(row.table, row.key, row.body) or b"", row.ver)
 
 
@@ -308,19 +308,19 @@
 
 
 def _with_status(stored: StoredRollout, statuses: dict[str, RowRecord]) -> StoredRollout:
-    """Return an order with the phase that its status tells, if there is one."""
+    """Return an order with the phase of its status row, if there is one."""
     row = statuses.get(ROLLOUT_PREFIX + stored.order.service)
     phase = _read_phase(row, stored.order) if row is not None else None
     return stored if phase is None else StoredRollout(stored.order, phase)
 
 
 def _write_conflict(record: RowsRecord, order: RolloutOrder) -> StatusWritten:
-    """Tell from the rows that stand why a status was not written."""
-    standing = {row.table: row for row in record.rows if not row.gone}
-    ordered = standing.get(CONFIG_TABLE)
+    """Return why a status was not written, from the current rows."""
+    current = {row.table: row for row in record.rows if not row.gone}
+    ordered = current.get(CONFIG_TABLE)
     if ordered is None or ordered.ver != order.revision:
         return StatusWritten(False, 0, superseded=True)
-    status = standing.get(STATUS_TABLE)
+    status = current.get(STATUS_TABLE)
     if status is None:
         return StatusWritten(False, 0)
     return StatusWritten(False, status.ver, _read_phase(status, order))
