--- a/src/moledale/ui/__init__.py
+++ b/src/moledale/ui/__init__.py
@@ -1,1 +1,1 @@
-"""Command line of the daemon and of the operators' tool."""
+"""Command lines of the daemons and of the operators' tool."""
