--- a/src/moledale/ui/bundle_commands.py
+++ b/src/moledale/ui/bundle_commands.py
@@ -1,4 +1,4 @@
-"""`moledale bundle …` and `moledale key new`."""
+"""The commands `moledale bundle …` and `moledale key new`."""
 
 import argparse
 import os
@@ -58,7 +58,7 @@
 
 
 def diff(options: argparse.Namespace, client: NodeClient) -> Exit:
-    """Show what a bundle changes, against another file or the head."""
+    """Show what a bundle changes relative to another file or the head."""
     after = _parse_file(options.file)
     if isinstance(after, Err):
         return report_findings(after.err_value, options.json)
@@ -92,7 +92,7 @@
 
 
 def sign(options: argparse.Namespace) -> Exit:
-    """Sign a bundle off; the signature goes beside the file, or to standard output for `-`."""
+    """Sign a bundle; the signature is written next to the file, or to standard output for `-`."""
     parsed = _parse_file(options.file)
     if isinstance(parsed, Err):
         return report_findings(parsed.err_value, options.json)
@@ -110,10 +110,10 @@
         print_json([signature])
         return Exit.OK
     target = Path(options.file + SIGNATURE_SUFFIX)
-    others = _read_signatures(target)
-    if isinstance(others, Err):
-        return report_findings(others.err_value, options.json)
-    kept = [other for other in others.ok_value if other.operator != options.operator]
+    existing = _read_signatures(target)
+    if isinstance(existing, Err):
+        return report_findings(existing.err_value, options.json)
+    kept = [other for other in existing.ok_value if other.operator != options.operator]
     target.write_bytes(msgspec.json.encode([*kept, signature]))
     if options.json:
         print_json({"file": str(target), "operator": options.operator, "version": bundle.version})
@@ -136,8 +136,8 @@
     parsed = _parse_file(options.file)
     if isinstance(parsed, Err):
         return report_findings(parsed.err_value, options.json)
-    named = options.signatures or options.file + SIGNATURE_SUFFIX
-    signatures = _read_signatures(Path(named))
+    path = options.signatures or options.file + SIGNATURE_SUFFIX
+    signatures = _read_signatures(Path(path))
     if isinstance(signatures, Err):
         return report_findings(signatures.err_value, options.json)
     signed = store.SignedBundle(parsed.ok_value[0].decode(), signatures.ok_value)
@@ -175,7 +175,7 @@
 
 
 def history(options: argparse.Namespace, client: NodeClient) -> Exit:
-    """List the accepted versions."""
+    """List the accepted bundle versions."""
     answer = client.get("/admin/v1/bundles")
     if isinstance(answer, Err):
         print_error(answer.err_value)
@@ -197,18 +197,18 @@
 
 
 def new_key(options: argparse.Namespace) -> Exit:
-    """Make an operator's key pair; the private half is written, the public half printed."""
+    """Generate an operator's key pair; write the private key to a file and print the public key."""
     pem = signing.generate_private_key()
     target = Path(options.out)
     try:
         handle = os.open(target, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     except OSError as error:
-        print_error(f"{target}: can't be made: {error.strerror}")
+        print_error(f"{target}: can't be created: {error.strerror}")
         return Exit.FAILED
     with os.fdopen(handle, "wb") as file:
         file.write(pem)
     key = signing.load_private_key(pem)
-    assert key is not None, "it was just made"
+    assert key is not None, "the key was just generated"
     public = signing.encode_public_key(key)
     if options.json:
         print_json({"private_key": str(target), "public_key": public})
