--- a/src/moledale/ui/cli.py
+++ b/src/moledale/ui/cli.py
@@ -1,4 +1,4 @@
-"""`moledale`: the operators' command."""
+"""`moledale`: the operators' command-line tool."""
 
 import argparse
 import os
@@ -28,7 +28,7 @@
     try:
         return int(command(options))
     except BrokenPipeError:
-        # The reader of a pipe has gone, as with `| head`; that is no error.
+        # The reader closed the pipe, as `| head` does; that is not an error.
         sys.stdout = open(os.devnull, "w")  # noqa: SIM115
         return Exit.OK
     except KeyboardInterrupt:
@@ -36,14 +36,14 @@
 
 
 def _client(options: argparse.Namespace) -> NodeClient:
-    named = options.node or os.environ.get(NODES_VARIABLE, "").split()
-    return NodeClient(tuple(named), os.environ.get(TOKEN_VARIABLE, ""))
+    addresses = options.node or os.environ.get(NODES_VARIABLE, "").split()
+    return NodeClient(tuple(addresses), os.environ.get(TOKEN_VARIABLE, ""))
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="moledale",
-        description="Sign off and roll bundles, and look at the fleet.",
+        description="Sign and roll out bundles, and inspect the fleet.",
         epilog="Exit codes: 0 done, 1 failed, 2 findings or wrong usage, 3 another roll won, "
         f"4 outcome unknown. Nodes come from --node or {NODES_VARIABLE}, the operators' token "
         f"from {TOKEN_VARIABLE}.",
@@ -91,16 +91,16 @@
     report = groups.add_parser("report", help="reports over all nodes")
     commands = report.add_subparsers(required=True, metavar="COMMAND")
     burn = _add_remote_command(commands, "burn", fleet_commands.report_burn, "error-budget burn")
-    burn.add_argument("--plot", metavar="FILE", help="draw it too: .svg, .png or .pdf")
+    burn.add_argument("--plot", metavar="FILE", help="also plot it: .svg, .png or .pdf")
     explain = _add_command(
-        groups, "explain", explain_command.explain, "tell a request's story from logs"
+        groups, "explain", explain_command.explain, "show a request's events from logs"
     )
     explain.add_argument("request", metavar="ID")
     explain.add_argument("files", metavar="FILE", nargs="+", help="logs of nodes, or -")
     key = groups.add_parser("key", help="operators' keys")
     commands = key.add_subparsers(required=True, metavar="COMMAND")
     new = _add_command(commands, "new", bundle_commands.new_key, "make a key pair")
-    new.add_argument("--out", required=True, metavar="PEM", help="where the private half goes")
+    new.add_argument("--out", required=True, metavar="PEM", help="file for the private key")
 
 
 def _add_command(
@@ -121,14 +121,14 @@
     command: Callable[[argparse.Namespace, NodeClient], Exit],
     text: str,
 ) -> argparse.ArgumentParser:
-    """Add a command that asks nodes."""
+    """Add a command that calls nodes."""
     parser = _add_command(commands, name, lambda options: command(options, _client(options)), text)
     parser.add_argument("--node", action="append", metavar="HOST:PORT", help="may be repeated")
     return parser
 
 
 def _check_settings(options: argparse.Namespace) -> Exit:
-    """Validate a settings file, and with --secrets that each secret can be read."""
+    """Validate a settings file; with --secrets, check that each secret can be read too."""
     if options.gateway:
         return _check_gateway_settings(options)
     settings = load(options.file)
