--- a/src/moledale/ui/client.py
+++ b/src/moledale/ui/client.py
@@ -1,4 +1,4 @@
-"""The command line's calls to nodes."""
+"""Client of the command line for calls to nodes."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A node's answer."""
+    """A node's response."""
 
     node: str
     status: int
@@ -23,24 +23,25 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeClient:
-    """Calls nodes with the operators' token."""
+    """Calls nodes with the operators' token; errors are texts that name the node."""
 
     addresses: tuple[str, ...]
     token: str
 
     def get(self, path: str) -> Result[Answer, str]:
-        """Ask the nodes in order until one answers."""
+        """Send a GET to the nodes in order until one responds."""
         return asyncio.run(self._get(path))
 
     def post(self, path: str, body: bytes) -> Result[Answer, str]:
-        """Send a body to the first node that takes the connection; never to a second one.
+        """Send a POST to the first node that accepts the connection.
 
-        Only a refused connection makes it go on: after that, the first node may have acted.
+        The next node is tried only after a refused connection: after any other failure, the node
+        may have acted on the request.
         """
         return asyncio.run(self._post(path, body))
 
     def get_each(self, addresses: list[str], path: str) -> list[Result[Answer, str]]:
-        """Ask several nodes side by side."""
+        """Send a GET to several nodes concurrently, and return the outcomes in their order."""
         return asyncio.run(self._get_each(addresses, path))
 
     async def _get(self, path: str) -> Result[Answer, str]:
