--- a/src/moledale/ui/daemon.py
+++ b/src/moledale/ui/daemon.py
@@ -1,4 +1,4 @@
-"""`moledaled`: the daemon that every entry instance runs."""
+"""`moledaled`: the daemon of an entry instance."""
 
 import argparse
 import asyncio
@@ -28,7 +28,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the daemon until SIGTERM; 2 means that the settings are wrong."""
+    """Run the daemon until SIGTERM and return its exit code; 2 means invalid settings."""
     parser = argparse.ArgumentParser(prog="moledaled", description="Entry node of moledale.")
     parser.add_argument("--settings", required=True, type=Path, metavar="FILE")
     parser.add_argument("--version", action="version", version=f"moledaled {__version__}")
@@ -51,7 +51,7 @@
 
 
 async def _run(settings: Settings, secrets: Secrets) -> int:
-    """Serve until told to stop, then drain."""
+    """Serve until a signal comes or a task gives up, then drain and stop."""
     emit(Event.STARTING, node=settings.node.id, hall=settings.node.hall, version=__version__)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
