--- a/src/moledale/ui/explain_command.py
+++ b/src/moledale/ui/explain_command.py
@@ -1,4 +1,4 @@
-"""`moledale explain`: the story of one request from the logs of several nodes."""
+"""`moledale explain`: the events of one request, from the logs of several nodes."""
 
 import argparse
 import re
@@ -18,7 +18,7 @@
 MEANINGS = {event.value.number: event.value.meaning for event in Event}
 
 CONTEXT_BEFORE_S = 1.0
-"""What a node believed this long before a request counts as its surroundings."""
+"""Events that a node logged up to this long before a request are shown as its context."""
 
 CONTEXT_EVENT_NUMBERS = frozenset(
     event.value.number
@@ -34,6 +34,7 @@
         Event.TASK_FAILED,
     )
 )
+"""Events about a node's own state, shown as context if they are in the time of the request."""
 
 
 class LogLine(msgspec.Struct, frozen=True):
@@ -46,12 +47,16 @@
     fields: dict[str, object]
 
     def about(self, request: str) -> bool:
-        """Say whether the event is about a request."""
+        """Return whether the event is about a request."""
         return self.fields.get("request") == request
 
 
 def read_lines(source: str, lines: Iterable[str]) -> Iterator[LogLine]:
-    """Read events; other lines are passed over. A leading time and name tell the node."""
+    """Parse events; other lines are skipped.
+
+    The node is the one that a leading time and name state, else the one of the last `starting`
+    event, else `source`.
+    """
     node = source
     for line in lines:
         match = LINE_PATTERN.search(line)
@@ -74,22 +79,22 @@
 
 
 def select_events(lines: Iterable[LogLine], request: str) -> list[LogLine]:
-    """Return what was logged of a request, with what its nodes and servers were in meanwhile."""
-    everything = sorted(lines, key=lambda line: line.time)
-    own = [line for line in everything if line.about(request)]
+    """Return the events of a request, with the context of its nodes and servers meanwhile."""
+    ordered = sorted(lines, key=lambda line: line.time)
+    own = [line for line in ordered if line.about(request)]
     if not own:
         return []
-    held_s = max(_logged_duration_s(line) for line in own)
-    begin = own[0].time - held_s - CONTEXT_BEFORE_S
+    duration_s = max(_logged_duration_s(line) for line in own)
+    begin = own[0].time - duration_s - CONTEXT_BEFORE_S
     nodes = {line.node for line in own}
     servers = {str(line.fields["server"]) for line in own if "server" in line.fields}
-    chosen = [line for line in everything if line.time <= own[-1].time]
+    until_end = [line for line in ordered if line.time <= own[-1].time]
     return [
         line
-        for line in chosen
+        for line in until_end
         if line.about(request)
         or (line.node in nodes and line.time >= begin and _is_context(line, servers))
-        or line is _last_server_list(chosen, nodes, own[0].time)
+        or line is _last_server_list(until_end, nodes, own[0].time)
     ]
 
 
@@ -100,7 +105,7 @@
 
 
 def _last_server_list(lines: list[LogLine], nodes: set[str], time: float) -> LogLine | None:
-    """Return the list of servers that the first node believed when the request was tried."""
+    """Return the last change of the server list that the nodes logged by a time: the one in use."""
     number = Event.SERVERS_CHANGED.value.number
     known = [
         line for line in lines if line.number == number and line.node in nodes and line.time <= time
@@ -117,7 +122,7 @@
 
 
 def explain(options: argparse.Namespace) -> Exit:
-    """Print the story of a request; 1 if no file tells of it."""
+    """Print the events of a request; exit code 1 if no file has any."""
     lines: list[LogLine] = []
     for name in options.files:
         try:
@@ -126,15 +131,15 @@
             print(f"{name}: can't be read: {type(error).__name__}", file=sys.stderr)
             return Exit.FAILED
         lines.extend(read_lines(Path(name).stem, text.splitlines()))
-    told = select_events(lines, options.request)
-    if not told:
+    events = select_events(lines, options.request)
+    if not events:
         print(f"no event of request {options.request}", file=sys.stderr)
         return Exit.FAILED
     if options.json:
-        print_json(msgspec.to_builtins(told))
+        print_json(msgspec.to_builtins(events))
         return Exit.OK
-    last = told[-1].time
-    for line in told:
+    last = events[-1].time
+    for line in events:
         mark = "*" if line.about(options.request) else " "
         fields = " ".join(
             f"{name}={value}" for name, value in line.fields.items() if name != "request"
