--- a/src/moledale/ui/fleet_commands.py
+++ b/src/moledale/ui/fleet_commands.py
@@ -1,4 +1,4 @@
-"""`moledale bundle status`, `moledale fleet show` and `moledale report burn`."""
+"""The commands `moledale bundle status`, `moledale fleet show` and `moledale report burn`."""
 
 import argparse
 import time
@@ -17,14 +17,14 @@
 
 
 def _fetch_statuses(client: NodeClient) -> Result[tuple[list[NodeStatus], list[str]], str]:
-    """Ask one node for all others, then every node for its status."""
+    """Return the status of every node that one node lists, and the errors of those that failed."""
     first = client.get(STATUS_PATH)
     if isinstance(first, Err):
         return first
     if first.ok_value.status != 200:
         return Err(f"{first.ok_value.node} answered {first.ok_value.status}")
-    seen = msgspec.json.decode(first.ok_value.body, type=NodeStatus)
-    addresses = list(seen.nodes.values()) or [first.ok_value.node]
+    listing = msgspec.json.decode(first.ok_value.body, type=NodeStatus)
+    addresses = list(listing.nodes.values()) or [first.ok_value.node]
     statuses, failures = [], []
     for answer in client.get_each(addresses, STATUS_PATH):
         if isinstance(answer, Ok) and answer.ok_value.status == 200:
@@ -37,7 +37,7 @@
 
 
 def bundle_status(options: argparse.Namespace, client: NodeClient) -> Exit:
-    """Show which version is in force on each node."""
+    """Show the bundle version that is active on each node."""
     found = _fetch_statuses(client)
     if isinstance(found, Err):
         print_error(found.err_value)
@@ -114,7 +114,7 @@
 
 
 def report_burn(options: argparse.Namespace, client: NodeClient) -> Exit:
-    """Report how fast each account's error budget burns."""
+    """Report the error-budget burn rate of each account."""
     found = _fetch_burn(client)
     if isinstance(found, Err):
         print_error(found.err_value)
@@ -160,8 +160,8 @@
             counts.extend(msgspec.json.decode(answer.ok_value.body, type=BurnPage).counts)
         else:
             failures.append(str(answer.err_value if isinstance(answer, Err) else answer.ok_value))
-    stated = [c for c in counts if c.account in {a.name for a in bundle.accounts}]
-    return Ok((burn_rows(bundle, stated, time.time()), failures))
+    known = [c for c in counts if c.account in {a.name for a in bundle.accounts}]
+    return Ok((burn_rows(bundle, known, time.time()), failures))
 
 
 def _parse_head(body: bytes) -> Bundle:
@@ -169,7 +169,7 @@
 
 
 def _plot(rows: list[BurnRow], target: Path) -> None:
-    """Draw the burn of each account and priority over the windows."""
+    """Plot the burn rate of each account and priority over the windows."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -179,13 +179,13 @@
     names = list(WINDOWS_S)
     width = 0.8 / max(1, len(rows))
     for index, row in enumerate(rows):
-        places = [place + index * width for place in range(len(names))]
+        positions = [place + index * width for place in range(len(names))]
         label = f"{row.account}, {row.priority.value}"
-        axes.bar(places, [row.burn[name] for name in names], width, label=label)
+        axes.bar(positions, [row.burn[name] for name in names], width, label=label)
     axes.axhline(1.0, color="black", linewidth=0.8, linestyle="--")
     axes.set_xticks([place + 0.4 - width / 2 for place in range(len(names))], names)
     axes.set_xlabel("window")
-    axes.set_ylabel("burn of the error budget (1 = at the objective's pace)")
+    axes.set_ylabel("error-budget burn rate (1 = exactly at the objective)")
     if rows:
         axes.legend(fontsize="small")
     figure.savefig(target)
