--- a/src/moledale/ui/gateway.py
+++ b/src/moledale/ui/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: settings, logs and signals around one node."""
+"""The gateway daemon: runs one node with its settings, logging and signal handlers."""
 
 import asyncio
 import signal
@@ -28,7 +28,7 @@
     orders: Callable[[GatewaySettings], Orders],
     engines: Engines,
 ) -> int:
-    """Run a node until SIGTERM; 2 means that the settings are wrong."""
+    """Run a node until SIGTERM and return its exit code; 2 means invalid settings."""
     settings = load(path)
     if isinstance(settings, Err):
         for finding in settings.err_value:
@@ -47,13 +47,13 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, node, path)
-    # The first line tells that the process takes signals.
+    # Logged only now, so that this first line shows that the signal handlers are installed.
     emit(Event.STARTING, node=node.settings.node.id, life=node.life)
     return await node.run(stop)
 
 
 def _reload(node: GatewayNode, path: Path) -> None:
-    """Read the settings again; a file with findings changes nothing."""
+    """Reload the settings; a file with findings changes nothing."""
     settings = load(path)
     if isinstance(settings, Err):
         findings = [str(finding) for finding in settings.err_value]
