--- a/src/moledale/ui/output.py
+++ b/src/moledale/ui/output.py
@@ -1,4 +1,4 @@
-"""How the command line talks: tables or JSON on standard output, errors on standard error."""
+"""Output of the command line: tables or JSON on standard output, errors on standard error."""
 
 import os
 import sys
@@ -38,14 +38,14 @@
 
 
 def print_error(message: str) -> None:
-    """Print an error, red only on a terminal."""
+    """Print an error to standard error, in red on a terminal unless `NO_COLOR` is set."""
     colour = sys.stderr.isatty() and "NO_COLOR" not in os.environ
     text = f"{_RED}moledale: {message}{_RESET}" if colour else f"moledale: {message}"
     print(text, file=sys.stderr)
 
 
 def report_findings(findings: Sequence[Finding], as_json: bool) -> Exit:
-    """Print every finding."""
+    """Print every finding and return the exit code for findings."""
     if as_json:
         print_json([{"source": f.source, "path": f.path, "message": f.message} for f in findings])
     for finding in findings:
