--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -52,7 +52,7 @@
 
 
 async def cut(world: World, node: str, server: str) -> None:
-    gate = world.gates[node]
+    gate = world.hosts[node]
     gate.cut_peers = gate.cut_platform = True
 
     def heal() -> None:
@@ -269,7 +269,7 @@
     """Watch the lease of hall-a and the orders that its holders give."""
     world.engines["e1"].checks_fence = False
     for step in range(250):
-        running = [n for n in world.nodes if world.gates[n].thawed.is_set()]
+        running = [n for n in world.nodes if world.hosts[n].running.is_set()]
         held = [lease for n in running for lease in world.nodes[n].leases_held()]
         if len(held) != len(set(held)):
             return f"two holders at once: {held}"
--- a/tests/test_orders_of_faults.py
+++ b/tests/test_orders_of_faults.py
@@ -41,7 +41,7 @@
         return self.loop.run_until_complete(self.world.clock.run(work, LIMIT_S))
 
     def awake(self, node: str) -> bool:
-        return node in self.world.nodes and self.world.gates[node].thawed.is_set()
+        return node in self.world.nodes and self.world.hosts[node].running.is_set()
 
     # Work
 
@@ -60,7 +60,7 @@
 
     @rule(node=nodes)
     def job(self, node: str) -> None:
-        if not self.awake(node) or not self.world.gates[node].thawed.is_set():
+        if not self.awake(node) or not self.world.hosts[node].running.is_set():
             return
 
         async def accept() -> None:
@@ -113,7 +113,7 @@
     @rule(count=st.integers(1, 3), late=st.booleans())
     def lose_answers(self, count: int, late: bool) -> None:
         faults = self.world.faults[Part.TABLE]
-        faults.lose_answers, faults.land_late = (0, count) if late else (count, 0)
+        faults.lose_answers, faults.late_writes = (0, count) if late else (count, 0)
 
     @rule(down=st.booleans(), seconds=st.sampled_from([1.0, 12.0]))
     def outage(self, down: bool, seconds: float) -> None:
@@ -166,7 +166,7 @@
     def teardown(self) -> None:
         for part in Part:
             self.world.faults[part].down = self.world.faults[part].hang = False
-            self.world.faults[part].lose_answers = self.world.faults[part].land_late = 0
+            self.world.faults[part].lose_answers = self.world.faults[part].late_writes = 0
         self.run(self._all_ends_well())
         self.loop.run_until_complete(self.world.down())
         self.loop.close()
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -541,20 +541,20 @@
     @in_world
     async def test_cut_off_from_peers_or_from_the_table(self, world: World) -> None:
         await world.up()
-        world.gates["n1"].cut_peers = True
-        world.gates["n2"].cut_platform = True
+        world.hosts["n1"].cut_peers = True
+        world.hosts["n2"].cut_platform = True
         (await world.nodes["n0"].roll(world.signed(2))).unwrap()
         await world.until(lambda: world.nodes["n1"].bundles.version == 2, 5.0)
         # Without the table n2 can't fetch it, but its peers tell it that it is behind.
         await world.until(lambda: world.nodes["n2"].refusal() is not None, 7.0)
-        world.gates["n2"].cut_platform = False
+        world.hosts["n2"].cut_platform = False
         await world.until(lambda: world.nodes["n2"].refusal() is None, 25.0)
         self.assertEqual(world.nodes["n2"].bundles.version, 2)
 
     @in_world
     async def test_cut_off_from_everything(self, world: World) -> None:
         await world.up()
-        world.gates["n2"].cut_peers = world.gates["n2"].cut_platform = True
+        world.hosts["n2"].cut_peers = world.hosts["n2"].cut_platform = True
         await world.until(lambda: world.nodes["n2"].refusal() is not None, 7.0)
         self.assertIsNone(world.nodes["n0"].refusal())
 
@@ -618,7 +618,7 @@
             world.freeze(f"n{round_ % 5}", 7.0 + round_)
             until = world.clock.now + 15.0
             while world.clock.now < until:
-                running = [n for n in world.nodes if world.gates[n].thawed.is_set()]
+                running = [n for n in world.nodes if world.hosts[n].running.is_set()]
                 held = self.held(world, *running)
                 self.assertEqual(len(held), len(set(held)))
                 await world.clock.sleep(0.3)
--- a/tests/world.py
+++ b/tests/world.py
@@ -66,8 +66,8 @@
 
 T = TypeVar("T")
 TIMEOUT_S = 0.5
-TOKEN_S = 0.02
-WALL = 1_800_000_000.0
+TOKEN_INTERVAL_S = 0.02
+WALL_OFFSET_S = 1_800_000_000.0
 BUNDLE_TEXT = (Path(__file__).parent.parent / "examples" / "bundle.toml").read_text("utf-8")
 SERVICE_URL = "http://127.0.0.1:1"
 
@@ -84,7 +84,7 @@
         return self.now
 
     def wall(self) -> float:
-        return WALL + self.now
+        return WALL_OFFSET_S + self.now
 
     async def sleep(self, seconds: float) -> None:
         self._serial += 1
@@ -97,7 +97,7 @@
         task = asyncio.create_task(work)
         until = self.now + limit_s
         while True:
-            await _settled()
+            await _wait_until_idle()
             if task.done():
                 return task.result()
             if not self._sleepers or self._sleepers[0][0] > until:
@@ -108,7 +108,7 @@
                 waiting.set_result(None)
 
 
-async def _settled() -> None:
+async def _wait_until_idle() -> None:
     """Return when nothing else can run without time moving on."""
     ready = asyncio.get_running_loop()._ready  # type: ignore[attr-defined]
     await asyncio.sleep(0)
@@ -117,21 +117,21 @@
 
 
 @dataclass
-class Gate:
+class FakeHost:
     """Whether a node runs, is paused or dead, and what it is cut off from."""
 
     name: str
     dead: bool = False
     cut_platform: bool = False
     cut_peers: bool = False
-    thawed: asyncio.Event = field(default_factory=asyncio.Event)
+    running: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
-        self.thawed.set()
+        self.running.set()
 
-    async def passed(self) -> None:
+    async def wait_until_running(self) -> None:
         """Wait while the node is paused, and for ever if it is dead."""
-        await self.thawed.wait()
+        await self.running.wait()
         if self.dead:
             await asyncio.Event().wait()
 
@@ -139,9 +139,9 @@
 class NodeClock:
     """The clock as a node sees it: a paused node's sleeps end late."""
 
-    def __init__(self, clock: ManualClock, gate: Gate) -> None:
+    def __init__(self, clock: ManualClock, gate: FakeHost) -> None:
         self._clock = clock
-        self._gate = gate
+        self._host = gate
 
     def monotonic(self) -> float:
         return self._clock.monotonic()
@@ -151,7 +151,7 @@
 
     async def sleep(self, seconds: float) -> None:
         await self._clock.sleep(seconds)
-        await self._gate.passed()
+        await self._host.wait_until_running()
 
 
 @dataclass
@@ -161,29 +161,29 @@
     down: bool = False
     hang: bool = False
     lose_answers: int = 0
-    land_late: int = 0
+    late_writes: int = 0
 
 
 class FakePlatform:
     """The whole platform as one node reaches it."""
 
-    def __init__(self, world: "World", gate: Gate) -> None:
+    def __init__(self, world: "World", gate: FakeHost) -> None:
         self._world = world
-        self._gate = gate
+        self._host = gate
 
-    async def _do(
+    async def _call(
         self, part: Part, writes: bool, effect: Callable[[], T]
     ) -> Result[T, PlatformFailure]:
         clock, faults = self._world.clock, self._world.faults[part]
-        await self._gate.passed()
+        await self._host.wait_until_running()
         if faults.down:
             return Err(PlatformFailure(part, "down", False))
-        if faults.hang or self._gate.cut_platform:
+        if faults.hang or self._host.cut_platform:
             await clock.sleep(TIMEOUT_S)
-            await self._gate.passed()
+            await self._host.wait_until_running()
             return Err(PlatformFailure(part, "timeout", writes))
-        if writes and faults.land_late > 0:
-            faults.land_late -= 1
+        if writes and faults.late_writes > 0:
+            faults.late_writes -= 1
             self._world.later(2 * TIMEOUT_S, effect)
             await clock.sleep(TIMEOUT_S)
             return Err(PlatformFailure(part, "timeout", True))
@@ -191,59 +191,59 @@
         if writes and faults.lose_answers > 0:
             faults.lose_answers -= 1
             await clock.sleep(TIMEOUT_S)
-            await self._gate.passed()
+            await self._host.wait_until_running()
             return Err(PlatformFailure(part, "answer lost", True))
         await asyncio.sleep(0)
-        await self._gate.passed()
+        await self._host.wait_until_running()
         return Ok(outcome)
 
     async def transact(
         self, transaction: Transaction
     ) -> Result[TransactionOutcome, PlatformFailure]:
-        await self._gate.passed()
-        for step in _steps_of(transaction):
-            await self._world.step(step, self._gate.name)
+        await self._host.wait_until_running()
+        for step in _transaction_steps(transaction):
+            await self._world.step(step, self._host.name)
         state = self._world.state
-        return await self._do(Part.TABLE, True, lambda: state.transact(transaction))
+        return await self._call(Part.TABLE, True, lambda: state.transact(transaction))
 
     async def read(self, table: str, key: str) -> Result[Row | None, PlatformFailure]:
-        return await self._do(Part.TABLE, False, lambda: self._world.state.read(table, key))
+        return await self._call(Part.TABLE, False, lambda: self._world.state.read(table, key))
 
     async def scan(self, table: str, prefix: str, limit: int) -> Result[list[Row], PlatformFailure]:
         state = self._world.state
-        return await self._do(Part.TABLE, False, lambda: state.scan(table, prefix, limit))
+        return await self._call(Part.TABLE, False, lambda: state.scan(table, prefix, limit))
 
     async def put(self, key: str, body: bytes) -> Result[None, PlatformFailure]:
-        return await self._do(
+        return await self._call(
             Part.OBJECTS, True, lambda: self._world.state.objects.__setitem__(key, body)
         )
 
     async def get(self, key: str) -> Result[bytes | None, PlatformFailure]:
         if key.startswith("bundles/"):
-            await self._world.step("adopt version", self._gate.name)
-        return await self._do(Part.OBJECTS, False, lambda: self._world.state.objects.get(key))
+            await self._world.step("adopt version", self._host.name)
+        return await self._call(Part.OBJECTS, False, lambda: self._world.state.objects.get(key))
 
     async def changes(self, since: int) -> Result[InstancePage, PlatformFailure]:
         state = self._world.state
-        return await self._do(Part.INSTANCES, False, lambda: state.changes(since))
+        return await self._call(Part.INSTANCES, False, lambda: state.changes(since))
 
     async def rent(self, order: RentOrder) -> Result[RentResult, PlatformFailure]:
-        return await self._do(Part.CLOUD, True, lambda: self._world.rent(order))
+        return await self._call(Part.CLOUD, True, lambda: self._world.rent(order))
 
     async def release(self, instance_id: str) -> Result[None, PlatformFailure]:
-        return await self._do(Part.CLOUD, True, lambda: self._world.state.release(instance_id))
+        return await self._call(Part.CLOUD, True, lambda: self._world.state.release(instance_id))
 
     async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
         found = self._world.state.notices
-        return await self._do(
+        return await self._call(
             Part.CLOUD, False, lambda: [n for n in found.values() if n.hall == hall]
         )
 
     async def request_grant(self, server: str, model: str) -> Result[WeightGrant, PlatformFailure]:
-        return await self._do(Part.WEIGHTS, False, lambda: WeightGrant(True))
+        return await self._call(Part.WEIGHTS, False, lambda: WeightGrant(True))
 
 
-def _steps_of(transaction: Transaction) -> list[str]:
+def _transaction_steps(transaction: Transaction) -> list[str]:
     """Return the steps of the matrix that a transaction is."""
     steps = []
     for write in transaction.writes:
@@ -259,7 +259,7 @@
 
 @dataclass
 class FakeEngine:
-    """A model engine: deterministic tokens, one each `TOKEN_S`."""
+    """A model engine: deterministic tokens, one each `TOKEN_INTERVAL_S`."""
 
     name: str
     hall: str
@@ -282,9 +282,9 @@
 class FakeServers:
     """The engines as one node reaches them."""
 
-    def __init__(self, world: "World", gate: Gate) -> None:
+    def __init__(self, world: "World", gate: FakeHost) -> None:
         self._world = world
-        self._gate = gate
+        self._host = gate
 
     def _engine(self, address: str) -> FakeEngine | None:
         engine = self._world.engines.get(address)
@@ -294,11 +294,11 @@
         self, address: str, call: GenerateCall
     ) -> AsyncGenerator[GenerateEvent, None]:
         world, clock = self._world, self._world.clock
-        await self._gate.passed()
-        await world.step("pick", self._gate.name, address)
+        await self._host.wait_until_running()
+        await world.step("pick", self._host.name, address)
         engine = self._engine(address)
         if engine is None:
-            await clock.sleep(TOKEN_S)
+            await clock.sleep(TOKEN_INTERVAL_S)
             raise ServerError("refused", may_have_run=False)
         if any(call.attempt == name for _, name in engine.starts):
             raise ServerError("this attempt was here before")
@@ -312,24 +312,24 @@
             return
         engine.running[call.attempt] = call
         if call.prompt == self._world.ends_engines:
-            await clock.sleep(TOKEN_S)
+            await clock.sleep(TOKEN_INTERVAL_S)
             engine.alive = False
-        await world.step("dispatch", self._gate.name, address)
+        await world.step("dispatch", self._host.name, address)
         cached = call.session in engine.cached
         length = len(call.prompt.split()) + len(call.resume)
         engine.recomputed += 0 if cached else len(call.resume)
         try:
             for index in range(len(call.resume), call.max_tokens):
-                await clock.sleep(TOKEN_S)
+                await clock.sleep(TOKEN_INTERVAL_S)
                 if index in (0, call.max_tokens // 2):
                     name = "first token" if index == 0 else "mid-stream"
-                    await world.step(name, self._gate.name, address)
-                await self._gate.passed()
+                    await world.step(name, self._host.name, address)
+                await self._host.wait_until_running()
                 if not engine.alive:
                     raise ServerError("cut off")
                 for _ in range(2 if engine.repeat_tokens else 1):
                     yield Token(index, token_text(call.prompt, index))
-            await world.step("finish", self._gate.name, address)
+            await world.step("finish", self._host.name, address)
             if not engine.alive:
                 raise ServerError("cut off")
             engine.cached.add(call.session)
@@ -342,7 +342,7 @@
         return Ok(None)
 
     async def load(self, address: str) -> Result[LoadReport, ServerFailure]:
-        await self._gate.passed()
+        await self._host.wait_until_running()
         engine = self._engine(address)
         if engine is None:
             await self._world.clock.sleep(TIMEOUT_S)
@@ -371,9 +371,9 @@
         return Ok([])
 
     async def order(self, address: str, order: Order) -> Result[OrderReply, ServerFailure]:
-        await self._gate.passed()
-        await self._world.step("order", self._gate.name, address)
-        await self._gate.passed()
+        await self._host.wait_until_running()
+        await self._world.step("order", self._host.name, address)
+        await self._host.wait_until_running()
         engine = self._engine(address)
         if engine is None:
             return Err(ServerFailure("refused", False))
@@ -395,7 +395,7 @@
         return Ok(KvTicket(session, address, 1, 1))
 
     async def import_kv(self, address: str, ticket: KvTicket) -> Result[None, ServerFailure]:
-        await self._world.clock.sleep(TOKEN_S)
+        await self._world.clock.sleep(TOKEN_INTERVAL_S)
         engine, source = self._engine(address), self._engine(ticket.source)
         if engine is None or source is None:
             return Err(ServerFailure("refused", False))
@@ -406,24 +406,24 @@
 class FakeServices:
     """Plain services as one node reaches them; `runs` counts what ran, by body."""
 
-    def __init__(self, world: "World", gate: Gate) -> None:
+    def __init__(self, world: "World", gate: FakeHost) -> None:
         self._world = world
-        self._gate = gate
+        self._host = gate
 
     async def call(
         self, base: str, call: ServiceCall, timeout_s: float
     ) -> Result[ServiceAnswer, ServerFailure]:
         world = self._world
-        await self._gate.passed()
-        await world.step("pick", self._gate.name)
+        await self._host.wait_until_running()
+        await world.step("pick", self._host.name)
         if world.service_down:
             return Err(ServerFailure("refused", may_have_run=False))
         world.runs[call.body.decode()] += 1
-        await world.step("dispatch", self._gate.name)
+        await world.step("dispatch", self._host.name)
         for name in ("first token", "mid-stream", "finish"):
-            await world.clock.sleep(TOKEN_S)
-            await world.step(name, self._gate.name)
-            await self._gate.passed()
+            await world.clock.sleep(TOKEN_INTERVAL_S)
+            await world.step(name, self._host.name)
+            await self._host.wait_until_running()
         if world.break_service > 0:
             world.break_service -= 1
             return Err(ServerFailure("cut off", may_have_run=True))
@@ -433,21 +433,21 @@
 class FakeLink:
     """The wire to other nodes; `host:port` is the peer's name."""
 
-    def __init__(self, world: "World", gate: Gate) -> None:
+    def __init__(self, world: "World", gate: FakeHost) -> None:
         self._world = world
-        self._gate = gate
+        self._host = gate
 
     async def serve(self, handler: PeerHandler) -> int:
-        self._world.handlers[self._gate.name] = handler
+        self._world.handlers[self._host.name] = handler
         return 1
 
-    async def _reach(self, address: str) -> PeerHandler | None:
-        await self._gate.passed()
-        peer = self._world.gates.get(address)
-        if peer is None or peer.dead or not peer.thawed.is_set():
+    async def _reachable_handler(self, address: str) -> PeerHandler | None:
+        await self._host.wait_until_running()
+        peer = self._world.hosts.get(address)
+        if peer is None or peer.dead or not peer.running.is_set():
             await self._world.clock.sleep(TIMEOUT_S)
             return None
-        if self._gate.cut_peers or peer.cut_peers:
+        if self._host.cut_peers or peer.cut_peers:
             await self._world.clock.sleep(TIMEOUT_S)
             return None
         return self._world.handlers.get(address)
@@ -456,29 +456,29 @@
         self, address: str, message: peers_pb2.DigestMessage
     ) -> Result[peers_pb2.DigestMessage, str]:
         self._world.digests += 1
-        handler = await self._reach(address)
+        handler = await self._reachable_handler(address)
         return Err("unreachable") if handler is None else Ok(handler.exchange_digest(message))
 
     async def hand_over(self, address: str, record: StreamRecord) -> Result[None, str]:
         copy = StreamRecord(record.request, list(record.tokens))
-        await self._world.step("hand-over", self._gate.name)
-        await self._world.clock.sleep(TOKEN_S)
-        handler = await self._reach(address)
+        await self._world.step("hand-over", self._host.name)
+        await self._world.clock.sleep(TOKEN_INTERVAL_S)
+        handler = await self._reachable_handler(address)
         if handler is None:
             return Err("unreachable")
         reason = handler.adopt_stream(copy)
         await asyncio.sleep(0)
-        await self._gate.passed()
+        await self._host.wait_until_running()
         return Ok(None) if reason is None else Err(reason)
 
     async def run_once(self, address: str, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        handler = await self._reach(address)
+        handler = await self._reachable_handler(address)
         if handler is None:
             return Err(problems.outcome_unknown("unreachable"))
         return await handler.run_once_locally(call)
 
     async def close(self) -> None:
-        self._world.handlers.pop(self._gate.name, None)
+        self._world.handlers.pop(self._host.name, None)
 
 
 Action = Callable[["World", str, str], Awaitable[None]]
@@ -493,7 +493,7 @@
         self.faults: dict[Part, PartFaults] = {part: PartFaults() for part in Part}
         self.engines: dict[str, FakeEngine] = {}
         self.nodes: dict[str, Node] = {}
-        self.gates: dict[str, Gate] = {}
+        self.hosts: dict[str, FakeHost] = {}
         self.handlers: dict[str, PeerHandler] = {}
         self.runs: Counter[str] = Counter()
         self.service_down = False
@@ -541,8 +541,8 @@
         return RentResult(self.state.rented[order.token])
 
     async def start_node(self, name: str, hall: str) -> Node:
-        gate = Gate(name)
-        self.gates[name] = gate
+        gate = FakeHost(name)
+        self.hosts[name] = gate
         platform = FakePlatform(self, gate)
         parts = Platform(platform, platform, platform, platform, platform)
         node = Node(
@@ -561,7 +561,9 @@
         return node
 
     def settings(self, name: str, hall: str) -> Settings:
-        keys = {n: signing.encode_public_key(_loaded(pem)) for n, pem in self._keys.items()}
+        keys = {
+            n: signing.encode_public_key(_load_private_key(pem)) for n, pem in self._keys.items()
+        }
         extra = "[times]\ndrain_s = 0.3\n"
         text = settings_text(name, hall, "http://127.0.0.1:1", keys, extra)
         return parse(name, text).unwrap()
@@ -571,7 +573,7 @@
         body = BUNDLE_TEXT.replace("version = 1", f"version = {version}", 1) + f"# {mark}\n"
         # So much demand that no idle engine is returned in the middle of a test.
         body = body.replace("least_tokens_per_s = 500", "least_tokens_per_s = 5000")
-        key = _loaded(self._keys[operator])
+        key = _load_private_key(self._keys[operator])
         return SignedBundle(body, [signing.sign(body.encode(), operator, key)])
 
     async def up(self, nodes: int = 3, engines: int = 3) -> None:
@@ -601,7 +603,7 @@
 
     async def down(self) -> None:
         """End everything."""
-        for gate in self.gates.values():
+        for gate in self.hosts.values():
             gate.dead = True
         current = asyncio.current_task()
         others = [task for task in asyncio.all_tasks() if task is not current]
@@ -626,7 +628,7 @@
         self._fault = (name, self._fault[1] - 1, self._fault[2])
         await self._fault[2](self, node, server)
         if not outside:
-            await self.gates[node].passed()
+            await self.hosts[node].wait_until_running()
 
     def later(self, seconds: float, effect: Callable[[], object]) -> None:
         """Have something happen after a while."""
@@ -643,7 +645,7 @@
 
     def kill(self, name: str) -> None:
         """End a node at once; the list tells of it after a while."""
-        self.gates[name].dead = True
+        self.hosts[name].dead = True
         node = self.nodes.pop(name)
         for record in node.streams.live():
             record.wait_for_server()
@@ -652,9 +654,9 @@
 
     def freeze(self, name: str, seconds: float) -> None:
         """Pause a node for a while."""
-        gate = self.gates[name]
-        gate.thawed.clear()
-        self.later(seconds, gate.thawed.set)
+        gate = self.hosts[name]
+        gate.running.clear()
+        self.later(seconds, gate.running.set)
 
     def reclaim(self, name: str, notice_s: float) -> None:
         """Give notice to an engine; it is gone when the time is up."""
@@ -715,7 +717,7 @@
     return [token_text(request.prompt, index) for index in range(request.max_tokens)]
 
 
-def _loaded(pem: bytes) -> Any:
+def _load_private_key(pem: bytes) -> Any:
     return signing.load_private_key(pem)
 
 
