--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -82,7 +82,7 @@
 
 
 async def land_late(world: World, node: str, server: str) -> None:
-    world.faults[Part.TABLE].land_late = 1
+    world.faults[Part.TABLE].late_writes = 1
 
 
 async def lose_hall(world: World, node: str, server: str) -> None:
