--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -20,7 +20,7 @@
 from moledale.node.once import OnceCall
 from moledale.problems import Problem, Ran
 from moledale.servers.types import ServiceAnswer
-from tests.world import Action, World, whole
+from tests.world import Action, World, expected_tokens
 
 HEAL_S = 8.0
 FREEZE_S = 30.0
@@ -58,7 +58,7 @@
     def heal() -> None:
         gate.cut_peers = gate.cut_platform = False
 
-    world.later(HEAL_S, heal)
+    world.call_later(HEAL_S, heal)
 
 
 def _platform(**fields: bool) -> Action:
@@ -72,7 +72,7 @@
                 for name in fields:
                     setattr(world.faults[part], name, False)
 
-        world.later(HEAL_S, heal)
+        world.call_later(HEAL_S, heal)
 
     return strike
 
@@ -95,9 +95,9 @@
 async def second_operator(world: World, node: str, server: str) -> None:
     other = next(name for name in world.nodes if name != node)
     version = world.nodes[other].bundles.version + 1
-    signed = world.signed(version, "bram", "second")
+    signed = world.make_signed_bundle(version, "bram", "second")
     task = asyncio.create_task(world.nodes[other].roll(signed))
-    world.spare(task)
+    world.keep_task(task)
 
 
 FAULTS: dict[str, Action] = {
@@ -120,15 +120,15 @@
 
 async def stream_through(world: World) -> str | None:
     """Stream through n0; a caller whose node died, or who was refused, sends again."""
-    request = world.request("stream", 60)
+    request = world.make_request("stream", 60)
     for node in ("n0", "n1", "n2", "n1", "n2"):
         if node not in world.nodes:
             continue
-        await world.step("accept", node, outside=True)
+        await world.reach_step("accept", node, outside=True)
         if node not in world.nodes:
             continue
         target = world.nodes[node]
-        submitted = target.dispatcher.submit(world.request("stream", 60))
+        submitted = target.dispatcher.submit(world.make_request("stream", 60))
         if isinstance(submitted, Err):
             if submitted.err_value.ran is not Ran.NO:
                 return "a refusal at once can't be unknown"
@@ -140,30 +140,30 @@
         problem = submitted.ok_value.problem
         if problem is not None:
             return f"failed: {problem.kind}: {problem.detail}"
-        return None if read == whole(request) else f"wrong text after {len(read)} tokens"
+        return None if read == expected_tokens(request) else f"wrong text after {len(read)} tokens"
     return "no node answered"
 
 
 async def drained_stream(world: World) -> str | None:
     """Stream through n0, which makes a planned stop in the middle of it."""
-    request = world.request("drained", 150)
+    request = world.make_request("drained", 150)
     record = world.nodes["n0"].dispatcher.submit(request).unwrap()
     reading = asyncio.create_task(_unless_dead(world, "n0", world.read("n0", record)))
     await world.clock.sleep(0.5)
-    await world.step("drain", "n0", str(record.server), outside=True)
+    await world.reach_step("drain", "n0", str(record.server), outside=True)
     if "n0" in world.nodes:
         draining = asyncio.create_task(world.nodes["n0"].drain())
         await _unless_dead(world, "n0", _finished(draining))
     read = await reading
     if read == LOST:
         return None if "n0" not in world.nodes else "lost without a death"
-    return None if read == whole(request) else f"wrong text after {len(read)} tokens"
+    return None if read == expected_tokens(request) else f"wrong text after {len(read)} tokens"
 
 
 async def job_through(world: World) -> str | None:
     """Accept a job at n0 and fetch its result elsewhere."""
-    request = world.request("job", 60, deadline_at=world.clock.wall() + 1e6)
-    await world.step("accept", "n0", outside=True)
+    request = world.make_request("job", 60, deadline_at=world.clock.wall() + 1e6)
+    await world.reach_step("accept", "n0", outside=True)
     if "n0" not in world.nodes:
         return None
     node = world.nodes["n0"]
@@ -173,7 +173,7 @@
         return await _refused_job(world, accepted.err_value, job)
     # A caller that got no answer doesn't know; the job may run or not, but not in part.
     must_finish = accepted != LOST
-    return await _job_ends(world, job, "".join(whole(request)), must_finish)
+    return await _job_ends(world, job, "".join(expected_tokens(request)), must_finish)
 
 
 async def _refused_job(world: World, refusal: Problem, job: str) -> str | None:
@@ -202,37 +202,39 @@
 
 async def adopted_job(world: World) -> str | None:
     """A job whose node dies, so that another one adopts it, and the fault strikes there."""
-    request = world.request("adopted", 200, deadline_at=world.clock.wall() + 1e6)
+    request = world.make_request("adopted", 200, deadline_at=world.clock.wall() + 1e6)
     job = new_job_id("hall-a")
     (await world.nodes["n0"].jobs.accept(request, job)).unwrap()
     await world.clock.sleep(0.5)
     world.kill("n0")
-    return await _job_ends(world, job, "".join(whole(request)), must_finish=True)
+    return await _job_ends(world, job, "".join(expected_tokens(request)), must_finish=True)
 
 
 async def once_through(world: World) -> str | None:
     """A not-repeatable call at n0, sent again at every node until it is answered."""
-    call = world.once_call("ticket", "key-1")
+    call = world.make_once_call("ticket", "key-1")
     for node in ("n0", "n1", "n2", "n0", "n1"):
         if node not in world.nodes:
             continue
-        await world.step("accept", node, outside=True)
+        await world.reach_step("accept", node, outside=True)
         if node not in world.nodes:
             continue
-        before = world.runs["ticket"]
+        before = world.service_runs["ticket"]
         outcome = await _unless_dead(world, node, world.nodes[node].once.run(call))
         wrong = _once_wrong(world, call, outcome, before)
         if wrong is not None:
             return wrong
         await world.clock.sleep(3.0)
     await world.clock.sleep(FREEZE_S + HEAL_S)
-    return f"it ran {world.runs['ticket']} times" if world.runs["ticket"] > 1 else None
+    return (
+        f"it ran {world.service_runs['ticket']} times" if world.service_runs["ticket"] > 1 else None
+    )
 
 
 def _once_wrong(
     world: World, call: OnceCall, outcome: "str | Result[ServiceAnswer, Problem]", before: int
 ) -> str | None:
-    runs = world.runs["ticket"]
+    runs = world.service_runs["ticket"]
     if runs > 1:
         return f"it ran {runs} times"
     if isinstance(outcome, str):
@@ -245,7 +247,7 @@
 
 async def roll_through(world: World) -> str | None:
     """Roll version 2 through n0 and watch it come into force."""
-    signed = world.signed(2, "anna", "first")
+    signed = world.make_signed_bundle(2, "anna", "first")
     outcome = await _unless_dead(world, "n0", world.nodes["n0"].roll(signed))
     floors = dict.fromkeys(NODES, 0)
     for _ in range(160):
@@ -355,15 +357,15 @@
 ) -> tuple[str | None, bool]:
     world = World()
     try:
-        await world.clock.run(world.up(), CELL_S)
-        world.reached.clear()
-        world.plan(step, action, times)
+        await world.clock.run(world.start(), CELL_S)
+        world.steps_reached.clear()
+        world.plan_fault(step, action, times)
         wrong = await world.clock.run(scenario(world), CELL_S)  # type: ignore[arg-type]
-        return wrong, world.reached[step] > 0
+        return wrong, world.steps_reached[step] > 0
     except AssertionError as error:
         return f"{error}", True
     finally:
-        await world.down()
+        await world.stop()
 
 
 def run_both(place: tuple[str, str]) -> Cell:
--- a/tests/test_generation_guard.py
+++ b/tests/test_generation_guard.py
@@ -16,10 +16,10 @@
 class GenerationGuardTest(unittest.TestCase):
     @in_world
     async def test_work_that_can_wait_ends_no_more_than_three_engines(self, world: World) -> None:
-        await world.up(nodes=1, engines=8)
-        world.ends_engines = GUILTY
+        await world.start(nodes=1, engines=8)
+        world.crash_prompt = GUILTY
         jobs = world.nodes["n0"].jobs
-        request = world.request(GUILTY)
+        request = world.make_request(GUILTY)
         (await jobs.accept(request, f"job_hall-a_{1:032x}")).unwrap()
         await world.clock.sleep(60.0)
         ended = sum(not engine.alive for engine in world.engines.values())
@@ -30,14 +30,14 @@
     async def test_generation_that_ended_engines_is_refused_and_has_not_run(
         self, world: World
     ) -> None:
-        await world.up(nodes=1, engines=8)
-        world.ends_engines = GUILTY
+        await world.start(nodes=1, engines=8)
+        world.crash_prompt = GUILTY
         dispatcher = world.nodes["n0"].dispatcher
-        record = dispatcher.submit(world.request(GUILTY)).unwrap()
+        record = dispatcher.submit(world.make_request(GUILTY)).unwrap()
         await record.wait_ended()
         await world.clock.sleep(2.0)
         before = sum(not engine.alive for engine in world.engines.values())
-        refused = dispatcher.submit(world.request(GUILTY)).unwrap_err()
+        refused = dispatcher.submit(world.make_request(GUILTY)).unwrap_err()
         self.assertEqual((refused.status, refused.ran), (503, Ran.NO))
         self.assertGreater(refused.retry_after or 0, INITIAL_BLOCK_S - 60)
         self.assertEqual(before, 3)
@@ -46,10 +46,10 @@
     @in_world
     async def test_others_go_on_when_engines_end_together(self, world: World) -> None:
         """Two engines go at one moment, later two more; what ran there is sent on and served."""
-        await world.up(nodes=1, engines=8)
+        await world.start(nodes=1, engines=8)
         dispatcher = world.nodes["n0"].dispatcher
         prompts = [f"question {number}" for number in range(3)]
-        records = [dispatcher.submit(world.request(each, 200)).unwrap() for each in prompts]
+        records = [dispatcher.submit(world.make_request(each, 200)).unwrap() for each in prompts]
         for names in (("e0", "e2"), ("e4", "e6")):
             await world.clock.sleep(1.0)
             for name in names:
@@ -57,7 +57,7 @@
         for record in records:
             await record.wait_ended()
         self.assertEqual({record.state for record in records}, {"finished"})
-        again = [dispatcher.submit(world.request(each)) for each in prompts]
+        again = [dispatcher.submit(world.make_request(each)) for each in prompts]
         self.assertTrue(all(each.is_ok() for each in again))
 
 
--- a/tests/test_orders_of_faults.py
+++ b/tests/test_orders_of_faults.py
@@ -12,7 +12,7 @@
 from moledale.backing.types import Part
 from moledale.node.jobs import JobState, new_job_id
 from moledale.problems import Ran
-from tests.world import World, whole
+from tests.world import World, expected_tokens
 
 NODES = ("n0", "n1", "n2", "n3")
 ENGINES = ("e0", "e1", "e2", "e3")
@@ -29,7 +29,7 @@
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.world = World()
-        self.run(self.world.up(nodes=len(NODES), engines=len(ENGINES)))
+        self.run(self.world.start(nodes=len(NODES), engines=len(ENGINES)))
         self.floors = dict.fromkeys(NODES, 0)
         self.jobs: list[tuple[str, str]] = []
         self.streams: list[tuple[str, Any, list[str]]] = []
@@ -51,10 +51,10 @@
             return
 
         async def start() -> None:
-            request = self.world.request(f"stream {len(self.streams)}", 100)
+            request = self.world.make_request(f"stream {len(self.streams)}", 100)
             submitted = self.world.nodes[node].dispatcher.submit(request)
             if submitted.is_ok():
-                self.streams.append((node, submitted.unwrap(), whole(request)))
+                self.streams.append((node, submitted.unwrap(), expected_tokens(request)))
 
         self.run(start())
 
@@ -65,11 +65,11 @@
 
         async def accept() -> None:
             deadline = self.world.clock.wall() + 1e6
-            request = self.world.request(f"job {len(self.jobs)}", 80, deadline_at=deadline)
+            request = self.world.make_request(f"job {len(self.jobs)}", 80, deadline_at=deadline)
             job = new_job_id(self.world.nodes[node].settings.node.hall)
             accepted = await self.world.nodes[node].jobs.accept(request, job)
             if accepted.is_ok():
-                self.jobs.append((job, "".join(whole(request))))
+                self.jobs.append((job, "".join(expected_tokens(request))))
             elif accepted.unwrap_err().ran is Ran.NO:
                 self.said_no.add(job)
 
@@ -82,7 +82,7 @@
         self.keys += 0 if again and self.keys else 1
 
         async def start() -> None:
-            call = self.world.once_call(f"call {self.keys}", f"key {self.keys}")
+            call = self.world.make_once_call(f"call {self.keys}", f"key {self.keys}")
             self.calls.append(asyncio.create_task(self.world.nodes[node].once.run(call)))
 
         self.run(start())
@@ -120,7 +120,7 @@
         faults = self.world.faults[Part.TABLE]
         name = "down" if down else "hang"
         setattr(faults, name, True)
-        heal = self.world.later
+        heal = self.world.call_later
         self.run(self._now(lambda: heal(seconds, lambda: setattr(faults, name, False))))
 
     @rule(node=nodes, operator=st.sampled_from(["anna", "bram"]))
@@ -130,7 +130,7 @@
 
         async def start() -> None:
             version = self.world.nodes[node].bundles.version + 1
-            signed = self.world.signed(version, operator, f"{node} {operator}")
+            signed = self.world.make_signed_bundle(version, operator, f"{node} {operator}")
             self.calls.append(asyncio.create_task(self.world.nodes[node].roll(signed)))
 
         self.run(start())
@@ -142,7 +142,7 @@
 
     @invariant()
     def nothing_ran_twice(self) -> None:
-        assert all(runs == 1 for runs in self.world.runs.values()), self.world.runs
+        assert all(runs == 1 for runs in self.world.service_runs.values()), self.world.service_runs
 
     @invariant()
     def no_version_went_back(self) -> None:
@@ -168,7 +168,7 @@
             self.world.faults[part].down = self.world.faults[part].hang = False
             self.world.faults[part].lose_answers = self.world.faults[part].late_writes = 0
         self.run(self._all_ends_well())
-        self.loop.run_until_complete(self.world.down())
+        self.loop.run_until_complete(self.world.stop())
         self.loop.close()
 
     async def _all_ends_well(self) -> None:
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -10,7 +10,7 @@
 from moledale.node.jobs import JobState, new_job_id
 from moledale.node.messages import ServerLeaving
 from moledale.problems import Ran
-from tests.world import World, in_world, whole
+from tests.world import World, expected_tokens, in_world
 
 
 class StreamSurvivesTest(unittest.TestCase):
@@ -18,64 +18,64 @@
 
     @in_world
     async def test_a_plain_stream(self, world: World) -> None:
-        await world.up()
-        request = world.request()
+        await world.start()
+        request = world.make_request()
         record = world.nodes["n0"].dispatcher.submit(request).unwrap()
-        self.assertEqual(await world.read("n0", record), whole(request))
+        self.assertEqual(await world.read("n0", record), expected_tokens(request))
         self.assertEqual(record.attempts, 1)
 
     @in_world
     async def test_reclaim_of_its_server_moves_the_cache(self, world: World) -> None:
-        await world.up()
-        request = world.request(tokens=400)
+        await world.start()
+        request = world.make_request(tokens=400)
         record = world.nodes["n0"].dispatcher.submit(request).unwrap()
-        await world.until(lambda: len(record.tokens) > 20)
+        await world.wait_until(lambda: len(record.tokens) > 20)
         source = str(record.server)
         world.reclaim(source, 3.0)
-        self.assertEqual(await world.read("n0", record), whole(request))
+        self.assertEqual(await world.read("n0", record), expected_tokens(request))
         self.assertNotEqual(record.server, source)
-        self.assertEqual(sum(e.recomputed for e in world.engines.values()), 0)
+        self.assertEqual(sum(e.recomputed_tokens for e in world.engines.values()), 0)
 
     @in_world
     async def test_death_of_its_server_resumes_elsewhere(self, world: World) -> None:
-        await world.up()
-        request = world.request()
+        await world.start()
+        request = world.make_request()
         record = world.nodes["n0"].dispatcher.submit(request).unwrap()
-        await world.until(lambda: len(record.tokens) > 10)
+        await world.wait_until(lambda: len(record.tokens) > 10)
         world.engines[str(record.server)].alive = False
-        self.assertEqual(await world.read("n0", record), whole(request))
+        self.assertEqual(await world.read("n0", record), expected_tokens(request))
         self.assertEqual(record.attempts, 2)
 
     @in_world
     async def test_a_whole_hall_goes_with_its_nodes_draining(self, world: World) -> None:
-        await world.up(nodes=4, engines=4)
-        requests = [world.request(f"question {i}", 200) for i in range(8)]
+        await world.start(nodes=4, engines=4)
+        requests = [world.make_request(f"question {i}", 200) for i in range(8)]
         records = [world.nodes["n0"].dispatcher.submit(r).unwrap() for r in requests]
-        await world.until(lambda: all(len(r.tokens) > 5 for r in records))
+        await world.wait_until(lambda: all(len(r.tokens) > 5 for r in records))
         for engine in world.engines.values():
             if engine.hall == "hall-a":
                 world.reclaim(engine.name, 4.0)
-        world.enlist("n2", InstanceKind.NODE, "hall-a", InstanceState.LEAVING)
+        world.list_instance("n2", InstanceKind.NODE, "hall-a", InstanceState.LEAVING)
         await world.nodes["n0"].drain()
         for request, record in zip(requests, records, strict=True):
-            self.assertEqual(await world.read("n0", record), whole(request))
+            self.assertEqual(await world.read("n0", record), expected_tokens(request))
 
     @in_world
     async def test_repeated_tokens_and_two_requests_of_one_session(self, world: World) -> None:
-        await world.up()
+        await world.start()
         for engine in world.engines.values():
             engine.repeat_tokens = True
-        first = world.request("one", session="s")
-        second = world.request("two", session="s")
+        first = world.make_request("one", session="s")
+        second = world.make_request("two", session="s")
         records = [world.nodes["n0"].dispatcher.submit(r).unwrap() for r in (first, second)]
-        self.assertEqual(await world.read("n0", records[0]), whole(first))
-        self.assertEqual(await world.read("n0", records[1]), whole(second))
+        self.assertEqual(await world.read("n0", records[0]), expected_tokens(first))
+        self.assertEqual(await world.read("n0", records[1]), expected_tokens(second))
 
     @in_world
     async def test_late_tokens_of_an_old_attempt_change_nothing(self, world: World) -> None:
-        await world.up()
-        record = world.nodes["n0"].dispatcher.submit(world.request()).unwrap()
-        await world.until(lambda: len(record.tokens) >= 5)
+        await world.start()
+        record = world.nodes["n0"].dispatcher.submit(world.make_request()).unwrap()
+        await world.wait_until(lambda: len(record.tokens) >= 5)
         old = record.attempt
         record.wait_for_server()
         record.begin_attempt("e1")
@@ -85,9 +85,9 @@
 
     @in_world
     async def test_every_server_fails(self, world: World) -> None:
-        await world.up()
-        record = world.nodes["n0"].dispatcher.submit(world.request()).unwrap()
-        await world.until(lambda: len(record.tokens) >= 5)
+        await world.start()
+        record = world.nodes["n0"].dispatcher.submit(world.make_request()).unwrap()
+        await world.wait_until(lambda: len(record.tokens) >= 5)
         for engine in world.engines.values():
             engine.alive = False
         await record.wait_ended()
@@ -100,31 +100,31 @@
 
     @in_world
     async def test_no_server_holds_the_model(self, world: World) -> None:
-        await world.up()
-        refused = world.nodes["n0"].dispatcher.submit(world.request(model="none")).unwrap_err()
+        await world.start()
+        refused = world.nodes["n0"].dispatcher.submit(world.make_request(model="none")).unwrap_err()
         self.assertEqual((refused.ran, refused.status, refused.retry_after), (Ran.NO, 503, 5))
 
     @in_world
     async def test_what_cannot_make_its_deadline_is_refused_at_once(self, world: World) -> None:
-        await world.up(engines=1)
+        await world.start(engines=1)
         node = world.nodes["n0"]
         for index in range(32):
-            node.dispatcher.submit(world.request(f"fill {index}", 300)).unwrap()
+            node.dispatcher.submit(world.make_request(f"fill {index}", 300)).unwrap()
         await world.clock.sleep(0.1)
         before = world.clock.now
-        hasty = world.request("late", 5, deadline_at=world.clock.wall() + 0.1)
+        hasty = world.make_request("late", 5, deadline_at=world.clock.wall() + 0.1)
         refused = node.dispatcher.submit(hasty).unwrap_err()
         self.assertEqual((refused.ran, world.clock.now), (Ran.NO, before))
         self.assertGreaterEqual(refused.retry_after or 0, 1)
 
     @in_world
     async def test_a_deadline_that_passes_in_the_queue(self, world: World) -> None:
-        await world.up(engines=1)
+        await world.start(engines=1)
         node = world.nodes["n0"]
         for index in range(32):
-            node.dispatcher.submit(world.request(f"fill {index}", 3_000)).unwrap()
+            node.dispatcher.submit(world.make_request(f"fill {index}", 3_000)).unwrap()
         await world.clock.sleep(0.1)
-        waiting = world.request("late", 5, deadline_at=world.clock.wall() + 1.0)
+        waiting = world.make_request("late", 5, deadline_at=world.clock.wall() + 1.0)
         record = node.dispatcher.submit(waiting).unwrap()
         await record.wait_ended()
         assert record.problem is not None
@@ -134,11 +134,11 @@
 
     @in_world
     async def test_a_deadline_that_passes_after_dispatch(self, world: World) -> None:
-        await world.up(engines=1)
+        await world.start(engines=1)
         node = world.nodes["n0"]
-        request = world.request(tokens=400, deadline_at=world.clock.wall() + 4.0)
+        request = world.make_request(tokens=400, deadline_at=world.clock.wall() + 4.0)
         record = node.dispatcher.submit(request).unwrap()
-        await world.until(lambda: len(record.tokens) > 5)
+        await world.wait_until(lambda: len(record.tokens) > 5)
         world.reclaim("e0", 1.0)
         await record.wait_ended()
         assert record.problem is not None
@@ -146,28 +146,28 @@
 
     @in_world
     async def test_urgent_work_pushes_out_what_can_wait(self, world: World) -> None:
-        await world.up(engines=1)
+        await world.start(engines=1)
         node = world.nodes["n0"]
         for index in range(32):
-            node.dispatcher.submit(world.request(f"fill {index}", 500)).unwrap()
+            node.dispatcher.submit(world.make_request(f"fill {index}", 500)).unwrap()
         await world.clock.sleep(0.1)
-        late = world.request("can wait", 5, priority=Priority.CAN_WAIT)
-        soon = world.request("now", 5, priority=Priority.IMMEDIATE)
+        late = world.make_request("can wait", 5, priority=Priority.CAN_WAIT)
+        soon = world.make_request("now", 5, priority=Priority.IMMEDIATE)
         waiting = node.dispatcher.submit(late).unwrap()
         urgent = node.dispatcher.submit(soon).unwrap()
         await world.read("n0", urgent)
         self.assertFalse(waiting.ended)
-        self.assertEqual(await world.read("n0", waiting), whole(late))
+        self.assertEqual(await world.read("n0", waiting), expected_tokens(late))
 
 
 class JobTest(unittest.TestCase):
     """Work that can wait is durable before it is accepted."""
 
     async def accept(self, world: World, node: str, tokens: int = 60) -> tuple[str, list[str]]:
-        request = world.request(tokens=tokens, deadline_at=world.clock.wall() + 1e6)
+        request = world.make_request(tokens=tokens, deadline_at=world.clock.wall() + 1e6)
         job = new_job_id(world.nodes[node].settings.node.hall)
         accepted = await world.nodes[node].jobs.accept(request, job)
-        return accepted.unwrap(), whole(request)
+        return accepted.unwrap(), expected_tokens(request)
 
     async def finished(self, world: World, node: str, job: str) -> str:
         while True:
@@ -179,7 +179,7 @@
 
     @in_world
     async def test_its_node_dies_unannounced(self, world: World) -> None:
-        await world.up()
+        await world.start()
         job, answer = await self.accept(world, "n0", 400)
         await world.clock.sleep(1.0)
         world.kill("n0")
@@ -187,7 +187,7 @@
 
     @in_world
     async def test_its_hall_loses_all_nodes(self, world: World) -> None:
-        await world.up()
+        await world.start()
         job, answer = await self.accept(world, "n1", 400)
         await world.clock.sleep(1.0)
         world.kill("n1")
@@ -195,7 +195,7 @@
 
     @in_world
     async def test_a_planned_stop_passes_it_on(self, world: World) -> None:
-        await world.up()
+        await world.start()
         job, answer = await self.accept(world, "n0", 400)
         await world.clock.sleep(0.5)
         await world.nodes["n0"].drain()
@@ -204,7 +204,7 @@
 
     @in_world
     async def test_answers_lost_after_the_write(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.faults[Part.TABLE].lose_answers = 2
         job, answer = await self.accept(world, "n0")
         # Read back as its own, the job runs here and doesn't wait to be adopted.
@@ -213,9 +213,9 @@
 
     @in_world
     async def test_no_table_means_no_acceptance(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.faults[Part.TABLE].down = True
-        refused = await world.nodes["n0"].jobs.accept(world.request(), new_job_id("hall-a"))
+        refused = await world.nodes["n0"].jobs.accept(world.make_request(), new_job_id("hall-a"))
         self.assertEqual(refused.unwrap_err().ran, Ran.NO)
         world.faults[Part.TABLE].down = False
         await world.clock.sleep(30)
@@ -223,11 +223,11 @@
 
     @in_world
     async def test_a_paused_owner_wakes_after_its_job_was_adopted(self, world: World) -> None:
-        await world.up()
+        await world.start()
         job, answer = await self.accept(world, "n0", 300)
         await world.clock.sleep(1.0)
         world.freeze("n0", 60.0)
-        world.enlist("n0", InstanceKind.NODE, "hall-a", InstanceState.GONE)
+        world.list_instance("n0", InstanceKind.NODE, "hall-a", InstanceState.GONE)
         self.assertEqual(await self.finished(world, "n1", job), "".join(answer))
         result = world.state.rows[("job-result", job.removeprefix("job_").replace("_", "/"))]
         await world.clock.sleep(80.0)
@@ -235,7 +235,7 @@
 
     @in_world
     async def test_cancel_from_another_node(self, world: World) -> None:
-        await world.up()
+        await world.start()
         job, _ = await self.accept(world, "n0", 500)
         outcome = (await world.nodes["n1"].jobs.cancel("brokers", job)).unwrap()
         self.assertEqual(outcome.state, JobState.CANCELLED)
@@ -252,119 +252,121 @@
 
     @in_world
     async def test_asked_again_here_and_elsewhere(self, world: World) -> None:
-        await world.up()
-        call = world.once_call("file", "key-1")
+        await world.start()
+        call = world.make_once_call("file", "key-1")
         answers = [await world.nodes[n].once.run(call) for n in ("n0", "n0", "n1", "n2")]
         self.assertEqual({a.unwrap().body for a in answers}, {b"ran file"})
-        self.assertEqual(world.runs["file"], 1)
+        self.assertEqual(world.service_runs["file"], 1)
 
     @in_world
     async def test_a_key_with_another_body(self, world: World) -> None:
-        await world.up()
-        await world.nodes["n0"].once.run(world.once_call("file", "key-1"))
+        await world.start()
+        await world.nodes["n0"].once.run(world.make_once_call("file", "key-1"))
         for node in ("n0", "n1"):
-            other = await world.nodes[node].once.run(world.once_call("other", "key-1"))
+            other = await world.nodes[node].once.run(world.make_once_call("other", "key-1"))
             self.assertEqual(other.unwrap_err().status, 422)
-        self.assertEqual(world.runs["other"], 0)
+        self.assertEqual(world.service_runs["other"], 0)
 
     @in_world
     async def test_its_node_dies_after_dispatch(self, world: World) -> None:
-        await world.up()
+        await world.start()
 
         async def kill(at: World, node: str, _: str) -> None:
             at.kill(node)
 
-        world.plan("dispatch", kill)
-        call = world.once_call("file", "key-1")
+        world.plan_fault("dispatch", kill)
+        call = world.make_once_call("file", "key-1")
         lost = asyncio.create_task(world.nodes["n0"].once.run(call))
         await world.clock.sleep(5.0)
         again = await world.nodes["n1"].once.run(call)
         self.assertEqual(again.unwrap_err().ran, Ran.UNKNOWN)
-        self.assertEqual(world.runs["file"], 1)
+        self.assertEqual(world.service_runs["file"], 1)
         lost.cancel()
 
     @in_world
     async def test_the_service_breaks_after_it_ran(self, world: World) -> None:
-        await world.up()
-        world.break_service = 1
-        call = world.once_call("file", "key-1")
+        await world.start()
+        world.service_cut_offs = 1
+        call = world.make_once_call("file", "key-1")
         for node in ("n0", "n0"):
             outcome = await world.nodes[node].once.run(call)
             self.assertEqual(outcome.unwrap_err().ran, Ran.UNKNOWN)
-        self.assertEqual(world.runs["file"], 1)
+        self.assertEqual(world.service_runs["file"], 1)
 
     @in_world
     async def test_the_service_refuses_then_the_key_is_good_again(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.service_down = True
-        call = world.once_call("file", "key-1")
+        call = world.make_once_call("file", "key-1")
         refused = await world.nodes["n0"].once.run(call)
-        self.assertEqual((refused.unwrap_err().ran, world.runs["file"]), (Ran.NO, 0))
+        self.assertEqual((refused.unwrap_err().ran, world.service_runs["file"]), (Ran.NO, 0))
         world.service_down = False
         again = await world.nodes["n0"].once.run(call)
-        self.assertEqual((again.is_ok(), world.runs["file"]), (True, 1))
+        self.assertEqual((again.is_ok(), world.service_runs["file"]), (True, 1))
 
     @in_world
     async def test_the_claims_answer_is_lost(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.faults[Part.TABLE].lose_answers = 1
-        call = world.once_call("file", "key-1")
+        call = world.make_once_call("file", "key-1")
         outcome = await world.nodes["n0"].once.run(call)
-        self.assertEqual((outcome.is_ok(), world.runs["file"]), (True, 1))
+        self.assertEqual((outcome.is_ok(), world.service_runs["file"]), (True, 1))
 
     @in_world
     async def test_a_claim_that_lands_late(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.faults[Part.TABLE].land_late = 3
-        call = world.once_call("file", "key-1")
+        call = world.make_once_call("file", "key-1")
         first = await world.nodes["n0"].once.run(call)
         await world.clock.sleep(10.0)
         for node in ("n1", "n0", "n2"):
             await world.nodes[node].once.run(call)
-        self.assertEqual(world.runs["file"], 1)
+        self.assertEqual(world.service_runs["file"], 1)
         if isinstance(first, Err):
             self.assertEqual(first.err_value.ran, Ran.UNKNOWN)
 
     @in_world
     async def test_an_outage_of_the_table(self, world: World) -> None:
-        await world.up()
+        await world.start()
         issued = world.nodes["n0"].once.issue("brokers")
         world.faults[Part.TABLE].down = True
-        own = await world.nodes["n0"].once.run(world.once_call("own", issued))
-        foreign = await world.nodes["n0"].once.run(world.once_call("foreign", "key-1"))
+        own = await world.nodes["n0"].once.run(world.make_once_call("own", issued))
+        foreign = await world.nodes["n0"].once.run(world.make_once_call("foreign", "key-1"))
         self.assertTrue(own.is_ok())
         # It may have run through another node before, which nobody can tell now.
         self.assertEqual(foreign.unwrap_err().ran, Ran.UNKNOWN)
-        self.assertEqual(world.runs, {"own": 1})
-        keyed = await world.nodes["n0"].jobs.accept(world.request(), new_job_id("hall-a"), True)
+        self.assertEqual(world.service_runs, {"own": 1})
+        keyed = await world.nodes["n0"].jobs.accept(
+            world.make_request(), new_job_id("hall-a"), True
+        )
         self.assertEqual(keyed.unwrap_err().ran, Ran.UNKNOWN)
 
     @in_world
     async def test_an_issued_key_at_another_node(self, world: World) -> None:
-        await world.up()
-        call = world.once_call("file", world.nodes["n0"].once.issue("brokers"))
+        await world.start()
+        call = world.make_once_call("file", world.nodes["n0"].once.issue("brokers"))
         answers = [await world.nodes[n].once.run(call) for n in ("n1", "n0", "n2")]
         self.assertEqual([a.is_ok() for a in answers], [True] * 3)
         world.kill("n0")
         await world.clock.sleep(5.0)
         gone = await world.nodes["n1"].once.run(call)
-        self.assertEqual((gone.unwrap_err().ran, world.runs["file"]), (Ran.UNKNOWN, 1))
+        self.assertEqual((gone.unwrap_err().ran, world.service_runs["file"]), (Ran.UNKNOWN, 1))
 
     @in_world
     async def test_a_paused_node_wakes_with_its_claim(self, world: World) -> None:
-        await world.up()
+        await world.start()
 
         async def freeze(at: World, node: str, _: str) -> None:
             at.freeze(node, 60.0)
 
-        world.plan("pick", freeze)
-        call = world.once_call("file", "key-1")
+        world.plan_fault("pick", freeze)
+        call = world.make_once_call("file", "key-1")
         late = asyncio.create_task(world.nodes["n0"].once.run(call))
         await world.clock.sleep(20.0)
         elsewhere = await world.nodes["n1"].once.run(call)
         self.assertEqual(elsewhere.unwrap_err().ran, Ran.UNKNOWN)
         await late
-        self.assertEqual(world.runs["file"], 1)
+        self.assertEqual(world.service_runs["file"], 1)
 
 
 class LeavingServerTest(unittest.TestCase):
@@ -378,7 +380,7 @@
         while world.clock.now < until:
             for node in world.nodes.values():
                 number += 1
-                node.dispatcher.submit(world.request(f"q{number}", 3))
+                node.dispatcher.submit(world.make_request(f"q{number}", 3))
             await world.clock.sleep(0.1)
 
     async def check(self, world: World, began: float) -> None:
@@ -388,28 +390,28 @@
 
     @in_world
     async def test_the_server_tells(self, world: World) -> None:
-        await world.up()
+        await world.start()
         engine = world.engines["e0"]
         engine.leaving_since, engine.leaves_at = world.clock.now, world.clock.now + 30
         await self.check(world, world.clock.now)
 
     @in_world
     async def test_the_list_tells(self, world: World) -> None:
-        await world.up()
-        world.enlist("e0", InstanceKind.SERVER, "hall-a", InstanceState.LEAVING)
+        await world.start()
+        world.list_instance("e0", InstanceKind.SERVER, "hall-a", InstanceState.LEAVING)
         await self.check(world, world.clock.now)
 
     @in_world
     async def test_the_cloud_tells(self, world: World) -> None:
-        await world.up()
+        await world.start()
         await world.clock.sleep(15.0)
         world.state.notices["e0"] = ReclaimNotice("e0", "hall-a", 30.0)
         await self.check(world, world.clock.now)
 
     @in_world
     async def test_news_of_many_servers_goes_in_few_messages(self, world: World) -> None:
-        await world.up(nodes=6, engines=2)
-        sent = world.digests
+        await world.start(nodes=6, engines=2)
+        sent = world.digests_sent
         for number in range(50):
             world.nodes["n0"].handle_leaving_server(ServerLeaving(f"gone-{number}", 5.0, "cloud"))
         await world.clock.sleep(1.0)
@@ -417,20 +419,20 @@
             node for node in world.nodes.values() if "gone-49" in node.own_digest().leaving_servers
         ]
         self.assertEqual(len(heard), 6)
-        self.assertLess(world.digests - sent, 60)
+        self.assertLess(world.digests_sent - sent, 60)
 
     @in_world
     async def test_queued_work_goes_elsewhere(self, world: World) -> None:
-        await world.up(engines=2)
+        await world.start(engines=2)
         node = world.nodes["n0"]
         for index in range(80):
-            node.dispatcher.submit(world.request(f"fill {index}", 300)).unwrap()
+            node.dispatcher.submit(world.make_request(f"fill {index}", 300)).unwrap()
         await world.clock.sleep(0.5)
         self.assertGreater(node.dispatcher.waiting, 0)
         engine = world.engines["e0"]
         engine.leaving_since, engine.leaves_at = world.clock.now, world.clock.now + 300
         began = world.clock.now
-        await world.until(lambda: node.dispatcher.open_requests == 0, 200)
+        await world.wait_until(lambda: node.dispatcher.open_requests == 0, 200)
         late = [at - began for at, _ in engine.starts if at > began]
         self.assertLessEqual(max(late, default=0.0), self.MOST_S)
 
@@ -440,32 +442,32 @@
 
     @in_world
     async def test_all_nodes_in_turn_under_load(self, world: World) -> None:
-        await world.up(nodes=3)
+        await world.start(nodes=3)
         reads = []
         for name in ("n0", "n1", "n2"):
             node = world.nodes[name]
             for index in range(5):
-                request = world.request(f"{name} {index}", 150)
+                request = world.make_request(f"{name} {index}", 150)
                 record = node.dispatcher.submit(request).unwrap()
                 reads.append((request, asyncio.create_task(world.read(name, record))))
             await world.clock.sleep(0.5)
             if name != "n2":
-                world.enlist(name, InstanceKind.NODE, "hall-a", InstanceState.LEAVING)
+                world.list_instance(name, InstanceKind.NODE, "hall-a", InstanceState.LEAVING)
                 await node.drain()
                 self.assertEqual(node.dispatcher.open_requests, 0)
                 refusal = node.refusal()
                 assert refusal is not None
                 self.assertEqual(refusal.ran, Ran.NO)
         for request, task in reads:
-            self.assertEqual(await task, whole(request))
+            self.assertEqual(await task, expected_tokens(request))
 
     @in_world
     async def test_no_peer_takes_the_streams(self, world: World) -> None:
-        await world.up(nodes=1)
-        request = world.request(tokens=200)
+        await world.start(nodes=1)
+        request = world.make_request(tokens=200)
         record = world.nodes["n0"].dispatcher.submit(request).unwrap()
         await world.nodes["n0"].drain()
-        self.assertEqual(await world.read("n0", record), whole(request))
+        self.assertEqual(await world.read("n0", record), expected_tokens(request))
 
 
 class BundleTest(unittest.TestCase):
@@ -476,17 +478,17 @@
 
     @in_world
     async def test_in_force_everywhere(self, world: World) -> None:
-        await world.up(nodes=9)
-        (await world.nodes["n0"].roll(world.signed(2))).unwrap()
-        took = await world.until(lambda: self.versions(world) == {2})
+        await world.start(nodes=9)
+        (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
+        took = await world.wait_until(lambda: self.versions(world) == {2})
         self.assertLess(took, 3.0)
 
     @in_world
     async def test_two_operators_at_the_same_moment(self, world: World) -> None:
-        await world.up()
+        await world.start()
         both = await asyncio.gather(
-            world.nodes["n0"].roll(world.signed(2, "anna", "hers")),
-            world.nodes["n1"].roll(world.signed(2, "bram", "his")),
+            world.nodes["n0"].roll(world.make_signed_bundle(2, "anna", "hers")),
+            world.nodes["n1"].roll(world.make_signed_bundle(2, "bram", "his")),
         )
         won = [outcome for outcome in both if outcome.is_ok()]
         lost = [outcome.unwrap_err() for outcome in both if outcome.is_err()]
@@ -497,29 +499,29 @@
 
     @in_world
     async def test_a_lost_answer_to_the_roll(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.faults[Part.TABLE].lose_answers = 1
-        rolled = await world.nodes["n0"].roll(world.signed(2))
+        rolled = await world.nodes["n0"].roll(world.make_signed_bundle(2))
         self.assertEqual(rolled.unwrap().version, 2)
-        again = await world.nodes["n1"].roll(world.signed(2))
+        again = await world.nodes["n1"].roll(world.make_signed_bundle(2))
         self.assertEqual(again.unwrap().digest, rolled.unwrap().digest)
 
     @in_world
     async def test_a_paused_node_wakes(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.freeze("n2", 30.0)
-        (await world.nodes["n0"].roll(world.signed(2))).unwrap()
+        (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
         await world.clock.sleep(31.0)
         # It may not serve by the old version: its confirmation is as old as its pause.
         late = world.nodes["n2"]
         self.assertTrue(late.bundles.version == 2 or late.refusal() is not None)
-        await world.until(lambda: late.bundles.version == 2 and late.refusal() is None, 5.0)
+        await world.wait_until(lambda: late.bundles.version == 2 and late.refusal() is None, 5.0)
 
     @in_world
     async def test_an_older_head_is_ignored(self, world: World) -> None:
-        await world.up()
-        (await world.nodes["n0"].roll(world.signed(2))).unwrap()
-        await world.until(lambda: self.versions(world) == {2})
+        await world.start()
+        (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
+        await world.wait_until(lambda: self.versions(world) == {2})
         old = world.state.rows[("bundle-history", f"{1:012d}")]
         world.state.rows[("bundle", "head")] = old
         await world.clock.sleep(10.0)
@@ -527,7 +529,7 @@
 
     @in_world
     async def test_a_node_that_starts_in_an_outage_serves_nothing(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.faults[Part.TABLE].down = True
         node = await world.start_node("n9", "hall-a")
         await world.clock.sleep(20.0)
@@ -536,35 +538,38 @@
         self.assertEqual(refusal.ran, Ran.NO)
         self.assertIsNone(world.nodes["n0"].refusal(), "an outage stops nobody else")
         world.faults[Part.TABLE].down = False
-        await world.until(lambda: node.refusal() is None, 25.0)
+        await world.wait_until(lambda: node.refusal() is None, 25.0)
 
     @in_world
     async def test_cut_off_from_peers_or_from_the_table(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.hosts["n1"].cut_peers = True
         world.hosts["n2"].cut_platform = True
-        (await world.nodes["n0"].roll(world.signed(2))).unwrap()
-        await world.until(lambda: world.nodes["n1"].bundles.version == 2, 5.0)
+        (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
+        await world.wait_until(lambda: world.nodes["n1"].bundles.version == 2, 5.0)
         # Without the table n2 can't fetch it, but its peers tell it that it is behind.
-        await world.until(lambda: world.nodes["n2"].refusal() is not None, 7.0)
+        await world.wait_until(lambda: world.nodes["n2"].refusal() is not None, 7.0)
         world.hosts["n2"].cut_platform = False
-        await world.until(lambda: world.nodes["n2"].refusal() is None, 25.0)
+        await world.wait_until(lambda: world.nodes["n2"].refusal() is None, 25.0)
         self.assertEqual(world.nodes["n2"].bundles.version, 2)
 
     @in_world
     async def test_cut_off_from_everything(self, world: World) -> None:
-        await world.up()
+        await world.start()
         world.hosts["n2"].cut_peers = world.hosts["n2"].cut_platform = True
-        await world.until(lambda: world.nodes["n2"].refusal() is not None, 7.0)
+        await world.wait_until(lambda: world.nodes["n2"].refusal() is not None, 7.0)
         self.assertIsNone(world.nodes["n0"].refusal())
 
     @in_world
     async def test_refused_rolls(self, world: World) -> None:
-        await world.up()
+        await world.start()
         cases = [
-            (world.signed(1, mark="other"), "older"),
-            (world.signed(3), "gap"),
-            (world.signed(2).__class__(world.signed(2).body, []), "invalid"),
+            (world.make_signed_bundle(1, mark="other"), "older"),
+            (world.make_signed_bundle(3), "gap"),
+            (
+                world.make_signed_bundle(2).__class__(world.make_signed_bundle(2).body, []),
+                "invalid",
+            ),
         ]
         for signed, kind in cases:
             outcome = await world.nodes["n0"].roll(signed)
@@ -576,15 +581,15 @@
 
     @in_world
     async def test_a_frozen_holder(self, world: World) -> None:
-        await world.up(nodes=4)
-        await world.until(lambda: "hall/hall-a" in self.held(world, "n0", "n2"), 30.0)
+        await world.start(nodes=4)
+        await world.wait_until(lambda: "hall/hall-a" in self.held(world, "n0", "n2"), 30.0)
         holder = "n0" if "hall/hall-a" in world.nodes["n0"].leases_held() else "n2"
         other = "n2" if holder == "n0" else "n0"
         checking = world.engines["e0"]
         world.freeze(holder, 40.0)
-        await world.until(lambda: "hall/hall-a" in world.nodes[other].leases_held(), 20.0)
+        await world.wait_until(lambda: "hall/hall-a" in world.nodes[other].leases_held(), 20.0)
         checking.models.clear()
-        await world.until(lambda: bool(checking.orders), 30.0)
+        await world.wait_until(lambda: bool(checking.orders), 30.0)
         epoch = checking.orders[-1].epoch
         await world.clock.sleep(45.0)
         self.assertNotIn("hall/hall-a", world.nodes[holder].leases_held())
@@ -593,13 +598,13 @@
 
     @in_world
     async def test_a_slow_duty_costs_no_lease(self, world: World) -> None:
-        await world.up(nodes=1)
-        await world.until(lambda: "hall/hall-a" in self.held(world, "n0"), 30.0)
+        await world.start(nodes=1)
+        await world.wait_until(lambda: "hall/hall-a" in self.held(world, "n0"), 30.0)
 
         async def slow(at: World, node: str, server: str) -> None:
             await at.clock.sleep(9.0)
 
-        world.plan("order", slow, times=4)
+        world.plan_fault("order", slow, times=4)
         for engine in world.engines.values():
             engine.models.clear()
         until = world.clock.now + 40.0
@@ -612,7 +617,7 @@
 
     @in_world
     async def test_at_most_one_holder_at_any_time(self, world: World) -> None:
-        await world.up(nodes=5)
+        await world.start(nodes=5)
         for round_ in range(6):
             world.faults[Part.TABLE].lose_answers = round_ % 3
             world.freeze(f"n{round_ % 5}", 7.0 + round_)
@@ -637,21 +642,21 @@
     @in_world
     async def test_slow_boots_rent_no_more_than_needed(self, world: World) -> None:
         world.boot_s = 40.0
-        await world.up(engines=2)
+        await world.start(engines=2)
         self.assertEqual(await self.engines_after(world, 150.0), self.NEEDED)
 
     @in_world
     async def test_lost_answers_of_the_cloud_rent_once(self, world: World) -> None:
         world.boot_s = 40.0
         world.faults[Part.CLOUD].lose_answers = 5
-        await world.up(engines=2)
+        await world.start(engines=2)
         self.assertEqual(await self.engines_after(world, 200.0), self.NEEDED)
 
     @in_world
     async def test_the_next_holder_goes_on_from_the_row(self, world: World) -> None:
         world.boot_s = 60.0
-        await world.up(nodes=4, engines=2)
-        await world.until(lambda: len(world.state.rented) >= 6, 60.0)
+        await world.start(nodes=4, engines=2)
+        await world.wait_until(lambda: len(world.state.rented) >= 6, 60.0)
         holder = next(
             name for name in ("n0", "n2") if "hall/hall-a" in world.nodes[name].leases_held()
         )
@@ -662,7 +667,7 @@
     async def test_a_refusal_in_one_hall_is_known_in_the_other(self, world: World) -> None:
         world.boot_s = 5.0
         world.refused_markets = {("hall-a", "reclaimable"), ("hall-a", "on-demand")}
-        await world.up(engines=2)
+        await world.start(engines=2)
         await world.clock.sleep(120.0)
         halls = {engine.hall for engine in world.engines.values() if engine.name.startswith("r")}
         self.assertEqual(halls, {"hall-b"})
@@ -685,7 +690,7 @@
 
     @in_world
     async def test_returns_are_spread(self, world: World) -> None:
-        await world.up(nodes=self.NODES, engines=2)
+        await world.start(nodes=self.NODES, engines=2)
         usual = await self.busiest(world, 15)
         world.faults[Part.TABLE].hang = True
         await world.clock.sleep(120.0)
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -34,12 +34,12 @@
 class EngineTest(unittest.TestCase):
     @in_world
     async def test_generations_go_elsewhere_until_the_time_is_over(self, world: World) -> None:
-        await world.up(nodes=1, engines=2)
+        await world.start(nodes=1, engines=2)
         declining = world.engines["e0"]
         declining.retry_after_s = RETRY_AFTER_S
         dispatcher = world.nodes["n0"].dispatcher
         for number in range(30):
-            record = dispatcher.submit(world.request(f"question {number}")).unwrap()
+            record = dispatcher.submit(world.make_request(f"question {number}")).unwrap()
             await record.wait_ended()
             self.assertEqual(record.state, "finished")
         self.assertTrue(declining.starts)
@@ -50,16 +50,16 @@
     async def test_all_that_back_off_refuse_at_once_with_the_time_of_the_first(
         self, world: World
     ) -> None:
-        await world.up(nodes=1, engines=2)
+        await world.start(nodes=1, engines=2)
         dispatcher = world.nodes["n0"].dispatcher
         now = world.clock.monotonic()
         dispatcher.load_tracker.back_off("e0", now + RETRY_AFTER_S)
         dispatcher.load_tracker.back_off("e1", now + 2 * RETRY_AFTER_S)
-        refused = dispatcher.submit(world.request("a question")).unwrap_err()
+        refused = dispatcher.submit(world.make_request("a question")).unwrap_err()
         self.assertEqual((refused.status, refused.ran), (503, Ran.NO))
         self.assertEqual(refused.retry_after, RETRY_AFTER_S)
         await world.clock.sleep(RETRY_AFTER_S + 0.2)
-        record = dispatcher.submit(world.request("a question")).unwrap()
+        record = dispatcher.submit(world.make_request("a question")).unwrap()
         await record.wait_ended()
         self.assertEqual(record.state, "finished")
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -184,7 +184,7 @@
             return Err(PlatformFailure(part, "timeout", writes))
         if writes and faults.late_writes > 0:
             faults.late_writes -= 1
-            self._world.later(2 * TIMEOUT_S, effect)
+            self._world.call_later(2 * TIMEOUT_S, effect)
             await clock.sleep(TIMEOUT_S)
             return Err(PlatformFailure(part, "timeout", True))
         outcome = effect()
@@ -202,7 +202,7 @@
     ) -> Result[TransactionOutcome, PlatformFailure]:
         await self._host.wait_until_running()
         for step in _transaction_steps(transaction):
-            await self._world.step(step, self._host.name)
+            await self._world.reach_step(step, self._host.name)
         state = self._world.state
         return await self._call(Part.TABLE, True, lambda: state.transact(transaction))
 
@@ -220,7 +220,7 @@
 
     async def get(self, key: str) -> Result[bytes | None, PlatformFailure]:
         if key.startswith("bundles/"):
-            await self._world.step("adopt version", self._host.name)
+            await self._world.reach_step("adopt version", self._host.name)
         return await self._call(Part.OBJECTS, False, lambda: self._world.state.objects.get(key))
 
     async def changes(self, since: int) -> Result[InstancePage, PlatformFailure]:
@@ -275,8 +275,8 @@
     cached: set[str] = field(default_factory=set)
     repeat_tokens: bool = False
     retry_after_s: float | None = None
-    recomputed: int = 0
-    reports: int = 0
+    recomputed_tokens: int = 0
+    report_sequence: int = 0
 
 
 class FakeServers:
@@ -295,7 +295,7 @@
     ) -> AsyncGenerator[GenerateEvent, None]:
         world, clock = self._world, self._world.clock
         await self._host.wait_until_running()
-        await world.step("pick", self._host.name, address)
+        await world.reach_step("pick", self._host.name, address)
         engine = self._engine(address)
         if engine is None:
             await clock.sleep(TOKEN_INTERVAL_S)
@@ -311,25 +311,25 @@
             yield Refused("no such model")
             return
         engine.running[call.attempt] = call
-        if call.prompt == self._world.ends_engines:
+        if call.prompt == self._world.crash_prompt:
             await clock.sleep(TOKEN_INTERVAL_S)
             engine.alive = False
-        await world.step("dispatch", self._host.name, address)
+        await world.reach_step("dispatch", self._host.name, address)
         cached = call.session in engine.cached
         length = len(call.prompt.split()) + len(call.resume)
-        engine.recomputed += 0 if cached else len(call.resume)
+        engine.recomputed_tokens += 0 if cached else len(call.resume)
         try:
             for index in range(len(call.resume), call.max_tokens):
                 await clock.sleep(TOKEN_INTERVAL_S)
                 if index in (0, call.max_tokens // 2):
                     name = "first token" if index == 0 else "mid-stream"
-                    await world.step(name, self._host.name, address)
+                    await world.reach_step(name, self._host.name, address)
                 await self._host.wait_until_running()
                 if not engine.alive:
                     raise ServerError("cut off")
                 for _ in range(2 if engine.repeat_tokens else 1):
                     yield Token(index, token_text(call.prompt, index))
-            await world.step("finish", self._host.name, address)
+            await world.reach_step("finish", self._host.name, address)
             if not engine.alive:
                 raise ServerError("cut off")
             engine.cached.add(call.session)
@@ -350,12 +350,12 @@
         return Ok(self._report(engine))
 
     def _report(self, engine: FakeEngine) -> LoadReport:
-        engine.reports += 1
+        engine.report_sequence += 1
         leaving = engine.leaving_since is not None
         left = engine.leaves_at - self._world.clock.now if leaving else None
         return LoadReport(
             engine.name,
-            engine.reports,
+            engine.report_sequence,
             len(engine.running),
             0,
             0,
@@ -372,7 +372,7 @@
 
     async def order(self, address: str, order: Order) -> Result[OrderReply, ServerFailure]:
         await self._host.wait_until_running()
-        await self._world.step("order", self._host.name, address)
+        await self._world.reach_step("order", self._host.name, address)
         await self._host.wait_until_running()
         engine = self._engine(address)
         if engine is None:
@@ -415,17 +415,17 @@
     ) -> Result[ServiceAnswer, ServerFailure]:
         world = self._world
         await self._host.wait_until_running()
-        await world.step("pick", self._host.name)
+        await world.reach_step("pick", self._host.name)
         if world.service_down:
             return Err(ServerFailure("refused", may_have_run=False))
-        world.runs[call.body.decode()] += 1
-        await world.step("dispatch", self._host.name)
+        world.service_runs[call.body.decode()] += 1
+        await world.reach_step("dispatch", self._host.name)
         for name in ("first token", "mid-stream", "finish"):
             await world.clock.sleep(TOKEN_INTERVAL_S)
-            await world.step(name, self._host.name)
+            await world.reach_step(name, self._host.name)
             await self._host.wait_until_running()
-        if world.break_service > 0:
-            world.break_service -= 1
+        if world.service_cut_offs > 0:
+            world.service_cut_offs -= 1
             return Err(ServerFailure("cut off", may_have_run=True))
         return Ok(ServiceAnswer(200, "text/plain", b"ran " + call.body))
 
@@ -455,13 +455,13 @@
     async def digest(
         self, address: str, message: peers_pb2.DigestMessage
     ) -> Result[peers_pb2.DigestMessage, str]:
-        self._world.digests += 1
+        self._world.digests_sent += 1
         handler = await self._reachable_handler(address)
         return Err("unreachable") if handler is None else Ok(handler.exchange_digest(message))
 
     async def hand_over(self, address: str, record: StreamRecord) -> Result[None, str]:
         copy = StreamRecord(record.request, list(record.tokens))
-        await self._world.step("hand-over", self._host.name)
+        await self._world.reach_step("hand-over", self._host.name)
         await self._world.clock.sleep(TOKEN_INTERVAL_S)
         handler = await self._reachable_handler(address)
         if handler is None:
@@ -495,14 +495,14 @@
         self.nodes: dict[str, Node] = {}
         self.hosts: dict[str, FakeHost] = {}
         self.handlers: dict[str, PeerHandler] = {}
-        self.runs: Counter[str] = Counter()
+        self.service_runs: Counter[str] = Counter()
         self.service_down = False
-        self.break_service = 0
-        self.ends_engines = ""
-        self.digests = 0
+        self.service_cut_offs = 0
+        self.crash_prompt = ""
+        self.digests_sent = 0
         self.boot_s: float | None = None
         self.refused_markets: set[tuple[str, str]] = set()
-        self.reached: Counter[str] = Counter()
+        self.steps_reached: Counter[str] = Counter()
         self.versions: defaultdict[str, list[int]] = defaultdict(list)
         self._fault: tuple[str, int, Action] | None = None
         self._keys = {name: signing.generate_private_key() for name in ("anna", "bram")}
@@ -513,10 +513,10 @@
     def add_engine(self, name: str, hall: str, **fields: Any) -> FakeEngine:
         engine = FakeEngine(name, hall, **fields)
         self.engines[name] = engine
-        self.enlist(name, InstanceKind.SERVER, hall)
+        self.list_instance(name, InstanceKind.SERVER, hall)
         return engine
 
-    def enlist(
+    def list_instance(
         self,
         name: str,
         kind: InstanceKind,
@@ -537,7 +537,7 @@
         if order.token not in self.state.rented:
             name = f"r{len(self.state.rented)}"
             self.state.rented[order.token] = name
-            self.later(self.boot_s, lambda: self.add_engine(name, order.hall))
+            self.call_later(self.boot_s, lambda: self.add_engine(name, order.hall))
         return RentResult(self.state.rented[order.token])
 
     async def start_node(self, name: str, hall: str) -> Node:
@@ -546,7 +546,7 @@
         platform = FakePlatform(self, gate)
         parts = Platform(platform, platform, platform, platform, platform)
         node = Node(
-            self.settings(name, hall),
+            self.make_settings(name, hall),
             Secrets(peer="p" * 32, operator="o" * 32),
             parts,
             FakeServers(self, gate),
@@ -556,11 +556,11 @@
             random.Random(name),
         )
         self.nodes[name] = node
-        self.enlist(name, InstanceKind.NODE, hall)
+        self.list_instance(name, InstanceKind.NODE, hall)
         await node.start()
         return node
 
-    def settings(self, name: str, hall: str) -> Settings:
+    def make_settings(self, name: str, hall: str) -> Settings:
         keys = {
             n: signing.encode_public_key(_load_private_key(pem)) for n, pem in self._keys.items()
         }
@@ -568,7 +568,9 @@
         text = settings_text(name, hall, "http://127.0.0.1:1", keys, extra)
         return parse(name, text).unwrap()
 
-    def signed(self, version: int, operator: str = "anna", mark: str = "") -> SignedBundle:
+    def make_signed_bundle(
+        self, version: int, operator: str = "anna", mark: str = ""
+    ) -> SignedBundle:
         """Return the example bundle as a version, signed; `mark` makes it another body."""
         body = BUNDLE_TEXT.replace("version = 1", f"version = {version}", 1) + f"# {mark}\n"
         # So much demand that no idle engine is returned in the middle of a test.
@@ -576,14 +578,14 @@
         key = _load_private_key(self._keys[operator])
         return SignedBundle(body, [signing.sign(body.encode(), operator, key)])
 
-    async def up(self, nodes: int = 3, engines: int = 3) -> None:
+    async def start(self, nodes: int = 3, engines: int = 3) -> None:
         """Start nodes and engines over two halls, roll version 1 and wait until all serve."""
         for index in range(engines):
             self.add_engine(f"e{index}", "hall-a" if index % 2 == 0 else "hall-b")
         for index in range(nodes):
             await self.start_node(f"n{index}", "hall-a" if index % 2 == 0 else "hall-b")
         (await self.nodes["n0"].roll(self.signed(1))).unwrap()
-        await self.until(
+        await self.wait_until(
             lambda: all(
                 node.refusal() is None
                 and len(node.load_tracker.views) == engines
@@ -592,7 +594,7 @@
             )
         )
 
-    async def until(self, condition: Callable[[], bool], limit_s: float = 60.0) -> float:
+    async def wait_until(self, condition: Callable[[], bool], limit_s: float = 60.0) -> float:
         """Wait on the clock until a condition holds; returns the seconds it took."""
         began = self.clock.now
         while not condition():
@@ -601,7 +603,7 @@
             await self.clock.sleep(0.05)
         return self.clock.now - began
 
-    async def down(self) -> None:
+    async def stop(self) -> None:
         """End everything."""
         for gate in self.hosts.values():
             gate.dead = True
@@ -613,16 +615,18 @@
 
     # Faults
 
-    def plan(self, step: str, action: Action, times: int = 1) -> None:
+    def plan_fault(self, step: str, action: Action, times: int = 1) -> None:
         """Have an action run when a step is passed."""
         self._fault = (step, times, action)
 
-    async def step(self, name: str, node: str, server: str = "", outside: bool = False) -> None:
+    async def reach_step(
+        self, name: str, node: str, server: str = "", outside: bool = False
+    ) -> None:
         """Note that a node passes a step, and run the fault that was planned for it.
 
         A step `outside` of the node, at its caller, goes on when the node dies or is paused.
         """
-        self.reached[name] += 1
+        self.steps_reached[name] += 1
         if self._fault is None or self._fault[0] != name or self._fault[1] <= 0:
             return
         self._fault = (name, self._fault[1] - 1, self._fault[2])
@@ -630,16 +634,16 @@
         if not outside:
             await self.hosts[node].wait_until_running()
 
-    def later(self, seconds: float, effect: Callable[[], object]) -> None:
+    def call_later(self, seconds: float, effect: Callable[[], object]) -> None:
         """Have something happen after a while."""
 
         async def wait() -> None:
             await self.clock.sleep(seconds)
             effect()
 
-        self.spare(asyncio.create_task(wait()))
+        self.keep_task(asyncio.create_task(wait()))
 
-    def spare(self, task: asyncio.Task[Any]) -> None:
+    def keep_task(self, task: asyncio.Task[Any]) -> None:
         """Keep a task from being collected."""
         self._tasks.add(task)
 
@@ -650,13 +654,15 @@
         for record in node.streams.live():
             record.wait_for_server()
         hall = node.settings.node.hall
-        self.later(2.0, lambda: self.enlist(name, InstanceKind.NODE, hall, InstanceState.GONE))
+        self.call_later(
+            2.0, lambda: self.list_instance(name, InstanceKind.NODE, hall, InstanceState.GONE)
+        )
 
     def freeze(self, name: str, seconds: float) -> None:
         """Pause a node for a while."""
         gate = self.hosts[name]
         gate.running.clear()
-        self.later(seconds, gate.running.set)
+        self.call_later(seconds, gate.running.set)
 
     def reclaim(self, name: str, notice_s: float) -> None:
         """Give notice to an engine; it is gone when the time is up."""
@@ -669,13 +675,13 @@
 
         def gone() -> None:
             engine.alive = False
-            self.enlist(name, InstanceKind.SERVER, engine.hall, InstanceState.GONE)
+            self.list_instance(name, InstanceKind.SERVER, engine.hall, InstanceState.GONE)
 
-        self.later(notice_s, gone)
+        self.call_later(notice_s, gone)
 
     # Callers
 
-    def request(
+    def make_request(
         self, prompt: str = "is hail covered", tokens: int = 40, **fields: Any
     ) -> GenerationRequest:
         self._serial = getattr(self, "_serial", 0) + 1
@@ -706,13 +712,13 @@
             assert len(found.tokens) >= len(tokens), "the caller is ahead of the successor"
             record = found
 
-    def once_call(self, body: str, key: str) -> OnceCall:
+    def make_once_call(self, body: str, key: str) -> OnceCall:
         call = ServiceCall("eligibility", "POST", "/check", [], body.encode())
         work = msgspec.json.encode(OnceWork(service=call))
         return OnceCall("brokers", key, fingerprint(work), work)
 
 
-def whole(request: GenerationRequest) -> list[str]:
+def expected_tokens(request: GenerationRequest) -> list[str]:
     """Return the answer that a request must get."""
     return [token_text(request.prompt, index) for index in range(request.max_tokens)]
 
@@ -730,7 +736,7 @@
             try:
                 await world.clock.run(test(self, world, *arguments), 600.0)  # type: ignore[arg-type]
             finally:
-                await world.down()
+                await world.stop()
 
         asyncio.run(body())
 
@@ -738,4 +744,4 @@
     return run
 
 
-__all__ = ["BUNDLE_TEXT", "World", "in_world", "schema", "whole"]
+__all__ = ["BUNDLE_TEXT", "World", "in_world", "schema", "expected_tokens"]
