--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -22,19 +22,19 @@
 from moledale.servers.types import ServiceAnswer
 from tests.world import Action, World, expected_tokens
 
-HEAL_S = 8.0
+FAULT_DURATION_S = 8.0
 FREEZE_S = 30.0
 NOTICE_S = 3.0
-CELL_S = 400.0
-LOST = "lost"
-PROCESSES = 4
+CELL_TIMEOUT_S = 400.0
+NODE_DIED = "lost"
+WORKER_PROCESSES = 4
 NODES = ("n0", "n1", "n2")
 
 
 # Faults
 
 
-async def reclaim(world: World, node: str, server: str) -> None:
+async def reclaim_server(world: World, node: str, server: str) -> None:
     world.reclaim(server or "e0", NOTICE_S)
 
 
@@ -42,26 +42,26 @@
     world.engines[server or "e0"].alive = False
 
 
-async def kill(world: World, node: str, server: str) -> None:
+async def kill_node(world: World, node: str, server: str) -> None:
     if node in world.nodes:
         world.kill(node)
 
 
-async def freeze(world: World, node: str, server: str) -> None:
+async def freeze_node(world: World, node: str, server: str) -> None:
     world.freeze(node, FREEZE_S)
 
 
-async def cut(world: World, node: str, server: str) -> None:
+async def cut_off_node(world: World, node: str, server: str) -> None:
     gate = world.hosts[node]
     gate.cut_peers = gate.cut_platform = True
 
     def heal() -> None:
         gate.cut_peers = gate.cut_platform = False
 
-    world.call_later(HEAL_S, heal)
+    world.call_later(FAULT_DURATION_S, heal)
 
 
-def _platform(**fields: bool) -> Action:
+def _platform_fault(**fields: bool) -> Action:
     async def strike(world: World, node: str, server: str) -> None:
         for part in Part:
             for name, value in fields.items():
@@ -72,27 +72,27 @@
                 for name in fields:
                     setattr(world.faults[part], name, False)
 
-        world.call_later(HEAL_S, heal)
+        world.call_later(FAULT_DURATION_S, heal)
 
     return strike
 
 
-async def lose_answer(world: World, node: str, server: str) -> None:
+async def lose_table_answer(world: World, node: str, server: str) -> None:
     world.faults[Part.TABLE].lose_answers = 1
 
 
-async def land_late(world: World, node: str, server: str) -> None:
+async def apply_table_write_late(world: World, node: str, server: str) -> None:
     world.faults[Part.TABLE].late_writes = 1
 
 
-async def lose_hall(world: World, node: str, server: str) -> None:
+async def reclaim_hall(world: World, node: str, server: str) -> None:
     """Take back a whole hall's servers; the cloud has no replacement."""
     for engine in list(world.engines.values()):
         if engine.hall == "hall-a":
             world.reclaim(engine.name, NOTICE_S)
 
 
-async def second_operator(world: World, node: str, server: str) -> None:
+async def roll_as_second_operator(world: World, node: str, server: str) -> None:
     other = next(name for name in world.nodes if name != node)
     version = world.nodes[other].bundles.version + 1
     signed = world.make_signed_bundle(version, "bram", "second")
@@ -101,24 +101,24 @@
 
 
 FAULTS: dict[str, Action] = {
-    "reclaim notice": reclaim,
+    "reclaim notice": reclaim_server,
     "server killed": kill_server,
-    "node killed": kill,
-    "node frozen": freeze,
-    "node cut off": cut,
-    "platform slow": _platform(hang=True),
-    "platform dead": _platform(down=True),
-    "answer lost": lose_answer,
-    "write late": land_late,
-    "hall, refused": lose_hall,
-    "2nd operator": second_operator,
+    "node killed": kill_node,
+    "node frozen": freeze_node,
+    "node cut off": cut_off_node,
+    "platform slow": _platform_fault(hang=True),
+    "platform dead": _platform_fault(down=True),
+    "answer lost": lose_table_answer,
+    "write late": apply_table_write_late,
+    "hall, refused": reclaim_hall,
+    "2nd operator": roll_as_second_operator,
 }
 
 
 # Scenarios; each returns what went wrong, or nothing
 
 
-async def stream_through(world: World) -> str | None:
+async def run_stream(world: World) -> str | None:
     """Stream through n0; a caller whose node died, or who was refused, sends again."""
     request = world.make_request("stream", 60)
     for node in ("n0", "n1", "n2", "n1", "n2"):
@@ -134,8 +134,8 @@
                 return "a refusal at once can't be unknown"
             await world.clock.sleep(3.0)
             continue
-        read = await _unless_dead(world, node, world.read(node, submitted.ok_value))
-        if read == LOST:
+        read = await _await_unless_node_dies(world, node, world.read(node, submitted.ok_value))
+        if read == NODE_DIED:
             continue
         problem = submitted.ok_value.problem
         if problem is not None:
@@ -144,23 +144,23 @@
     return "no node answered"
 
 
-async def drained_stream(world: World) -> str | None:
+async def run_stream_during_drain(world: World) -> str | None:
     """Stream through n0, which makes a planned stop in the middle of it."""
     request = world.make_request("drained", 150)
     record = world.nodes["n0"].dispatcher.submit(request).unwrap()
-    reading = asyncio.create_task(_unless_dead(world, "n0", world.read("n0", record)))
+    reading = asyncio.create_task(_await_unless_node_dies(world, "n0", world.read("n0", record)))
     await world.clock.sleep(0.5)
     await world.reach_step("drain", "n0", str(record.server), outside=True)
     if "n0" in world.nodes:
         draining = asyncio.create_task(world.nodes["n0"].drain())
-        await _unless_dead(world, "n0", _finished(draining))
+        await _await_unless_node_dies(world, "n0", _wait_for_task(draining))
     read = await reading
-    if read == LOST:
+    if read == NODE_DIED:
         return None if "n0" not in world.nodes else "lost without a death"
     return None if read == expected_tokens(request) else f"wrong text after {len(read)} tokens"
 
 
-async def job_through(world: World) -> str | None:
+async def run_job(world: World) -> str | None:
     """Accept a job at n0 and fetch its result elsewhere."""
     request = world.make_request("job", 60, deadline_at=world.clock.wall() + 1e6)
     await world.reach_step("accept", "n0", outside=True)
@@ -168,15 +168,15 @@
         return None
     node = world.nodes["n0"]
     job = new_job_id("hall-a")
-    accepted = await _unless_dead(world, "n0", node.jobs.accept(request, job))
-    if accepted != LOST and isinstance(accepted, Err):
-        return await _refused_job(world, accepted.err_value, job)
+    accepted = await _await_unless_node_dies(world, "n0", node.jobs.accept(request, job))
+    if accepted != NODE_DIED and isinstance(accepted, Err):
+        return await _check_refused_job(world, accepted.err_value, job)
     # A caller that got no answer doesn't know; the job may run or not, but not in part.
-    must_finish = accepted != LOST
-    return await _job_ends(world, job, "".join(expected_tokens(request)), must_finish)
+    must_finish = accepted != NODE_DIED
+    return await _check_job_result(world, job, "".join(expected_tokens(request)), must_finish)
 
 
-async def _refused_job(world: World, refusal: Problem, job: str) -> str | None:
+async def _check_refused_job(world: World, refusal: Problem, job: str) -> str | None:
     await world.clock.sleep(40.0)
     ran = [a for e in world.engines.values() for _, a in e.starts if a.startswith(job)]
     if refusal.ran is Ran.NO and ran:
@@ -184,7 +184,7 @@
     return None
 
 
-async def _job_ends(world: World, job: str, text: str, must_finish: bool) -> str | None:
+async def _check_job_result(world: World, job: str, text: str, must_finish: bool) -> str | None:
     for _ in range(200):
         if not world.nodes:
             await world.start_node("n9", "hall-b")
@@ -200,17 +200,17 @@
     return "the job did not finish"
 
 
-async def adopted_job(world: World) -> str | None:
+async def run_adopted_job(world: World) -> str | None:
     """A job whose node dies, so that another one adopts it, and the fault strikes there."""
     request = world.make_request("adopted", 200, deadline_at=world.clock.wall() + 1e6)
     job = new_job_id("hall-a")
     (await world.nodes["n0"].jobs.accept(request, job)).unwrap()
     await world.clock.sleep(0.5)
     world.kill("n0")
-    return await _job_ends(world, job, "".join(expected_tokens(request)), must_finish=True)
+    return await _check_job_result(world, job, "".join(expected_tokens(request)), must_finish=True)
 
 
-async def once_through(world: World) -> str | None:
+async def run_once_call(world: World) -> str | None:
     """A not-repeatable call at n0, sent again at every node until it is answered."""
     call = world.make_once_call("ticket", "key-1")
     for node in ("n0", "n1", "n2", "n0", "n1"):
@@ -220,18 +220,18 @@
         if node not in world.nodes:
             continue
         before = world.service_runs["ticket"]
-        outcome = await _unless_dead(world, node, world.nodes[node].once.run(call))
-        wrong = _once_wrong(world, call, outcome, before)
+        outcome = await _await_unless_node_dies(world, node, world.nodes[node].once.run(call))
+        wrong = _check_once_outcome(world, call, outcome, before)
         if wrong is not None:
             return wrong
         await world.clock.sleep(3.0)
-    await world.clock.sleep(FREEZE_S + HEAL_S)
+    await world.clock.sleep(FREEZE_S + FAULT_DURATION_S)
     return (
         f"it ran {world.service_runs['ticket']} times" if world.service_runs["ticket"] > 1 else None
     )
 
 
-def _once_wrong(
+def _check_once_outcome(
     world: World, call: OnceCall, outcome: "str | Result[ServiceAnswer, Problem]", before: int
 ) -> str | None:
     runs = world.service_runs["ticket"]
@@ -245,10 +245,10 @@
     return None if outcome.ok_value.body == b"ran ticket" else "a wrong answer"
 
 
-async def roll_through(world: World) -> str | None:
+async def run_bundle_roll(world: World) -> str | None:
     """Roll version 2 through n0 and watch it come into force."""
     signed = world.make_signed_bundle(2, "anna", "first")
-    outcome = await _unless_dead(world, "n0", world.nodes["n0"].roll(signed))
+    outcome = await _await_unless_node_dies(world, "n0", world.nodes["n0"].roll(signed))
     floors = dict.fromkeys(NODES, 0)
     for _ in range(160):
         for name, node in world.nodes.items():
@@ -267,7 +267,7 @@
     return None
 
 
-async def lease_through(world: World) -> str | None:
+async def watch_lease(world: World) -> str | None:
     """Watch the lease of hall-a and the orders that its holders give."""
     world.engines["e1"].checks_fence = False
     for step in range(250):
@@ -292,18 +292,18 @@
     return f"models are missing at {missing}" if missing else None
 
 
-async def _unless_dead(world: World, node: str, work: Coroutine[Any, Any, Any]) -> Any:
-    """Await something of a node; return `LOST` if the node dies before it is done."""
+async def _await_unless_node_dies(world: World, node: str, work: Coroutine[Any, Any, Any]) -> Any:
+    """Await something of a node; return `NODE_DIED` if the node dies before it is done."""
     task = asyncio.create_task(work)
     while not task.done():
         if node not in world.nodes:
             task.cancel()
-            return LOST
+            return NODE_DIED
         await world.clock.sleep(0.1)
     return task.result()
 
 
-async def _finished(task: "asyncio.Task[None]") -> None:
+async def _wait_for_task(task: "asyncio.Task[None]") -> None:
     await asyncio.wait([task])
 
 
@@ -321,29 +321,29 @@
     reason: str = ""
 
 
-REQUESTS: list[Scenario] = [stream_through, job_through, once_through]
+REQUEST_SCENARIOS: list[Scenario] = [run_stream, run_job, run_once_call]
 STEPS: dict[str, list[Scenario]] = {
-    "accept": REQUESTS,
-    "commit": [job_through, once_through],
-    "pick": REQUESTS,
-    "dispatch": REQUESTS,
-    "first token": REQUESTS,
-    "mid-stream": REQUESTS,
-    "finish": REQUESTS,
-    "hand-over": [drained_stream],
-    "adopt": [adopted_job],
-    "lease": [lease_through],
-    "order": [lease_through],
-    "roll": [roll_through],
-    "adopt version": [roll_through],
-    "drain": [drained_stream],
+    "accept": REQUEST_SCENARIOS,
+    "commit": [run_job, run_once_call],
+    "pick": REQUEST_SCENARIOS,
+    "dispatch": REQUEST_SCENARIOS,
+    "first token": REQUEST_SCENARIOS,
+    "mid-stream": REQUEST_SCENARIOS,
+    "finish": REQUEST_SCENARIOS,
+    "hand-over": [run_stream_during_drain],
+    "adopt": [run_adopted_job],
+    "lease": [watch_lease],
+    "order": [watch_lease],
+    "roll": [run_bundle_roll],
+    "adopt version": [run_bundle_roll],
+    "drain": [run_stream_during_drain],
 }
 
 
 def run_cell(step: str, fault: str, times: int) -> Cell:
     """Run one cell in fresh worlds."""
     for scenario in STEPS[step]:
-        wrong, reached = asyncio.run(_run(scenario, step, FAULTS[fault], times))
+        wrong, reached = asyncio.run(_run_scenario(scenario, step, FAULTS[fault], times))
         name = getattr(scenario, "__name__", "")
         if not reached:
             return Cell("-", f"{name} does not pass the step")
@@ -352,15 +352,15 @@
     return Cell("proved")
 
 
-async def _run(
+async def _run_scenario(
     scenario: Scenario, step: str, action: Action, times: int
 ) -> tuple[str | None, bool]:
     world = World()
     try:
-        await world.clock.run(world.start(), CELL_S)
+        await world.clock.run(world.start(), CELL_TIMEOUT_S)
         world.steps_reached.clear()
         world.plan_fault(step, action, times)
-        wrong = await world.clock.run(scenario(world), CELL_S)  # type: ignore[arg-type]
+        wrong = await world.clock.run(scenario(world), CELL_TIMEOUT_S)  # type: ignore[arg-type]
         return wrong, world.steps_reached[step] > 0
     except AssertionError as error:
         return f"{error}", True
@@ -368,7 +368,7 @@
         await world.stop()
 
 
-def run_both(place: tuple[str, str]) -> Cell:
+def run_cell_once_and_twice(place: tuple[str, str]) -> Cell:
     """Run a cell with its fault once and twice; the worse verdict counts."""
     logbook.NullHandler().push_application()
     cells = [run_cell(*place, times) for times in (1, 2)]
@@ -378,11 +378,11 @@
 def run_matrix() -> dict[tuple[str, str], Cell]:
     """Run every cell, in a few processes since the worlds don't touch."""
     places = [(step, fault) for step in STEPS for fault in FAULTS]
-    with ProcessPoolExecutor(PROCESSES) as pool:
-        return dict(zip(places, pool.map(run_both, places), strict=True))
+    with ProcessPoolExecutor(WORKER_PROCESSES) as pool:
+        return dict(zip(places, pool.map(run_cell_once_and_twice, places), strict=True))
 
 
-def show(found: dict[tuple[str, str], Cell]) -> None:
+def print_matrix(found: dict[tuple[str, str], Cell]) -> None:
     """Print the matrix, then a reason for every cell that isn't proved."""
     width = max(len(fault) for fault in FAULTS) + 2
     print("".ljust(15) + "".join(fault.ljust(width) for fault in FAULTS))
@@ -403,7 +403,7 @@
 def main() -> int:
     """Run and print the matrix; 1 if a cell fails."""
     found = run_matrix()
-    show(found)
+    print_matrix(found)
     return 1 if any(cell.verdict == "FAILS" for cell in found.values()) else 0
 
 
