--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -17,7 +17,7 @@
     """An accepted request survives any announced reclaim; each gets its own whole answer."""
 
     @in_world
-    async def test_a_plain_stream(self, world: World) -> None:
+    async def test_stream_without_faults_is_complete(self, world: World) -> None:
         await world.start()
         request = world.make_request()
         record = world.nodes["n0"].dispatcher.submit(request).unwrap()
@@ -25,7 +25,7 @@
         self.assertEqual(record.attempts, 1)
 
     @in_world
-    async def test_reclaim_of_its_server_moves_the_cache(self, world: World) -> None:
+    async def test_server_reclaim_moves_the_cache_without_recomputing(self, world: World) -> None:
         await world.start()
         request = world.make_request(tokens=400)
         record = world.nodes["n0"].dispatcher.submit(request).unwrap()
@@ -37,7 +37,7 @@
         self.assertEqual(sum(e.recomputed_tokens for e in world.engines.values()), 0)
 
     @in_world
-    async def test_death_of_its_server_resumes_elsewhere(self, world: World) -> None:
+    async def test_stream_resumes_after_its_server_crashes(self, world: World) -> None:
         await world.start()
         request = world.make_request()
         record = world.nodes["n0"].dispatcher.submit(request).unwrap()
@@ -47,7 +47,9 @@
         self.assertEqual(record.attempts, 2)
 
     @in_world
-    async def test_a_whole_hall_goes_with_its_nodes_draining(self, world: World) -> None:
+    async def test_streams_survive_reclaim_of_a_hall_while_its_nodes_drain(
+        self, world: World
+    ) -> None:
         await world.start(nodes=4, engines=4)
         requests = [world.make_request(f"question {i}", 200) for i in range(8)]
         records = [world.nodes["n0"].dispatcher.submit(r).unwrap() for r in requests]
@@ -61,7 +63,9 @@
             self.assertEqual(await world.read("n0", record), expected_tokens(request))
 
     @in_world
-    async def test_repeated_tokens_and_two_requests_of_one_session(self, world: World) -> None:
+    async def test_repeated_tokens_and_shared_sessions_do_not_mix_answers(
+        self, world: World
+    ) -> None:
         await world.start()
         for engine in world.engines.values():
             engine.repeat_tokens = True
@@ -72,7 +76,7 @@
         self.assertEqual(await world.read("n0", records[1]), expected_tokens(second))
 
     @in_world
-    async def test_late_tokens_of_an_old_attempt_change_nothing(self, world: World) -> None:
+    async def test_late_tokens_of_an_old_attempt_are_ignored(self, world: World) -> None:
         await world.start()
         record = world.nodes["n0"].dispatcher.submit(world.make_request()).unwrap()
         await world.wait_until(lambda: len(record.tokens) >= 5)
@@ -84,7 +88,7 @@
         self.assertFalse(record.ended)
 
     @in_world
-    async def test_every_server_fails(self, world: World) -> None:
+    async def test_crash_of_every_server_is_reported_as_unknown(self, world: World) -> None:
         await world.start()
         record = world.nodes["n0"].dispatcher.submit(world.make_request()).unwrap()
         await world.wait_until(lambda: len(record.tokens) >= 5)
@@ -99,13 +103,15 @@
     """ "Did not run" is true, and refusals come at once."""
 
     @in_world
-    async def test_no_server_holds_the_model(self, world: World) -> None:
+    async def test_request_without_a_server_for_its_model_is_refused(self, world: World) -> None:
         await world.start()
         refused = world.nodes["n0"].dispatcher.submit(world.make_request(model="none")).unwrap_err()
         self.assertEqual((refused.ran, refused.status, refused.retry_after), (Ran.NO, 503, 5))
 
     @in_world
-    async def test_what_cannot_make_its_deadline_is_refused_at_once(self, world: World) -> None:
+    async def test_request_that_cannot_meet_its_deadline_is_refused_at_once(
+        self, world: World
+    ) -> None:
         await world.start(engines=1)
         node = world.nodes["n0"]
         for index in range(32):
@@ -118,7 +124,7 @@
         self.assertGreaterEqual(refused.retry_after or 0, 1)
 
     @in_world
-    async def test_a_deadline_that_passes_in_the_queue(self, world: World) -> None:
+    async def test_deadline_passed_in_the_queue_reports_not_run(self, world: World) -> None:
         await world.start(engines=1)
         node = world.nodes["n0"]
         for index in range(32):
@@ -133,7 +139,7 @@
         self.assertFalse([name for name in started if name.startswith(waiting.id + ".")])
 
     @in_world
-    async def test_a_deadline_that_passes_after_dispatch(self, world: World) -> None:
+    async def test_deadline_passed_after_dispatch_reports_unknown(self, world: World) -> None:
         await world.start(engines=1)
         node = world.nodes["n0"]
         request = world.make_request(tokens=400, deadline_at=world.clock.wall() + 4.0)
@@ -145,7 +151,7 @@
         self.assertEqual((record.problem.kind, record.problem.ran), ("deadline", Ran.UNKNOWN))
 
     @in_world
-    async def test_urgent_work_pushes_out_what_can_wait(self, world: World) -> None:
+    async def test_immediate_request_overtakes_one_that_can_wait(self, world: World) -> None:
         await world.start(engines=1)
         node = world.nodes["n0"]
         for index in range(32):
@@ -163,13 +169,13 @@
 class JobTest(unittest.TestCase):
     """Work that can wait is durable before it is accepted."""
 
-    async def accept(self, world: World, node: str, tokens: int = 60) -> tuple[str, list[str]]:
+    async def accept_job(self, world: World, node: str, tokens: int = 60) -> tuple[str, list[str]]:
         request = world.make_request(tokens=tokens, deadline_at=world.clock.wall() + 1e6)
         job = new_job_id(world.nodes[node].settings.node.hall)
         accepted = await world.nodes[node].jobs.accept(request, job)
         return accepted.unwrap(), expected_tokens(request)
 
-    async def finished(self, world: World, node: str, job: str) -> str:
+    async def wait_for_result(self, world: World, node: str, job: str) -> str:
         while True:
             outcome = (await world.nodes[node].jobs.result("brokers", job)).unwrap()
             if outcome is not None:
@@ -178,41 +184,43 @@
             await world.clock.sleep(0.5)
 
     @in_world
-    async def test_its_node_dies_unannounced(self, world: World) -> None:
+    async def test_job_survives_a_crash_of_its_node(self, world: World) -> None:
         await world.start()
-        job, answer = await self.accept(world, "n0", 400)
+        job, answer = await self.accept_job(world, "n0", 400)
         await world.clock.sleep(1.0)
         world.kill("n0")
-        self.assertEqual(await self.finished(world, "n1", job), "".join(answer))
+        self.assertEqual(await self.wait_for_result(world, "n1", job), "".join(answer))
 
     @in_world
-    async def test_its_hall_loses_all_nodes(self, world: World) -> None:
+    async def test_job_survives_the_loss_of_all_nodes_of_its_hall(self, world: World) -> None:
         await world.start()
-        job, answer = await self.accept(world, "n1", 400)
+        job, answer = await self.accept_job(world, "n1", 400)
         await world.clock.sleep(1.0)
         world.kill("n1")
-        self.assertEqual(await self.finished(world, "n0", job), "".join(answer))
+        self.assertEqual(await self.wait_for_result(world, "n0", job), "".join(answer))
 
     @in_world
-    async def test_a_planned_stop_passes_it_on(self, world: World) -> None:
+    async def test_job_survives_a_planned_stop_of_its_node(self, world: World) -> None:
         await world.start()
-        job, answer = await self.accept(world, "n0", 400)
+        job, answer = await self.accept_job(world, "n0", 400)
         await world.clock.sleep(0.5)
         await world.nodes["n0"].drain()
         self.assertEqual(world.nodes["n0"].dispatcher.open_requests, 0)
-        self.assertEqual(await self.finished(world, "n1", job), "".join(answer))
+        self.assertEqual(await self.wait_for_result(world, "n1", job), "".join(answer))
 
     @in_world
-    async def test_answers_lost_after_the_write(self, world: World) -> None:
+    async def test_job_is_accepted_although_answers_to_its_write_are_lost(
+        self, world: World
+    ) -> None:
         await world.start()
         world.faults[Part.TABLE].lose_answers = 2
-        job, answer = await self.accept(world, "n0")
+        job, answer = await self.accept_job(world, "n0")
         # Read back as its own, the job runs here and doesn't wait to be adopted.
         self.assertEqual(world.nodes["n0"].jobs.open_jobs, 1)
-        self.assertEqual(await self.finished(world, "n1", job), "".join(answer))
+        self.assertEqual(await self.wait_for_result(world, "n1", job), "".join(answer))
 
     @in_world
-    async def test_no_table_means_no_acceptance(self, world: World) -> None:
+    async def test_job_is_refused_while_the_table_is_down(self, world: World) -> None:
         await world.start()
         world.faults[Part.TABLE].down = True
         refused = await world.nodes["n0"].jobs.accept(world.make_request(), new_job_id("hall-a"))
@@ -222,21 +230,23 @@
         self.assertFalse([key for key in world.state.rows if key[0] == "job"])
 
     @in_world
-    async def test_a_paused_owner_wakes_after_its_job_was_adopted(self, world: World) -> None:
+    async def test_paused_owner_does_not_overwrite_the_result_of_an_adopted_job(
+        self, world: World
+    ) -> None:
         await world.start()
-        job, answer = await self.accept(world, "n0", 300)
+        job, answer = await self.accept_job(world, "n0", 300)
         await world.clock.sleep(1.0)
         world.freeze("n0", 60.0)
         world.list_instance("n0", InstanceKind.NODE, "hall-a", InstanceState.GONE)
-        self.assertEqual(await self.finished(world, "n1", job), "".join(answer))
+        self.assertEqual(await self.wait_for_result(world, "n1", job), "".join(answer))
         result = world.state.rows[("job-result", job.removeprefix("job_").replace("_", "/"))]
         await world.clock.sleep(80.0)
         self.assertEqual(world.state.rows[("job-result", result.key)], result)
 
     @in_world
-    async def test_cancel_from_another_node(self, world: World) -> None:
+    async def test_job_is_cancelled_from_another_node(self, world: World) -> None:
         await world.start()
-        job, _ = await self.accept(world, "n0", 500)
+        job, _ = await self.accept_job(world, "n0", 500)
         outcome = (await world.nodes["n1"].jobs.cancel("brokers", job)).unwrap()
         self.assertEqual(outcome.state, JobState.CANCELLED)
         await world.clock.sleep(20)
@@ -251,7 +261,7 @@
     """Not repeatable runs at most once."""
 
     @in_world
-    async def test_asked_again_here_and_elsewhere(self, world: World) -> None:
+    async def test_repeated_call_runs_once_across_nodes(self, world: World) -> None:
         await world.start()
         call = world.make_once_call("file", "key-1")
         answers = [await world.nodes[n].once.run(call) for n in ("n0", "n0", "n1", "n2")]
@@ -259,7 +269,7 @@
         self.assertEqual(world.service_runs["file"], 1)
 
     @in_world
-    async def test_a_key_with_another_body(self, world: World) -> None:
+    async def test_key_reused_with_another_body_is_rejected(self, world: World) -> None:
         await world.start()
         await world.nodes["n0"].once.run(world.make_once_call("file", "key-1"))
         for node in ("n0", "n1"):
@@ -268,7 +278,9 @@
         self.assertEqual(world.service_runs["other"], 0)
 
     @in_world
-    async def test_its_node_dies_after_dispatch(self, world: World) -> None:
+    async def test_node_crash_after_dispatch_does_not_run_the_call_again(
+        self, world: World
+    ) -> None:
         await world.start()
 
         async def kill(at: World, node: str, _: str) -> None:
@@ -284,7 +296,9 @@
         lost.cancel()
 
     @in_world
-    async def test_the_service_breaks_after_it_ran(self, world: World) -> None:
+    async def test_connection_cut_after_the_call_ran_does_not_run_it_again(
+        self, world: World
+    ) -> None:
         await world.start()
         world.service_cut_offs = 1
         call = world.make_once_call("file", "key-1")
@@ -294,7 +308,9 @@
         self.assertEqual(world.service_runs["file"], 1)
 
     @in_world
-    async def test_the_service_refuses_then_the_key_is_good_again(self, world: World) -> None:
+    async def test_key_is_usable_again_after_the_service_refused_the_call(
+        self, world: World
+    ) -> None:
         await world.start()
         world.service_down = True
         call = world.make_once_call("file", "key-1")
@@ -305,7 +321,7 @@
         self.assertEqual((again.is_ok(), world.service_runs["file"]), (True, 1))
 
     @in_world
-    async def test_the_claims_answer_is_lost(self, world: World) -> None:
+    async def test_call_runs_once_when_the_answer_to_its_claim_is_lost(self, world: World) -> None:
         await world.start()
         world.faults[Part.TABLE].lose_answers = 1
         call = world.make_once_call("file", "key-1")
@@ -313,7 +329,7 @@
         self.assertEqual((outcome.is_ok(), world.service_runs["file"]), (True, 1))
 
     @in_world
-    async def test_a_claim_that_lands_late(self, world: World) -> None:
+    async def test_call_runs_once_when_its_claim_is_written_late(self, world: World) -> None:
         await world.start()
         world.faults[Part.TABLE].land_late = 3
         call = world.make_once_call("file", "key-1")
@@ -326,7 +342,7 @@
             self.assertEqual(first.err_value.ran, Ran.UNKNOWN)
 
     @in_world
-    async def test_an_outage_of_the_table(self, world: World) -> None:
+    async def test_table_outage_runs_only_calls_with_keys_issued_here(self, world: World) -> None:
         await world.start()
         issued = world.nodes["n0"].once.issue("brokers")
         world.faults[Part.TABLE].down = True
@@ -342,7 +358,9 @@
         self.assertEqual(keyed.unwrap_err().ran, Ran.UNKNOWN)
 
     @in_world
-    async def test_an_issued_key_at_another_node(self, world: World) -> None:
+    async def test_issued_key_works_at_other_nodes_and_its_call_runs_once(
+        self, world: World
+    ) -> None:
         await world.start()
         call = world.make_once_call("file", world.nodes["n0"].once.issue("brokers"))
         answers = [await world.nodes[n].once.run(call) for n in ("n1", "n0", "n2")]
@@ -353,7 +371,7 @@
         self.assertEqual((gone.unwrap_err().ran, world.service_runs["file"]), (Ran.UNKNOWN, 1))
 
     @in_world
-    async def test_a_paused_node_wakes_with_its_claim(self, world: World) -> None:
+    async def test_call_of_a_paused_node_runs_once(self, world: World) -> None:
         await world.start()
 
         async def freeze(at: World, node: str, _: str) -> None:
@@ -372,9 +390,9 @@
 class LeavingServerTest(unittest.TestCase):
     """A leaving server receives no new work after a few seconds, whichever source tells of it."""
 
-    MOST_S = 3.0
+    MAX_DELAY_S = 3.0
 
-    async def keep_busy(self, world: World, seconds: float) -> None:
+    async def submit_requests(self, world: World, seconds: float) -> None:
         until = world.clock.now + seconds
         number = 0
         while world.clock.now < until:
@@ -383,33 +401,33 @@
                 node.dispatcher.submit(world.make_request(f"q{number}", 3))
             await world.clock.sleep(0.1)
 
-    async def check(self, world: World, began: float) -> None:
-        await self.keep_busy(world, 8.0)
+    async def assert_no_late_starts(self, world: World, began: float) -> None:
+        await self.submit_requests(world, 8.0)
         late = [at - began for at, _ in world.engines["e0"].starts if at > began]
-        self.assertLessEqual(max(late, default=0.0), self.MOST_S)
+        self.assertLessEqual(max(late, default=0.0), self.MAX_DELAY_S)
 
     @in_world
-    async def test_the_server_tells(self, world: World) -> None:
+    async def test_notice_in_the_load_report(self, world: World) -> None:
         await world.start()
         engine = world.engines["e0"]
         engine.leaving_since, engine.leaves_at = world.clock.now, world.clock.now + 30
-        await self.check(world, world.clock.now)
+        await self.assert_no_late_starts(world, world.clock.now)
 
     @in_world
-    async def test_the_list_tells(self, world: World) -> None:
+    async def test_notice_in_the_instance_list(self, world: World) -> None:
         await world.start()
         world.list_instance("e0", InstanceKind.SERVER, "hall-a", InstanceState.LEAVING)
-        await self.check(world, world.clock.now)
+        await self.assert_no_late_starts(world, world.clock.now)
 
     @in_world
-    async def test_the_cloud_tells(self, world: World) -> None:
+    async def test_notice_from_the_cloud(self, world: World) -> None:
         await world.start()
         await world.clock.sleep(15.0)
         world.state.notices["e0"] = ReclaimNotice("e0", "hall-a", 30.0)
-        await self.check(world, world.clock.now)
+        await self.assert_no_late_starts(world, world.clock.now)
 
     @in_world
-    async def test_news_of_many_servers_goes_in_few_messages(self, world: World) -> None:
+    async def test_notices_for_many_servers_are_sent_in_few_messages(self, world: World) -> None:
         await world.start(nodes=6, engines=2)
         sent = world.digests_sent
         for number in range(50):
@@ -422,7 +440,7 @@
         self.assertLess(world.digests_sent - sent, 60)
 
     @in_world
-    async def test_queued_work_goes_elsewhere(self, world: World) -> None:
+    async def test_queued_requests_avoid_a_leaving_server(self, world: World) -> None:
         await world.start(engines=2)
         node = world.nodes["n0"]
         for index in range(80):
@@ -434,14 +452,14 @@
         began = world.clock.now
         await world.wait_until(lambda: node.dispatcher.open_requests == 0, 200)
         late = [at - began for at, _ in engine.starts if at > began]
-        self.assertLessEqual(max(late, default=0.0), self.MOST_S)
+        self.assertLessEqual(max(late, default=0.0), self.MAX_DELAY_S)
 
 
 class PlannedStopTest(unittest.TestCase):
     """A planned stop cuts off no request."""
 
     @in_world
-    async def test_all_nodes_in_turn_under_load(self, world: World) -> None:
+    async def test_rolling_stop_under_load_completes_all_streams(self, world: World) -> None:
         await world.start(nodes=3)
         reads = []
         for name in ("n0", "n1", "n2"):
@@ -462,7 +480,7 @@
             self.assertEqual(await task, expected_tokens(request))
 
     @in_world
-    async def test_no_peer_takes_the_streams(self, world: World) -> None:
+    async def test_stop_without_a_peer_completes_the_streams(self, world: World) -> None:
         await world.start(nodes=1)
         request = world.make_request(tokens=200)
         record = world.nodes["n0"].dispatcher.submit(request).unwrap()
@@ -473,18 +491,18 @@
 class BundleTest(unittest.TestCase):
     """An accepted bundle version is in force everywhere within seconds and never reverts."""
 
-    def versions(self, world: World) -> set[int]:
+    def bundle_versions(self, world: World) -> set[int]:
         return {node.bundles.version for node in world.nodes.values()}
 
     @in_world
-    async def test_in_force_everywhere(self, world: World) -> None:
+    async def test_rolled_version_reaches_all_nodes_within_seconds(self, world: World) -> None:
         await world.start(nodes=9)
         (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
-        took = await world.wait_until(lambda: self.versions(world) == {2})
+        took = await world.wait_until(lambda: self.bundle_versions(world) == {2})
         self.assertLess(took, 3.0)
 
     @in_world
-    async def test_two_operators_at_the_same_moment(self, world: World) -> None:
+    async def test_only_one_of_two_concurrent_rolls_wins(self, world: World) -> None:
         await world.start()
         both = await asyncio.gather(
             world.nodes["n0"].roll(world.make_signed_bundle(2, "anna", "hers")),
@@ -498,7 +516,7 @@
         self.assertEqual(lost[0].winner.digest, won[0].unwrap().digest)
 
     @in_world
-    async def test_a_lost_answer_to_the_roll(self, world: World) -> None:
+    async def test_roll_succeeds_when_its_answer_is_lost(self, world: World) -> None:
         await world.start()
         world.faults[Part.TABLE].lose_answers = 1
         rolled = await world.nodes["n0"].roll(world.make_signed_bundle(2))
@@ -507,7 +525,7 @@
         self.assertEqual(again.unwrap().digest, rolled.unwrap().digest)
 
     @in_world
-    async def test_a_paused_node_wakes(self, world: World) -> None:
+    async def test_resumed_node_does_not_serve_by_an_old_version(self, world: World) -> None:
         await world.start()
         world.freeze("n2", 30.0)
         (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
@@ -521,14 +539,14 @@
     async def test_an_older_head_is_ignored(self, world: World) -> None:
         await world.start()
         (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
-        await world.wait_until(lambda: self.versions(world) == {2})
+        await world.wait_until(lambda: self.bundle_versions(world) == {2})
         old = world.state.rows[("bundle-history", f"{1:012d}")]
         world.state.rows[("bundle", "head")] = old
         await world.clock.sleep(10.0)
-        self.assertEqual(self.versions(world), {2})
+        self.assertEqual(self.bundle_versions(world), {2})
 
     @in_world
-    async def test_a_node_that_starts_in_an_outage_serves_nothing(self, world: World) -> None:
+    async def test_node_started_during_a_table_outage_refuses_requests(self, world: World) -> None:
         await world.start()
         world.faults[Part.TABLE].down = True
         node = await world.start_node("n9", "hall-a")
@@ -541,7 +559,9 @@
         await world.wait_until(lambda: node.refusal() is None, 25.0)
 
     @in_world
-    async def test_cut_off_from_peers_or_from_the_table(self, world: World) -> None:
+    async def test_node_cut_off_from_the_table_refuses_once_peers_are_ahead(
+        self, world: World
+    ) -> None:
         await world.start()
         world.hosts["n1"].cut_peers = True
         world.hosts["n2"].cut_platform = True
@@ -554,14 +574,14 @@
         self.assertEqual(world.nodes["n2"].bundles.version, 2)
 
     @in_world
-    async def test_cut_off_from_everything(self, world: World) -> None:
+    async def test_isolated_node_refuses_requests(self, world: World) -> None:
         await world.start()
         world.hosts["n2"].cut_peers = world.hosts["n2"].cut_platform = True
         await world.wait_until(lambda: world.nodes["n2"].refusal() is not None, 7.0)
         self.assertIsNone(world.nodes["n0"].refusal())
 
     @in_world
-    async def test_refused_rolls(self, world: World) -> None:
+    async def test_older_skipped_and_unsigned_versions_are_refused(self, world: World) -> None:
         await world.start()
         cases = [
             (world.make_signed_bundle(1, mark="other"), "older"),
@@ -580,9 +600,11 @@
     """A frozen holder changes nothing."""
 
     @in_world
-    async def test_a_frozen_holder(self, world: World) -> None:
+    async def test_resumed_lease_holder_sends_no_orders_with_its_old_epoch(
+        self, world: World
+    ) -> None:
         await world.start(nodes=4)
-        await world.wait_until(lambda: "hall/hall-a" in self.held(world, "n0", "n2"), 30.0)
+        await world.wait_until(lambda: "hall/hall-a" in self.held_leases(world, "n0", "n2"), 30.0)
         holder = "n0" if "hall/hall-a" in world.nodes["n0"].leases_held() else "n2"
         other = "n2" if holder == "n0" else "n0"
         checking = world.engines["e0"]
@@ -597,9 +619,9 @@
         self.assertEqual(late, [])
 
     @in_world
-    async def test_a_slow_duty_costs_no_lease(self, world: World) -> None:
+    async def test_slow_duty_does_not_lose_the_lease(self, world: World) -> None:
         await world.start(nodes=1)
-        await world.wait_until(lambda: "hall/hall-a" in self.held(world, "n0"), 30.0)
+        await world.wait_until(lambda: "hall/hall-a" in self.held_leases(world, "n0"), 30.0)
 
         async def slow(at: World, node: str, server: str) -> None:
             await at.clock.sleep(9.0)
@@ -609,14 +631,14 @@
             engine.models.clear()
         until = world.clock.now + 40.0
         while world.clock.now < until:
-            self.assertIn("hall/hall-a", self.held(world, "n0"))
+            self.assertIn("hall/hall-a", self.held_leases(world, "n0"))
             await world.clock.sleep(0.5)
 
-    def held(self, world: World, *names: str) -> list[str]:
+    def held_leases(self, world: World, *names: str) -> list[str]:
         return [lease for name in names for lease in world.nodes[name].leases_held()]
 
     @in_world
-    async def test_at_most_one_holder_at_any_time(self, world: World) -> None:
+    async def test_lease_has_at_most_one_holder(self, world: World) -> None:
         await world.start(nodes=5)
         for round_ in range(6):
             world.faults[Part.TABLE].lose_answers = round_ % 3
@@ -624,7 +646,7 @@
             until = world.clock.now + 15.0
             while world.clock.now < until:
                 running = [n for n in world.nodes if world.hosts[n].running.is_set()]
-                held = self.held(world, *running)
+                held = self.held_leases(world, *running)
                 self.assertEqual(len(held), len(set(held)))
                 await world.clock.sleep(0.3)
 
@@ -632,28 +654,28 @@
 class RentingTest(unittest.TestCase):
     """What was asked for counts as coming, also for other halls and the next holder."""
 
-    NEEDED = 10
+    NEEDED_SERVERS = 10
     """Engines of 1,500 tokens/s that leave 5,000 / 0.7 with either hall gone."""
 
-    async def engines_after(self, world: World, seconds: float) -> int:
+    async def count_engines_after(self, world: World, seconds: float) -> int:
         await world.clock.sleep(seconds)
         return len([e for e in world.engines.values() if e.alive])
 
     @in_world
-    async def test_slow_boots_rent_no_more_than_needed(self, world: World) -> None:
+    async def test_slow_boots_do_not_rent_too_many_servers(self, world: World) -> None:
         world.boot_s = 40.0
         await world.start(engines=2)
-        self.assertEqual(await self.engines_after(world, 150.0), self.NEEDED)
+        self.assertEqual(await self.count_engines_after(world, 150.0), self.NEEDED_SERVERS)
 
     @in_world
-    async def test_lost_answers_of_the_cloud_rent_once(self, world: World) -> None:
+    async def test_lost_cloud_answers_do_not_rent_twice(self, world: World) -> None:
         world.boot_s = 40.0
         world.faults[Part.CLOUD].lose_answers = 5
         await world.start(engines=2)
-        self.assertEqual(await self.engines_after(world, 200.0), self.NEEDED)
+        self.assertEqual(await self.count_engines_after(world, 200.0), self.NEEDED_SERVERS)
 
     @in_world
-    async def test_the_next_holder_goes_on_from_the_row(self, world: World) -> None:
+    async def test_next_lease_holder_counts_servers_already_ordered(self, world: World) -> None:
         world.boot_s = 60.0
         await world.start(nodes=4, engines=2)
         await world.wait_until(lambda: len(world.state.rented) >= 6, 60.0)
@@ -661,10 +683,10 @@
             name for name in ("n0", "n2") if "hall/hall-a" in world.nodes[name].leases_held()
         )
         world.kill(holder)
-        self.assertEqual(await self.engines_after(world, 200.0), self.NEEDED)
+        self.assertEqual(await self.count_engines_after(world, 200.0), self.NEEDED_SERVERS)
 
     @in_world
-    async def test_a_refusal_in_one_hall_is_known_in_the_other(self, world: World) -> None:
+    async def test_refused_hall_is_avoided_by_the_other_halls_holder(self, world: World) -> None:
         world.boot_s = 5.0
         world.refused_markets = {("hall-a", "reclaimable"), ("hall-a", "on-demand")}
         await world.start(engines=2)
@@ -678,7 +700,7 @@
 
     NODES = 20
 
-    async def busiest(self, world: World, seconds: int) -> tuple[int, int]:
+    async def peak_requests(self, world: World, seconds: int) -> tuple[int, int]:
         """Return the most reads and the most writes that any quarter of a second saw."""
         reads, writes = [0], [0]
         for _ in range(seconds * 4):
@@ -689,13 +711,13 @@
         return max(reads), max(writes)
 
     @in_world
-    async def test_returns_are_spread(self, world: World) -> None:
+    async def test_nodes_return_to_the_table_at_different_times(self, world: World) -> None:
         await world.start(nodes=self.NODES, engines=2)
-        usual = await self.busiest(world, 15)
+        usual = await self.peak_requests(world, 15)
         world.faults[Part.TABLE].hang = True
         await world.clock.sleep(120.0)
         world.faults[Part.TABLE].hang = False
-        after = await self.busiest(world, 15)
+        after = await self.peak_requests(world, 15)
         # Each node polls the head once in 3 s; all at once would be 20 in one quarter.
         for reads, writes in (usual, after):
             self.assertLessEqual(reads, self.NODES // 2)
