--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -37,40 +37,40 @@
 settings.load_profile("ci")
 
 
-def view(name: str, hall: str = "a", **fields: object) -> ServerView:
+def make_view(name: str, hall: str = "a", **fields: object) -> ServerView:
     made = ServerView(name, hall, f"{name}:1", SPEEDS, frozenset({"m"}))
     for field, value in fields.items():
         setattr(made, field, value)
     return made
 
 
-def need(tokens: int = 100, session: str = "s") -> Need:
+def make_need(tokens: int = 100, session: str = "s") -> Need:
     return Need("m", tokens, 10, session, "a")
 
 
-def report(name: str, sequence: int, running: int = 0) -> LoadReport:
+def make_report(name: str, sequence: int, running: int = 0) -> LoadReport:
     return LoadReport(name, sequence, running, 0, 0, 0, ["m"])
 
 
 class RoutingTest(unittest.TestCase):
-    def test_choice(self) -> None:
+    def test_pick_chooses_the_cheapest_eligible_server(self) -> None:
         cases = [
             ("none", [], None),
-            ("leaving gets nothing", [view("x", standing=Standing.LEAVING)], None),
-            ("down gets nothing", [view("x", standing=Standing.DOWN)], None),
-            ("full gets nothing", [view("x", running=4)], None),
-            ("no model", [view("x", models=frozenset())], None),
-            ("least prefill", [view("x", prefill_tokens=9000), view("y")], "y"),
-            ("cache wins", [view("x"), view("y", cached={"s": 90})], "y"),
+            ("leaving gets nothing", [make_view("x", standing=Standing.LEAVING)], None),
+            ("down gets nothing", [make_view("x", standing=Standing.DOWN)], None),
+            ("full gets nothing", [make_view("x", running=4)], None),
+            ("no model", [make_view("x", models=frozenset())], None),
+            ("least prefill", [make_view("x", prefill_tokens=9000), make_view("y")], "y"),
+            ("cache wins", [make_view("x"), make_view("y", cached={"s": 90})], "y"),
         ]
         for name, views, wanted in cases:
             with self.subTest(name):
-                chosen = pick(views, need(), PARAMS)
+                chosen = pick(views, make_need(), PARAMS)
                 self.assertEqual(chosen.server if chosen else None, wanted)
 
-    def test_a_session_keeps_to_its_cache(self) -> None:
-        busy = view("y", running=3, prefill_tokens=9_000, cached={"s": 90})
-        full = view("y", running=4, cached={"s": 90})
+    def test_session_waits_for_its_cached_server_unless_immediate(self) -> None:
+        busy = make_view("y", running=3, prefill_tokens=9_000, cached={"s": 90})
+        full = make_view("y", running=4, cached={"s": 90})
         soon, later = Priority.IMMEDIATE, Priority.NORMAL
         cases: list[tuple[ServerView, Priority, bool, str | None]] = [
             (busy, soon, True, "y"),
@@ -84,11 +84,11 @@
                 running=home.running, priority=priority, wait_for_cache=wait_for_cache
             ):
                 asked = Need("m", 100, 10, "s", "a", priority, wait_for_cache=wait_for_cache)
-                chosen = pick([view("x"), home], asked, PARAMS)
+                chosen = pick([make_view("x"), home], asked, PARAMS)
                 self.assertEqual(chosen.server if chosen else None, wanted)
 
-    def test_servers_are_set_aside_for_what_can_wait(self) -> None:
-        views = [view(f"v{i}", running=2) for i in range(10)]
+    def test_can_wait_requests_are_confined_to_set_aside_servers(self) -> None:
+        views = [make_view(f"v{i}", running=2) for i in range(10)]
         picked: dict[Priority, set[str]] = {}
         for priority in Priority:
             needs = (Need("m", 9, 9, f"s{i}", "a", priority) for i in range(60))
@@ -97,24 +97,24 @@
         self.assertFalse(picked[Priority.CAN_WAIT] & picked[Priority.IMMEDIATE])
         self.assertEqual(len(picked[Priority.NORMAL]), 10)
 
-    def test_picks_in_a_row_spread_before_any_report(self) -> None:
+    def test_picks_spread_before_the_first_report(self) -> None:
         book = LoadTracker(10)
         for name in "wxyz":
-            book.follow(view(name))
-        picked = [book.pick_and_reserve(need(session=""), PARAMS, 1.0) for _ in range(16)]
-        self.assertIsNone(book.pick_and_reserve(need(), PARAMS, 1.0))
+            book.follow(make_view(name))
+        picked = [book.pick_and_reserve(make_need(session=""), PARAMS, 1.0) for _ in range(16)]
+        self.assertIsNone(book.pick_and_reserve(make_need(), PARAMS, 1.0))
         counts = {n: sum(1 for p in picked if p and p[0].server == n) for n in "wxyz"}
         self.assertEqual(set(counts.values()), {4})
 
-    def test_a_lagged_report_neither_hides_nor_doubles_own_dispatches(self) -> None:
+    def test_late_report_neither_hides_nor_double_counts_reservations(self) -> None:
         book = LoadTracker(10)
-        book.follow(view("x"))
-        early = book.reserve("x", need(), 1.0)
-        late = book.reserve("x", need(), 3.0)
-        book.apply_report(report("x", 1, running=1), made_at=2.0, now=3.5)
+        book.follow(make_view("x"))
+        early = book.reserve("x", make_need(), 1.0)
+        late = book.reserve("x", make_need(), 3.0)
+        book.apply_report(make_report("x", 1, running=1), made_at=2.0, now=3.5)
         self.assertEqual(book.views["x"].running, 2)
         book.release(early, 4.0)
-        book.apply_report(report("x", 2, running=2), made_at=3.8, now=4.5)
+        book.apply_report(make_report("x", 2, running=2), made_at=3.8, now=4.5)
         self.assertEqual(book.views["x"].running, 1)
         book.release(late, 5.0)
         book.release(late, 5.0)
@@ -122,33 +122,33 @@
 
     def test_an_older_report_is_ignored(self) -> None:
         book = LoadTracker(10)
-        book.follow(view("x"))
-        self.assertTrue(book.apply_report(report("x", 5, 3), 1.0, 1.0))
-        self.assertFalse(book.apply_report(report("x", 4, 0), 2.0, 2.0))
+        book.follow(make_view("x"))
+        self.assertTrue(book.apply_report(make_report("x", 5, 3), 1.0, 1.0))
+        self.assertFalse(book.apply_report(make_report("x", 4, 0), 2.0, 2.0))
         self.assertEqual(book.views["x"].running, 3)
 
     @given(st.lists(st.sampled_from(["reserve", "release", "report"]), max_size=40))
-    def test_the_book_returns_to_zero(self, steps: list[str]) -> None:
+    def test_load_returns_to_zero_after_all_releases(self, steps: list[str]) -> None:
         book = LoadTracker(5)
-        book.follow(view("x"))
+        book.follow(make_view("x"))
         held = []
         for number, step in enumerate(steps):
             at = float(number)
             if step == "reserve":
-                held.append(book.reserve("x", need(), at))
+                held.append(book.reserve("x", make_need(), at))
             elif step == "release" and held:
                 book.release(held.pop(0), at)
             elif step == "report":
-                book.apply_report(report("x", number, len(held)), at - 0.5, at)
+                book.apply_report(make_report("x", number, len(held)), at - 0.5, at)
             self.assertGreaterEqual(book.views["x"].running, 0)
         for made in held:
             book.release(made, 100.0)
-        book.apply_report(report("x", 1000, 0), 200.0, 200.0)
+        book.apply_report(make_report("x", 1000, 0), 200.0, 200.0)
         self.assertEqual((book.views["x"].running, book.open_reservations()), (0, 0))
 
-    def test_sessions_are_bounded_and_forgotten_with_their_server(self) -> None:
+    def test_tracked_sessions_are_bounded_and_dropped_with_their_server(self) -> None:
         book = LoadTracker(2)
-        book.follow(view("x"))
+        book.follow(make_view("x"))
         for session in ("a", "b", "c"):
             book.record_cache(session, "x", 10)
         self.assertEqual(sorted(book.views["x"].cached), ["b", "c"])
@@ -157,7 +157,7 @@
 
 
 class QueueTest(unittest.TestCase):
-    def test_order_and_ageing(self) -> None:
+    def test_order_by_priority_and_age(self) -> None:
         queue: WaitingQueue[str] = WaitingQueue(10)
         queue.offer("old wait", Priority.CAN_WAIT, 0.0, 99)
         queue.offer("normal", Priority.NORMAL, 1.0, 99)
@@ -166,7 +166,7 @@
         queue.offer("late now", Priority.IMMEDIATE, late, 99)
         self.assertEqual(queue.in_order(), ["now", "normal", "old wait", "late now"])
 
-    def test_full_queue(self) -> None:
+    def test_full_queue_evicts_only_lower_priorities(self) -> None:
         queue: WaitingQueue[str] = WaitingQueue(2)
         queue.offer("a", Priority.CAN_WAIT, 0.0, 9)
         queue.offer("b", Priority.CAN_WAIT, 1.0, 9)
@@ -175,7 +175,7 @@
         self.assertEqual((offered.accepted, offered.evicted), (True, "b"))
         self.assertEqual(queue.in_order(), ["d", "a"])
 
-    def test_expiry_and_removal(self) -> None:
+    def test_expired_and_removed_items_leave_the_queue(self) -> None:
         queue: WaitingQueue[str] = WaitingQueue(5)
         queue.offer("a", Priority.NORMAL, 0.0, 1.0)
         queue.offer("b", Priority.NORMAL, 0.0, 5.0)
@@ -184,23 +184,23 @@
         queue.remove("b")
         self.assertEqual(len(queue), 0)
 
-    def test_estimate(self) -> None:
+    def test_estimated_wait_grows_with_the_queue(self) -> None:
         for ahead, free, slots, wanted in [(0, 1, 4, 0.0), (0, 0, 4, 0.5), (7, 0, 4, 4.0)]:
             self.assertEqual(estimated_wait_s(ahead, free, slots, 2.0), wanted)
         self.assertEqual(estimated_wait_s(0, 0, 0, 2.0), float("inf"))
 
 
 class LeaseTest(unittest.TestCase):
-    TTL = 10.0
+    TTL_S = 10.0
 
-    def held(self, at: float) -> Lease:
-        lease = Lease("hall/a", "n1", self.TTL)
+    def make_held_lease(self, at: float) -> Lease:
+        lease = Lease("hall/a", "n1", self.TTL_S)
         lease.record_write(lease.next_row("op"), 1, at)
         return lease
 
-    def test_a_holder_stops_believing_before_a_candidate_may_take(self) -> None:
-        holder = self.held(0.0)
-        candidate = Lease("hall/a", "n2", self.TTL)
+    def test_holder_stops_before_a_candidate_may_acquire(self) -> None:
+        holder = self.make_held_lease(0.0)
+        candidate = Lease("hall/a", "n2", self.TTL_S)
         candidate.record_read(holder.row, 1, 0.0)
         self.assertIsNotNone(holder.grant(7.9))
         self.assertIsNone(holder.grant(8.0))
@@ -208,8 +208,8 @@
         self.assertEqual(candidate.decide(10.0), LeaseAction.ACQUIRE)
         self.assertEqual(candidate.next_row("op2").epoch, 2)
 
-    def test_a_renewal_seen_starts_the_wait_anew(self) -> None:
-        candidate = Lease("hall/a", "n2", self.TTL)
+    def test_observed_renewal_restarts_the_wait(self) -> None:
+        candidate = Lease("hall/a", "n2", self.TTL_S)
         row = LeaseRow("n1", 1, "op")
         candidate.record_read(row, 1, 0.0)
         candidate.record_read(row, 1, 5.0)
@@ -217,21 +217,21 @@
         self.assertEqual(candidate.decide(18.9), LeaseAction.READ)
         self.assertEqual(candidate.decide(19.0), LeaseAction.ACQUIRE)
 
-    def test_a_paused_holder_reads_before_it_acts(self) -> None:
-        lease = self.held(0.0)
+    def test_paused_holder_reads_before_it_acts(self) -> None:
+        lease = self.make_held_lease(0.0)
         self.assertEqual(lease.decide(100.0), LeaseAction.READ)
         self.assertIsNone(lease.grant(100.0))
         lease.record_read(LeaseRow("n2", 2, "other"), 7, 100.0)
         self.assertEqual(lease.decide(101.0), LeaseAction.READ)
 
     def test_renewal_keeps_the_epoch(self) -> None:
-        lease = self.held(0.0)
+        lease = self.make_held_lease(0.0)
         self.assertEqual(lease.decide(1.0), LeaseAction.WAIT)
         self.assertEqual(lease.decide(4.0), LeaseAction.RENEW)
         self.assertEqual(lease.next_row("op").epoch, 1)
 
-    def test_orders_to_servers_that_do_not_check(self) -> None:
-        lease = self.held(100.0)
+    def test_orders_without_fence_check_need_time_left(self) -> None:
+        lease = self.make_held_lease(100.0)
         grant = lease.grant(100.0)
         assert grant is not None
         cases = [
@@ -244,25 +244,25 @@
         ]
         for now, checks, wanted in cases:
             with self.subTest(now=now, checks=checks):
-                self.assertEqual(may_send_order(grant, now, checks, self.TTL, 2.0), wanted)
+                self.assertEqual(may_send_order(grant, now, checks, self.TTL_S, 2.0), wanted)
 
-    def test_a_successor_waits_out_the_longest_order(self) -> None:
-        lease = Lease("hall/a", "n2", self.TTL)
+    def test_successor_waits_for_the_longest_order_to_end(self) -> None:
+        lease = Lease("hall/a", "n2", self.TTL_S)
         lease.record_read(LeaseRow("n1", 3, "op"), 5, 0.0)
         lease.record_write(lease.next_row("op2"), 6, 10.0)
         grant = lease.grant(10.0)
         assert grant is not None
         self.assertEqual(grant.epoch, 4)
-        self.assertFalse(may_send_order(grant, 13.9, False, self.TTL, 2.0))
-        self.assertTrue(may_send_order(grant, 14.1, False, self.TTL, 2.0))
+        self.assertFalse(may_send_order(grant, 13.9, False, self.TTL_S, 2.0))
+        self.assertTrue(may_send_order(grant, 14.1, False, self.TTL_S, 2.0))
 
 
 class MembershipTest(unittest.TestCase):
-    def nodes(self, count: int) -> list[NodeView]:
+    def make_nodes(self, count: int) -> list[NodeView]:
         return [NodeView(f"n{i}", f"h{i % 4}", f"10.0.0.{i}:80") for i in range(count)]
 
-    def test_addresses(self) -> None:
-        nodes = self.nodes(9)
+    def test_addresses_cover_halls_and_skip_leaving_or_loaded_nodes(self) -> None:
+        nodes = self.make_nodes(9)
         found = addresses_for("s", nodes)
         self.assertEqual(len({node.hall for node in found[:2]}), 2)
         left = [n if n != found[0] else NodeView(n.id, n.hall, n.address, True) for n in nodes]
@@ -271,14 +271,14 @@
         self.assertNotEqual(addresses_for("s", busy)[0].id, found[0].id)
         self.assertEqual(addresses_for("s", []), [])
 
-    def test_one_node_more_moves_few_sessions(self) -> None:
+    def test_added_node_moves_few_sessions(self) -> None:
         sessions = [f"s{i}" for i in range(2_000)]
-        before = [addresses_for(s, self.nodes(9))[0].id for s in sessions]
-        after = [addresses_for(s, self.nodes(10))[0].id for s in sessions]
+        before = [addresses_for(s, self.make_nodes(9))[0].id for s in sessions]
+        after = [addresses_for(s, self.make_nodes(10))[0].id for s in sessions]
         moved = sum(1 for old, new in zip(before, after, strict=True) if old != new)
         self.assertLess(moved, 2_000 * 0.14)
 
-    def test_subsets_are_even_and_shift_little(self) -> None:
+    def test_subsets_are_even_and_change_little(self) -> None:
         servers = [Followable(f"srv{i}", f"h{i % 7}") for i in range(1_100)]
         sets = {f"n{i}": select_followed(f"n{i}", f"h{i % 7}", servers, 32) for i in range(390)}
         followers = {s.id: sum(1 for one in sets.values() if s.id in one) for s in servers}
@@ -291,22 +291,22 @@
         )
         self.assertLessEqual(changed, 2 * followers["srv0"])
 
-    def test_a_hall_without_nodes_has_stand_ins(self) -> None:
-        nodes = [n for n in self.nodes(8) if n.hall != "h0"]
+    def test_hall_without_nodes_is_leased_by_other_halls(self) -> None:
+        nodes = [n for n in self.make_nodes(8) if n.hall != "h0"]
         halls = ["h0", "h1", "h2", "h3"]
         standing = [n.id for n in nodes if "h0" in halls_to_lease(n.id, n.hall, nodes, halls)]
         self.assertEqual(len(standing), 2)
-        self.assertEqual(halls_to_lease("n1", "h1", self.nodes(8), halls), {"h1"})
+        self.assertEqual(halls_to_lease("n1", "h1", self.make_nodes(8), halls), {"h1"})
 
 
 class LimitsTest(unittest.TestCase):
-    def test_bucket(self) -> None:
+    def test_token_bucket_limits_rate_and_burst(self) -> None:
         bucket = TokenBucket(10, 2, 2, 0.0)
         self.assertEqual([bucket.take(0.0) for _ in range(3)], [0.0, 0.0, 0.1])
         self.assertEqual(bucket.take(0.1), 0.0)
 
     @given(st.lists(st.floats(0, 1_000), min_size=1, max_size=9))
-    def test_shares_add_up_to_the_rate_at_most(self, demands: list[float]) -> None:
+    def test_node_shares_do_not_exceed_the_rate(self, demands: list[float]) -> None:
         nodes = len(demands)
         shares = [
             node_rate(90.0, own, demands[:i] + demands[i + 1 :], nodes)
@@ -314,13 +314,13 @@
         ]
         self.assertLessEqual(sum(shares), 90.0 + 1e-6)
 
-    def test_retry_budget_is_a_share(self) -> None:
+    def test_retries_are_limited_to_a_share_of_requests(self) -> None:
         budget = RetryBudget(0.1, 2.0, 0.0)
         for _ in range(15):
             budget.record_request()
         self.assertEqual([budget.try_spend(), budget.try_spend()], [True, False])
 
-    def test_breaker_backs_off_spread_and_closes(self) -> None:
+    def test_breaker_backs_off_with_jitter_and_closes(self) -> None:
         breaker = Breaker(BreakerLimits(2, 1.0, 4.0), random.Random(1))
         self.assertFalse(breaker.record_failure(0.0))
         self.assertTrue(breaker.record_failure(0.0))
@@ -335,7 +335,7 @@
 
 
 class FreshnessTest(unittest.TestCase):
-    def test_verdicts(self) -> None:
+    def test_verdict_by_confirmation_and_connectivity(self) -> None:
         cases = [
             ("new node", Freshness(0, None, None, 8, 0), Verdict.UNCONFIRMED),
             ("fresh", Freshness(3, 1.0, None, 8, 3), Verdict.SERVE),
@@ -349,13 +349,13 @@
                 self.assertEqual(decide_verdict(seen, 5.0), wanted)
 
 
-def bundle_with(**renting: object) -> Bundle:
+def make_bundle(**renting: object) -> Bundle:
     path = Path(__file__).parent.parent / "examples" / "bundle.toml"
     parsed = parse("b", path.read_bytes()).unwrap()
     return parsed.model_copy(update={"renting": Renting.model_validate(renting)})
 
 
-def rented(
+def rent_until_settled(
     bundle: Bundle, demand: float, refused: frozenset[RentRefusal] = frozenset()
 ) -> list[Rented]:
     """Rent until the plan has no changes left, as the rounds of the holders do."""
@@ -372,18 +372,18 @@
 
 
 class RentingTest(unittest.TestCase):
-    def test_any_hall_may_go(self) -> None:
-        bundle = bundle_with()
+    def test_loss_of_any_hall_leaves_enough_servers(self) -> None:
+        bundle = make_bundle()
         for demand in (0.0, 500.0, 4_000.0, 20_000.0):
-            held = rented(bundle, demand)
+            held = rent_until_settled(bundle, demand)
             for hall in ("hall-a", "hall-b"):
                 left = sum(1_500 for one in held if one.hall != hall)
                 self.assertGreaterEqual(left, demand / 0.7)
 
-    def test_changes_are_bounded_and_settle(self) -> None:
-        bundle = bundle_with(most_changes=2)
+    def test_changes_per_plan_are_bounded_and_settle(self) -> None:
+        bundle = make_bundle(most_changes=2)
         self.assertEqual(len(renting_plan(bundle, RentView(20_000.0, []))), 2)
-        held = rented(bundle, 5_000.0)
+        held = rent_until_settled(bundle, 5_000.0)
         idle = [Rented(h.id, h.hall, h.instance_class, h.market, True) for h in held]
         self.assertEqual(renting_plan(bundle, RentView(5_000.0, idle)), [])
         self.assertEqual(renting_plan(bundle, RentView(4_800.0, idle)), [])
@@ -392,47 +392,47 @@
         busy = renting_plan(bundle, RentView(500.0, held))
         self.assertEqual(busy, [], "what has requests is not returned")
 
-    def test_weights_decide_what_is_on_demand(self) -> None:
+    def test_recompute_weight_raises_the_on_demand_share(self) -> None:
         shares = []
         for recompute in (0.1, 0.5, 0.9):
             weights = Weights(cost=1 - recompute, recompute=recompute)
-            bundle = bundle_with().model_copy(update={"weights": weights})
-            held = rented(bundle, 20_000.0)
+            bundle = make_bundle().model_copy(update={"weights": weights})
+            held = rent_until_settled(bundle, 20_000.0)
             shares.append(sum(h.market is Market.ON_DEMAND for h in held) / len(held))
         self.assertEqual(shares, sorted(shares))
         self.assertLess(shares[0], shares[2])
 
-    def test_a_refused_market_or_hall_falls_back(self) -> None:
-        bundle = bundle_with()
+    def test_refused_market_falls_back_to_on_demand(self) -> None:
+        bundle = make_bundle()
         cheap = frozenset(
             RentRefusal(hall, "small", Market.RECLAIMABLE) for hall in ("hall-a", "hall-b")
         )
-        markets = {one.market for one in rented(bundle, 4_000.0, cheap)}
+        markets = {one.market for one in rent_until_settled(bundle, 4_000.0, cheap)}
         self.assertEqual(markets, {Market.ON_DEMAND})
         everything = cheap | {
             RentRefusal(h, "small", Market.ON_DEMAND) for h in ("hall-a", "hall-b")
         }
-        self.assertEqual(rented(bundle, 4_000.0, everything), [])
+        self.assertEqual(rent_until_settled(bundle, 4_000.0, everything), [])
 
-    def test_a_hall_takes_no_more_than_its_most(self) -> None:
-        bundle = bundle_with()
+    def test_hall_stays_within_its_maximum_of_instances(self) -> None:
+        bundle = make_bundle()
         halls = [hall.model_copy(update={"most_instances": 2}) for hall in bundle.halls]
-        held = rented(bundle.model_copy(update={"halls": halls}), 50_000.0)
+        held = rent_until_settled(bundle.model_copy(update={"halls": halls}), 50_000.0)
         self.assertEqual(len(held), 4)
 
 
 class ReclaimTest(unittest.TestCase):
     VIEW = ReclaimView(10.0, 1e9, 8_000)
 
-    def stream(self, name: str, tokens: int, remaining: float = 60.0) -> HeldSession:
+    def make_stream(self, name: str, tokens: int, remaining: float = 60.0) -> HeldSession:
         return HeldSession(name, tokens, tokens * 100_000, remaining, False)
 
-    def test_courses(self) -> None:
+    def test_short_streams_finish_and_long_ones_move_within_the_notice(self) -> None:
         streams = [
-            self.stream("short", 1_000, 5.0),
-            self.stream("a", 50_000),
-            self.stream("b", 40_000),
-            self.stream("c", 30_000),
+            self.make_stream("short", 1_000, 5.0),
+            self.make_stream("a", 50_000),
+            self.make_stream("b", 40_000),
+            self.make_stream("c", 30_000),
         ]
         courses = plan(streams, self.VIEW)
         self.assertEqual(courses["short"], ReclaimAction.FINISH)
@@ -441,9 +441,9 @@
         self.assertLessEqual(sum(s.kv_bytes for s in moved) / 1e9, 9.5)
         self.assertIn(ReclaimAction.PREFILL, courses.values())
 
-    def test_idle_caches_move_after_streams_of_like_size(self) -> None:
+    def test_idle_caches_move_after_live_streams_of_equal_size(self) -> None:
         idle = HeldSession("idle", 40_000, 4_000_000_000, 0.0, False, idle=True)
-        live = [self.stream("a", 40_000), self.stream("b", 40_000)]
+        live = [self.make_stream("a", 40_000), self.make_stream("b", 40_000)]
         courses = plan([idle, *live], self.VIEW)
         self.assertEqual(courses["idle"], ReclaimAction.PREFILL)
         self.assertEqual({courses["a"], courses["b"]}, {ReclaimAction.MOVE})
@@ -451,8 +451,10 @@
 
     def test_no_time_or_no_link_means_prefill(self) -> None:
         for notice, link in [(0.0, 1e9), (10.0, 0.0)]:
-            view = ReclaimView(notice, link, 8_000)
-            self.assertEqual(plan([self.stream("a", 100)], view), {"a": ReclaimAction.PREFILL})
+            make_view = ReclaimView(notice, link, 8_000)
+            self.assertEqual(
+                plan([self.make_stream("a", 100)], make_view), {"a": ReclaimAction.PREFILL}
+            )
 
 
 if __name__ == "__main__":
