--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -21,8 +21,8 @@
 from standins.local_fleet import http as call_url
 from standins.platform import Faults
 
-WAIT_S = 40.0
-KEY = {"Authorization": "Bearer brokers-key"}
+TIMEOUT_S = 40.0
+AUTH_HEADER = {"Authorization": "Bearer brokers-key"}
 MODEL = "cover-7b"
 
 
@@ -45,23 +45,23 @@
     body: bytes | dict[str, object] | None = None,
     headers: dict[str, str] | None = None,
 ) -> Reply:
-    connection = http.client.HTTPConnection(address, timeout=WAIT_S)
+    connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
     data = json.dumps(body).encode() if isinstance(body, dict) else body
-    connection.request(method, path, data, {**KEY, **(headers or {})})
+    connection.request(method, path, data, {**AUTH_HEADER, **(headers or {})})
     reply = Reply(connection.getresponse())
     connection.close()
     return reply
 
 
-def completion(prompt: str, tokens: int, stream: bool = True) -> dict[str, object]:
+def completion_body(prompt: str, tokens: int, stream: bool = True) -> dict[str, object]:
     return {"model": MODEL, "prompt": prompt, "max_tokens": tokens, "stream": stream}
 
 
-def text_of(prompt: str, tokens: int) -> str:
+def expected_text(prompt: str, tokens: int) -> str:
     return "".join(token_text(prompt, index) for index in range(tokens))
 
 
-class Stream:
+class StreamClient:
     """A streamed answer read by a thread, resumed where it says it has moved."""
 
     def __init__(self, address: str, prompt: str, tokens: int) -> None:
@@ -70,17 +70,17 @@
         self.moves = 0
         self.last_id = ""
         self.started = threading.Event()
-        body = json.dumps(completion(prompt, tokens)).encode()
+        body = json.dumps(completion_body(prompt, tokens)).encode()
         self._thread = threading.Thread(target=self._read, args=(address, body), daemon=True)
         self._thread.start()
 
     def wait(self) -> "Stream":
-        self._thread.join(WAIT_S)
+        self._thread.join(TIMEOUT_S)
         return self
 
     def _read(self, address: str, body: bytes) -> None:
-        connection = http.client.HTTPConnection(address, timeout=WAIT_S)
-        connection.request("POST", "/v1/completions", body, KEY)
+        connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
+        connection.request("POST", "/v1/completions", body, AUTH_HEADER)
         while True:
             response = connection.getresponse()
             moved = self._events(response)
@@ -89,9 +89,9 @@
                 return
             self.moves += 1
             connection.close()
-            connection = http.client.HTTPConnection(moved["address"], timeout=WAIT_S)
+            connection = http.client.HTTPConnection(moved["address"], timeout=TIMEOUT_S)
             path = moved["resume"].split(moved["address"])[1]
-            connection.request("GET", path, headers={**KEY, "Last-Event-ID": self.last_id})
+            connection.request("GET", path, headers={**AUTH_HEADER, "Last-Event-ID": self.last_id})
 
     def _events(self, response: http.client.HTTPResponse) -> dict[str, str] | None:
         kind = ""
@@ -134,49 +134,51 @@
         for name, hall in zip(cls.nodes, ("hall-a", "hall-b", "hall-a"), strict=True):
             cls.fleet.start_node(name, hall, "[times]\ndrain_s = 0.5\n[limits]\nbody_bytes = 20000")
         cls.version = 1
-        cls.fleet.roll(cls.fleet.write_bundle(service=cls.service()), "entry-1")
+        cls.fleet.roll(cls.fleet.write_bundle(service=cls.service_address()), "entry-1")
         cls.fleet.wait_ready(cls.nodes, servers=3)
 
     @classmethod
-    def service(cls) -> str:
+    def service_address(cls) -> str:
         return cls.fleet.procs["eligibility"].address
 
-    def address(self, node: str = "entry-1") -> str:
+    def node_address(self, node: str = "entry-1") -> str:
         return self.fleet.procs[node].address
 
-    def spare_node(self, name: str) -> str:
+    def start_extra_node(self, name: str) -> str:
         """Start a node that a test may end."""
         self.fleet.start_node(name, "hall-a", "[times]\ndrain_s = 0.5\nlease_ttl_s = 5")
         self.fleet.wait_ready([name, *self.nodes], servers=3)
         self.addCleanup(self.fleet.set_state, name, InstanceState.GONE)
-        return self.address(name)
+        return self.node_address(name)
 
-    def faults(self, part: Part, **fields: Any) -> None:
+    def set_faults(self, part: Part, **fields: Any) -> None:
         self.fleet.control("faults", {part: Faults(**fields)})
 
-    def end_outage(self) -> None:
+    def end_platform_outage(self) -> None:
         """Bring the platform back, and wait until every node's breaker has noticed."""
         for part in Part:
-            self.faults(part)
-        until = monotonic() + WAIT_S
+            self.set_faults(part)
+        until = monotonic() + TIMEOUT_S
         while not all(self.fleet.status(node).table_reachable for node in self.nodes):
             self.assertLess(monotonic(), until)
             time.sleep(0.05)
 
-    def test_streams_and_whole_answers(self) -> None:
-        stream = Stream(self.address(), "is hail covered", 15).wait()
-        self.assertEqual((stream.text, stream.end), (text_of("is hail covered", 15), "done"))
-        whole = call(self.address(), "POST", "/v1/completions", completion("a b", 5, False))
-        self.assertEqual(whole.json()["choices"][0]["text"], text_of("a b", 5))
+    def test_streams_and_complete_answers(self) -> None:
+        stream = StreamClient(self.node_address(), "is hail covered", 15).wait()
+        self.assertEqual((stream.text, stream.end), (expected_text("is hail covered", 15), "done"))
+        whole = call(
+            self.node_address(), "POST", "/v1/completions", completion_body("a b", 5, False)
+        )
+        self.assertEqual(whole.json()["choices"][0]["text"], expected_text("a b", 5))
         messages = [{"role": "user", "content": "hi"}]
         chat = {"model": "claims", "messages": messages, "max_tokens": 3}
-        answer = call(self.address(), "POST", "/v1/chat/completions", chat).json()
-        self.assertEqual(answer["choices"][0]["message"]["content"], text_of("user: hi", 3))
+        answer = call(self.node_address(), "POST", "/v1/chat/completions", chat).json()
+        self.assertEqual(answer["choices"][0]["message"]["content"], expected_text("user: hi", 3))
 
-    def test_resume_after_a_lost_connection(self) -> None:
-        connection = http.client.HTTPConnection(self.address(), timeout=WAIT_S)
-        body = json.dumps(completion("long one", 60)).encode()
-        connection.request("POST", "/v1/completions", body, KEY)
+    def test_stream_resumes_after_a_lost_connection(self) -> None:
+        connection = http.client.HTTPConnection(self.node_address(), timeout=TIMEOUT_S)
+        body = json.dumps(completion_body("long one", 60)).encode()
+        connection.request("POST", "/v1/completions", body, AUTH_HEADER)
         response = connection.getresponse()
         first = response.readline().decode().strip().removeprefix("id: ")
         name = response.headers["moledale-request"]
@@ -184,34 +186,34 @@
         for node in ("entry-1", "entry-2"):
             path = f"/v1/streams/{name}"
             if node == "entry-2":
-                sent_on = call(self.address(node), "GET", path)
+                sent_on = call(self.node_address(node), "GET", path)
                 self.assertEqual(sent_on.status, 307)
-                path = sent_on.headers["location"].split(self.address())[1]
-            rest = call(self.address(), "GET", path, headers={"Last-Event-ID": first})
+                path = sent_on.headers["location"].split(self.node_address())[1]
+            rest = call(self.node_address(), "GET", path, headers={"Last-Event-ID": first})
             self.assertIn(f"id: {name}.1\n", rest.body.decode())
             self.assertNotIn(f"id: {name}.0\n", rest.body.decode())
             self.assertTrue(rest.body.endswith(b"data: [DONE]\n\n"))
-        whole = call(self.address(), "GET", f"/v1/streams/{name}?whole=true")
-        self.assertEqual(whole.json()["choices"][0]["text"], text_of("long one", 60))
+        whole = call(self.node_address(), "GET", f"/v1/streams/{name}?whole=true")
+        self.assertEqual(whole.json()["choices"][0]["text"], expected_text("long one", 60))
         stranger = {"Authorization": "Bearer travel-key"}
-        other = call(self.address(), "GET", f"/v1/streams/{name}", headers=stranger)
+        other = call(self.node_address(), "GET", f"/v1/streams/{name}", headers=stranger)
         self.assertIn(other.status, (404, 307))
 
-    def test_a_slow_reader_gets_everything(self) -> None:
-        connection = http.client.HTTPConnection(self.address(), timeout=WAIT_S)
-        body = json.dumps(completion("slow reader", 80)).encode()
-        connection.request("POST", "/v1/completions", body, KEY)
+    def test_slow_reader_gets_the_complete_stream(self) -> None:
+        connection = http.client.HTTPConnection(self.node_address(), timeout=TIMEOUT_S)
+        body = json.dumps(completion_body("slow reader", 80)).encode()
+        connection.request("POST", "/v1/completions", body, AUTH_HEADER)
         response = connection.getresponse()
         name = response.headers["moledale-request"]
         # It reads nothing until the answer has long ended; another reader has it all by then.
-        call(self.address(), "GET", f"/v1/streams/{name}?whole=true")
+        call(self.node_address(), "GET", f"/v1/streams/{name}?whole=true")
         events = response.read().decode()
         connection.close()
         self.assertEqual(events.count("id: "), 80)
         self.assertTrue(events.endswith("data: [DONE]\n\n"))
 
-    def test_bad_input_is_refused_with_what_is_wrong(self) -> None:
-        good = completion("x", 1, False)
+    def test_bad_input_is_refused_with_the_reason(self) -> None:
+        good = completion_body("x", 1, False)
         cases: list[tuple[str, Any, dict[str, str], int, str]] = [
             ("not JSON", b"{", {}, 400, "body"),
             ("no UTF-8", b'{"model": "\xff"}', {}, 400, "body"),
@@ -229,7 +231,7 @@
         ]
         for name, body, headers, status, words in cases:
             with self.subTest(name):
-                reply = call(self.address(), "POST", "/v1/completions", body, headers)
+                reply = call(self.node_address(), "POST", "/v1/completions", body, headers)
                 self.assertEqual((reply.status, reply.json()["ran"]), (status, "no"))
                 self.assertEqual(reply.headers["content-type"], "application/problem+json")
                 self.assertIn(words, reply.json()["detail"])
@@ -244,136 +246,146 @@
         ]
         for method, path, status in paths:
             with self.subTest(path):
-                reply = call(self.address(), method, path)
+                reply = call(self.node_address(), method, path)
                 self.assertEqual((reply.status, reply.json()["status"]), (status, status))
-        with socket.create_connection(self.address().split(":"), WAIT_S) as raw:
+        with socket.create_connection(self.node_address().split(":"), TIMEOUT_S) as raw:
             raw.sendall(b"\x00\xff nonsense\r\n\r\n")
             self.assertIn(b"400", raw.recv(200))
-        self.assertEqual(call(self.address(), "GET", "/health/ready").status, 200)
+        self.assertEqual(call(self.node_address(), "GET", "/health/ready").status, 200)
 
-    def test_work_that_can_wait(self) -> None:
+    def test_job_submitted_twice_with_one_key_is_the_same_job(self) -> None:
         headers = {"Prefer": "respond-async", "Idempotency-Key": "mandate-7"}
-        body = completion("draft a mandate", 20)
-        first = call(self.address(), "POST", "/v1/completions", body, headers)
-        again = call(self.address("entry-2"), "POST", "/v1/completions", body, headers)
+        body = completion_body("draft a mandate", 20)
+        first = call(self.node_address(), "POST", "/v1/completions", body, headers)
+        again = call(self.node_address("entry-2"), "POST", "/v1/completions", body, headers)
         self.assertEqual((first.status, again.status), (202, 202))
         self.assertEqual(first.headers["location"], again.headers["location"])
-        self.assertEqual(self.job_text(first.headers["location"]), text_of("draft a mandate", 20))
+        self.assertEqual(
+            self.wait_for_job_text(first.headers["location"]), expected_text("draft a mandate", 20)
+        )
 
-    def test_a_chat_that_can_wait_is_answered_as_a_chat(self) -> None:
+    def test_chat_job_result_is_a_chat_completion(self) -> None:
         messages = [{"role": "user", "content": "later"}]
         body = {"model": MODEL, "messages": messages, "max_tokens": 4}
         headers = {"Prefer": "respond-async"}
-        job = call(self.address(), "POST", "/v1/chat/completions", body, headers)
+        job = call(self.node_address(), "POST", "/v1/chat/completions", body, headers)
         location = job.headers["location"]
-        until = monotonic() + WAIT_S
-        while (result := call(self.address(), "GET", f"{location}/result")).status != 200:
+        until = monotonic() + TIMEOUT_S
+        while (result := call(self.node_address(), "GET", f"{location}/result")).status != 200:
             self.assertLess(monotonic(), until)
             time.sleep(0.1)
         answer = result.json()
         self.assertEqual(answer["object"], "chat.completion")
-        self.assertEqual(answer["choices"][0]["message"]["content"], text_of("user: later", 4))
+        self.assertEqual(
+            answer["choices"][0]["message"]["content"], expected_text("user: later", 4)
+        )
 
-    def job_text(self, location: str, node: str = "entry-2") -> str:
-        until = monotonic() + WAIT_S
+    def wait_for_job_text(self, location: str, node: str = "entry-2") -> str:
+        until = monotonic() + TIMEOUT_S
         while monotonic() < until:
-            result = call(self.address(node), "GET", f"{location}/result")
+            result = call(self.node_address(node), "GET", f"{location}/result")
             if result.status == 200:
                 return str(result.json()["choices"][0]["text"])
             time.sleep(0.1)
         raise AssertionError("the job did not finish")
 
-    def test_not_repeatable_calls(self) -> None:
+    def test_not_repeatable_calls_run_at_most_once(self) -> None:
         path = "/v1/services/eligibility/check?a=1"
-        issued = call(self.address(), "POST", "/v1/idempotency-keys").json()["keys"][0]
+        issued = call(self.node_address(), "POST", "/v1/idempotency-keys").json()["keys"][0]
         for key in ("file-1", issued):
             with self.subTest(key[:6]):
                 replies = [
-                    call(self.address(n), "POST", path, b"A", {"Idempotency-Key": key})
+                    call(self.node_address(n), "POST", path, b"A", {"Idempotency-Key": key})
                     for n in ("entry-1", "entry-2", "entry-1", "entry-3")
                 ]
                 self.assertEqual([r.status for r in replies], [200] * 4)
                 self.assertEqual(len({r.body for r in replies}), 1)
                 self.assertEqual(replies[0].json()["run"], 1)
-        reused = call(self.address(), "POST", path, b"B", {"Idempotency-Key": "file-1"})
+        reused = call(self.node_address(), "POST", path, b"B", {"Idempotency-Key": "file-1"})
         self.assertEqual(reused.status, 422)
-        call_url("POST", f"http://{self.service()}/control", b'{"break_after": 1}')
-        broken = call(self.address(), "POST", path, b"A", {"Idempotency-Key": "file-2"})
+        call_url("POST", f"http://{self.service_address()}/control", b'{"break_after": 1}')
+        broken = call(self.node_address(), "POST", path, b"A", {"Idempotency-Key": "file-2"})
         self.assertEqual((broken.status, broken.json()["ran"]), (502, "unknown"))
-        again = call(self.address("entry-2"), "POST", path, b"A", {"Idempotency-Key": "file-2"})
+        again = call(
+            self.node_address("entry-2"), "POST", path, b"A", {"Idempotency-Key": "file-2"}
+        )
         self.assertEqual(again.json()["ran"], "unknown")
-        counts = json.loads(call_url("GET", f"http://{self.service()}/control/counts"))
+        counts = json.loads(call_url("GET", f"http://{self.service_address()}/control/counts"))
         self.assertEqual((counts["file-1"], counts["file-2"]), (1, 1))
 
-    def test_a_keyed_generation_runs_once(self) -> None:
-        body = completion("order ticket", 6, False)
+    def test_generation_with_a_key_returns_one_result(self) -> None:
+        body = completion_body("order ticket", 6, False)
         key = {"Idempotency-Key": "ticket-9"}
         replies = [
-            call(self.address(n), "POST", "/v1/completions", body, key)
+            call(self.node_address(n), "POST", "/v1/completions", body, key)
             for n in ("entry-1", "entry-2")
         ]
         texts = [reply.json()["choices"][0]["text"] for reply in replies]
-        self.assertEqual(texts, [text_of("order ticket", 6)] * 2)
+        self.assertEqual(texts, [expected_text("order ticket", 6)] * 2)
 
-    def test_addresses_agree(self) -> None:
+    def test_nodes_return_the_same_addresses(self) -> None:
         path = "/v1/addresses?session=s1"
-        answers = [call(self.address(node), "GET", path).json() for node in self.nodes]
+        answers = [call(self.node_address(node), "GET", path).json() for node in self.nodes]
         self.assertEqual(answers[0]["addresses"], answers[1]["addresses"])
         self.assertEqual(len(answers[0]["addresses"]), 3)
         self.assertGreater(answers[0]["ttl_s"], 0)
 
-    def test_a_planned_stop_cuts_nothing(self) -> None:
-        address = self.spare_node("entry-stop")
-        streams = [Stream(address, f"question {i}", 150) for i in range(6)]
+    def test_planned_stop_loses_no_stream_or_job(self) -> None:
+        address = self.start_extra_node("entry-stop")
+        streams = [StreamClient(address, f"question {i}", 150) for i in range(6)]
         for stream in streams:
-            self.assertTrue(stream.started.wait(WAIT_S))
+            self.assertTrue(stream.started.wait(TIMEOUT_S))
         headers = {"Prefer": "respond-async"}
-        job = call(address, "POST", "/v1/completions", completion("a job", 400), headers)
+        job = call(address, "POST", "/v1/completions", completion_body("a job", 400), headers)
         self.assertEqual(self.fleet.stop("entry-stop"), 0)
         for index, stream in enumerate(streams):
             stream.wait()
             self.assertEqual(stream.end, "done")
-            self.assertEqual(stream.text, text_of(f"question {index}", 150))
+            self.assertEqual(stream.text, expected_text(f"question {index}", 150))
         self.assertGreater(sum(stream.moves for stream in streams), 0)
         self.fleet.set_state("entry-stop", InstanceState.GONE)
-        self.assertEqual(self.job_text(job.headers["location"]), text_of("a job", 400))
+        self.assertEqual(
+            self.wait_for_job_text(job.headers["location"]), expected_text("a job", 400)
+        )
 
-    def test_a_killed_node_loses_no_job(self) -> None:
-        address = self.spare_node("entry-kill")
+    def test_job_survives_a_killed_node(self) -> None:
+        address = self.start_extra_node("entry-kill")
         headers = {"Prefer": "respond-async"}
         jobs = [
-            call(address, "POST", "/v1/completions", completion(f"job {i}", 300), headers)
+            call(address, "POST", "/v1/completions", completion_body(f"job {i}", 300), headers)
             for i in range(3)
         ]
         self.fleet.kill("entry-kill")
         self.fleet.set_state("entry-kill", InstanceState.GONE)
         for index, job in enumerate(jobs):
-            text = self.job_text(job.headers["location"])
-            self.assertEqual(text, text_of(f"job {index}", 300))
+            text = self.wait_for_job_text(job.headers["location"])
+            self.assertEqual(text, expected_text(f"job {index}", 300))
 
-    def test_a_killed_engine_loses_no_stream(self) -> None:
+    def test_streams_survive_a_killed_engine(self) -> None:
         self.fleet.start_engine("engine-kill", "hall-a", "--models", f"{MODEL},claims")
         self.fleet.wait_ready(self.nodes, servers=4)
-        streams = [Stream(self.address(), f"kill {i}", 120) for i in range(8)]
+        streams = [StreamClient(self.node_address(), f"kill {i}", 120) for i in range(8)]
         for stream in streams:
-            self.assertTrue(stream.started.wait(WAIT_S))
+            self.assertTrue(stream.started.wait(TIMEOUT_S))
         self.fleet.kill("engine-kill")
         self.fleet.set_state("engine-kill", InstanceState.GONE)
         for index, stream in enumerate(streams):
             stream.wait()
-            self.assertEqual((stream.text, stream.end), (text_of(f"kill {index}", 120), "done"))
+            self.assertEqual(
+                (stream.text, stream.end), (expected_text(f"kill {index}", 120), "done")
+            )
 
-    def test_a_dead_platform_stops_no_request(self) -> None:
+    def test_platform_outage_does_not_fail_streams(self) -> None:
         for part in Part:
-            self.faults(part, down=True)
-        self.addCleanup(self.end_outage)
-        stream = Stream(self.address(), "in an outage", 10).wait()
-        self.assertEqual((stream.text, stream.end), (text_of("in an outage", 10), "done"))
+            self.set_faults(part, down=True)
+        self.addCleanup(self.end_platform_outage)
+        stream = StreamClient(self.node_address(), "in an outage", 10).wait()
+        self.assertEqual((stream.text, stream.end), (expected_text("in an outage", 10), "done"))
         job = call(
-            self.address(),
+            self.node_address(),
             "POST",
             "/v1/completions",
-            completion("x", 2),
+            completion_body("x", 2),
             {"Prefer": "respond-async"},
         )
         # A table that answers 503 may have committed; only an open breaker lets us say "no".
@@ -381,11 +393,11 @@
         self.assertIn(job.json()["ran"], ("no", "unknown"))
         self.assertIn("retry-after", job.headers)
 
-    def test_two_operators_and_a_frozen_node(self) -> None:
+    def test_one_of_two_concurrent_rolls_reaches_a_frozen_node(self) -> None:
         self.fleet.signal("entry-3", signal.SIGSTOP)
         self.addCleanup(self.fleet.signal, "entry-3", signal.SIGCONT)
-        hers = self.fleet.write_bundle(2, self.service(), "-anna")
-        his = self.fleet.write_bundle(2, self.service(), "-bram")
+        hers = self.fleet.write_bundle(2, self.service_address(), "-anna")
+        his = self.fleet.write_bundle(2, self.service_address(), "-bram")
         his.write_text(his.read_text() + "# his\n")
         self.fleet.sign(hers, "anna")
         self.fleet.sign(his, "bram")
@@ -401,28 +413,28 @@
         for thread in threads:
             thread.start()
         for thread in threads:
-            thread.join(WAIT_S)
+            thread.join(TIMEOUT_S)
         self.assertEqual(sorted(codes.values()), [0, 3])
         self.fleet.signal("entry-3", signal.SIGCONT)
         self.fleet.wait_ready(self.nodes, version=2)
         history = self.fleet.cli("bundle", "history", "--json", node="entry-3")
         self.assertEqual([head["version"] for head in json.loads(history.stdout)], [1, 2])
 
-    def test_a_stranger_is_no_peer(self) -> None:
+    def test_unauthenticated_peer_is_rejected(self) -> None:
         peer = self.fleet.procs["entry-1"].peer_address
         with grpc.insecure_channel(peer) as channel:
             stub = peers_pb2_grpc.PeersStub(channel)
             for metadata in ((), (("moledale-peer", "nonsense"),)):
                 with self.assertRaises(grpc.RpcError) as caught:
-                    stub.Digest(peers_pb2.DigestMessage(), metadata=metadata, timeout=WAIT_S)
+                    stub.Digest(peers_pb2.DigestMessage(), metadata=metadata, timeout=TIMEOUT_S)
                 code = caught.exception.code()  # type: ignore[attr-defined]
                 self.assertEqual(code, grpc.StatusCode.UNAUTHENTICATED)
 
-    def test_the_operators_command(self) -> None:
+    def test_operator_commands(self) -> None:
         bundle = str(ROOT / "examples" / "bundle.toml")
         bad = self.fleet.folder / "bad.toml"
         bad.write_text("version = 0\n")
-        old = self.fleet.write_bundle(1, self.service(), "-old")
+        old = self.fleet.write_bundle(1, self.service_address(), "-old")
         old.write_text(old.read_text() + "# old\n")
         self.fleet.sign(old)
         forged = self.fleet.write_bundle(9, None, "-forged")
@@ -456,10 +468,10 @@
                 self.assertNotIn("\x1b", done.stdout + done.stderr)
         self.assertIn("<svg", plot.read_text("utf-8"))
 
-    def test_wrong_settings_stop_the_daemon_with_2(self) -> None:
+    def test_invalid_settings_stop_the_daemon_with_2(self) -> None:
         proc = self.fleet.launch_node("entry-bad", "Hall A!", "[colour]\nx = 1\n")
-        self.assertEqual(proc.process.wait(WAIT_S), 2)
-        until = monotonic() + WAIT_S
+        self.assertEqual(proc.process.wait(TIMEOUT_S), 2)
+        until = monotonic() + TIMEOUT_S
         while len(proc.lines) < 2 and monotonic() < until:
             time.sleep(0.01)
         text = "\n".join(proc.lines)
