--- a/tests/world.py
+++ b/tests/world.py
@@ -584,7 +584,7 @@
             self.add_engine(f"e{index}", "hall-a" if index % 2 == 0 else "hall-b")
         for index in range(nodes):
             await self.start_node(f"n{index}", "hall-a" if index % 2 == 0 else "hall-b")
-        (await self.nodes["n0"].roll(self.signed(1))).unwrap()
+        (await self.nodes["n0"].roll(self.make_signed_bundle(1))).unwrap()
         await self.wait_until(
             lambda: all(
                 node.refusal() is None
