--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -331,7 +331,7 @@
     @in_world
     async def test_call_runs_once_when_its_claim_is_written_late(self, world: World) -> None:
         await world.start()
-        world.faults[Part.TABLE].land_late = 3
+        world.faults[Part.TABLE].late_writes = 3
         call = world.make_once_call("file", "key-1")
         first = await world.nodes["n0"].once.run(call)
         await world.clock.sleep(10.0)
