--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -1,8 +1,8 @@
-"""The fault matrix: every fault of the brief at every step, driven by one table.
+"""The fault matrix: injects each fault at each step of a request or duty and checks the outcome.
 
-`python -m tests.matrix` runs and prints it. A cell is `proved`, `FAILS`, or `-` with a reason.
-In each cell the step's kinds of request run in worlds of their own; the fault strikes when the
-step is passed, once and, in a second world, twice.
+`python -m tests.matrix` runs and prints it. A cell is `proved`, `FAILS` with a reason, or `-` if
+a scenario never reaches the step. Each scenario of a step runs in a new `World`, once with the
+fault at the first time that the step is reached, and once with it at the first two times.
 """
 
 import asyncio
@@ -52,17 +52,17 @@
 
 
 async def cut_off_node(world: World, node: str, server: str) -> None:
-    gate = world.hosts[node]
-    gate.cut_peers = gate.cut_platform = True
+    host = world.hosts[node]
+    host.cut_peers = host.cut_platform = True
 
     def heal() -> None:
-        gate.cut_peers = gate.cut_platform = False
+        host.cut_peers = host.cut_platform = False
 
     world.call_later(FAULT_DURATION_S, heal)
 
 
 def _platform_fault(**fields: bool) -> Action:
-    async def strike(world: World, node: str, server: str) -> None:
+    async def inject(world: World, node: str, server: str) -> None:
         for part in Part:
             for name, value in fields.items():
                 setattr(world.faults[part], name, value)
@@ -74,7 +74,7 @@
 
         world.call_later(FAULT_DURATION_S, heal)
 
-    return strike
+    return inject
 
 
 async def lose_table_answer(world: World, node: str, server: str) -> None:
@@ -86,7 +86,7 @@
 
 
 async def reclaim_hall(world: World, node: str, server: str) -> None:
-    """Take back a whole hall's servers; the cloud has no replacement."""
+    """Reclaim all servers of a hall; the cloud has no replacement."""
     for engine in list(world.engines.values()):
         if engine.hall == "hall-a":
             world.reclaim(engine.name, NOTICE_S)
@@ -115,11 +115,11 @@
 }
 
 
-# Scenarios; each returns what went wrong, or nothing
+# Scenarios: each returns a description of the failure, or None
 
 
 async def run_stream(world: World) -> str | None:
-    """Stream through n0; a caller whose node died, or who was refused, sends again."""
+    """Stream through n0; retry at other nodes if the node dies or refuses."""
     request = world.make_request("stream", 60)
     for node in ("n0", "n1", "n2", "n1", "n2"):
         if node not in world.nodes:
@@ -131,7 +131,7 @@
         submitted = target.dispatcher.submit(world.make_request("stream", 60))
         if isinstance(submitted, Err):
             if submitted.err_value.ran is not Ran.NO:
-                return "a refusal at once can't be unknown"
+                return "an immediate refusal reported an unknown outcome"
             await world.clock.sleep(3.0)
             continue
         read = await _await_unless_node_dies(world, node, world.read(node, submitted.ok_value))
@@ -145,23 +145,23 @@
 
 
 async def run_stream_during_drain(world: World) -> str | None:
-    """Stream through n0, which makes a planned stop in the middle of it."""
+    """Stream through n0, which makes a planned stop during the stream."""
     request = world.make_request("drained", 150)
     record = world.nodes["n0"].dispatcher.submit(request).unwrap()
-    reading = asyncio.create_task(_await_unless_node_dies(world, "n0", world.read("n0", record)))
+    read_task = asyncio.create_task(_await_unless_node_dies(world, "n0", world.read("n0", record)))
     await world.clock.sleep(0.5)
     await world.reach_step("drain", "n0", str(record.server), outside=True)
     if "n0" in world.nodes:
         draining = asyncio.create_task(world.nodes["n0"].drain())
         await _await_unless_node_dies(world, "n0", _wait_for_task(draining))
-    read = await reading
+    read = await read_task
     if read == NODE_DIED:
-        return None if "n0" not in world.nodes else "lost without a death"
+        return None if "n0" not in world.nodes else "the stream was lost although its node lives"
     return None if read == expected_tokens(request) else f"wrong text after {len(read)} tokens"
 
 
 async def run_job(world: World) -> str | None:
-    """Accept a job at n0 and fetch its result elsewhere."""
+    """Accept a job at n0 and fetch its result at another node."""
     request = world.make_request("job", 60, deadline_at=world.clock.wall() + 1e6)
     await world.reach_step("accept", "n0", outside=True)
     if "n0" not in world.nodes:
@@ -171,7 +171,7 @@
     accepted = await _await_unless_node_dies(world, "n0", node.jobs.accept(request, job))
     if accepted != NODE_DIED and isinstance(accepted, Err):
         return await _check_refused_job(world, accepted.err_value, job)
-    # A caller that got no answer doesn't know; the job may run or not, but not in part.
+    # Without an answer the job may or may not have been accepted, but its result must be complete.
     must_finish = accepted != NODE_DIED
     return await _check_job_result(world, job, "".join(expected_tokens(request)), must_finish)
 
@@ -180,7 +180,7 @@
     await world.clock.sleep(40.0)
     ran = [a for e in world.engines.values() for _, a in e.starts if a.startswith(job)]
     if refusal.ran is Ran.NO and ran:
-        return "it ran although its caller was told that it did not"
+        return "it ran although the refusal reported that it did not"
     return None
 
 
@@ -201,7 +201,7 @@
 
 
 async def run_adopted_job(world: World) -> str | None:
-    """A job whose node dies, so that another one adopts it, and the fault strikes there."""
+    """Kill the node of a job, so that the fault hits the node that adopts it."""
     request = world.make_request("adopted", 200, deadline_at=world.clock.wall() + 1e6)
     job = new_job_id("hall-a")
     (await world.nodes["n0"].jobs.accept(request, job)).unwrap()
@@ -211,7 +211,7 @@
 
 
 async def run_once_call(world: World) -> str | None:
-    """A not-repeatable call at n0, sent again at every node until it is answered."""
+    """Send a call that is not repeatable to n0, and again to other nodes; it may run only once."""
     call = world.make_once_call("ticket", "key-1")
     for node in ("n0", "n1", "n2", "n0", "n1"):
         if node not in world.nodes:
@@ -221,9 +221,9 @@
             continue
         before = world.service_runs["ticket"]
         outcome = await _await_unless_node_dies(world, node, world.nodes[node].once.run(call))
-        wrong = _check_once_outcome(world, call, outcome, before)
-        if wrong is not None:
-            return wrong
+        failure = _check_once_outcome(world, call, outcome, before)
+        if failure is not None:
+            return failure
         await world.clock.sleep(3.0)
     await world.clock.sleep(FREEZE_S + FAULT_DURATION_S)
     return (
@@ -240,13 +240,17 @@
     if isinstance(outcome, str):
         return None
     if isinstance(outcome, Err):
-        said_no = outcome.err_value.ran is Ran.NO
-        return "it ran although it was said not to" if said_no and runs else None
+        reported_not_run = outcome.err_value.ran is Ran.NO
+        return (
+            "it ran although the error reported that it did not"
+            if reported_not_run and runs
+            else None
+        )
     return None if outcome.ok_value.body == b"ran ticket" else "a wrong answer"
 
 
 async def run_bundle_roll(world: World) -> str | None:
-    """Roll version 2 through n0 and watch it come into force."""
+    """Roll version 2 through n0; check that nodes converge on one version and never go back."""
     signed = world.make_signed_bundle(2, "anna", "first")
     outcome = await _await_unless_node_dies(world, "n0", world.nodes["n0"].roll(signed))
     floors = dict.fromkeys(NODES, 0)
@@ -268,7 +272,11 @@
 
 
 async def watch_lease(world: World) -> str | None:
-    """Watch the lease of hall-a and the orders that its holders give."""
+    """Check the lease of hall-a and the orders of its holders.
+
+    There is at most one holder at any time, servers that check the epoch take no order with an
+    older one, and at the end the holder has had the missing models loaded.
+    """
     world.engines["e1"].checks_fence = False
     for step in range(250):
         running = [n for n in world.nodes if world.hosts[n].running.is_set()]
@@ -283,17 +291,17 @@
         epochs: dict[str, int] = {}
         for order in engine.orders:
             if engine.checks_fence and order.epoch < epochs.get(order.lease, 0):
-                return f"{engine.name} took an older epoch"
+                return f"{engine.name} took an order with an older epoch"
             epochs[order.lease] = max(order.epoch, epochs.get(order.lease, 0))
     if "hall/hall-a" not in held:
-        return "nobody holds the lease in the end"
+        return "no node holds the lease at the end"
     alive = [engine for engine in world.engines.values() if engine.alive]
     missing = [e.name for e in alive if "claims" not in e.models and e.leaving_since is None]
     return f"models are missing at {missing}" if missing else None
 
 
 async def _await_unless_node_dies(world: World, node: str, work: Coroutine[Any, Any, Any]) -> Any:
-    """Await something of a node; return `NODE_DIED` if the node dies before it is done."""
+    """Await work at a node; return `NODE_DIED` if the node dies first."""
     task = asyncio.create_task(work)
     while not task.done():
         if node not in world.nodes:
@@ -307,7 +315,7 @@
     await asyncio.wait([task])
 
 
-# The table
+# Cells
 
 
 Scenario = Callable[[World], Awaitable[str | None]]
@@ -315,7 +323,7 @@
 
 @dataclass(frozen=True)
 class Cell:
-    """What became of one fault at one step."""
+    """The outcome of one fault at one step."""
 
     verdict: str
     reason: str = ""
@@ -341,14 +349,14 @@
 
 
 def run_cell(step: str, fault: str, times: int) -> Cell:
-    """Run one cell in fresh worlds."""
+    """Run every scenario of a cell, each in a new world, with the fault `times` times."""
     for scenario in STEPS[step]:
-        wrong, reached = asyncio.run(_run_scenario(scenario, step, FAULTS[fault], times))
+        failure, reached = asyncio.run(_run_scenario(scenario, step, FAULTS[fault], times))
         name = getattr(scenario, "__name__", "")
         if not reached:
-            return Cell("-", f"{name} does not pass the step")
-        if wrong is not None:
-            return Cell("FAILS", f"{name}, x{times}: {wrong}")
+            return Cell("-", f"{name} does not reach the step")
+        if failure is not None:
+            return Cell("FAILS", f"{name}, x{times}: {failure}")
     return Cell("proved")
 
 
@@ -360,30 +368,30 @@
         await world.clock.run(world.start(), CELL_TIMEOUT_S)
         world.steps_reached.clear()
         world.plan_fault(step, action, times)
-        wrong = await world.clock.run(scenario(world), CELL_TIMEOUT_S)  # type: ignore[arg-type]
-        return wrong, world.steps_reached[step] > 0
+        failure = await world.clock.run(scenario(world), CELL_TIMEOUT_S)  # type: ignore[arg-type]
+        return failure, world.steps_reached[step] > 0
     except AssertionError as error:
         return f"{error}", True
     finally:
         await world.stop()
 
 
-def run_cell_once_and_twice(place: tuple[str, str]) -> Cell:
-    """Run a cell with its fault once and twice; the worse verdict counts."""
+def run_cell_once_and_twice(coordinate: tuple[str, str]) -> Cell:
+    """Run a cell with its fault once and twice; return the first result that is not proved."""
     logbook.NullHandler().push_application()
-    cells = [run_cell(*place, times) for times in (1, 2)]
+    cells = [run_cell(*coordinate, times) for times in (1, 2)]
     return next((cell for cell in cells if cell.verdict != "proved"), cells[0])
 
 
 def run_matrix() -> dict[tuple[str, str], Cell]:
-    """Run every cell, in a few processes since the worlds don't touch."""
-    places = [(step, fault) for step in STEPS for fault in FAULTS]
+    """Run every cell, in `WORKER_PROCESSES` processes as the worlds share nothing."""
+    coordinates = [(step, fault) for step in STEPS for fault in FAULTS]
     with ProcessPoolExecutor(WORKER_PROCESSES) as pool:
-        return dict(zip(places, pool.map(run_cell_once_and_twice, places), strict=True))
+        return dict(zip(coordinates, pool.map(run_cell_once_and_twice, coordinates), strict=True))
 
 
 def print_matrix(found: dict[tuple[str, str], Cell]) -> None:
-    """Print the matrix, then a reason for every cell that isn't proved."""
+    """Print the matrix, then the reason for each cell that is not proved."""
     width = max(len(fault) for fault in FAULTS) + 2
     print("".ljust(15) + "".join(fault.ljust(width) for fault in FAULTS))
     for step in STEPS:
@@ -401,7 +409,7 @@
 
 
 def main() -> int:
-    """Run and print the matrix; 1 if a cell fails."""
+    """Run and print the matrix; return 1 if a cell fails."""
     found = run_matrix()
     print_matrix(found)
     return 1 if any(cell.verdict == "FAILS" for cell in found.values()) else 0
