--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The pure decisions: routing, queueing, leases, subsets, addresses, limits, freshness."""
+"""Tests the decisions in `moledale.core`, which do no I/O and get the time as an argument."""
 
 import random
 import unittest
@@ -98,62 +98,62 @@
         self.assertEqual(len(picked[Priority.NORMAL]), 10)
 
     def test_picks_spread_before_the_first_report(self) -> None:
-        book = LoadTracker(10)
+        tracker = LoadTracker(10)
         for name in "wxyz":
-            book.follow(make_view(name))
-        picked = [book.pick_and_reserve(make_need(session=""), PARAMS, 1.0) for _ in range(16)]
-        self.assertIsNone(book.pick_and_reserve(make_need(), PARAMS, 1.0))
+            tracker.follow(make_view(name))
+        picked = [tracker.pick_and_reserve(make_need(session=""), PARAMS, 1.0) for _ in range(16)]
+        self.assertIsNone(tracker.pick_and_reserve(make_need(), PARAMS, 1.0))
         counts = {n: sum(1 for p in picked if p and p[0].server == n) for n in "wxyz"}
         self.assertEqual(set(counts.values()), {4})
 
     def test_late_report_neither_hides_nor_double_counts_reservations(self) -> None:
-        book = LoadTracker(10)
-        book.follow(make_view("x"))
-        early = book.reserve("x", make_need(), 1.0)
-        late = book.reserve("x", make_need(), 3.0)
-        book.apply_report(make_report("x", 1, running=1), made_at=2.0, now=3.5)
-        self.assertEqual(book.views["x"].running, 2)
-        book.release(early, 4.0)
-        book.apply_report(make_report("x", 2, running=2), made_at=3.8, now=4.5)
-        self.assertEqual(book.views["x"].running, 1)
-        book.release(late, 5.0)
-        book.release(late, 5.0)
-        self.assertEqual(book.views["x"].running, 0)
+        tracker = LoadTracker(10)
+        tracker.follow(make_view("x"))
+        early = tracker.reserve("x", make_need(), 1.0)
+        late = tracker.reserve("x", make_need(), 3.0)
+        tracker.apply_report(make_report("x", 1, running=1), made_at=2.0, now=3.5)
+        self.assertEqual(tracker.views["x"].running, 2)
+        tracker.release(early, 4.0)
+        tracker.apply_report(make_report("x", 2, running=2), made_at=3.8, now=4.5)
+        self.assertEqual(tracker.views["x"].running, 1)
+        tracker.release(late, 5.0)
+        tracker.release(late, 5.0)
+        self.assertEqual(tracker.views["x"].running, 0)
 
     def test_an_older_report_is_ignored(self) -> None:
-        book = LoadTracker(10)
-        book.follow(make_view("x"))
-        self.assertTrue(book.apply_report(make_report("x", 5, 3), 1.0, 1.0))
-        self.assertFalse(book.apply_report(make_report("x", 4, 0), 2.0, 2.0))
-        self.assertEqual(book.views["x"].running, 3)
+        tracker = LoadTracker(10)
+        tracker.follow(make_view("x"))
+        self.assertTrue(tracker.apply_report(make_report("x", 5, 3), 1.0, 1.0))
+        self.assertFalse(tracker.apply_report(make_report("x", 4, 0), 2.0, 2.0))
+        self.assertEqual(tracker.views["x"].running, 3)
 
     @given(st.lists(st.sampled_from(["reserve", "release", "report"]), max_size=40))
     def test_load_returns_to_zero_after_all_releases(self, steps: list[str]) -> None:
-        book = LoadTracker(5)
-        book.follow(make_view("x"))
+        tracker = LoadTracker(5)
+        tracker.follow(make_view("x"))
         held = []
         for number, step in enumerate(steps):
             at = float(number)
             if step == "reserve":
-                held.append(book.reserve("x", make_need(), at))
+                held.append(tracker.reserve("x", make_need(), at))
             elif step == "release" and held:
-                book.release(held.pop(0), at)
+                tracker.release(held.pop(0), at)
             elif step == "report":
-                book.apply_report(make_report("x", number, len(held)), at - 0.5, at)
-            self.assertGreaterEqual(book.views["x"].running, 0)
+                tracker.apply_report(make_report("x", number, len(held)), at - 0.5, at)
+            self.assertGreaterEqual(tracker.views["x"].running, 0)
         for made in held:
-            book.release(made, 100.0)
-        book.apply_report(make_report("x", 1000, 0), 200.0, 200.0)
-        self.assertEqual((book.views["x"].running, book.open_reservations()), (0, 0))
+            tracker.release(made, 100.0)
+        tracker.apply_report(make_report("x", 1000, 0), 200.0, 200.0)
+        self.assertEqual((tracker.views["x"].running, tracker.open_reservations()), (0, 0))
 
     def test_tracked_sessions_are_bounded_and_dropped_with_their_server(self) -> None:
-        book = LoadTracker(2)
-        book.follow(make_view("x"))
+        tracker = LoadTracker(2)
+        tracker.follow(make_view("x"))
         for session in ("a", "b", "c"):
-            book.record_cache(session, "x", 10)
-        self.assertEqual(sorted(book.views["x"].cached), ["b", "c"])
-        book.unfollow("x")
-        self.assertIsNone(book.server_of("b"))
+            tracker.record_cache(session, "x", 10)
+        self.assertEqual(sorted(tracker.views["x"].cached), ["b", "c"])
+        tracker.unfollow("x")
+        self.assertIsNone(tracker.server_of("b"))
 
 
 class QueueTest(unittest.TestCase):
@@ -358,7 +358,7 @@
 def rent_until_settled(
     bundle: Bundle, demand: float, refused: frozenset[RentRefusal] = frozenset()
 ) -> list[Rented]:
-    """Rent until the plan has no changes left, as the rounds of the holders do."""
+    """Apply the plan in rounds until it rents no more, as lease holders do; return what is held."""
     held: list[Rented] = []
     for number in range(50):
         changes = renting_plan(bundle, RentView(demand, held, refused))
@@ -368,7 +368,7 @@
         for place, rent in enumerate(rents):
             name = f"i{number}-{place}"
             held.append(Rented(name, rent.hall, rent.instance_class, rent.market))
-    raise AssertionError("the plan never settles")
+    raise AssertionError("the plan still rents after 50 rounds")
 
 
 class RentingTest(unittest.TestCase):
@@ -390,7 +390,7 @@
         returned = renting_plan(bundle, RentView(500.0, idle))
         self.assertEqual(len(returned), 2)
         busy = renting_plan(bundle, RentView(500.0, held))
-        self.assertEqual(busy, [], "what has requests is not returned")
+        self.assertEqual(busy, [], "servers with requests are not returned")
 
     def test_recompute_weight_raises_the_on_demand_share(self) -> None:
         shares = []
@@ -434,26 +434,26 @@
             self.make_stream("b", 40_000),
             self.make_stream("c", 30_000),
         ]
-        courses = plan(streams, self.VIEW)
-        self.assertEqual(courses["short"], ReclaimAction.FINISH)
-        moved = [s for s in streams if courses[s.id] is ReclaimAction.MOVE]
+        actions = plan(streams, self.VIEW)
+        self.assertEqual(actions["short"], ReclaimAction.FINISH)
+        moved = [s for s in streams if actions[s.id] is ReclaimAction.MOVE]
         self.assertTrue(moved)
         self.assertLessEqual(sum(s.kv_bytes for s in moved) / 1e9, 9.5)
-        self.assertIn(ReclaimAction.PREFILL, courses.values())
+        self.assertIn(ReclaimAction.PREFILL, actions.values())
 
     def test_idle_caches_move_after_live_streams_of_equal_size(self) -> None:
         idle = HeldSession("idle", 40_000, 4_000_000_000, 0.0, False, idle=True)
         live = [self.make_stream("a", 40_000), self.make_stream("b", 40_000)]
-        courses = plan([idle, *live], self.VIEW)
-        self.assertEqual(courses["idle"], ReclaimAction.PREFILL)
-        self.assertEqual({courses["a"], courses["b"]}, {ReclaimAction.MOVE})
+        actions = plan([idle, *live], self.VIEW)
+        self.assertEqual(actions["idle"], ReclaimAction.PREFILL)
+        self.assertEqual({actions["a"], actions["b"]}, {ReclaimAction.MOVE})
         self.assertEqual(plan([idle], self.VIEW), {"idle": ReclaimAction.MOVE})
 
     def test_no_time_or_no_link_means_prefill(self) -> None:
         for notice, link in [(0.0, 1e9), (10.0, 0.0)]:
-            make_view = ReclaimView(notice, link, 8_000)
+            reclaim_view = ReclaimView(notice, link, 8_000)
             self.assertEqual(
-                plan([self.make_stream("a", 100)], make_view), {"a": ReclaimAction.PREFILL}
+                plan([self.make_stream("a", 100)], reclaim_view), {"a": ReclaimAction.PREFILL}
             )
 
 
