--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix as a test: no cell may fail, and none may be left blank."""
+"""Runs the fault matrix: fails if a fault breaks a scenario or a scenario misses its step."""
 
 import unittest
 
