--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""What must always hold, point by point, with the failure caused each time."""
+"""Checks each guarantee to callers and operators on real nodes while its failure is caused."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 class StreamSurvivesTest(unittest.TestCase):
-    """An accepted request survives any announced reclaim; each gets its own whole answer."""
+    """Accepted streams survive reclaims and crashes of servers; each gets its complete answer."""
 
     @in_world
     async def test_stream_without_faults_is_complete(self, world: World) -> None:
@@ -100,7 +100,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """ "Did not run" is true, and refusals come at once."""
+    """Refusals come at once, and a request that is reported as not run did not run."""
 
     @in_world
     async def test_request_without_a_server_for_its_model_is_refused(self, world: World) -> None:
@@ -167,7 +167,7 @@
 
 
 class JobTest(unittest.TestCase):
-    """Work that can wait is durable before it is accepted."""
+    """Jobs are stored before they are accepted, so they finish although their node is lost."""
 
     async def accept_job(self, world: World, node: str, tokens: int = 60) -> tuple[str, list[str]]:
         request = world.make_request(tokens=tokens, deadline_at=world.clock.wall() + 1e6)
@@ -215,7 +215,7 @@
         await world.start()
         world.faults[Part.TABLE].lose_answers = 2
         job, answer = await self.accept_job(world, "n0")
-        # Read back as its own, the job runs here and doesn't wait to be adopted.
+        # The node reads the row back and finds its own write, so the job runs without an adoption.
         self.assertEqual(world.nodes["n0"].jobs.open_jobs, 1)
         self.assertEqual(await self.wait_for_result(world, "n1", job), "".join(answer))
 
@@ -253,12 +253,12 @@
         ended = (await world.nodes["n0"].jobs.result("brokers", job)).unwrap()
         assert ended is not None
         self.assertEqual(ended.state, JobState.CANCELLED)
-        stranger = await world.nodes["n0"].jobs.status("travel", job)
-        self.assertEqual(stranger.unwrap_err().status, 404)
+        other_account = await world.nodes["n0"].jobs.status("travel", job)
+        self.assertEqual(other_account.unwrap_err().status, 404)
 
 
 class OnceTest(unittest.TestCase):
-    """Not repeatable runs at most once."""
+    """Calls that are not repeatable run at most once."""
 
     @in_world
     async def test_repeated_call_runs_once_across_nodes(self, world: World) -> None:
@@ -349,7 +349,7 @@
         own = await world.nodes["n0"].once.run(world.make_once_call("own", issued))
         foreign = await world.nodes["n0"].once.run(world.make_once_call("foreign", "key-1"))
         self.assertTrue(own.is_ok())
-        # It may have run through another node before, which nobody can tell now.
+        # Without the table it is unknown whether another node ran this call before.
         self.assertEqual(foreign.unwrap_err().ran, Ran.UNKNOWN)
         self.assertEqual(world.service_runs, {"own": 1})
         keyed = await world.nodes["n0"].jobs.accept(
@@ -388,7 +388,7 @@
 
 
 class LeavingServerTest(unittest.TestCase):
-    """A leaving server receives no new work after a few seconds, whichever source tells of it."""
+    """A leaving server gets no new requests after `MAX_DELAY_S`, whichever source reports it."""
 
     MAX_DELAY_S = 3.0
 
@@ -456,7 +456,7 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    """A planned stop cuts off no request."""
+    """A planned stop of a node interrupts no stream."""
 
     @in_world
     async def test_rolling_stop_under_load_completes_all_streams(self, world: World) -> None:
@@ -489,7 +489,7 @@
 
 
 class BundleTest(unittest.TestCase):
-    """An accepted bundle version is in force everywhere within seconds and never reverts."""
+    """An accepted bundle version takes effect on all nodes within seconds and is never reverted."""
 
     def bundle_versions(self, world: World) -> set[int]:
         return {node.bundles.version for node in world.nodes.values()}
@@ -530,7 +530,7 @@
         world.freeze("n2", 30.0)
         (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
         await world.clock.sleep(31.0)
-        # It may not serve by the old version: its confirmation is as old as its pause.
+        # It may not serve by the old version: it last confirmed that version before the pause.
         late = world.nodes["n2"]
         self.assertTrue(late.bundles.version == 2 or late.refusal() is not None)
         await world.wait_until(lambda: late.bundles.version == 2 and late.refusal() is None, 5.0)
@@ -554,7 +554,9 @@
         refusal = node.refusal()
         assert refusal is not None
         self.assertEqual(refusal.ran, Ran.NO)
-        self.assertIsNone(world.nodes["n0"].refusal(), "an outage stops nobody else")
+        self.assertIsNone(
+            world.nodes["n0"].refusal(), "nodes that confirmed their version serve on"
+        )
         world.faults[Part.TABLE].down = False
         await world.wait_until(lambda: node.refusal() is None, 25.0)
 
@@ -567,7 +569,7 @@
         world.hosts["n2"].cut_platform = True
         (await world.nodes["n0"].roll(world.make_signed_bundle(2))).unwrap()
         await world.wait_until(lambda: world.nodes["n1"].bundles.version == 2, 5.0)
-        # Without the table n2 can't fetch it, but its peers tell it that it is behind.
+        # Without the table n2 cannot fetch version 2, but peers' digests show that it is behind.
         await world.wait_until(lambda: world.nodes["n2"].refusal() is not None, 7.0)
         world.hosts["n2"].cut_platform = False
         await world.wait_until(lambda: world.nodes["n2"].refusal() is None, 25.0)
@@ -597,7 +599,7 @@
 
 
 class LeaseDutyTest(unittest.TestCase):
-    """A frozen holder changes nothing."""
+    """A lease has at most one holder, and one that was frozen sends no orders afterwards."""
 
     @in_world
     async def test_resumed_lease_holder_sends_no_orders_with_its_old_epoch(
@@ -652,10 +654,11 @@
 
 
 class RentingTest(unittest.TestCase):
-    """What was asked for counts as coming, also for other halls and the next holder."""
+    """Ordered servers count towards the demand, also for other halls and the next lease holder."""
 
     NEEDED_SERVERS = 10
-    """Engines of 1,500 tokens/s that leave 5,000 / 0.7 with either hall gone."""
+    """Each of the two halls must meet the demand alone: 5,000 tokens/s at a utilization of 0.7
+    take 5 engines of 1,500 tokens/s."""
 
     async def count_engines_after(self, world: World, seconds: float) -> int:
         await world.clock.sleep(seconds)
@@ -696,12 +699,12 @@
 
 
 class RecoveryTest(unittest.TestCase):
-    """After a long outage the nodes do not come back as one wave."""
+    """After a long outage the nodes return to the table at different times."""
 
     NODES = 20
 
     async def peak_requests(self, world: World, seconds: int) -> tuple[int, int]:
-        """Return the most reads and the most writes that any quarter of a second saw."""
+        """Return the maximum number of reads and of writes in any 0.25 s."""
         reads, writes = [0], [0]
         for _ in range(seconds * 4):
             before = (world.state.stats.reads, world.state.stats.writes)
@@ -718,7 +721,7 @@
         await world.clock.sleep(120.0)
         world.faults[Part.TABLE].hang = False
         after = await self.peak_requests(world, 15)
-        # Each node polls the head once in 3 s; all at once would be 20 in one quarter.
+        # Each node polls the head every 3 s; in one wave all 20 would read within one 0.25 s.
         for reads, writes in (usual, after):
             self.assertLessEqual(reads, self.NODES // 2)
             self.assertLessEqual(writes, self.NODES // 4)
