--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: a node is killed, stopped, frozen; callers send what they like."""
+"""Runs nodes and stand-ins as processes on loopback; nodes are killed, stopped and frozen."""
 
 import http.client
 import json
@@ -27,7 +27,7 @@
 
 
 class Reply:
-    """A whole answer."""
+    """An HTTP response that was read to its end."""
 
     def __init__(self, response: http.client.HTTPResponse) -> None:
         self.status = response.status
@@ -62,7 +62,10 @@
 
 
 class StreamClient:
-    """A streamed answer read by a thread, resumed where it says it has moved."""
+    """Reads a streamed answer in a thread, and resumes at another node after a `moved` event.
+
+    `end` is "done", or how the stream failed.
+    """
 
     def __init__(self, address: str, prompt: str, tokens: int) -> None:
         self.text = ""
@@ -74,7 +77,7 @@
         self._thread = threading.Thread(target=self._read, args=(address, body), daemon=True)
         self._thread.start()
 
-    def wait(self) -> "Stream":
+    def wait(self) -> "StreamClient":
         self._thread.join(TIMEOUT_S)
         return self
 
@@ -105,7 +108,7 @@
                 return dict(json.loads(value))
             elif name == "data" and self._data(kind, value):
                 return None
-        self.end = self.end or f"silence after {response.status}"
+        self.end = self.end or f"connection closed without an end after status {response.status}"
         return None
 
     def _data(self, kind: str, value: str) -> bool:
@@ -119,7 +122,7 @@
 
 
 class SystemTest(unittest.TestCase):
-    """One fleet for all tests; each test leaves it as it was."""
+    """All tests share one fleet, so each must restore what it changes."""
 
     fleet: LocalFleet
     nodes = ("entry-1", "entry-2", "entry-3")
@@ -145,7 +148,7 @@
         return self.fleet.procs[node].address
 
     def start_extra_node(self, name: str) -> str:
-        """Start a node that a test may end."""
+        """Start another node, which the test may stop or kill; return its address."""
         self.fleet.start_node(name, "hall-a", "[times]\ndrain_s = 0.5\nlease_ttl_s = 5")
         self.fleet.wait_ready([name, *self.nodes], servers=3)
         self.addCleanup(self.fleet.set_state, name, InstanceState.GONE)
@@ -155,7 +158,7 @@
         self.fleet.control("faults", {part: Faults(**fields)})
 
     def end_platform_outage(self) -> None:
-        """Bring the platform back, and wait until every node's breaker has noticed."""
+        """Clear the platform's faults, and wait until every node's breaker has closed again."""
         for part in Part:
             self.set_faults(part)
         until = monotonic() + TIMEOUT_S
@@ -186,17 +189,17 @@
         for node in ("entry-1", "entry-2"):
             path = f"/v1/streams/{name}"
             if node == "entry-2":
-                sent_on = call(self.node_address(node), "GET", path)
-                self.assertEqual(sent_on.status, 307)
-                path = sent_on.headers["location"].split(self.node_address())[1]
+                redirect = call(self.node_address(node), "GET", path)
+                self.assertEqual(redirect.status, 307)
+                path = redirect.headers["location"].split(self.node_address())[1]
             rest = call(self.node_address(), "GET", path, headers={"Last-Event-ID": first})
             self.assertIn(f"id: {name}.1\n", rest.body.decode())
             self.assertNotIn(f"id: {name}.0\n", rest.body.decode())
             self.assertTrue(rest.body.endswith(b"data: [DONE]\n\n"))
         whole = call(self.node_address(), "GET", f"/v1/streams/{name}?whole=true")
         self.assertEqual(whole.json()["choices"][0]["text"], expected_text("long one", 60))
-        stranger = {"Authorization": "Bearer travel-key"}
-        other = call(self.node_address(), "GET", f"/v1/streams/{name}", headers=stranger)
+        other_account = {"Authorization": "Bearer travel-key"}
+        other = call(self.node_address(), "GET", f"/v1/streams/{name}", headers=other_account)
         self.assertIn(other.status, (404, 307))
 
     def test_slow_reader_gets_the_complete_stream(self) -> None:
@@ -205,7 +208,7 @@
         connection.request("POST", "/v1/completions", body, AUTH_HEADER)
         response = connection.getresponse()
         name = response.headers["moledale-request"]
-        # It reads nothing until the answer has long ended; another reader has it all by then.
+        # It starts to read only after another reader has got the complete answer.
         call(self.node_address(), "GET", f"/v1/streams/{name}?whole=true")
         events = response.read().decode()
         connection.close()
@@ -388,7 +391,7 @@
             completion_body("x", 2),
             {"Prefer": "respond-async"},
         )
-        # A table that answers 503 may have committed; only an open breaker lets us say "no".
+        # A table that answers 503 may have committed; "no" is certain only if the breaker was open.
         self.assertEqual(job.status, 503)
         self.assertIn(job.json()["ran"], ("no", "unknown"))
         self.assertIn("retry-after", job.headers)
@@ -396,11 +399,11 @@
     def test_one_of_two_concurrent_rolls_reaches_a_frozen_node(self) -> None:
         self.fleet.signal("entry-3", signal.SIGSTOP)
         self.addCleanup(self.fleet.signal, "entry-3", signal.SIGCONT)
-        hers = self.fleet.write_bundle(2, self.service_address(), "-anna")
-        his = self.fleet.write_bundle(2, self.service_address(), "-bram")
-        his.write_text(his.read_text() + "# his\n")
-        self.fleet.sign(hers, "anna")
-        self.fleet.sign(his, "bram")
+        anna_bundle = self.fleet.write_bundle(2, self.service_address(), "-anna")
+        bram_bundle = self.fleet.write_bundle(2, self.service_address(), "-bram")
+        bram_bundle.write_text(bram_bundle.read_text() + "# his\n")
+        self.fleet.sign(anna_bundle, "anna")
+        self.fleet.sign(bram_bundle, "bram")
         codes: dict[str, int] = {}
 
         def roll(path: Any, node: str) -> None:
@@ -408,7 +411,7 @@
 
         threads = [
             threading.Thread(target=roll, args=pair)
-            for pair in ((hers, "entry-1"), (his, "entry-2"))
+            for pair in ((anna_bundle, "entry-1"), (bram_bundle, "entry-2"))
         ]
         for thread in threads:
             thread.start()
