--- a/tests/world.py
+++ b/tests/world.py
@@ -1,8 +1,8 @@
-"""Fakes at the interfaces, one clock that tests own, and the faults of the brief on them.
+"""Runs real nodes on a manual clock against fakes of everything outside of them, with faults.
 
-Nodes are the real ones. What is faked is what lies outside of a node: platform, servers, plain
-services and the wire between nodes. A fault is set at a named step: the fakes call `step` where
-it is passed, and the first time (or the first two) the fault's action runs.
+The fakes stand in for the platform, the servers, plain services and the links between nodes.
+A fault is planned for a named step of a request or duty: the fakes call `World.reach_step` there,
+and the fault's action runs the first time, or the first few times, that the step is reached.
 """
 
 import asyncio
@@ -73,7 +73,7 @@
 
 
 class ManualClock:
-    """Time that moves only from one sleeper to the next, once nothing else can run."""
+    """A clock that advances to the next sleeper's wakeup only when no task can run."""
 
     def __init__(self) -> None:
         self.now = 1_000.0
@@ -93,7 +93,7 @@
         await waiting
 
     async def run(self, work: Coroutine[Any, Any, T], limit_s: float = 120.0) -> T:
-        """Run work to its end, moving time on; fails if it takes more than `limit_s`."""
+        """Run a coroutine to its end, advancing the clock; fail if that takes over `limit_s`."""
         task = asyncio.create_task(work)
         until = self.now + limit_s
         while True:
@@ -102,14 +102,14 @@
                 return task.result()
             if not self._sleepers or self._sleepers[0][0] > until:
                 task.cancel()
-                raise AssertionError(f"not done within {limit_s} s of the clock")
+                raise AssertionError(f"not done within {limit_s} s of the manual clock")
             self.now, _, waiting = heapq.heappop(self._sleepers)
             if not waiting.done():
                 waiting.set_result(None)
 
 
 async def _wait_until_idle() -> None:
-    """Return when nothing else can run without time moving on."""
+    """Return once every task waits for the clock to advance."""
     ready = asyncio.get_running_loop()._ready  # type: ignore[attr-defined]
     await asyncio.sleep(0)
     while ready:  # noqa: ASYNC110 -- there is no event for "nothing is ready"
@@ -118,7 +118,7 @@
 
 @dataclass
 class FakeHost:
-    """Whether a node runs, is paused or dead, and what it is cut off from."""
+    """The host of one node: whether it is paused or dead, and what it is cut off from."""
 
     name: str
     dead: bool = False
@@ -130,18 +130,18 @@
         self.running.set()
 
     async def wait_until_running(self) -> None:
-        """Wait while the node is paused, and for ever if it is dead."""
+        """Wait while the host is paused, and forever if it is dead."""
         await self.running.wait()
         if self.dead:
             await asyncio.Event().wait()
 
 
 class NodeClock:
-    """The clock as a node sees it: a paused node's sleeps end late."""
+    """The clock of one node, whose sleeps end late while its host is paused."""
 
-    def __init__(self, clock: ManualClock, gate: FakeHost) -> None:
+    def __init__(self, clock: ManualClock, host: FakeHost) -> None:
         self._clock = clock
-        self._host = gate
+        self._host = host
 
     def monotonic(self) -> float:
         return self._clock.monotonic()
@@ -156,7 +156,11 @@
 
 @dataclass
 class PartFaults:
-    """Faults of one part of the platform, for all nodes."""
+    """Faults of one part of the platform, for all nodes.
+
+    `lose_answers` is the number of writes that are applied and then time out; `late_writes` is the
+    number that are applied only after they have timed out.
+    """
 
     down: bool = False
     hang: bool = False
@@ -165,11 +169,11 @@
 
 
 class FakePlatform:
-    """The whole platform as one node reaches it."""
+    """One node's client of every part of the platform."""
 
-    def __init__(self, world: "World", gate: FakeHost) -> None:
+    def __init__(self, world: "World", host: FakeHost) -> None:
         self._world = world
-        self._host = gate
+        self._host = host
 
     async def _call(
         self, part: Part, writes: bool, effect: Callable[[], T]
@@ -244,7 +248,7 @@
 
 
 def _transaction_steps(transaction: Transaction) -> list[str]:
-    """Return the steps of the matrix that a transaction is."""
+    """Return the fault matrix steps that a transaction reaches, one per write."""
     steps = []
     for write in transaction.writes:
         if write.table == "lease":
@@ -259,7 +263,10 @@
 
 @dataclass
 class FakeEngine:
-    """A model engine: deterministic tokens, one each `TOKEN_INTERVAL_S`."""
+    """A model engine that generates a deterministic token every `TOKEN_INTERVAL_S`.
+
+    `starts` holds the time and attempt of each generation, `epochs` the latest epoch per lease.
+    """
 
     name: str
     hall: str
@@ -280,11 +287,11 @@
 
 
 class FakeServers:
-    """The engines as one node reaches them."""
+    """One node's client of the engines."""
 
-    def __init__(self, world: "World", gate: FakeHost) -> None:
+    def __init__(self, world: "World", host: FakeHost) -> None:
         self._world = world
-        self._host = gate
+        self._host = host
 
     def _engine(self, address: str) -> FakeEngine | None:
         engine = self._world.engines.get(address)
@@ -301,7 +308,7 @@
             await clock.sleep(TOKEN_INTERVAL_S)
             raise ServerError("refused", may_have_run=False)
         if any(call.attempt == name for _, name in engine.starts):
-            raise ServerError("this attempt was here before")
+            raise ServerError("this attempt was already started here")
         engine.starts.append((clock.now, call.attempt))
         if engine.retry_after_s is not None:
             raise ServerError(
@@ -404,11 +411,11 @@
 
 
 class FakeServices:
-    """Plain services as one node reaches them; `runs` counts what ran, by body."""
+    """One node's client of plain services; `World.service_runs` counts the calls run, by body."""
 
-    def __init__(self, world: "World", gate: FakeHost) -> None:
+    def __init__(self, world: "World", host: FakeHost) -> None:
         self._world = world
-        self._host = gate
+        self._host = host
 
     async def call(
         self, base: str, call: ServiceCall, timeout_s: float
@@ -431,11 +438,11 @@
 
 
 class FakeLink:
-    """The wire to other nodes; `host:port` is the peer's name."""
+    """One node's link to its peers; a peer's address is its name."""
 
-    def __init__(self, world: "World", gate: FakeHost) -> None:
+    def __init__(self, world: "World", host: FakeHost) -> None:
         self._world = world
-        self._host = gate
+        self._host = host
 
     async def serve(self, handler: PeerHandler) -> int:
         self._world.handlers[self._host.name] = handler
@@ -485,7 +492,11 @@
 
 
 class World:
-    """Platform, engines, services and nodes, and one fault to come."""
+    """Real nodes with a fake platform, engines and services, and at most one planned fault.
+
+    Rented engines boot for `boot_s`; if it is None, only the platform's spare instances can be
+    rented. An engine crashes when it starts to generate from `crash_prompt`.
+    """
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -508,7 +519,7 @@
         self._keys = {name: signing.generate_private_key() for name in ("anna", "bram")}
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    # Parts
+    # Nodes, engines and platform
 
     def add_engine(self, name: str, hall: str, **fields: Any) -> FakeEngine:
         engine = FakeEngine(name, hall, **fields)
@@ -523,13 +534,13 @@
         hall: str,
         state: InstanceState = InstanceState.LIVE,
     ) -> None:
-        """Put an instance into the list; its address is its name."""
+        """Put an instance into the instance list; its address is its name."""
         self.state.put_instance(
             Instance(name, kind, hall, "north", name, state, name, "small", "reclaimable")
         )
 
     def rent(self, order: RentOrder) -> RentResult:
-        """Rent without end where a test says so; the list shows it only after a while."""
+        """Rent an engine that boots for `boot_s`; if that is None, rent one of the spares."""
         if self.boot_s is None:
             return self.state.rent(order)
         if (order.hall, order.market) in self.refused_markets:
@@ -541,18 +552,18 @@
         return RentResult(self.state.rented[order.token])
 
     async def start_node(self, name: str, hall: str) -> Node:
-        gate = FakeHost(name)
-        self.hosts[name] = gate
-        platform = FakePlatform(self, gate)
+        host = FakeHost(name)
+        self.hosts[name] = host
+        platform = FakePlatform(self, host)
         parts = Platform(platform, platform, platform, platform, platform)
         node = Node(
             self.make_settings(name, hall),
             Secrets(peer="p" * 32, operator="o" * 32),
             parts,
-            FakeServers(self, gate),
-            FakeServices(self, gate),
-            FakeLink(self, gate),
-            NodeClock(self.clock, gate),
+            FakeServers(self, host),
+            FakeServices(self, host),
+            FakeLink(self, host),
+            NodeClock(self.clock, host),
             random.Random(name),
         )
         self.nodes[name] = node
@@ -571,15 +582,15 @@
     def make_signed_bundle(
         self, version: int, operator: str = "anna", mark: str = ""
     ) -> SignedBundle:
-        """Return the example bundle as a version, signed; `mark` makes it another body."""
+        """Return the example bundle signed as `version`; another `mark` gives it another digest."""
         body = BUNDLE_TEXT.replace("version = 1", f"version = {version}", 1) + f"# {mark}\n"
-        # So much demand that no idle engine is returned in the middle of a test.
+        # High enough that no idle engine is returned during a test.
         body = body.replace("least_tokens_per_s = 500", "least_tokens_per_s = 5000")
         key = _load_private_key(self._keys[operator])
         return SignedBundle(body, [signing.sign(body.encode(), operator, key)])
 
     async def start(self, nodes: int = 3, engines: int = 3) -> None:
-        """Start nodes and engines over two halls, roll version 1 and wait until all serve."""
+        """Start nodes and engines in two halls, roll version 1 and wait until all nodes serve."""
         for index in range(engines):
             self.add_engine(f"e{index}", "hall-a" if index % 2 == 0 else "hall-b")
         for index in range(nodes):
@@ -595,18 +606,18 @@
         )
 
     async def wait_until(self, condition: Callable[[], bool], limit_s: float = 60.0) -> float:
-        """Wait on the clock until a condition holds; returns the seconds it took."""
+        """Poll until a condition holds; return the seconds on the clock that it took."""
         began = self.clock.now
         while not condition():
             if self.clock.now - began > limit_s:
-                raise AssertionError(f"not within {limit_s} s")
+                raise AssertionError(f"condition not met within {limit_s} s")
             await self.clock.sleep(0.05)
         return self.clock.now - began
 
     async def stop(self) -> None:
-        """End everything."""
-        for gate in self.hosts.values():
-            gate.dead = True
+        """Mark every host dead and cancel all other tasks."""
+        for host in self.hosts.values():
+            host.dead = True
         current = asyncio.current_task()
         others = [task for task in asyncio.all_tasks() if task is not current]
         for task in others:
@@ -616,15 +627,15 @@
     # Faults
 
     def plan_fault(self, step: str, action: Action, times: int = 1) -> None:
-        """Have an action run when a step is passed."""
+        """Run an action the first `times` times that a step is reached."""
         self._fault = (step, times, action)
 
     async def reach_step(
         self, name: str, node: str, server: str = "", outside: bool = False
     ) -> None:
-        """Note that a node passes a step, and run the fault that was planned for it.
+        """Record that a node reaches a step, and run the fault that was planned for it.
 
-        A step `outside` of the node, at its caller, goes on when the node dies or is paused.
+        With `outside`, the step runs at the caller, which continues when the node dies or pauses.
         """
         self.steps_reached[name] += 1
         if self._fault is None or self._fault[0] != name or self._fault[1] <= 0:
@@ -635,7 +646,7 @@
             await self.hosts[node].wait_until_running()
 
     def call_later(self, seconds: float, effect: Callable[[], object]) -> None:
-        """Have something happen after a while."""
+        """Call `effect` after `seconds`."""
 
         async def wait() -> None:
             await self.clock.sleep(seconds)
@@ -644,11 +655,11 @@
         self.keep_task(asyncio.create_task(wait()))
 
     def keep_task(self, task: asyncio.Task[Any]) -> None:
-        """Keep a task from being collected."""
+        """Hold a reference to a task, so that it is not garbage collected."""
         self._tasks.add(task)
 
     def kill(self, name: str) -> None:
-        """End a node at once; the list tells of it after a while."""
+        """Crash a node; the instance list shows it as gone 2 s later."""
         self.hosts[name].dead = True
         node = self.nodes.pop(name)
         for record in node.streams.live():
@@ -659,13 +670,13 @@
         )
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Pause a node for a while."""
-        gate = self.hosts[name]
-        gate.running.clear()
-        self.call_later(seconds, gate.running.set)
+        """Pause a node for `seconds`."""
+        host = self.hosts[name]
+        host.running.clear()
+        self.call_later(seconds, host.running.set)
 
     def reclaim(self, name: str, notice_s: float) -> None:
-        """Give notice to an engine; it is gone when the time is up."""
+        """Give a reclaim notice to an engine, and terminate it when the notice ends."""
         engine = self.engines[name]
         if engine.leaving_since is not None:
             return
@@ -699,7 +710,7 @@
         return GenerationRequest(**{**values, **fields})
 
     async def read(self, node: str, record: StreamRecord) -> list[str]:
-        """Read a stream as a caller does: on to the successor, until it ends."""
+        """Read a stream to its end as a caller does, following it to successors."""
         tokens: list[str] = []
         while True:
             async for _, run in record.follow(len(tokens)):
@@ -708,8 +719,11 @@
                 return tokens
             found = self.nodes[record.successor].streams.get(record.request.id)
             assert found is not None, "the successor does not know the stream"
-            # What the caller has must be there: a token made twice could be another one.
-            assert len(found.tokens) >= len(tokens), "the caller is ahead of the successor"
+            # A token that the successor generates again could differ from the caller's, so it must
+            # already have all of those.
+            assert len(found.tokens) >= len(tokens), (
+                "the successor lacks tokens that the caller has"
+            )
             record = found
 
     def make_once_call(self, body: str, key: str) -> OnceCall:
@@ -719,7 +733,7 @@
 
 
 def expected_tokens(request: GenerationRequest) -> list[str]:
-    """Return the answer that a request must get."""
+    """Return the tokens of the only right answer to a request."""
     return [token_text(request.prompt, index) for index in range(request.max_tokens)]
 
 
@@ -728,7 +742,7 @@
 
 
 def in_world(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-    """Run an async test method with a fresh world on its own clock."""
+    """Run an async test method with a new `World` on its own manual clock."""
 
     def run(self: Any, *arguments: Any) -> None:
         async def body() -> None:
@@ -744,4 +758,4 @@
     return run
 
 
-__all__ = ["BUNDLE_TEXT", "World", "in_world", "schema", "expected_tokens"]
+__all__ = ["BUNDLE_TEXT", "World", "expected_tokens", "in_world", "schema"]
