--- a/src/moledale/gateway/backoff.py
+++ b/src/moledale/gateway/backoff.py
@@ -14,20 +14,20 @@
 
 
 class Backoff(msgspec.Struct):
-    """Pauses from `first_s` to `most_s`, times `crowd`: 1.0 for a node that calls for others."""
+    """Pauses from `initial_s` to `max_s`, times `crowd`: 1.0 for a node that calls for others."""
 
-    first_s: float
-    most_s: float
+    initial_s: float
+    max_s: float
     crowd: Callable[[], float]
     _pause_s: float = 0.0
     _random: random.Random = msgspec.field(default_factory=random.Random)
 
     def next_s(self) -> float:
         """Return how long to wait after a call that failed."""
-        longer = 2 * self._pause_s if self._pause_s else self.first_s
-        self._pause_s = min(longer, self.most_s * max(1.0, self.crowd()))
+        longer = 2 * self._pause_s if self._pause_s else self.initial_s
+        self._pause_s = min(longer, self.max_s * max(1.0, self.crowd()))
         return self._pause_s * (1.0 - JITTER + 2 * JITTER * self._random.random())
 
-    def answered(self) -> None:
+    def reset(self) -> None:
         """Begin anew after a call that did not fail."""
         self._pause_s = 0.0
