--- a/src/moledale/gateway/backoff.py
+++ b/src/moledale/gateway/backoff.py
@@ -14,18 +14,18 @@
 
 
 class Backoff(msgspec.Struct):
-    """Pauses from `initial_s` to `max_s`, times `crowd`: 1.0 for a node that calls for others."""
+    """Pauses from `initial_s` to `max_s`, times `backoff_scale`: 1.0 for a node that calls for others."""
 
     initial_s: float
     max_s: float
-    crowd: Callable[[], float]
+    backoff_scale: Callable[[], float]
     _pause_s: float = 0.0
     _random: random.Random = msgspec.field(default_factory=random.Random)
 
     def next_s(self) -> float:
         """Return how long to wait after a call that failed."""
         longer = 2 * self._pause_s if self._pause_s else self.initial_s
-        self._pause_s = min(longer, self.max_s * max(1.0, self.crowd()))
+        self._pause_s = min(longer, self.max_s * max(1.0, self.backoff_scale()))
         return self._pause_s * (1.0 - JITTER + 2 * JITTER * self._random.random())
 
     def reset(self) -> None:
--- a/src/moledale/gateway/cold_start.py
+++ b/src/moledale/gateway/cold_start.py
@@ -11,32 +11,34 @@
 
 from moledale.clock import monotonic
 
-ANSWER_S = 0.06
+PEER_ANSWER_TIMEOUT_S = 0.06
 """Time in which a peer that lives answers a node's first state: a round trip of a few ms, and a
 busy processor. Where all end at once nobody answers, and callers wait for all that is longer."""
 
-MANY = 8.0
+STAGGER_MIN_SCALE = 8.0
 """From so many times `neighbours.FEW` nodes on they do not all ask the store at once: 81 nodes read
 20 KB each in a moment, 300 nodes before 3,000 servers 0.7 MB each."""
 
-SPREAD_S = 0.15
+STAGGER_PER_SCALE_S = 0.15
 """Where no peer answers, many nodes ask the store within this time for each `neighbours.FEW` of
 them, by chance, so that most of them hear of its answer before they ask."""
 
-LOOK_S = 0.02
-"""A document that came is noticed within this time, a third of `ANSWER_S`."""
+POLL_INTERVAL_S = 0.02
+"""A document that came is noticed within this time, a third of `PEER_ANSWER_TIMEOUT_S`."""
 
 
 class ColdStart:
     """Tells a starting node when to ask the store.
 
-    `crowd` is 1.0 where nodes are few, and grows with them (see `Neighbours.crowd`).
+    `backoff_scale` is 1.0 where nodes are few, and grows with them (see `Neighbours.backoff_scale`).
     """
 
-    def __init__(self, crowd: Callable[[], float], now: Callable[[], float] = monotonic) -> None:
-        self._crowd = crowd
+    def __init__(
+        self, backoff_scale: Callable[[], float], now: Callable[[], float] = monotonic
+    ) -> None:
+        self._crowd = backoff_scale
         self._now = now
-        self._chance = random.Random().random()
+        self._draw = random.Random().random()
 
     async def wait(self, known: Callable[[], bool], coming: Callable[[], bool]) -> None:
         """Wait until a document is `known`, or until this node is to ask the store for it.
@@ -47,11 +49,15 @@
         while True:
             if known():
                 return
-            if not coming() and self._now() >= began_at + self._patience_s():
+            if not coming() and self._now() >= began_at + self._peer_wait_s():
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _patience_s(self) -> float:
+    def _peer_wait_s(self) -> float:
         """Return how long to wait for a peer, from what is known of their number now."""
-        crowd = self._crowd()
-        return ANSWER_S + (SPREAD_S * crowd * self._chance if crowd >= MANY else 0.0)
+        backoff_scale = self._crowd()
+        return PEER_ANSWER_TIMEOUT_S + (
+            STAGGER_PER_SCALE_S * backoff_scale * self._draw
+            if backoff_scale >= STAGGER_MIN_SCALE
+            else 0.0
+        )
--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -124,7 +124,7 @@
         took: Callable[[list[Server]], None],
         tell: TellChanges,
         confirm: Callable[[ServerChange], None],
-        crowd: Callable[[], float],
+        backoff_scale: Callable[[], float],
         control: str = "",
         link_mbps: float = 1000.0,
         leave_s: float = 2.0,
@@ -147,7 +147,7 @@
         self._took = took
         self._tell = tell
         self._confirm = confirm
-        self._crowd = crowd
+        self._crowd = backoff_scale
         self._control = control
         self._usable_s = USABLE_SHARE * leave_s
         self._now = now
@@ -165,7 +165,7 @@
         self._keeps_lapsed = False
         self._reading: asyncio.Task[bool] | None = None
         self._reading_since = -1e9
-        self._backoff = Backoff(AGAIN_S, AGAIN_MOST_S, crowd)
+        self._backoff = Backoff(AGAIN_S, AGAIN_MOST_S, backoff_scale)
         self._random = random.Random()
         self._spread_s = 0.0
 
--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -247,7 +247,7 @@
             return ENOUGH_WATCHERS
         return len(before)
 
-    def crowd(self, own: NodeState) -> float:
+    def backoff_scale(self, own: NodeState) -> float:
         """Return how many times as seldom as a node alone this one repeats calls that failed.
 
         Nodes that serve or hold the lease call for all others, so they do not wait for these.
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -551,7 +551,7 @@
             self._gossip.tell(StateNews(self._state().shortened(), []), others)
 
     def _crowd(self) -> float:
-        return self.neighbours.crowd(self._state())
+        return self.neighbours.backoff_scale(self._state())
 
     def _watching_turn(self) -> int:
         return self.neighbours.watch_turn(self._state(), monotonic())
@@ -594,7 +594,7 @@
             if self.standing is not Standing.LEAVING and self.neighbours.listened(now):
                 state = self._state()
                 rank = self.neighbours.rank(state, now, True)
-                await self.keeper.step(rank, self.neighbours.crowd(state))
+                await self.keeper.step(rank, self.neighbours.backoff_scale(state))
                 await self.duties.step()
             await asyncio.sleep(DUTY_POLL_INTERVAL_S)
 
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -155,7 +155,7 @@
             self._took,
             self._tell,
             lambda change: self._send(change, self.neighbours.readers(world.now)),
-            lambda: self.neighbours.crowd(self.state()),
+            lambda: self.neighbours.backoff_scale(self.state()),
             control=f"{self.name}:3",
             leave_s=4.0,
             now=lambda: world.now,
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -37,19 +37,19 @@
         return read_config(raw)
 
 
-def plan_watch(store: DeadStore, crowd: float) -> PlanWatch:
+def plan_watch(store: DeadStore, backoff_scale: float) -> PlanWatch:
     return PlanWatch(
         store,  # type: ignore[arg-type]
         TrueTime(),
         lambda: 0,
         lambda plan: True,
         lambda from_store: None,
-        lambda: crowd,
+        lambda: backoff_scale,
         100.0,
     )
 
 
-def fleet_watch(store: DeadStore, crowd: float) -> FleetWatch:
+def fleet_watch(store: DeadStore, backoff_scale: float) -> FleetWatch:
     return FleetWatch(
         store,  # type: ignore[arg-type]
         TrueTime(),
@@ -57,7 +57,7 @@
         lambda servers: None,
         lambda changes, read_here: None,
         lambda unchanged: None,
-        lambda: crowd,
+        lambda: backoff_scale,
     )
 
 
@@ -75,9 +75,9 @@
         return 0.5
 
 
-def calls_in(length_s: float, most_s: float, crowd: float) -> int:
+def calls_in(length_s: float, most_s: float, backoff_scale: float) -> int:
     """Return how many calls that all fail a node makes."""
-    backoff = Backoff(AGAIN_S, most_s, lambda: crowd)
+    backoff = Backoff(AGAIN_S, most_s, lambda: backoff_scale)
     calls, at = 0, 0.0
     while at < length_s:
         calls += 1
@@ -106,7 +106,7 @@
         """Whatever is drawn: 7 to 11 calls, where a node alone makes 27 to 83."""
         for most_s in (AGAIN_MOST_S, 0.4):
             for _ in range(200):
-                few, many = (calls_in(30.0, most_s, crowd) for crowd in (1.0, 20.0))
+                few, many = (calls_in(30.0, most_s, backoff_scale) for backoff_scale in (1.0, 20.0))
                 self.assertLessEqual(3 * many, few + 3)
 
     def test_many_nodes_ask_a_store_that_is_away_more_seldom(self) -> None:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from moledale.clock import monotonic
-from moledale.gateway.cold_start import ANSWER_S, ColdStart
+from moledale.gateway.cold_start import PEER_ANSWER_TIMEOUT_S, ColdStart
 from moledale.gateway.neighbours import FEW
 from tests.gateway_world import quietly
 
@@ -44,7 +44,7 @@
         async def work() -> None:
             for nodes in (9, 81):
                 world = StartTogether(nodes)
-                self.assertLess(await world.run(), 3 * ANSWER_S)
+                self.assertLess(await world.run(), 3 * PEER_ANSWER_TIMEOUT_S)
                 self.assertEqual(world.asked, nodes)
 
         quietly(work())
@@ -53,7 +53,7 @@
         async def work() -> None:
             for nodes in (195, 390):
                 world = StartTogether(nodes)
-                self.assertLess(await world.run(), ANSWER_S + 0.5)
+                self.assertLess(await world.run(), PEER_ANSWER_TIMEOUT_S + 0.5)
                 self.assertLess(world.asked, 30)
                 self.assertGreater(world.asked, 0)
 
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -159,7 +159,7 @@
 
 
 class NeighboursTest(unittest.TestCase):
-    def crowd(self, serving: bool) -> tuple[Neighbours, NodeState]:
+    def backoff_scale(self, serving: bool) -> tuple[Neighbours, NodeState]:
         members = Membership("n0", 1)
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 390):
@@ -176,12 +176,12 @@
         self.assertEqual(len(neighbours.targets(state("n0"), 1.0)), 7)
 
     def test_node_in_reserve_tells_few_and_seldom(self) -> None:
-        neighbours, own = self.crowd(serving=False)
+        neighbours, own = self.backoff_scale(serving=False)
         told = [len(neighbours.targets(own, 10.0 + n * ROUND_S)) for n in range(50)]
         self.assertLessEqual(sum(told) / (50 * ROUND_S), 5.0)
 
     def test_serving_nodes_tell_each_other_each_round(self) -> None:
-        neighbours, own = self.crowd(serving=True)
+        neighbours, own = self.backoff_scale(serving=True)
         brief = 0
         for number in range(5):
             targets = neighbours.targets(own, 10.0 + number * ROUND_S)
