--- a/src/moledale/gateway/entry.py
+++ b/src/moledale/gateway/entry.py
@@ -8,24 +8,24 @@
 from moledale.gateway.messages import Headers, RequestHead
 
 
-class Asked(StrEnum):
+class ControlRequestKind(StrEnum):
     """What a question is about."""
 
     READY = "ready"
     ADDRESSES = "addresses"
 
 
-class Question(msgspec.Struct, frozen=True):
+class ControlRequest(msgspec.Struct, frozen=True):
     """A question, and the hall of the one who asks if it was told."""
 
-    about: Asked
+    about: ControlRequestKind
     hall: str = ""
 
 
 class EntryDialect(Protocol):
     """Reads questions and writes their answers."""
 
-    def read_question(self, head: RequestHead) -> Question | None:
+    def read_question(self, head: RequestHead) -> ControlRequest | None:
         """Return the question, or None for any other request."""
         ...
 
--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -8,7 +8,7 @@
 from moledale.clock import monotonic
 from moledale.gateway.document_archive import DocumentArchive, PieceRequest
 from moledale.gateway.document_fetch import PLAN_PATH, SERVERS_PATH
-from moledale.gateway.entry import Asked, EntryDialect
+from moledale.gateway.entry import ControlRequestKind, EntryDialect
 from moledale.gateway.inbound import Listener
 from moledale.gateway.messages import InboundRequest
 from moledale.gateway.neighbours import Neighbours
@@ -53,7 +53,7 @@
         question = self._entry.read_question(request.head)
         if question is None:
             reply.send_whole(404, [], b"")
-        elif question.about is Asked.READY:
+        elif question.about is ControlRequestKind.READY:
             reply.send_whole(200 if own.standing == Standing.READY else 503, [], b"")
         else:
             self._tell_addresses(reply, own)
--- a/src/moledale/platform/headers.py
+++ b/src/moledale/platform/headers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from moledale.gateway.entry import Asked, Question
+from moledale.gateway.entry import ControlRequest, ControlRequestKind
 from moledale.gateway.messages import (
     AnswerFacts,
     AnswerHead,
@@ -131,14 +131,14 @@
 class PlatformEntry:
     """Implements `EntryDialect`: readiness checks and address lookups at a node."""
 
-    def read_question(self, head: RequestHead) -> Question | None:
+    def read_question(self, head: RequestHead) -> ControlRequest | None:
         """Return the question of a request, or None for any other request."""
         path, _, query = head.target.partition(b"?")
         if path == b"/v1/ready":
-            return Question(Asked.READY)
+            return ControlRequest(ControlRequestKind.READY)
         if path == b"/v1/resolve":
             zone = parse_qs(query.decode("latin-1")).get("zone", [""])
-            return Question(Asked.ADDRESSES, zone[0])
+            return ControlRequest(ControlRequestKind.ADDRESSES, zone[0])
         return None
 
     def addresses(self, addresses: list[str], ttl_s: float) -> tuple[Headers, bytes]:
