--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -44,7 +44,7 @@
     QuarantineSharing,
 )
 from moledale.gateway.quarantine_store import QuarantineStore
-from moledale.gateway.questions import Questions
+from moledale.gateway.questions import ControlHandler
 from moledale.gateway.rate import Rate
 from moledale.gateway.registration import Registration
 from moledale.gateway.renting_duty import RentingDuty
@@ -211,7 +211,7 @@
             settings.bounds.leave_s,
             start=cold_start,
         )
-        self._questions = Questions(
+        self._questions = ControlHandler(
             entry,
             self.neighbours,
             self.plans.archive,
--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -19,7 +19,7 @@
 METRICS_PATH = b"/metrics"
 
 
-class Questions:
+class ControlHandler:
     """Answers one request at a time from what the node knows."""
 
     def __init__(
--- a/tests/plan_world.py
+++ b/tests/plan_world.py
@@ -12,7 +12,7 @@
 from moledale.gateway.inbound import Listener, listen
 from moledale.gateway.messages import InboundRequest
 from moledale.gateway.plan import Limits
-from moledale.gateway.questions import Questions
+from moledale.gateway.questions import ControlHandler
 from moledale.gateway.reply import Reply
 from moledale.gateway.store_era import EraVersion
 from moledale.platform.records import read_config
@@ -102,7 +102,7 @@
             reply.abort()
             return
         await asyncio.sleep(self.delay_s)
-        questions = Questions(None, None, self.archive, self.archive, None, 1.0)  # type: ignore[arg-type]
+        questions = ControlHandler(None, None, self.archive, self.archive, None, 1.0)  # type: ignore[arg-type]
         questions.answer(request, reply, state("n"), None)  # type: ignore[arg-type]
 
     async def _read_store(self) -> bool:
