--- a/src/moledale/gateway/entry.py
+++ b/src/moledale/gateway/entry.py
@@ -18,14 +18,14 @@
 class ControlRequest(msgspec.Struct, frozen=True):
     """A question, and the hall of the one who asks if it was told."""
 
-    about: ControlRequestKind
+    kind: ControlRequestKind
     hall: str = ""
 
 
 class EntryDialect(Protocol):
     """Reads questions and writes their answers."""
 
-    def read_question(self, head: RequestHead) -> ControlRequest | None:
+    def parse_control_request(self, head: RequestHead) -> ControlRequest | None:
         """Return the question, or None for any other request."""
         ...
 
--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -50,7 +50,7 @@
         if request.head.target == METRICS_PATH:
             reply.send_whole(200, [(b"Content-Type", b"text/plain")], self._metrics(own, callers))
             return
-        question = self._entry.read_question(request.head)
+        question = self._entry.parse_control_request(request.head)
         if question is None:
             reply.send_whole(404, [], b"")
         elif question.about is ControlRequestKind.READY:
--- a/src/moledale/platform/headers.py
+++ b/src/moledale/platform/headers.py
@@ -131,7 +131,7 @@
 class PlatformEntry:
     """Implements `EntryDialect`: readiness checks and address lookups at a node."""
 
-    def read_question(self, head: RequestHead) -> ControlRequest | None:
+    def parse_control_request(self, head: RequestHead) -> ControlRequest | None:
         """Return the question of a request, or None for any other request."""
         path, _, query = head.target.partition(b"?")
         if path == b"/v1/ready":
