--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -211,7 +211,7 @@
             settings.bounds.leave_s,
             start=cold_start,
         )
-        self._questions = ControlHandler(
+        self._control_handler = ControlHandler(
             entry,
             self.neighbours,
             self.plans.archive,
@@ -604,4 +604,4 @@
             self.pool.sweep()
 
     async def _answer_question(self, request: InboundRequest, reply: Reply) -> None:
-        self._questions.answer(request, reply, self._state(), self._callers)
+        self._control_handler.answer(request, reply, self._state(), self._callers)
