--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -37,7 +37,7 @@
         self._archives = {PLAN_PATH: plans, SERVERS_PATH: servers}
         self._pool = pool
         self._address_ttl_s = address_ttl_s
-        self._figures = figures
+        self._extra_metrics = figures
 
     def answer(
         self, request: InboundRequest, reply: Reply, own: NodeState, callers: Listener
@@ -45,7 +45,7 @@
         """Answer a question."""
         path, _, query = request.head.target.decode("latin-1").partition("?")
         if path in self._archives:
-            self._give_piece(reply, self._archives[path], query)
+            self._send_piece(reply, self._archives[path], query)
             return
         if request.head.target == METRICS_PATH:
             reply.send_whole(200, [(b"Content-Type", b"text/plain")], self._metrics(own, callers))
@@ -56,9 +56,9 @@
         elif question.about is ControlRequestKind.READY:
             reply.send_whole(200 if own.standing == Standing.READY else 503, [], b"")
         else:
-            self._tell_addresses(reply, own)
+            self._send_addresses(reply, own)
 
-    def _give_piece(self, reply: Reply, archive: DocumentArchive, query: str) -> None:
+    def _send_piece(self, reply: Reply, archive: DocumentArchive, query: str) -> None:
         """Answer a node that fetches a document; 503 while there is none or others are served."""
         try:
             wanted = msgspec.convert(dict(parse_qsl(query)), PieceRequest, strict=False)
@@ -71,7 +71,7 @@
         else:
             reply.send_whole(200, [], msgspec.msgpack.encode(piece))
 
-    def _tell_addresses(self, reply: Reply, own: NodeState) -> None:
+    def _send_addresses(self, reply: Reply, own: NodeState) -> None:
         now = monotonic()
         addresses = [each.address for each in self._neighbours.serving_nodes(own, now)]
         if not addresses or not self._neighbours.knows_enough(own, now):
@@ -89,6 +89,6 @@
             "busy": callers.busy(),
             "upstream_opened_total": self._pool.opened,
             "peers": len(self._neighbours.members.alive(monotonic())),
-            **self._figures(),
+            **self._extra_metrics(),
         }
         return "".join(f"moledale_{name} {value}\n" for name, value in figures.items()).encode()
