--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -218,7 +218,7 @@
             self.fleet.archive,
             self.pool,
             settings.bounds.address_ttl_s,
-            self._figures,
+            self._extra_metrics,
         )
         self._leaving_since: float | None = None
         self._rollouts_told: dict[str, RolloutNews] = {}
@@ -226,7 +226,7 @@
         self._others = Listener(self._answer_question, self._limits, monotonic)
         self._servers: list[asyncio.Server] = []
 
-    def _figures(self) -> dict[str, int]:
+    def _extra_metrics(self) -> dict[str, int]:
         """Return figures of the parts that only the node knows."""
         alive = self.members.alive(monotonic())
         unreadable = self._gossip.unreadable.total() if self._gossip is not None else 0
--- a/src/moledale/gateway/outside.py
+++ b/src/moledale/gateway/outside.py
@@ -14,7 +14,7 @@
 """Version of a row that does not exist."""
 
 
-class Trouble(msgspec.Struct, frozen=True):
+class CallFailure(msgspec.Struct, frozen=True):
     """A call that brought nothing; with `uncertain` its effect may have happened or may yet.
 
     `history_gone` tells that changes since the asked version are no longer known.
@@ -108,48 +108,50 @@
 
     era: StoreEra
 
-    async def read(self, table: str, timeout_s: float) -> Result[Reading, Trouble]:
+    async def read(self, table: str, timeout_s: float) -> Result[Reading, CallFailure]:
         """Return all rows of one of this system's tables."""
         ...
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[Written, Trouble]:
+    ) -> Result[Written, CallFailure]:
         """Put a row if it stands at version `expected`."""
         ...
 
-    async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> Trouble | None:
+    async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> CallFailure | None:
         """Put a row without a condition."""
         ...
 
-    async def remove(self, table: str, key: str, timeout_s: float) -> Trouble | None:
+    async def remove(self, table: str, key: str, timeout_s: float) -> CallFailure | None:
         """Remove a row."""
         ...
 
     async def servers(
         self, timeout_s: float, before: ServerList | None = None
-    ) -> Result[ServerList, Trouble]:
+    ) -> Result[ServerList, CallFailure]:
         """Return the list of backend servers, if possible from what changed since `before`."""
         ...
 
-    async def plan(self, timeout_s: float) -> Result[PlanNews, Trouble]:
+    async def plan(self, timeout_s: float) -> Result[PlanNews, CallFailure]:
         """Return the newest plan."""
         ...
 
-    async def watch_plan(self, position: EraVersion, wait_s: float) -> Result[PlanNews, Trouble]:
+    async def watch_plan(
+        self, position: EraVersion, wait_s: float
+    ) -> Result[PlanNews, CallFailure]:
         """Return the newest plan once there is one after `position`, or after `wait_s`."""
         ...
 
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
-    ) -> Result[StatusWritten, Trouble]:
+    ) -> Result[StatusWritten, CallFailure]:
         """Tell the operator how far a roll-out is, and keep what a later holder needs.
 
         It holds only if the order still stands, and the status at version `expected`.
         """
         ...
 
-    async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], Trouble]:
+    async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], CallFailure]:
         """Return what earlier holders kept of roll-outs."""
         ...
 
@@ -163,12 +165,12 @@
 
     async def report_usage(
         self, holder: str, fence: int, window: int, counts: dict[str, int]
-    ) -> Trouble | None:
+    ) -> CallFailure | None:
         """Report how many requests of each account began to run in a window."""
         ...
 
     async def order_servers(
         self, holder: str, fence: int, service: str, hall: str, number: int, spot: bool
-    ) -> Result[bool, Trouble]:
+    ) -> Result[bool, CallFailure]:
         """Order how many servers a hall shall have; False where none are to be had now."""
         ...
--- a/src/moledale/platform/cloud.py
+++ b/src/moledale/platform/cloud.py
@@ -4,7 +4,7 @@
 
 from moledale.gateway.calls import HttpCaller
 from moledale.gateway.messages import Headers
-from moledale.gateway.outside import Trouble
+from moledale.gateway.outside import CallFailure
 from moledale.platform.records import encode
 
 CALL_TIMEOUT_S = 1.5
@@ -22,18 +22,18 @@
 
     async def report_usage(
         self, holder: str, fence: int, window: int, counts: dict[str, int]
-    ) -> Trouble | None:
+    ) -> CallFailure | None:
         """Report the counts of a usage window; return the error, or None."""
         body = encode({"window": window, "counts": counts})
         outcome = await self._post("/usage", holder, fence, body)
         if isinstance(outcome, Err):
             return outcome.err_value
         status = outcome.ok_value
-        return None if status == 200 else Trouble(f"status {status}", uncertain=False)
+        return None if status == 200 else CallFailure(f"status {status}", uncertain=False)
 
     async def order_servers(
         self, holder: str, fence: int, service: str, hall: str, number: int, spot: bool
-    ) -> Result[bool, Trouble]:
+    ) -> Result[bool, CallFailure]:
         """Order the number of servers that a hall is to have; False if none are available now."""
         body: dict[str, object] = {"service": service, "zone": hall, "desired": number}
         if spot:
@@ -44,9 +44,11 @@
         status = outcome.ok_value
         if status in (200, STATUS_NO_CAPACITY):
             return Ok(status == 200)
-        return Err(Trouble(f"status {status}", uncertain=False))
+        return Err(CallFailure(f"status {status}", uncertain=False))
 
-    async def _post(self, path: str, holder: str, fence: int, body: bytes) -> Result[int, Trouble]:
+    async def _post(
+        self, path: str, holder: str, fence: int, body: bytes
+    ) -> Result[int, CallFailure]:
         headers: Headers = [
             (b"Duty-Holder", holder.encode()),
             (b"Fence-Token", str(fence).encode()),
@@ -54,5 +56,5 @@
         ]
         outcome = await self._calls.call("POST", path, body, headers, CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
-            return Err(Trouble(outcome.err_value.detail, uncertain=outcome.err_value.sent))
+            return Err(CallFailure(outcome.err_value.detail, uncertain=outcome.err_value.sent))
         return Ok(outcome.ok_value.status)
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -11,13 +11,13 @@
 from moledale.gateway.calls import HttpCaller
 from moledale.gateway.messages import Headers, Server
 from moledale.gateway.outside import (
+    CallFailure,
     PlanNews,
     Reading,
     ServerList,
     StateRow,
     StatusWritten,
     StoredRollout,
-    Trouble,
     Written,
 )
 from moledale.gateway.plan import Plan
@@ -46,7 +46,9 @@
 STATUS_HISTORY_GONE = 410
 """Status of a feed response if the changes since the given version are no longer known."""
 
-ERA_CHANGED = Trouble("the store came back from an older copy", uncertain=False, history_gone=True)
+ERA_CHANGED = CallFailure(
+    "the store came back from an older copy", uncertain=False, history_gone=True
+)
 WATCH_TIMEOUT_MARGIN_S = 0.7
 """Timeout of a watch beyond the time that the store may wait before it responds."""
 
@@ -63,7 +65,7 @@
     status: int
     rows: RowsRecord
 
-    def rows_if_era(self, era: int) -> Result[RowsRecord, Trouble]:
+    def rows_if_era(self, era: int) -> Result[RowsRecord, CallFailure]:
         """Return the rows, or an error if they are not of this era."""
         return Ok(self.rows) if self.rows.era == era else Err(ERA_CHANGED)
 
@@ -76,7 +78,7 @@
         self._calls = HttpCaller(address)
         self._entry_reader = EntryReader()
 
-    async def read(self, table: str, timeout_s: float) -> Result[Reading, Trouble]:
+    async def read(self, table: str, timeout_s: float) -> Result[Reading, CallFailure]:
         """Return all rows of a table."""
         outcome = await self._read_table(table, timeout_s)
         if isinstance(outcome, Err):
@@ -87,7 +89,7 @@
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[Written, Trouble]:
+    ) -> Result[Written, CallFailure]:
         """Put a row if its version is still `expected`."""
         name = {"table": table, "part": "", "key": key}
         body = {
@@ -105,19 +107,19 @@
         standing = None if row is None else _state_row(row)
         return Ok(Written(record.ver, committed, standing, record.now_ms / 1000, record.era))
 
-    async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> Trouble | None:
+    async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> CallFailure | None:
         """Put a row without a condition."""
         row = {"table": table, "part": "", "key": key, "value": _to_base64(value)}
         return await self._commit({"expectedRev": [], "put": [row], "remove": []}, timeout_s)
 
-    async def remove(self, table: str, key: str, timeout_s: float) -> Trouble | None:
+    async def remove(self, table: str, key: str, timeout_s: float) -> CallFailure | None:
         """Remove a row."""
         row = {"table": table, "part": "", "key": key}
         return await self._commit({"expectedRev": [], "put": [], "remove": [row]}, timeout_s)
 
     async def servers(
         self, timeout_s: float, before: ServerList | None = None
-    ) -> Result[ServerList, Trouble]:
+    ) -> Result[ServerList, CallFailure]:
         """Return the list of backend servers, if possible from what changed since `before`."""
         if before is not None:
             outcome = await self._servers_since(before, timeout_s)
@@ -130,7 +132,7 @@
         complete = await self._servers_since(outcome.ok_value, timeout_s)
         return complete.map(lambda listed: msgspec.structs.replace(listed, changed=True))
 
-    async def _all_servers(self, timeout_s: float) -> Result[ServerList, Trouble]:
+    async def _all_servers(self, timeout_s: float) -> Result[ServerList, CallFailure]:
         outcome = await self._read_table(SERVER_TABLE, timeout_s)
         if isinstance(outcome, Err):
             return outcome
@@ -141,7 +143,7 @@
 
     async def _servers_since(
         self, before: ServerList, timeout_s: float
-    ) -> Result[ServerList, Trouble]:
+    ) -> Result[ServerList, CallFailure]:
         """Return an earlier list with the changes since applied."""
         changes: dict[str, Server | None] = {}
         position = before.version
@@ -167,7 +169,7 @@
         remaining = tuple(server for server in servers.values() if server is not None)
         return Ok(ServerList(remaining, record.ver, now_s, era=before.era))
 
-    async def plan(self, timeout_s: float) -> Result[PlanNews, Trouble]:
+    async def plan(self, timeout_s: float) -> Result[PlanNews, CallFailure]:
         """Return the newest plan."""
         outcome = await self._read_table(CONFIG_TABLE, timeout_s)
         if isinstance(outcome, Err):
@@ -182,7 +184,9 @@
         rollouts = tuple(_with_status(each, rows) for each in news.rollouts)
         return Ok(msgspec.structs.replace(news, rollouts=rollouts))
 
-    async def watch_plan(self, position: EraVersion, wait_s: float) -> Result[PlanNews, Trouble]:
+    async def watch_plan(
+        self, position: EraVersion, wait_s: float
+    ) -> Result[PlanNews, CallFailure]:
         """Return what changed after `position`, once there is a change or after `wait_s`."""
         wait = int(wait_s * 1000)
         path = f"/v1/rows-feed?table={CONFIG_TABLE}&startAfter={position.number}&waitMs={wait}"
@@ -191,7 +195,7 @@
 
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
-    ) -> Result[StatusWritten, Trouble]:
+    ) -> Result[StatusWritten, CallFailure]:
         """Write a rollout's status, and in the same transaction the state for later holders."""
         order = news.order
         key = ROLLOUT_PREFIX + order.service
@@ -215,7 +219,7 @@
         committed = outcome.ok_value.status == 200
         return Ok(StatusWritten(True, record.ver) if committed else _write_conflict(record, order))
 
-    async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], Trouble]:
+    async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], CallFailure]:
         """Return the state of rollouts that earlier holders stored."""
         outcome = await self._read_table(ROLLOUT_TABLE, timeout_s)
         return outcome.map(_kept_rollouts)
@@ -224,7 +228,7 @@
         """Decode a configuration that a peer sent; raise ValueError if it can't be read."""
         return read_config(raw)
 
-    async def _read_table(self, table: str, timeout_s: float) -> Result[RowsRecord, Trouble]:
+    async def _read_table(self, table: str, timeout_s: float) -> Result[RowsRecord, CallFailure]:
         """Read all pages of a table and return the rows with the version of the first page."""
         rows: list[RowRecord] = []
         start = ""
@@ -243,7 +247,7 @@
                 return Ok(msgspec.structs.replace(first, rows=tuple(rows), more=False))
             start = page.rows[-1].key + "\x00"
 
-    async def _commit(self, body: dict[str, object], timeout_s: float) -> Trouble | None:
+    async def _commit(self, body: dict[str, object], timeout_s: float) -> CallFailure | None:
         outcome = await self._call("POST", "/v1/rows-tx", timeout_s, encode(body))
         return outcome.err_value if isinstance(outcome, Err) else None
 
@@ -254,21 +258,21 @@
         timeout_s: float,
         body: bytes = b"",
         good: tuple[int, ...] = (200,),
-    ) -> Result[Answer, Trouble]:
+    ) -> Result[Answer, CallFailure]:
         outcome = await self._calls.call(method, path, body, JSON_TYPE if body else [], timeout_s)
         if isinstance(outcome, Err):
-            return Err(Trouble(outcome.err_value.detail, uncertain=outcome.err_value.sent))
+            return Err(CallFailure(outcome.err_value.detail, uncertain=outcome.err_value.sent))
         got = outcome.ok_value
         count = first_count(got.headers, ERA_HEADER)
         era = UNKNOWN_ERA if count is None else count + 1  # the count may be 0, as UNKNOWN_ERA is
         self.era.observe(era)
         if got.status not in good:
             gone = got.status == STATUS_HISTORY_GONE
-            return Err(Trouble(f"status {got.status}", uncertain=False, history_gone=gone))
+            return Err(CallFailure(f"status {got.status}", uncertain=False, history_gone=gone))
         try:
             rows = msgspec.json.decode(got.body, type=RowsRecord)
         except msgspec.DecodeError as error:
-            return Err(Trouble(f"an answer that can't be read: {error}"))
+            return Err(CallFailure(f"an answer that can't be read: {error}"))
         return Ok(Answer(got.status, msgspec.structs.replace(rows, era=era)))
 
 
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -18,8 +18,8 @@
 from moledale.gateway.gossip import StateNews
 from moledale.gateway.messages import Server
 from moledale.gateway.neighbours import ROUND_S, Neighbours
+from moledale.gateway.outside import CallFailure
 from moledale.gateway.outside import ServerList as StoredList
-from moledale.gateway.outside import Trouble
 from moledale.gateway.peers import Membership, NodeState
 from moledale.gateway.server_list import ServerChange
 from moledale.gateway.store_era import EraVersion
@@ -93,10 +93,10 @@
 
     async def servers(
         self, _: float, before: StoredList | None = None
-    ) -> Result[StoredList, Trouble]:
+    ) -> Result[StoredList, CallFailure]:
         """Return the list, or nothing for a node that is cut off."""
         if self.world.store.away or self.node in self.world.no_store:
-            return Err(Trouble("away"))
+            return Err(CallFailure("away"))
         return Ok(self.world.store.listed())
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -8,7 +8,7 @@
 
 from moledale.gateway.backoff import JITTER, Backoff
 from moledale.gateway.fleet_watch import AGAIN_MOST_S, AGAIN_S, CROWD_SPREAD_S, FleetWatch
-from moledale.gateway.outside import Trouble
+from moledale.gateway.outside import CallFailure
 from moledale.gateway.plan_watch import PlanWatch
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.usage import TrueTime
@@ -27,11 +27,11 @@
 
     async def plan(self, _: float) -> object:
         self.calls += 1
-        return Err(Trouble("away"))
+        return Err(CallFailure("away"))
 
     async def servers(self, _: float, _before: object = None) -> object:
         self.calls += 1
-        return Err(Trouble("away"))
+        return Err(CallFailure("away"))
 
     def decode_plan(self, raw: bytes) -> object:
         return read_config(raw)
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -16,8 +16,8 @@
     FleetWatch,
 )
 from moledale.gateway.messages import Server
+from moledale.gateway.outside import CallFailure
 from moledale.gateway.outside import ServerList as StoredList
-from moledale.gateway.outside import Trouble
 from moledale.gateway.server_list import (
     MAX_PACKET_BYTES,
     MAX_PACKETS,
@@ -439,7 +439,7 @@
         self.reads += 1
         if self.away:
             await asyncio.sleep(0.01)
-            return Err(Trouble("away"))
+            return Err(CallFailure("away"))
         self.version += self.step
         return Ok(StoredList((a_server(1),), self.version, self.now(), era=1))
 
