--- a/src/moledale/gateway/duties.py
+++ b/src/moledale/gateway/duties.py
@@ -8,7 +8,7 @@
 
 from moledale.clock import monotonic
 from moledale.gateway.lease_keeper import LeaseKeeper
-from moledale.gateway.outside import ABSENT, Orders, Store
+from moledale.gateway.outside import ABSENT_VERSION, CloudOrders, Store
 from moledale.gateway.renting_duty import RentingDuty
 from moledale.gateway.rollout_duty import RolloutDuty
 from moledale.gateway.sharing import Sharing
@@ -62,7 +62,7 @@
         node: str,
         keeper: LeaseKeeper,
         store: Store,
-        orders: Orders,
+        orders: CloudOrders,
         sharing: Sharing,
         renting: RentingDuty,
         rollouts: RolloutDuty,
@@ -177,7 +177,7 @@
     async def _freeze(self, row: WindowRow) -> WindowRow | None:
         """Store a window's counts before they are sent, or return the counts stored earlier."""
         key = str(row.window % USAGE_ROWS)
-        expected = ABSENT
+        expected = ABSENT_VERSION
         era = self._store.era.number
         for _ in range(2):
             outcome = await self._store.write(
@@ -191,10 +191,10 @@
             if written.committed:
                 await self._void(row.window, written.version, STORE_RESTORED_REASON)
                 return None
-            if written.standing is None:
+            if written.conflicting_row is None:
                 return None
-            expected = written.standing.version
-            stored = decode_row(USAGE_TABLE, written.standing, WindowRow)
+            expected = written.conflicting_row.version
+            stored = decode_row(USAGE_TABLE, written.conflicting_row, WindowRow)
             if stored is None:
                 if row.window not in self._frozen:
                     await self._void(row.window, expected, ROW_UNREADABLE_REASON)
--- a/src/moledale/gateway/lease_keeper.py
+++ b/src/moledale/gateway/lease_keeper.py
@@ -18,7 +18,7 @@
 
 from moledale.clock import monotonic
 from moledale.core.leases import Grant, Lease, LeaseAction, LeaseRow
-from moledale.gateway.outside import ABSENT, StateRow, Store
+from moledale.gateway.outside import ABSENT_VERSION, StateRow, Store
 from moledale.gateway.peers import HeldLease, LeaseNews
 from moledale.gateway.settings import Bounds
 from moledale.gateway.state_rows import decode_row
@@ -219,7 +219,7 @@
             if row.key == LEASE_KEY:
                 self._observe_row(row, reading.store_s, now)
                 return
-        self.lease.record_read(None, ABSENT, now)
+        self.lease.record_read(None, ABSENT_VERSION, now)
         if self._may_acquire_without_row(now):
             await self._write(now)
 
@@ -319,10 +319,10 @@
             self._observe_row(
                 StateRow(LEASE_KEY, value, written.version), written.store_s, answered_at
             )
-        elif written.standing is not None:
-            self._observe_row(written.standing, written.store_s, answered_at)
+        elif written.conflicting_row is not None:
+            self._observe_row(written.conflicting_row, written.store_s, answered_at)
         elif self.lease.grant(answered_at) is not None:
-            self._schedule_renewal(ABSENT)
+            self._schedule_renewal(ABSENT_VERSION)
         self._log_change(answered_at)
 
     def _log_change(self, now: float) -> None:
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -30,7 +30,7 @@
 from moledale.gateway.limit_sharing import LimitSharing
 from moledale.gateway.messages import InboundRequest, Refusal, Server
 from moledale.gateway.neighbours import ROUND_S, Neighbours
-from moledale.gateway.outside import Orders, Store
+from moledale.gateway.outside import CloudOrders, Store
 from moledale.gateway.peers import Membership, NodeState, Standing
 from moledale.gateway.permits import PermitAnswer, PermitAsk
 from moledale.gateway.plan import Engine, Limits, Plan
@@ -104,7 +104,7 @@
         dialect: Dialect,
         entry: EntryDialect,
         store: Store,
-        orders: Orders,
+        orders: CloudOrders,
         engines: Engines,
     ) -> None:
         node = settings.node
--- a/src/moledale/gateway/outside.py
+++ b/src/moledale/gateway/outside.py
@@ -10,7 +10,7 @@
 from moledale.gateway.plan import Plan
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion, StoreEra
 
-ABSENT = 0
+ABSENT_VERSION = 0
 """Version of a row that does not exist."""
 
 
@@ -33,17 +33,17 @@
     version: int
 
 
-class Written(msgspec.Struct, frozen=True):
+class WriteResult(msgspec.Struct, frozen=True):
     """Outcome of a conditional write: its version, or the row that stood in its way."""
 
     version: int
     committed: bool
-    standing: StateRow | None = None
+    conflicting_row: StateRow | None = None
     store_s: float = 0.0
     era: int = UNKNOWN_ERA
 
 
-class Reading(msgspec.Struct, frozen=True):
+class TableSnapshot(msgspec.Struct, frozen=True):
     """Rows as of one moment; `store_s` is the store's steady clock in seconds."""
 
     rows: tuple[StateRow, ...]
@@ -77,7 +77,7 @@
     phase: Phase = Phase.TRIAL
 
 
-class StatusWritten(msgspec.Struct, frozen=True):
+class StatusWriteResult(msgspec.Struct, frozen=True):
     """Outcome of writing a roll-out's status, with the version of the row as it stands now.
 
     Where another status stood in its way, `phase` is what that one tells of the same order.
@@ -90,7 +90,7 @@
     superseded: bool = False
 
 
-class PlanNews(msgspec.Struct, frozen=True):
+class PlanUpdate(msgspec.Struct, frozen=True):
     """Answer of a watch: the newest plan if it changed, and where to go on watching.
 
     `rollouts` are orders for new versions of servers that are new or were asked for.
@@ -108,13 +108,13 @@
 
     era: StoreEra
 
-    async def read(self, table: str, timeout_s: float) -> Result[Reading, CallFailure]:
+    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, CallFailure]:
         """Return all rows of one of this system's tables."""
         ...
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[Written, CallFailure]:
+    ) -> Result[WriteResult, CallFailure]:
         """Put a row if it stands at version `expected`."""
         ...
 
@@ -132,26 +132,26 @@
         """Return the list of backend servers, if possible from what changed since `before`."""
         ...
 
-    async def plan(self, timeout_s: float) -> Result[PlanNews, CallFailure]:
+    async def plan(self, timeout_s: float) -> Result[PlanUpdate, CallFailure]:
         """Return the newest plan."""
         ...
 
     async def watch_plan(
         self, position: EraVersion, wait_s: float
-    ) -> Result[PlanNews, CallFailure]:
+    ) -> Result[PlanUpdate, CallFailure]:
         """Return the newest plan once there is one after `position`, or after `wait_s`."""
         ...
 
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
-    ) -> Result[StatusWritten, CallFailure]:
+    ) -> Result[StatusWriteResult, CallFailure]:
         """Tell the operator how far a roll-out is, and keep what a later holder needs.
 
         It holds only if the order still stands, and the status at version `expected`.
         """
         ...
 
-    async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], CallFailure]:
+    async def load_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], CallFailure]:
         """Return what earlier holders kept of roll-outs."""
         ...
 
@@ -160,7 +160,7 @@
         ...
 
 
-class Orders(Protocol):
+class CloudOrders(Protocol):
     """Calls to the cloud that one node at a time may make."""
 
     async def report_usage(
--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -16,7 +16,7 @@
 from moledale.gateway.cold_start import ColdStart
 from moledale.gateway.document_archive import DocumentArchive
 from moledale.gateway.document_fetch import PLAN_PATH, DocumentFetch
-from moledale.gateway.outside import PlanNews, Store, StoredRollout
+from moledale.gateway.outside import PlanUpdate, Store, StoredRollout
 from moledale.gateway.plan import Plan
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.store_health import StoreHealth
@@ -142,7 +142,7 @@
         self._apply_update(outcome.ok_value)
         return True
 
-    def _apply_update(self, update: PlanNews) -> None:
+    def _apply_update(self, update: PlanUpdate) -> None:
         for rollout in update.rollouts:
             self._on_rollout(rollout)
         if update.plan is not None:
--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -8,7 +8,7 @@
 from moledale.core.leases import Grant
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.lease_keeper import LeaseKeeper
-from moledale.gateway.outside import Orders
+from moledale.gateway.outside import CloudOrders
 from moledale.gateway.plan import PlanIndex, Renting
 from moledale.gateway.renting import Demand, Load, Order, RentingPlanner, servers_for_load
 from moledale.gateway.sharing import Sharing
@@ -26,7 +26,7 @@
         self,
         node: str,
         keeper: LeaseKeeper,
-        orders: Orders,
+        orders: CloudOrders,
         sharing: Sharing,
         balancer: LoadBalancer,
         index: Callable[[], PlanIndex | None],
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -6,7 +6,7 @@
 
 from moledale.core.rollouts import MIN_ANSWERS_PER_ROUTE, Phase, Progress, next_phase
 from moledale.gateway.balance import PACE_SUFFIX, LoadBalancer
-from moledale.gateway.outside import ABSENT, Store
+from moledale.gateway.outside import ABSENT_VERSION, Store
 from moledale.gateway.rollouts import Rollouts, ServiceRollout
 from moledale.log import Event, emit
 
@@ -70,7 +70,7 @@
 
     async def _recover(self) -> bool:
         """Merge what former holders stored; return whether the store answered."""
-        outcome = await self._store.kept_rollouts(CALL_TIMEOUT_S)
+        outcome = await self._store.load_rollouts(CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
             emit(Event.ROLLOUT_FAILED, what="kept", why=outcome.err_value.detail)
             return False
@@ -145,7 +145,7 @@
         for _ in range(MAX_WRITE_ATTEMPTS):
             if not holds_lease():
                 return False
-            expected = self._row_versions.get(order.service, ABSENT)
+            expected = self._row_versions.get(order.service, ABSENT_VERSION)
             outcome = await self._store.write_rollout(update, expected, CALL_TIMEOUT_S)
             if isinstance(outcome, Err):
                 emit(Event.ROLLOUT_FAILED, service=order.service, why=outcome.err_value.detail)
--- a/src/moledale/platform/start.py
+++ b/src/moledale/platform/start.py
@@ -4,7 +4,7 @@
 import sys
 from pathlib import Path
 
-from moledale.gateway.outside import Orders, Store
+from moledale.gateway.outside import CloudOrders, Store
 from moledale.gateway.settings import GatewaySettings
 from moledale.platform.cloud import PlatformCloud
 from moledale.platform.engines import PlatformEngines
@@ -19,7 +19,7 @@
     return PlatformStore(settings.outside.store)
 
 
-def _orders(settings: GatewaySettings) -> Orders:
+def _orders(settings: GatewaySettings) -> CloudOrders:
     return PlatformCloud(settings.outside.cloud)
 
 
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -12,13 +12,13 @@
 from moledale.gateway.messages import Headers, Server
 from moledale.gateway.outside import (
     CallFailure,
-    PlanNews,
-    Reading,
+    PlanUpdate,
     ServerList,
     StateRow,
-    StatusWritten,
+    StatusWriteResult,
     StoredRollout,
-    Written,
+    TableSnapshot,
+    WriteResult,
 )
 from moledale.gateway.plan import Plan
 from moledale.gateway.state_rows import decode_row, parse_or_log
@@ -78,18 +78,18 @@
         self._calls = HttpCaller(address)
         self._entry_reader = EntryReader()
 
-    async def read(self, table: str, timeout_s: float) -> Result[Reading, CallFailure]:
+    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, CallFailure]:
         """Return all rows of a table."""
         outcome = await self._read_table(table, timeout_s)
         if isinstance(outcome, Err):
             return outcome
         record = outcome.ok_value
         rows = tuple(_state_row(row) for row in record.rows)
-        return Ok(Reading(rows, record.ver, record.now_ms / 1000, record.era))
+        return Ok(TableSnapshot(rows, record.ver, record.now_ms / 1000, record.era))
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[Written, CallFailure]:
+    ) -> Result[WriteResult, CallFailure]:
         """Put a row if its version is still `expected`."""
         name = {"table": table, "part": "", "key": key}
         body = {
@@ -105,7 +105,7 @@
         existing = (row for row in record.rows if row.key == key and not row.gone and row.ver)
         row = None if committed else next(existing, None)
         standing = None if row is None else _state_row(row)
-        return Ok(Written(record.ver, committed, standing, record.now_ms / 1000, record.era))
+        return Ok(WriteResult(record.ver, committed, standing, record.now_ms / 1000, record.era))
 
     async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> CallFailure | None:
         """Put a row without a condition."""
@@ -169,7 +169,7 @@
         remaining = tuple(server for server in servers.values() if server is not None)
         return Ok(ServerList(remaining, record.ver, now_s, era=before.era))
 
-    async def plan(self, timeout_s: float) -> Result[PlanNews, CallFailure]:
+    async def plan(self, timeout_s: float) -> Result[PlanUpdate, CallFailure]:
         """Return the newest plan."""
         outcome = await self._read_table(CONFIG_TABLE, timeout_s)
         if isinstance(outcome, Err):
@@ -186,7 +186,7 @@
 
     async def watch_plan(
         self, position: EraVersion, wait_s: float
-    ) -> Result[PlanNews, CallFailure]:
+    ) -> Result[PlanUpdate, CallFailure]:
         """Return what changed after `position`, once there is a change or after `wait_s`."""
         wait = int(wait_s * 1000)
         path = f"/v1/rows-feed?table={CONFIG_TABLE}&startAfter={position.number}&waitMs={wait}"
@@ -195,7 +195,7 @@
 
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
-    ) -> Result[StatusWritten, CallFailure]:
+    ) -> Result[StatusWriteResult, CallFailure]:
         """Write a rollout's status, and in the same transaction the state for later holders."""
         order = news.order
         key = ROLLOUT_PREFIX + order.service
@@ -217,9 +217,11 @@
         if record.era != order.era:
             return Err(ERA_CHANGED)
         committed = outcome.ok_value.status == 200
-        return Ok(StatusWritten(True, record.ver) if committed else _write_conflict(record, order))
+        return Ok(
+            StatusWriteResult(True, record.ver) if committed else _write_conflict(record, order)
+        )
 
-    async def kept_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], CallFailure]:
+    async def load_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], CallFailure]:
         """Return the state of rollouts that earlier holders stored."""
         outcome = await self._read_table(ROLLOUT_TABLE, timeout_s)
         return outcome.map(_kept_rollouts)
@@ -276,7 +278,7 @@
         return Ok(Answer(got.status, msgspec.structs.replace(rows, era=era)))
 
 
-def _plan_news(record: RowsRecord) -> PlanNews:
+def _plan_news(record: RowsRecord) -> PlanUpdate:
     plan, raw = None, b""
     now_s = record.now_ms / 1000
     rollouts = []
@@ -290,7 +292,7 @@
             order = parse_or_log(row.table, row.key, read)
             if order is not None:
                 rollouts.append(StoredRollout(order))
-    return PlanNews(plan, raw, record.era_version, now_s, tuple(rollouts))
+    return PlanUpdate(plan, raw, record.era_version, now_s, tuple(rollouts))
 
 
 def _read_plan(row: RowRecord) -> Plan:
@@ -318,16 +320,16 @@
     return stored if phase is None else StoredRollout(stored.order, phase)
 
 
-def _write_conflict(record: RowsRecord, order: RolloutOrder) -> StatusWritten:
+def _write_conflict(record: RowsRecord, order: RolloutOrder) -> StatusWriteResult:
     """Return why a status was not written, from the current rows."""
     current = {row.table: row for row in record.rows if not row.gone}
     ordered = current.get(CONFIG_TABLE)
     if ordered is None or ordered.ver != order.revision:
-        return StatusWritten(False, 0, superseded=True)
+        return StatusWriteResult(False, 0, superseded=True)
     status = current.get(STATUS_TABLE)
     if status is None:
-        return StatusWritten(False, 0)
-    return StatusWritten(False, status.ver, _read_phase(status, order))
+        return StatusWriteResult(False, 0)
+    return StatusWriteResult(False, status.ver, _read_phase(status, order))
 
 
 def _to_base64(value: bytes) -> str:
--- a/src/moledale/ui/gateway.py
+++ b/src/moledale/ui/gateway.py
@@ -13,7 +13,7 @@
 from moledale.gateway.entry import EntryDialect
 from moledale.gateway.evacuation import Engines
 from moledale.gateway.node import GatewayNode
-from moledale.gateway.outside import Orders, Store
+from moledale.gateway.outside import CloudOrders, Store
 from moledale.gateway.settings import GatewaySettings, load
 from moledale.log import Event, emit, log_to_stdout
 
@@ -25,7 +25,7 @@
     dialect: Dialect,
     entry: EntryDialect,
     store: Callable[[GatewaySettings], Store],
-    orders: Callable[[GatewaySettings], Orders],
+    orders: Callable[[GatewaySettings], CloudOrders],
     engines: Engines,
 ) -> int:
     """Run a node until SIGTERM and return its exit code; 2 means invalid settings."""
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -12,7 +12,7 @@
 
 from moledale.clock import monotonic
 from moledale.gateway.node import GatewayNode
-from moledale.gateway.outside import ABSENT
+from moledale.gateway.outside import ABSENT_VERSION
 from moledale.gateway.peers import Standing
 from moledale.gateway.plan_watch import WATCH_TIMEOUT_S
 from moledale.gateway.settings import Bounds, GatewaySettings, Identity, Outside, load, parse
@@ -448,9 +448,9 @@
         async def work(cluster: Cluster) -> None:
             store = PlatformStore(cluster.platform.address)
             row = msgspec.json.encode({"window": 7, "counts": {"north": 3}})
-            first = (await store.write("usage", "7", row, ABSENT, 1.0)).unwrap()
+            first = (await store.write("usage", "7", row, ABSENT_VERSION, 1.0)).unwrap()
             self.assertTrue(first.committed)
-            second = (await store.write("usage", "7", b"{}", ABSENT, 1.0)).unwrap()
+            second = (await store.write("usage", "7", b"{}", ABSENT_VERSION, 1.0)).unwrap()
             self.assertFalse(second.committed)
             assert second.standing is not None
             self.assertEqual((second.standing.value, second.standing.version), (row, first.version))
--- a/tests/test_lease_over_restores.py
+++ b/tests/test_lease_over_restores.py
@@ -10,7 +10,7 @@
 from moledale.clock import monotonic
 from moledale.gateway import lease_keeper
 from moledale.gateway.lease_keeper import LeaseKeeper
-from moledale.gateway.outside import CallFailure, Reading, StateRow, Written
+from moledale.gateway.outside import CallFailure, StateRow, TableSnapshot, WriteResult
 from moledale.gateway.settings import Bounds
 from moledale.gateway.store_era import StoreEra
 from tests.gateway_world import quietly
@@ -55,7 +55,7 @@
         self._store = store
         self._chance = chance
 
-    async def read(self, table: str, timeout_s: float) -> Result[Reading, CallFailure]:
+    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, CallFailure]:
         """Return the row."""
         await asyncio.sleep(0.005 * self._chance.random())
         if monotonic() < self.cut_until:
@@ -66,7 +66,7 @@
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[Written, CallFailure]:
+    ) -> Result[WriteResult, CallFailure]:
         """Put the row; at times much later, or with an answer that is lost."""
         late_s = 0.2 if self._chance.random() < 0.05 else 0.005
         await asyncio.sleep(late_s * self._chance.random())
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -162,7 +162,7 @@
             platform.put("rollouts", "plain", ["no roll-out"])
             platform.put("rollouts", "spoilt", {})
             platform.rows[("rollouts", "", "spoilt")].value = "a"
-            self.assertEqual((await store.kept_rollouts(1.0)).unwrap(), (news,))
+            self.assertEqual((await store.load_rollouts(1.0)).unwrap(), (news,))
 
         with logbook.NullHandler().applicationbound():
             on_store(work)
--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -51,7 +51,7 @@
         rollouts.apply_order(RolloutOrder("model", 1, "v2", duration_s, 0.0))
         self.note_answers(rollouts)
         store = mock.Mock()
-        store.kept_rollouts = mock.AsyncMock(return_value=Ok([]))
+        store.load_rollouts = mock.AsyncMock(return_value=Ok([]))
         store.write_rollout = mock.AsyncMock(
             return_value=Ok(mock.Mock(superseded=False, committed=True, version=1))
         )
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -10,7 +10,7 @@
 from moledale.core.leases import Grant
 from moledale.gateway.duties import NEW_HOLDER_DELAY_S, SETTLE_S, Duties
 from moledale.gateway.lease_keeper import LEASE_KEY
-from moledale.gateway.outside import CallFailure, StateRow, Written
+from moledale.gateway.outside import CallFailure, StateRow, WriteResult
 from moledale.gateway.peers import Membership
 from moledale.gateway.settings import Bounds
 from moledale.gateway.sharing import Sharing
@@ -228,7 +228,7 @@
             world = self.world
             writes = world.store.write
 
-            async def restoring(*call: object) -> Result[Written, CallFailure]:
+            async def restoring(*call: object) -> Result[WriteResult, CallFailure]:
                 world.store.write = writes  # type: ignore[method-assign]
                 world.store.restore(None, 5)
                 return await writes(*call)  # type: ignore[arg-type]
