--- a/src/moledale/gateway/suspension.py
+++ b/src/moledale/gateway/suspension.py
@@ -5,7 +5,7 @@
 
 from moledale.clock import monotonic
 
-LEAST_S = 0.1
+MIN_SUSPENSION_S = 0.1
 """Shorter suspensions are not told: half a round of news, which makes no difference."""
 
 
@@ -14,18 +14,18 @@
 
     def __init__(
         self,
-        counting: Callable[[], float] = monotonic,
-        standing_still: Callable[[], float] = time.monotonic,
+        boot_clock: Callable[[], float] = monotonic,
+        monotonic_clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._counting = counting
-        self._standing_still = standing_still
-        self._ahead_s = counting() - standing_still()
+        self._boot_clock = boot_clock
+        self._monotonic_clock = monotonic_clock
+        self._offset_s = boot_clock() - monotonic_clock()
 
     def slept_s(self) -> float:
         """Return for how long the machine was suspended since the last call, 0.0 if it wasn't."""
-        ahead_s = self._counting() - self._standing_still()
-        slept_s = ahead_s - self._ahead_s
-        if slept_s < LEAST_S:
+        ahead_s = self._boot_clock() - self._monotonic_clock()
+        slept_s = ahead_s - self._offset_s
+        if slept_s < MIN_SUSPENSION_S:
             return 0.0
-        self._ahead_s = ahead_s
+        self._offset_s = ahead_s
         return slept_s
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -9,7 +9,7 @@
 from moledale.core.leases import LeaseRow
 from moledale.gateway.lease_keeper import LeaseKeeper
 from moledale.gateway.settings import Bounds
-from moledale.gateway.suspension import LEAST_S, SuspensionWatch
+from moledale.gateway.suspension import MIN_SUSPENSION_S, SuspensionWatch
 from moledale.platform.store import PlatformStore
 from tests.gateway_world import Arrival, GatewayWorld, a_plan, fine, quietly, reset
 
@@ -29,11 +29,11 @@
         counting, standing_still = OwnClock(), OwnClock()
         watch = SuspensionWatch(counting, standing_still)
         told = []
-        for slept_s in (0.0, 5.0, 0.0, LEAST_S / 2, LEAST_S / 2 + 0.01, 0.0):
+        for slept_s in (0.0, 5.0, 0.0, MIN_SUSPENSION_S / 2, MIN_SUSPENSION_S / 2 + 0.01, 0.0):
             counting.at += 0.2 + slept_s
             standing_still.at += 0.2
             told.append(round(watch.slept_s(), 3))
-        self.assertEqual(told, [0.0, 5.0, 0.0, 0.0, round(LEAST_S + 0.01, 3), 0.0])
+        self.assertEqual(told, [0.0, 5.0, 0.0, 0.0, round(MIN_SUSPENSION_S + 0.01, 3), 0.0])
 
     @unittest.skipUnless(hasattr(time, "CLOCK_BOOTTIME"), "the system has no such clock")
     def test_durations_are_measured_by_the_clock_that_counts_suspended_time(self) -> None:
