--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -12,7 +12,7 @@
 from moledale.gateway.plan import PlanIndex, Renting
 from moledale.gateway.renting import Demand, Load, Order, RentingPlanner, servers_for_load
 from moledale.gateway.sharing import Sharing
-from moledale.gateway.work import OWN_LIFE, WorkMeter
+from moledale.gateway.work import OWN_INCARNATION, WorkMeter
 from moledale.log import Event, emit
 
 PLAN_INTERVAL_S = 0.5
@@ -44,7 +44,7 @@
         self._planners: dict[str, RentingPlanner] = {}
         self._demands: dict[str, Demand] = {}
         self._work = WorkMeter()
-        self._work.note(OWN_LIFE, {})
+        self._work.record(OWN_INCARNATION, {})
         self._planned_at = -1e9
         self._demand_recorded_at = -1e9
 
@@ -113,8 +113,8 @@
         if index is None or now - self._demand_recorded_at < PLAN_INTERVAL_S:
             return
         self._demand_recorded_at = now
-        self._work.note(OWN_LIFE, self._balancer.work)
-        self._work.note_all(self._sharing.members.all_states())
+        self._work.record(OWN_INCARNATION, self._balancer.work)
+        self._work.merge_peers(self._sharing.members.all_states())
         for service in index.services.values():
             if service.renting is None:
                 continue
--- a/src/moledale/gateway/work.py
+++ b/src/moledale/gateway/work.py
@@ -17,7 +17,7 @@
     total: dict[str, int] = msgspec.field(default_factory=dict)
     _counted: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
 
-    def note(self, life: int, work: dict[str, int]) -> None:
+    def record(self, life: int, work: dict[str, int]) -> None:
         """Take over the counters of a node's life."""
         before = self._counted.get(life)
         self._counted[life] = dict(work)
@@ -27,15 +27,15 @@
             more = max(0, amount - before.get(service, 0))
             self.total[service] = self.total.get(service, 0) + more
 
-    def note_all(self, states: Iterable[NodeState]) -> None:
+    def merge_peers(self, states: Iterable[NodeState]) -> None:
         """Take over what other nodes told, and forget lives that are remembered no more."""
         lives = set()
         for state in states:
             lives.add(state.life)
-            self.note(state.life, state.work)
-        for life in set(self._counted) - lives - {OWN_LIFE}:
+            self.record(state.life, state.work)
+        for life in set(self._counted) - lives - {OWN_INCARNATION}:
             del self._counted[life]
 
 
-OWN_LIFE = -1
+OWN_INCARNATION = -1
 """Stands for this process; its counters are known from their beginning."""
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -95,7 +95,7 @@
 _read_answer = PlatformHeaders.read_answer
 _data_received = UpstreamConnection.data_received
 _heard = LeaseKeeper.on_renewal
-_note = WorkMeter.note
+_note = WorkMeter.record
 
 
 async def _grant_all(*_: object) -> bool:
