--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -60,39 +60,39 @@
 from moledale.log import Event, emit
 from moledale.node.supervisor import Supervisor
 
-POOL_SWEEP_S = 0.5
+POOL_SWEEP_INTERVAL_S = 0.5
 """Connections at rest for too long are closed this often."""
 
-LEAST_STOP_X = 1.6
+MIN_STOP_FACTOR = 1.6
 """A stop takes so many times `bounds.address_ttl_s` at least, since callers keep addresses that
 they were told, some of them for longer than that."""
 
 STOP_MARGIN_S = 0.9
 """A stop ends this long before the time that is allowed: for closing, at a slow instance."""
 
-TAKEN_SHARE = 0.35
+STOP_ADMISSION_SHARE = 0.35
 """Part of a stop's time in which new requests are taken; later ones could be cut at its end."""
 
-PLACEMENTS_S = 0.02
+PLACEMENT_BATCH_S = 0.02
 """Placements are collected for this long before other nodes hear of them."""
 
-OLD_END_SHARE = 0.9
+OLD_SERVERS_END_SHARE = 0.9
 """Part of a roll-out's time after which old servers are to have nothing left; streams that would
 last longer are moved. The rest is for the last copies and for telling the operator."""
 
-ELSEWHERE_S = 0.05
+STOPPING_RETRY_AFTER_S = 0.05
 """Time to come back for callers of a node that stops: others serve at once."""
 
-QUIET_S = 0.3
+STOP_QUIET_S = 0.3
 """A node that stops ends once nothing came for this long, several round trips of a caller."""
 
 EXIT_OK = 0
 """Exit code of a planned stop."""
 
 
-def least_stop_s(bounds: Bounds) -> float:
+def min_stop_s(bounds: Bounds) -> float:
     """Return the least time of a planned stop."""
-    return min(LEAST_STOP_X * bounds.address_ttl_s, bounds.stop_s / 2)
+    return min(MIN_STOP_FACTOR * bounds.address_ttl_s, bounds.stop_s / 2)
 
 
 class GatewayNode:
@@ -110,9 +110,9 @@
         node = settings.node
         self.settings = settings
         self.standing = Standing.STARTING
-        self._began_at = monotonic()
-        self.life = int.from_bytes(os.urandom(6), "big")
-        self.members = Membership(node.id, self.life)
+        self._started_at = monotonic()
+        self.incarnation = int.from_bytes(os.urandom(6), "big")
+        self.members = Membership(node.id, self.incarnation)
         self.sharing = Sharing(self.members, settings.bounds)
         self.balancer = LoadBalancer(node.hall)
         self.pool = ConnectionPool(monotonic)
@@ -122,13 +122,13 @@
             self._rollout_changed,
             self.sharing.true_time.to_local,
             self._serving_count,
-            self._began_at,
+            self._started_at,
             Exposure(settings.bounds.exposure_share, settings.bounds.exposure_free),
             store.era,
         )
         self.balancer.on_outcome = self.rollouts.record_answer
         self.server_limits = LimitSharing(
-            node.id, node.hall, node.peers, self.balancer, self.members, self._tell_one
+            node.id, node.hall, node.peers, self.balancer, self.members, self._send_to
         )
         self.forwarder = Forwarder(
             dialect,
@@ -144,7 +144,7 @@
             permits=self.server_limits.permits,
         )
         self._store = store
-        nonce = f"{node.id}/{self.life:x}"
+        nonce = f"{node.id}/{self.incarnation:x}"
         self.keeper = LeaseKeeper(node.id, store, settings.bounds, nonce, node.first_start)
         self.duties = Duties(
             node.id,
@@ -165,7 +165,7 @@
                 store, self.rollouts, self.balancer, self.sharing.true_time.to_local, monotonic
             ),
         )
-        self.quarantine = QuarantineSharing(self.forwarder.guard, self._tell_quarantine)
+        self.quarantine = QuarantineSharing(self.forwarder.guard, self._send_quarantine)
         self._blocks = QuarantineStore(
             store,
             self.forwarder.guard,
@@ -177,8 +177,8 @@
         self.supervisor = Supervisor("gateway", SystemClock())
         self.neighbours = Neighbours(self.members, node.peers, monotonic())
         self._gossip: GossipSocket | None = None
-        self._telling_placements: asyncio.TimerHandle | None = None
-        self.balancer.on_placed = self._placed
+        self._placement_timer: asyncio.TimerHandle | None = None
+        self.balancer.on_placed = self._on_placed
         self.balancer.has_connection = self.pool.has_idle
         self.balancer.idle_servers = self.pool.idle_servers
         self._request_rate = Rate()
@@ -192,7 +192,7 @@
             self.sharing.true_time,
             self._watching_turn,
             self._adopt,
-            self._tell_of_plan,
+            self._announce_plan,
             self._crowd,
             node.link_mbps,
             lambda stored: self.rollouts.apply_order(stored.order, stored.phase),
@@ -244,14 +244,16 @@
         """Forward a request, or send it elsewhere where too little of a stop's time is left."""
         since = self._leaving_since
         if since is not None and monotonic() - since > self._last_taken_s:
-            self.forwarder.refuse(reply, request, Refusal(503, "the node stops", ELSEWHERE_S))
+            self.forwarder.refuse(
+                reply, request, Refusal(503, "the node stops", STOPPING_RETRY_AFTER_S)
+            )
             return
         await self.forwarder.handle(request, reply)
 
     @property
     def _last_taken_s(self) -> float:
         """Return how long after a stop began requests are still taken."""
-        return self.settings.bounds.stop_s * TAKEN_SHARE
+        return self.settings.bounds.stop_s * STOP_ADMISSION_SHARE
 
     async def run(self, stop: asyncio.Event) -> int:
         """Serve until told to stop; return the exit code."""
@@ -302,15 +304,15 @@
         self._leaving_since = began
         emit(Event.DRAINING, node=self.settings.node.id)
         self._callers.closing = True
-        self._tell_state()
+        self._send_state()
         giving_back = asyncio.create_task(self._give_lease_back())
         end = began + max(0.5, self.settings.bounds.stop_s - STOP_MARGIN_S)
-        least = began + least_stop_s(self.settings.bounds)
+        least = began + min_stop_s(self.settings.bounds)
         quiet_since = monotonic()
         while (now := monotonic()) < end:
             if self._callers.busy():
                 quiet_since = now
-            elif now >= least and now - quiet_since >= QUIET_S:
+            elif now >= least and now - quiet_since >= STOP_QUIET_S:
                 break
             await asyncio.sleep(0.05)
         giving_back.cancel()
@@ -318,7 +320,7 @@
             server.close()
         self._callers.close_idle()
         await self.supervisor.stop()
-        self._tell_state()
+        self._send_state()
         emit(Event.STOPPED, node=self.settings.node.id)
 
     async def _give_lease_back(self) -> None:
@@ -335,7 +337,7 @@
         index = self.forwarder.index
         return NodeState(
             node.id,
-            self.life,
+            self.incarnation,
             self._sequence,
             node.hall,
             node.callers,
@@ -356,7 +358,7 @@
             lease_heard=self.keeper.lease_to_relay(now),
             requests_per_s=self._request_rate.per_s,
             speeds=self.balancer.speeds(now),
-            age_s=now - self._began_at,
+            age_s=now - self._started_at,
             servers=self.fleet.head(),
             rollouts=self.rollouts.updates(),
             trials=self.rollouts.trial_counts(),
@@ -368,7 +370,7 @@
             era=self._store.era.to_broadcast(),
         )
 
-    def _tell_state(self, everyone: bool = True) -> None:
+    def _send_state(self, everyone: bool = True) -> None:
         if self._gossip is None:
             return
         now = monotonic()
@@ -387,26 +389,26 @@
         if others:
             self._gossip.tell(pack_alone(StateNews(own.shortened(), [])), others)
 
-    def _tell_one(self, message: PermitAsk | PermitAnswer, address: str) -> None:
+    def _send_to(self, message: PermitAsk | PermitAnswer, address: str) -> None:
         if self._gossip is not None:
             self._gossip.tell(message, [address])
 
-    def _placed(self) -> None:
+    def _on_placed(self) -> None:
         """Tell of placements soon; some that come together are told together."""
-        if self._telling_placements is None:
+        if self._placement_timer is None:
             loop = asyncio.get_running_loop()
-            self._telling_placements = loop.call_later(PLACEMENTS_S, self._tell_placements)
+            self._placement_timer = loop.call_later(PLACEMENT_BATCH_S, self._send_placements)
 
-    def _tell_placements(self) -> None:
-        self._telling_placements = None
+    def _send_placements(self) -> None:
+        self._placement_timer = None
         placed = self.balancer.drain_placements()
         if self._gossip is None or not placed:
             return
         node = self.settings.node
         targets = self.neighbours.sharers(node.hall, monotonic())
-        self._gossip.tell(PlacementNews(node.id, self.life, self._sequence, placed), targets)
+        self._gossip.tell(PlacementNews(node.id, self.incarnation, self._sequence, placed), targets)
 
-    def _tell_quarantine(
+    def _send_quarantine(
         self, news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
     ) -> None:
         if self._gossip is None:
@@ -438,7 +440,7 @@
             changed = self.neighbours.decide(self._state(), now)
             if changed and self.neighbours.steps_up_blind(now):
                 self.forwarder.reset_limits()
-            self._tell_state(everyone=changed)
+            self._send_state(everyone=changed)
             self.sharing.take_over(self.balancer)
             self.server_limits.refresh(self.neighbours.serving)
             self.rollouts.step()
@@ -511,14 +513,14 @@
             self._empty_old_servers(news)
         if self._gossip is not None and self._rollouts_told.get(news.order.service) != news:
             self._rollouts_told[news.order.service] = news
-            self._tell_state()
+            self._send_state()
 
     def _empty_old_servers(self, news: RolloutNews) -> None:
         order = news.order
         now = monotonic()
         ordered_at = self.sharing.true_time.to_local(order.ordered_s)
         began_at = now if ordered_at is None else ordered_at
-        ends = max(now, began_at + OLD_END_SHARE * order.duration_s)
+        ends = max(now, began_at + OLD_SERVERS_END_SHARE * order.duration_s)
         views = self.balancer.group(order.service).views.values()
         old = [view.server for view in views if view.server.version != order.target]
         self.forwarder.evacuation.evacuate_by(old, ends)
@@ -542,10 +544,10 @@
         self._become_ready()
         return True
 
-    def _tell_of_plan(self, from_store: bool) -> None:
+    def _announce_plan(self, from_store: bool) -> None:
         """Tell of a newer plan: all others if it came from the store, else a few more sources."""
         if from_store:
-            self._tell_state()
+            self._send_state()
         elif self._gossip is not None:
             others = self.neighbours.some(monotonic())
             self._gossip.tell(StateNews(self._state().shortened(), []), others)
@@ -600,7 +602,7 @@
 
     async def _sweep_pool_forever(self) -> None:
         while True:
-            await asyncio.sleep(POOL_SWEEP_S)
+            await asyncio.sleep(POOL_SWEEP_INTERVAL_S)
             self.pool.sweep()
 
     async def _answer_question(self, request: InboundRequest, reply: Reply) -> None:
--- a/src/moledale/ui/gateway.py
+++ b/src/moledale/ui/gateway.py
@@ -48,7 +48,7 @@
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, node, path)
     # Logged only now, so that this first line shows that the signal handlers are installed.
-    emit(Event.STARTING, node=node.settings.node.id, life=node.life)
+    emit(Event.STARTING, node=node.settings.node.id, life=node.incarnation)
     return await node.run(stop)
 
 
--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -9,7 +9,7 @@
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.evacuation import Evacuation
 from moledale.gateway.fleet_watch import FleetWatch
-from moledale.gateway.node import least_stop_s
+from moledale.gateway.node import min_stop_s
 from moledale.gateway.peers import Membership
 from moledale.gateway.plan import TOKENS, Account, PlanIndex, Renting
 from moledale.gateway.renting import Demand, Load, servers_for_load, shortest_target_s
@@ -46,7 +46,7 @@
                 PlatformEngines(), LoadBalancer("a"), lambda: None, sharing.leave_s, lambda: 0.0
             )
             self.assertEqual(moves._default_notice_s, factor * self.bounds.leave_s)
-            self.assertAlmostEqual(least_stop_s(bounds), factor * least_stop_s(self.bounds))
+            self.assertAlmostEqual(min_stop_s(bounds), factor * min_stop_s(self.bounds))
 
     def test_age_of_a_list_that_may_be_used_follows(self) -> None:
         ages = []
