--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -203,7 +203,7 @@
             self.sharing.true_time,
             self._reading_turn,
             self._took_fleet,
-            self._tell_changes,
+            self._send_changes,
             self._confirm_list,
             self._crowd,
             node.control,
@@ -568,7 +568,7 @@
         self.forwarder.evacuation.servers_changed(gone)
         self._become_ready()
 
-    def _tell_changes(self, changes: list[ServerChange], read_here: bool) -> None:
+    def _send_changes(self, changes: list[ServerChange], read_here: bool) -> None:
         """Tell of changes of the servers that this node read, or pass on what it heard."""
         if self._gossip is None:
             return
