--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -119,7 +119,7 @@
         self.rollouts = Rollouts(
             self.balancer,
             self.members,
-            self._rollout_changed,
+            self._on_rollout_changed,
             self.sharing.true_time.to_local,
             self._serving_count,
             self._started_at,
@@ -190,7 +190,7 @@
         self.plans = PlanWatch(
             store,
             self.sharing.true_time,
-            self._watching_turn,
+            self._plan_watch_rank,
             self._adopt,
             self._announce_plan,
             self._crowd,
@@ -201,10 +201,10 @@
         self.fleet = FleetWatch(
             store,
             self.sharing.true_time,
-            self._reading_turn,
-            self._took_fleet,
+            self._list_read_rank,
+            self._apply_servers,
             self._send_changes,
-            self._confirm_list,
+            self._send_confirmation,
             self._crowd,
             node.control,
             node.link_mbps,
@@ -221,9 +221,9 @@
             self._extra_metrics,
         )
         self._leaving_since: float | None = None
-        self._rollouts_told: dict[str, RolloutNews] = {}
+        self._rollouts_sent: dict[str, RolloutNews] = {}
         self._callers = Listener(self._handle, self._limits, monotonic)
-        self._others = Listener(self._answer_question, self._limits, monotonic)
+        self._control_listener = Listener(self._handle_control, self._limits, monotonic)
         self._servers: list[asyncio.Server] = []
 
     def _extra_metrics(self) -> dict[str, int]:
@@ -243,7 +243,7 @@
     async def _handle(self, request: InboundRequest, reply: Reply) -> None:
         """Forward a request, or send it elsewhere where too little of a stop's time is left."""
         since = self._leaving_since
-        if since is not None and monotonic() - since > self._last_taken_s:
+        if since is not None and monotonic() - since > self._stop_admission_s:
             self.forwarder.refuse(
                 reply, request, Refusal(503, "the node stops", STOPPING_RETRY_AFTER_S)
             )
@@ -251,16 +251,16 @@
         await self.forwarder.handle(request, reply)
 
     @property
-    def _last_taken_s(self) -> float:
+    def _stop_admission_s(self) -> float:
         """Return how long after a stop began requests are still taken."""
         return self.settings.bounds.stop_s * STOP_ADMISSION_SHARE
 
     async def run(self, stop: asyncio.Event) -> int:
         """Serve until told to stop; return the exit code."""
         node = self.settings.node
-        self._gossip = await open_gossip(node.peers, self._heard)
+        self._gossip = await open_gossip(node.peers, self._on_message)
         for address in {node.control, node.directory, node.readiness}:
-            self._servers.append(await listen(address, self._others))
+            self._servers.append(await listen(address, self._control_listener))
         self._servers.append(await listen(node.callers, self._callers))
         emit(Event.LISTENING, node=node.id, hall=node.hall)
         now = monotonic()
@@ -286,18 +286,18 @@
         start("blocks", self._blocks.run)
         start("pool", self._sweep_pool_forever)
         start("callers", lambda: sweep_forever(self._callers))
-        start("questions", lambda: sweep_forever(self._others))
+        start("questions", lambda: sweep_forever(self._control_listener))
         gave_up = asyncio.create_task(self.supervisor.gave_up.wait())
         stopping = asyncio.create_task(stop.wait())
         await asyncio.wait([gave_up, stopping], return_when=asyncio.FIRST_COMPLETED)
-        await self._leave()
+        await self._drain()
         return EXIT_OK if stop.is_set() else 1
 
     def reload(self, settings: GatewaySettings) -> None:
         """Take over changed settings; where a node listens and who it is stay as they are."""
         self.settings = msgspec.structs.replace(settings, node=self.settings.node)
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         """Stop in order: no cut request, out of the directory at once, gone in time."""
         began = monotonic()
         self.standing = Standing.LEAVING
@@ -305,7 +305,7 @@
         emit(Event.DRAINING, node=self.settings.node.id)
         self._callers.closing = True
         self._send_state()
-        giving_back = asyncio.create_task(self._give_lease_back())
+        giving_back = asyncio.create_task(self._release_lease())
         end = began + max(0.5, self.settings.bounds.stop_s - STOP_MARGIN_S)
         least = began + min_stop_s(self.settings.bounds)
         quiet_since = monotonic()
@@ -323,7 +323,7 @@
         self._send_state()
         emit(Event.STOPPED, node=self.settings.node.id)
 
-    async def _give_lease_back(self) -> None:
+    async def _release_lease(self) -> None:
         """Give the lease back once no call of a duty is under way."""
         async with self.duties.step_lock:
             await self.keeper.release()
@@ -450,7 +450,7 @@
             self.members.forget_old(now)
             await asyncio.sleep(ROUND_S)
 
-    def _heard(self, message: Message) -> None:
+    def _on_message(self, message: Message) -> None:
         now = monotonic()
         if isinstance(message, ServerChange):
             self.fleet.heard(message)
@@ -470,11 +470,11 @@
             if news is None:
                 self.members.still_there(message.id, message.life, now)
             else:
-                self._heard_state(news, now)
+                self._on_state(news, now)
             return
-        self._heard_state(message, now)
+        self._on_state(message, now)
 
-    def _heard_state(self, message: StateNews, now: float) -> None:
+    def _on_state(self, message: StateNews, now: float) -> None:
         state = message.state
         stranger = state.id not in self.members.members
         if not self.sharing.heard(state, self.forwarder.limits):
@@ -507,15 +507,15 @@
             version = EraVersion(number=state.plan_version)
             self.plans.fetch.add_source(state.control, version, state.power, now)
 
-    def _rollout_changed(self, news: RolloutNews) -> None:
+    def _on_rollout_changed(self, news: RolloutNews) -> None:
         """Tell all others of a roll-out at once, and empty old servers when requests move."""
         if news.phase is Phase.MOVING:
-            self._empty_old_servers(news)
-        if self._gossip is not None and self._rollouts_told.get(news.order.service) != news:
-            self._rollouts_told[news.order.service] = news
+            self._drain_old_servers(news)
+        if self._gossip is not None and self._rollouts_sent.get(news.order.service) != news:
+            self._rollouts_sent[news.order.service] = news
             self._send_state()
 
-    def _empty_old_servers(self, news: RolloutNews) -> None:
+    def _drain_old_servers(self, news: RolloutNews) -> None:
         order = news.order
         now = monotonic()
         ordered_at = self.sharing.true_time.to_local(order.ordered_s)
@@ -541,7 +541,7 @@
     def _adopt(self, plan: Plan) -> bool:
         if not self.forwarder.adopt(plan):
             return False
-        self._become_ready()
+        self._update_readiness()
         return True
 
     def _announce_plan(self, from_store: bool) -> None:
@@ -555,18 +555,18 @@
     def _crowd(self) -> float:
         return self.neighbours.backoff_scale(self._state())
 
-    def _watching_turn(self) -> int:
+    def _plan_watch_rank(self) -> int:
         return self.neighbours.watch_turn(self._state(), monotonic())
 
-    def _reading_turn(self) -> int:
+    def _list_read_rank(self) -> int:
         return self.neighbours.rank(self._state(), monotonic(), reserve_first=False)
 
-    def _took_fleet(self, servers: list[Server]) -> None:
+    def _apply_servers(self, servers: list[Server]) -> None:
         gone = self.balancer.apply(servers)
         for server in gone:
             self.pool.discard(server.id)
         self.forwarder.evacuation.servers_changed(gone)
-        self._become_ready()
+        self._update_readiness()
 
     def _send_changes(self, changes: list[ServerChange], read_here: bool) -> None:
         """Tell of changes of the servers that this node read, or pass on what it heard."""
@@ -578,11 +578,11 @@
         for change in changes:
             self._gossip.tell(change, targets)
 
-    def _confirm_list(self, unchanged: ServerChange) -> None:
+    def _send_confirmation(self, unchanged: ServerChange) -> None:
         if self._gossip is not None:
             self._gossip.tell(unchanged, self.neighbours.readers(monotonic()))
 
-    def _become_ready(self) -> None:
+    def _update_readiness(self) -> None:
         known = self.forwarder.index is not None and self.fleet.known
         if self.standing is Standing.STARTING and known:
             self.standing = Standing.READY
@@ -605,5 +605,5 @@
             await asyncio.sleep(POOL_SWEEP_INTERVAL_S)
             self.pool.sweep()
 
-    async def _answer_question(self, request: InboundRequest, reply: Reply) -> None:
+    async def _handle_control(self, request: InboundRequest, reply: Reply) -> None:
         self._control_handler.answer(request, reply, self._state(), self._callers)
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -257,7 +257,7 @@
     ("leaving servers are marked at once", ServerList, "_mark_departures", lambda *_: False, LISTS),
     ("no request goes by an old list", FleetWatch, "current", _always_current, LISTS),
     ("reserves wait before they read", fleet_watch, "CROWD_SPREAD_S", 0.0, LISTS),
-    ("a stop waits for requests", GatewayNode, "_leave", _stop_at_once, f"{NODES}.StopTest"),
+    ("a stop waits for requests", GatewayNode, "_drain", _stop_at_once, f"{NODES}.StopTest"),
     ("counts of former lives are kept", Membership, "all_states",
      lambda self: [each.state for each in self.members.values()], f"{STATE} {MEMBERSHIP}"),
     ("a candidate waits for the time to live", lease_keeper, "TTL_FACTOR", 0.0, LEASE),
