--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -15,16 +15,16 @@
 from moledale.gateway.stated_limit import LimitNews
 from moledale.gateway.store_era import UNKNOWN_ERA, EraNews, EraVersion
 
-ALIVE_S = 1.0
+ALIVE_TIMEOUT_S = 1.0
 """A node not heard of for this long takes no part in choices, while all hear all each round."""
 
-ALIVE_MANY_S = 2.5
+ALIVE_TIMEOUT_LARGE_S = 2.5
 """The same where nodes are many, and those in reserve hear of others each second."""
 
-FEW_MEMBERS = 16
+MAX_MESH_MEMBERS = 16
 """Up to so many others, all tell all each round (see `neighbours.FEW`)."""
 
-REMEMBERED_S = 40.0
+MEMBER_RETENTION_S = 40.0
 """A node's last counts are kept this long after it was last heard of."""
 
 
@@ -216,7 +216,7 @@
 
     def alive(self, now: float) -> list[NodeState]:
         """Return the nodes heard of lately."""
-        limit = ALIVE_S if len(self.members) <= FEW_MEMBERS else ALIVE_MANY_S
+        limit = ALIVE_TIMEOUT_S if len(self.members) <= MAX_MESH_MEMBERS else ALIVE_TIMEOUT_LARGE_S
         return [each.state for each in self.members.values() if now - each.heard_at < limit]
 
     def heard_share(self, now: float) -> float:
@@ -235,7 +235,9 @@
 
     def forget_old(self, now: float) -> None:
         """Forget nodes that were not heard of for long."""
-        self.former = [each for each in self.former if now - each.heard_at < REMEMBERED_S]
-        gone = [name for name, each in self.members.items() if now - each.heard_at > REMEMBERED_S]
+        self.former = [each for each in self.former if now - each.heard_at < MEMBER_RETENTION_S]
+        gone = [
+            name for name, each in self.members.items() if now - each.heard_at > MEMBER_RETENTION_S
+        ]
         for name in gone:
             del self.members[name]
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -18,7 +18,7 @@
     wanted_nodes,
 )
 from moledale.gateway.neighbours import ROUND_S, SUCCESSORS, Neighbours
-from moledale.gateway.peers import ALIVE_S, LeaseNews, Membership, NodeState, Standing
+from moledale.gateway.peers import ALIVE_TIMEOUT_S, LeaseNews, Membership, NodeState, Standing
 from moledale.gateway.plan import (
     TOKENS,
     Account,
@@ -35,8 +35,8 @@
         members = Membership("n1", 1)
         members.heard(state("n2"), 0.0)
         self.assertEqual([each.id for each in members.alive(0.9)], ["n2"])
-        self.assertEqual(members.alive(ALIVE_S + 0.1), [])
-        members.forget_old(ALIVE_S + 0.1)
+        self.assertEqual(members.alive(ALIVE_TIMEOUT_S + 0.1), [])
+        members.forget_old(ALIVE_TIMEOUT_S + 0.1)
         self.assertEqual(len(members.all_states()), 1)
         members.forget_old(100.0)
         self.assertEqual(members.all_states(), [])
@@ -91,7 +91,7 @@
         members.heard(state(better, serving=True), 1.0)
         self.assertFalse(neighbours.decide(own, 1.0))
         self.assertFalse(neighbours.serving)
-        self.assertTrue(neighbours.decide(own, 1.0 + ALIVE_S + 0.1))
+        self.assertTrue(neighbours.decide(own, 1.0 + ALIVE_TIMEOUT_S + 0.1))
         self.assertTrue(neighbours.serving)
 
 
--- a/tests/test_state_packing.py
+++ b/tests/test_state_packing.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from moledale.gateway.gossip import PackedState, StateNews
-from moledale.gateway.peers import ALIVE_MANY_S, Membership
+from moledale.gateway.peers import ALIVE_TIMEOUT_LARGE_S, Membership
 from moledale.gateway.state_packing import KEY_EVERY, StatePacker, StateUnpacker, pack_alone
 from tests.gateway_states import state
 
@@ -76,7 +76,7 @@
         members.still_there("n2", 7, 2.0)
         members.still_there("n2", 8, 9.0)
         self.assertEqual([each.id for each in members.alive(2.5)], ["n2"])
-        self.assertEqual(members.alive(2.0 + ALIVE_MANY_S), [])
+        self.assertEqual(members.alive(2.0 + ALIVE_TIMEOUT_LARGE_S), [])
 
     def test_address_that_was_not_told_before_gets_a_whole_state_at_once(self) -> None:
         packer, newcomer = StatePacker(), StateUnpacker()
