--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -387,7 +387,7 @@
             told = set(targets)
             others = [each for each in self.neighbours.everyone(now) if each not in told]
         if others:
-            self._gossip.tell(pack_alone(StateNews(own.shortened(), [])), others)
+            self._gossip.tell(pack_alone(StateNews(own.without_counts(), [])), others)
 
     def _send_to(self, message: PermitAsk | PermitAnswer, address: str) -> None:
         if self._gossip is not None:
@@ -550,7 +550,7 @@
             self._send_state()
         elif self._gossip is not None:
             others = self.neighbours.some(monotonic())
-            self._gossip.tell(StateNews(self._state().shortened(), []), others)
+            self._gossip.tell(StateNews(self._state().without_counts(), []), others)
 
     def _crowd(self) -> float:
         return self.neighbours.backoff_scale(self._state())
--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -126,7 +126,7 @@
     formats: str = ""
     era: EraNews | None = None
 
-    def shortened(self) -> "NodeState":
+    def without_counts(self) -> "NodeState":
         """Return the state without most counts, for nodes that only need to know who is there.
 
         What accounts spent stays: callers may come to any node at any moment, and one that did not
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -205,7 +205,7 @@
         own = self.state()
         targets = self.neighbours.targets(own, now)
         self._send(StateNews(own, []), targets)
-        self._send(StateNews(own.shortened(), []), self.neighbours.reserves(own, targets, now))
+        self._send(StateNews(own.without_counts(), []), self.neighbours.reserves(own, targets, now))
         self.world.later(ROUND_S, self.round)
 
     def look(self) -> None:
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -226,7 +226,7 @@
         others = self.neighbours.reserves(own, targets, now)
         for address, told in (
             *((a, own) for a in targets),
-            *((a, own.shortened()) for a in others),
+            *((a, own.without_counts()) for a in others),
         ):
             other = nodes[address]
             other.now = now
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -226,7 +226,7 @@
     def test_shortened_state_changes_no_counts(self) -> None:
         members = Membership("n1", 1)
         full = state("n2", sequence=1, started={2: {"north": 4}}, spent={"north": 900.0})
-        short = msgspec.structs.replace(full, sequence=2).shortened()
+        short = msgspec.structs.replace(full, sequence=2).without_counts()
         more = msgspec.structs.replace(full, sequence=3, spent={"north": 950.0})
         sharing = Sharing(members, Bounds())
         limits = AccountLimits(True)
@@ -243,7 +243,7 @@
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         limits.configure([account], monotonic())
         for sequence, spent in enumerate((0.0, 400.0, 900.0), start=1):
-            told = state("n2", sequence=sequence, spent={"north": spent}).shortened()
+            told = state("n2", sequence=sequence, spent={"north": spent}).without_counts()
             sharing.heard(told, limits)
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_100.0, delta=1.0)
 
@@ -262,7 +262,7 @@
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         limits.configure([account], monotonic())
         full = state("n2", sequence=2, spent={"north": 900.0})
-        sharing.heard(msgspec.structs.replace(full, sequence=1).shortened(), limits)
+        sharing.heard(msgspec.structs.replace(full, sequence=1).without_counts(), limits)
         sharing.heard(full, limits)
         sharing.heard(msgspec.structs.replace(full, sequence=3, spent={"north": 950.0}), limits)
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_950.0, delta=1.0)
--- a/tests/test_state_packing.py
+++ b/tests/test_state_packing.py
@@ -88,7 +88,7 @@
     def test_short_state_is_no_base(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
         unpacker.unpack(packer.pack(news(1), PEERS))
-        short = StateNews(news(2).state.shortened(), [])
+        short = StateNews(news(2).state.without_counts(), [])
         self.assertEqual(unpacker.unpack(pack_alone(short)), short)
         self.assertEqual(unpacker.unpack(packer.pack(news(3), PEERS)), news(3))
 
