--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -51,7 +51,7 @@
         """Update which nodes serve; once a gossip round is enough."""
         now = self._now()
         self._grantors.refresh(self._own_hall, serving, self._members.alive(now))
-        self._issuer.reachable_share = self._members.heard_share(now)
+        self._issuer.reachable_share = self._members.reachable_share(now)
         if now - self._logged_at >= LOG_INTERVAL_S:
             self._log_counts(now - self._logged_at)
             self._logged_at = now
--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -164,18 +164,18 @@
     """Every node heard of, this one left out; earlier lives are kept for their counts."""
 
     own_id: str
-    own_life: int
+    own_incarnation: int
     members: dict[str, Member] = msgspec.field(default_factory=dict)
     former: list[Member] = msgspec.field(default_factory=list)
 
-    def heard(self, state: NodeState, now: float) -> NodeState | None:
+    def merge(self, state: NodeState, now: float) -> NodeState | None:
         """Take over a newer state; return the one before it of the same life.
 
         The state itself is returned where nothing was known of that life.
         """
         if state.id == self.own_id:
-            if state.life != self.own_life:
-                self._keep_former(state, now)
+            if state.life != self.own_incarnation:
+                self._record_former(state, now)
             return None
         known = self.members.get(state.id)
         if known is None:
@@ -208,7 +208,7 @@
             return None
         return known.state
 
-    def _keep_former(self, state: NodeState, now: float) -> None:
+    def _record_former(self, state: NodeState, now: float) -> None:
         for each in self.former:
             if each.state.id == state.id and each.state.life == state.life:
                 return
@@ -219,7 +219,7 @@
         limit = ALIVE_TIMEOUT_S if len(self.members) <= MAX_MESH_MEMBERS else ALIVE_TIMEOUT_LARGE_S
         return [each.state for each in self.members.values() if now - each.heard_at < limit]
 
-    def heard_share(self, now: float) -> float:
+    def reachable_share(self, now: float) -> float:
         """Return the part of the nodes that serve which is heard, this one with them.
 
         One that fell silent without saying that it leaves may live behind a cut. Nodes in reserve
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -362,8 +362,8 @@
         members = Membership("n0", 1)
         members.heard(state("n1", serving=True), 0.0)
         members.heard(state("n2", serving=True, standing=int(Standing.LEAVING)), 0.0)
-        self.assertEqual(members.heard_share(0.5), 1.0)
-        self.assertEqual(members.heard_share(5.0), 0.5)
+        self.assertEqual(members.reachable_share(0.5), 1.0)
+        self.assertEqual(members.reachable_share(5.0), 0.5)
 
     def test_nodes_in_reserve_are_no_part_of_a_cut(self) -> None:
         """Where nodes are many, those of other halls are heard now and then only."""
@@ -371,7 +371,7 @@
         for number in range(300):
             members.heard(state(f"r{number}"), 0.0)
         members.heard(state("n1", serving=True), 5.0)
-        self.assertEqual(members.heard_share(5.5), 1.0)
+        self.assertEqual(members.reachable_share(5.5), 1.0)
 
     def test_requests_of_builds_that_do_not_ask_count(self) -> None:
         async def work() -> None:
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -306,7 +306,7 @@
     ("servers that turn away are made up for", ServerGroup, "unavailable", lambda *_: 0, NOTICES),
     ("requests to a limited server need a permit", PermitClient, "take", _grant_all, SERVER_LIMITS),
     ("one node grants for a server", GrantorSelector, "address", lambda *_: None, PERMITS),
-    ("halves of a cut grant a part", Membership, "heard_share", lambda *_: 1.0, PERMITS),
+    ("halves of a cut grant a part", Membership, "reachable_share", lambda *_: 1.0, PERMITS),
     ("others hear which limits servers name", ServerNotices, "merge_peer_limits", lambda *_: None,
      PERMITS),
     ("a server without a permit isn't chosen", ServerStanding, "is_held", lambda *_: False,
