--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -468,7 +468,7 @@
         if isinstance(message, PackedState):
             news = self._unpacker.unpack(message)
             if news is None:
-                self.members.still_there(message.id, message.life, now)
+                self.members.record_alive(message.id, message.life, now)
             else:
                 self._on_state(news, now)
             return
--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -195,7 +195,7 @@
         self.members[state.id] = Member(state, now)
         return state
 
-    def still_there(self, node: str, life: int, now: float) -> None:
+    def record_alive(self, node: str, life: int, now: float) -> None:
         """Note that a node lives whose state could not be read."""
         known = self.members.get(node)
         if known is not None and known.state.life == life:
