--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -90,7 +90,7 @@
 
     def on_placed(self, news: PlacementNews) -> None:
         """Count requests that a build without limits sent to servers that this node grants for."""
-        state = self._members.life_of(news.id, news.life, news.sequence)
+        state = self._members.state_of(news.id, news.life, news.sequence)
         if state is None or state.limits is not None:
             return
         for each in news.placed:
--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -199,9 +199,9 @@
         """Note that a node lives whose state could not be read."""
         known = self.members.get(node)
         if known is not None and known.state.life == life:
-            known.heard_at = now
+            known.last_seen_at = now
 
-    def life_of(self, node: str, life: int, sequence: int) -> NodeState | None:
+    def state_of(self, node: str, life: int, sequence: int) -> NodeState | None:
         """Return a node's state if it is of this life and not newer than `sequence`."""
         known = self.members.get(node)
         if known is None or known.state.life != life or known.state.sequence > sequence:
@@ -217,7 +217,7 @@
     def alive(self, now: float) -> list[NodeState]:
         """Return the nodes heard of lately."""
         limit = ALIVE_TIMEOUT_S if len(self.members) <= MAX_MESH_MEMBERS else ALIVE_TIMEOUT_LARGE_S
-        return [each.state for each in self.members.values() if now - each.heard_at < limit]
+        return [each.state for each in self.members.values() if now - each.last_seen_at < limit]
 
     def reachable_share(self, now: float) -> float:
         """Return the part of the nodes that serve which is heard, this one with them.
@@ -235,9 +235,11 @@
 
     def forget_old(self, now: float) -> None:
         """Forget nodes that were not heard of for long."""
-        self.former = [each for each in self.former if now - each.heard_at < MEMBER_RETENTION_S]
+        self.former = [each for each in self.former if now - each.last_seen_at < MEMBER_RETENTION_S]
         gone = [
-            name for name, each in self.members.items() if now - each.heard_at > MEMBER_RETENTION_S
+            name
+            for name, each in self.members.items()
+            if now - each.last_seen_at > MEMBER_RETENTION_S
         ]
         for name in gone:
             del self.members[name]
--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -110,7 +110,7 @@
 
     def heard_placed(self, news: PlacementNews, balancer: LoadBalancer, engine: EngineOf) -> None:
         """Take over what a peer placed since it last told its whole state."""
-        state = self.members.life_of(news.id, news.life, news.sequence)
+        state = self.members.state_of(news.id, news.life, news.sequence)
         if state is None:
             return
         for each in news.placed:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -70,8 +70,8 @@
         self.now += seconds
         for node in self.nodes.values():
             for member in node.members.members.values():
-                if member.heard_at >= self.heard_from:
-                    member.heard_at = self.now
+                if member.last_seen_at >= self.heard_from:
+                    member.last_seen_at = self.now
             node.sharing.refresh(serving=True)
 
     def clock(self) -> float:
