--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -20,7 +20,7 @@
 
 DURATION_S = 12.0
 BOOT_S = 4.0
-ROUND_S = 0.2
+GOSSIP_INTERVAL_S = 0.2
 ANSWER_S = 0.06
 SPREAD = 0.47
 USUAL_FAILING = (0.004, 0.14, 0.01)
@@ -82,7 +82,7 @@
         ends_s = DURATION_S * EARLIEST_RISE_SHARE
         at_s = 0.0
         while at_s < ends_s:
-            at_s += ROUND_S
+            at_s += GOSSIP_INTERVAL_S
             for _ in range(self._arrivals()):
                 self._answer(at_s)
             if judge.observe(self.evidence):
@@ -90,7 +90,7 @@
         return Outcome(False, at_s, self.bad)
 
     def _arrivals(self) -> int:
-        mean = self.rate * ROUND_S
+        mean = self.rate * GOSSIP_INTERVAL_S
         return int(mean) + (self.random.random() < mean - int(mean))
 
     def _answer(self, at_s: float) -> None:
--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -19,7 +19,7 @@
 
 LENGTH_S = 60.0
 WINDOW_S = 4.0
-ROUND_S = 0.2
+GOSSIP_INTERVAL_S = 0.2
 """Time between two tellings of a node's state."""
 
 ASKS_S = 0.002
@@ -133,7 +133,7 @@
 
     def may_send(self, node: str, server: str, now: float) -> bool:
         """Compare what is known to have been sent with the limit."""
-        told = now - now % ROUND_S
+        told = now - now % GOSSIP_INTERVAL_S
         limit = self._world.scene.limit_per_s
         span = max(1.0, 1.0 / limit)
         known = 0
--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -14,7 +14,7 @@
 from moledale.gateway.directory import serving_nodes, should_serve, wanted_nodes
 from moledale.gateway.peers import Membership, NodeState, Standing
 
-ROUND_S = 0.2
+GOSSIP_INTERVAL_S = 0.2
 """Time between two tellings. Views of loads are half as old on average; placements go at once."""
 
 FEW = 16
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -29,7 +29,7 @@
 from moledale.gateway.lease_keeper import LeaseKeeper
 from moledale.gateway.limit_sharing import LimitSharing
 from moledale.gateway.messages import InboundRequest, Refusal, Server
-from moledale.gateway.neighbours import ROUND_S, Neighbours
+from moledale.gateway.neighbours import GOSSIP_INTERVAL_S, Neighbours
 from moledale.gateway.outside import CloudOrders, Store
 from moledale.gateway.peers import Membership, NodeState, Standing
 from moledale.gateway.permits import PermitAnswer, PermitAsk
@@ -448,7 +448,7 @@
             self.fleet.drop_lapsed()
             self.balancer.tick(now)
             self.members.forget_old(now)
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(GOSSIP_INTERVAL_S)
 
     def _on_message(self, message: Message) -> None:
         now = monotonic()
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -17,7 +17,7 @@
 from moledale.gateway.fleet_watch import FleetWatch
 from moledale.gateway.gossip import StateNews
 from moledale.gateway.messages import Server
-from moledale.gateway.neighbours import ROUND_S, Neighbours
+from moledale.gateway.neighbours import GOSSIP_INTERVAL_S, Neighbours
 from moledale.gateway.outside import CallFailure
 from moledale.gateway.outside import ServerList as StoredList
 from moledale.gateway.peers import Membership, NodeState
@@ -199,14 +199,14 @@
         if not self.alive:
             return
         if self.frozen:
-            self.world.later(ROUND_S, self.round)
+            self.world.later(GOSSIP_INTERVAL_S, self.round)
             return
         now = self.world.now
         own = self.state()
         targets = self.neighbours.targets(own, now)
         self._send(StateNews(own, []), targets)
         self._send(StateNews(own.without_counts(), []), self.neighbours.reserves(own, targets, now))
-        self.world.later(ROUND_S, self.round)
+        self.world.later(GOSSIP_INTERVAL_S, self.round)
 
     def look(self) -> None:
         """Read the list once it is this node's turn."""
@@ -262,7 +262,7 @@
         self.by_control = {f"{node.name}:3": node for node in self.nodes}
         self._introduce()
         for node in self.nodes:
-            self.later(self.chance.uniform(0, ROUND_S), node.round)
+            self.later(self.chance.uniform(0, GOSSIP_INTERVAL_S), node.round)
             self.later(self.chance.uniform(0, 0.05), node.look)
 
     def _introduce(self) -> None:
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -3,7 +3,7 @@
 import unittest
 
 from moledale.gateway.accounts import AccountLimits, Tolerance
-from moledale.gateway.neighbours import ROUND_S, Neighbours
+from moledale.gateway.neighbours import GOSSIP_INTERVAL_S, Neighbours
 from moledale.gateway.peers import Membership, NodeState
 from moledale.gateway.plan import (
     TOKENS,
@@ -270,7 +270,7 @@
         """Send requests to some nodes in turn, which tell each other in rounds of their own."""
         nodes = {
             f"n{number}:2": StartingNode(
-                number, ROUND_S * number / self.NODES, account, self.BOUNDS
+                number, GOSSIP_INTERVAL_S * number / self.NODES, account, self.BOUNDS
             )
             for number in range(self.NODES)
         }
@@ -283,7 +283,7 @@
                     for address in nodes:
                         node.neighbours.addresses.add(address, now)
                 if now >= node.next_round_at:
-                    node.next_round_at += ROUND_S
+                    node.next_round_at += GOSSIP_INTERVAL_S
                     if node in taking:
                         node.tell(now, nodes)
             if taking[number % len(taking)].limits.take(account, self.PRICE, now) == 0.0:
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -17,7 +17,7 @@
     should_serve,
     wanted_nodes,
 )
-from moledale.gateway.neighbours import ROUND_S, SUCCESSORS, Neighbours
+from moledale.gateway.neighbours import GOSSIP_INTERVAL_S, SUCCESSORS, Neighbours
 from moledale.gateway.peers import ALIVE_TIMEOUT_S, LeaseNews, Membership, NodeState, Standing
 from moledale.gateway.plan import (
     TOKENS,
@@ -177,14 +177,14 @@
 
     def test_node_in_reserve_tells_few_and_seldom(self) -> None:
         neighbours, own = self.backoff_scale(serving=False)
-        told = [len(neighbours.targets(own, 10.0 + n * ROUND_S)) for n in range(50)]
-        self.assertLessEqual(sum(told) / (50 * ROUND_S), 5.0)
+        told = [len(neighbours.targets(own, 10.0 + n * GOSSIP_INTERVAL_S)) for n in range(50)]
+        self.assertLessEqual(sum(told) / (50 * GOSSIP_INTERVAL_S), 5.0)
 
     def test_serving_nodes_tell_each_other_each_round(self) -> None:
         neighbours, own = self.backoff_scale(serving=True)
         brief = 0
         for number in range(5):
-            targets = neighbours.targets(own, 10.0 + number * ROUND_S)
+            targets = neighbours.targets(own, 10.0 + number * GOSSIP_INTERVAL_S)
             self.assertEqual({f"n{number}:2" for number in range(1, 9)}, set(targets))
             brief += len(neighbours.reserves(own, targets, 10.0))
         self.assertEqual(brief, 389 - 8)
