--- a/src/moledale/gateway/backoff.py
+++ b/src/moledale/gateway/backoff.py
@@ -20,13 +20,13 @@
     max_s: float
     backoff_scale: Callable[[], float]
     _pause_s: float = 0.0
-    _random: random.Random = msgspec.field(default_factory=random.Random)
+    _rng: random.Random = msgspec.field(default_factory=random.Random)
 
     def next_s(self) -> float:
         """Return how long to wait after a call that failed."""
         longer = 2 * self._pause_s if self._pause_s else self.initial_s
         self._pause_s = min(longer, self.max_s * max(1.0, self.backoff_scale()))
-        return self._pause_s * (1.0 - JITTER + 2 * JITTER * self._random.random())
+        return self._pause_s * (1.0 - JITTER + 2 * JITTER * self._rng.random())
 
     def reset(self) -> None:
         """Begin anew after a call that did not fail."""
--- a/src/moledale/gateway/cold_start.py
+++ b/src/moledale/gateway/cold_start.py
@@ -16,11 +16,11 @@
 busy processor. Where all end at once nobody answers, and callers wait for all that is longer."""
 
 STAGGER_MIN_SCALE = 8.0
-"""From so many times `neighbours.FEW` nodes on they do not all ask the store at once: 81 nodes read
+"""From so many times `neighbours.MAX_MESH_PEERS` nodes on they do not all ask the store at once: 81 nodes read
 20 KB each in a moment, 300 nodes before 3,000 servers 0.7 MB each."""
 
 STAGGER_PER_SCALE_S = 0.15
-"""Where no peer answers, many nodes ask the store within this time for each `neighbours.FEW` of
+"""Where no peer answers, many nodes ask the store within this time for each `neighbours.MAX_MESH_PEERS` of
 them, by chance, so that most of them hear of its answer before they ask."""
 
 POLL_INTERVAL_S = 0.02
--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -76,7 +76,7 @@
 tell it once a second each, so less would have all of them read now and then."""
 
 CROWD_SPREAD_S = 0.5
-"""Nodes in reserve read up to this much later, by chance, for each `neighbours.FEW` nodes."""
+"""Nodes in reserve read up to this much later, by chance, for each `neighbours.MAX_MESH_PEERS` nodes."""
 
 OUTAGE_S = 2.0
 """Without a list for this long, and with readings that failed, the store was away."""
@@ -166,7 +166,7 @@
         self._reading: asyncio.Task[bool] | None = None
         self._reading_since = -1e9
         self._backoff = Backoff(AGAIN_S, AGAIN_MOST_S, backoff_scale)
-        self._random = random.Random()
+        self._rng = random.Random()
         self._spread_s = 0.0
 
     @property
@@ -380,7 +380,7 @@
         reading changes nothing: each new draw would be another chance to read early.
         """
         if read_at > self._fresh_at:
-            self._spread_s = CROWD_SPREAD_S * (self._crowd() - 1.0) * self._random.random()
+            self._spread_s = CROWD_SPREAD_S * (self._crowd() - 1.0) * self._rng.random()
             self._fresh_at = read_at
         self._read_s = max(self._read_s, store_s)
 
--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -17,46 +17,46 @@
 GOSSIP_INTERVAL_S = 0.2
 """Time between two tellings. Views of loads are half as old on average; placements go at once."""
 
-FEW = 16
+MAX_MESH_PEERS = 16
 """Up to this many other nodes, all tell all each round."""
 
-SLOW_ROUNDS = 5
+ROUNDS_PER_SLOW_ROUND = 5
 """Rounds between two tellings to nodes in reserve."""
 
 LISTEN_S = 0.25
-LISTEN_MANY_S = 0.8
+LISTEN_LARGE_S = 0.8
 """A node that starts listens for this long before it serves."""
 
-STEP_UP_S = 0.5
+PROMOTION_JITTER_S = 0.5
 """Nodes in reserve wait up to this long, by chance, before they take a silent one's place."""
 
-REACHES_S = 5.0
+STORE_REACHABLE_S = 5.0
 """A node reaches the store if its watch was answered within this time."""
 
-ENOUGH_WATCHERS = 16
+NO_WATCH_RANK = 16
 """Turn of a node that need not watch the store."""
 
 BUSY_S = 3.0
 """A node counts as busy this long after a request: callers keep addresses for 2 s and longer."""
 
-ADDRESS_KEPT_S = 60.0
+ADDRESS_RETENTION_S = 60.0
 """A silent address is still tried for this long: nodes that were cut off find each other again."""
 
-MOST_HINTS = 8
+MAX_HINTS = 8
 """Addresses told with a state, 20 bytes each; a node that starts hears of all others by and by."""
 
-STRANGERS = 2
+RANDOM_RESERVE_TARGETS = 2
 """Nodes by chance that one in reserve tells: groups that lost each other meet again within
 seconds."""
 
-SUCCESSORS = 2
+RING_SUCCESSORS = 2
 """Nodes next in the ring of addresses that one passes a change of the servers on to. So two others
 tell each node, whatever chance does; one that is told by none hears of it up to a second later."""
 
-PASSED_ON = 2
+RANDOM_RELAYS = 2
 """Nodes by chance that one tells beside these: whole parts of the ring may be cut off."""
 
-TOLD_ON = 6
+PLAN_ANNOUNCE_PEERS = 6
 """Nodes that one that fetched a plan tells of it; so sources outnumber nodes that wait at once."""
 
 
@@ -69,18 +69,18 @@
     def add(self, address: str, now: float) -> None:
         """Note an address that was told or heard from."""
         if address and address != self.own:
-            self.until[address] = now + ADDRESS_KEPT_S
+            self.expires_at[address] = now + ADDRESS_RETENTION_S
 
     def hint(self, address: str, now: float) -> None:
         """Note an address that a peer knows; its time is not made longer."""
-        if address and address != self.own and address not in self.until:
-            self.until[address] = now + ADDRESS_KEPT_S
+        if address and address != self.own and address not in self.expires_at:
+            self.expires_at[address] = now + ADDRESS_RETENTION_S
 
     def known(self, now: float) -> list[str]:
         """Return the addresses that are still tried."""
-        for address in [each for each, until in self.until.items() if until < now]:
-            del self.until[address]
-        return list(self.until)
+        for address in [each for each, until in self.expires_at.items() if until < now]:
+            del self.expires_at[address]
+        return list(self.expires_at)
 
 
 class Neighbours:
@@ -91,22 +91,24 @@
         self.addresses = AddressBook(own_address)
         self.serving = False
         self._started_at = now
-        self._alone_since = now
-        self._wait_s = 0.0
+        self._unwanted_at = now
+        self._promotion_delay_s = 0.0
         self._busy_at = -1e9
         self._round = 0
-        self._random = random.Random()
+        self._rng = random.Random()
 
-    def decide(self, own: NodeState, now: float) -> bool:
+    def update_serving(self, own: NodeState, now: float) -> bool:
         """Decide whether this node serves; say whether that changed."""
         before = self.serving
         alive = self.members.alive(now)
         wanted = should_serve(own, alive, wanted_nodes(own, alive))
         if not wanted:
-            self._alone_since = now
-            self._wait_s = STEP_UP_S * self._random.random() if self.many(now) else 0.0
+            self._unwanted_at = now
+            self._promotion_delay_s = (
+                PROMOTION_JITTER_S * self._rng.random() if self.many(now) else 0.0
+            )
             self.serving = False
-        elif self.listened(now) and now - self._alone_since >= self._wait_s:
+        elif self.listened(now) and now - self._unwanted_at >= self._promotion_delay_s:
             self.serving = True
         return self.serving != before
 
@@ -125,15 +127,15 @@
         """Return whom to tell the whole state in this round."""
         self._round += 1
         known = self.addresses.known(now)
-        if len(known) <= FEW:
+        if len(known) <= MAX_MESH_PEERS:
             return known
-        slow = self._round % SLOW_ROUNDS == 0
+        slow = self._round % ROUNDS_PER_SLOW_ROUND == 0
         alive = self.members.alive(now)
         busy = self.serving or own.lease is not None or now - self._busy_at < BUSY_S
         chosen: set[str] = set()
         if busy:
             others = [each for each in alive if each.serving or each.lease]
-            if len(others) > FEW and not slow:
+            if len(others) > MAX_MESH_PEERS and not slow:
                 others = [each for each in others if each.hall == own.hall or each.lease]
             return [each.peer for each in others]
         if slow or not self.listened(now):
@@ -142,19 +144,19 @@
                 for each in alive
                 if each.lease or (each.serving and each.hall == own.hall)
             )
-            chosen.update(self._random.sample(known, STRANGERS))
+            chosen.update(self._rng.sample(known, RANDOM_RESERVE_TARGETS))
         return list(chosen)
 
     def sharers(self, hall: str, now: float) -> list[str]:
         """Return whom to tell at once what is placed: nodes that serve, or its hall's of many."""
         serving = [each for each in self.members.alive(now) if each.serving]
-        if len(serving) > FEW:
+        if len(serving) > MAX_MESH_PEERS:
             serving = [each for each in serving if each.hall == hall]
         return [each.peer for each in serving]
 
     def reserves(self, own: NodeState, told: list[str], now: float) -> list[str]:
         """Return whom to tell in this round just that this node is there, and what it spent."""
-        slow = self._round % SLOW_ROUNDS == 0
+        slow = self._round % ROUNDS_PER_SLOW_ROUND == 0
         if not self.many(now) or not ((slow and self.serving) or self._spends_unheard(own, now)):
             return []
         return [address for address in self.addresses.known(now) if address not in set(told)]
@@ -163,7 +165,7 @@
         """Say whether this node admits requests before it can know who else does.
 
         Callers come to addresses that they kept at once, also after the end of all processes, when
-        nobody serves for `LISTEN_MANY_S`. While nodes told those that serve only, 19 nodes that
+        nobody serves for `LISTEN_LARGE_S`. While nodes told those that serve only, 19 nodes that
         took an account's requests heard nothing of each other for 0.7 s, and all of them admitted
         what is meant for a few.
         """
@@ -198,8 +200,8 @@
 
     def _passed_on_to(self, now: float) -> list[str]:
         known = self.addresses.known(now)
-        by_chance = self._random.sample(known, min(PASSED_ON, len(known)))
-        return [*ring_successors(self.addresses.own, known, SUCCESSORS), *by_chance]
+        by_chance = self._rng.sample(known, min(RANDOM_RELAYS, len(known)))
+        return [*ring_successors(self.addresses.own, known, RING_SUCCESSORS), *by_chance]
 
     def everyone(self, now: float) -> list[str]:
         """Return whom to tell news that can't wait."""
@@ -208,12 +210,12 @@
     def some(self, now: float) -> list[str]:
         """Return a few nodes by chance."""
         known = self.addresses.known(now)
-        return self._random.sample(known, min(TOLD_ON, len(known)))
+        return self._rng.sample(known, min(PLAN_ANNOUNCE_PEERS, len(known)))
 
     def hints(self, now: float) -> list[str]:
         """Return some addresses that others may not know."""
         known = [state.peer for state in self.members.alive(now)]
-        return self._random.sample(known, MOST_HINTS) if len(known) > MOST_HINTS else known
+        return self._rng.sample(known, MAX_HINTS) if len(known) > MAX_HINTS else known
 
     def serving_nodes(self, own: NodeState, now: float) -> list[NodeState]:
         """Return the nodes that callers should use, as this one knows them."""
@@ -240,11 +242,11 @@
         before = [
             each
             for each in self.members.alive(now)
-            if each.store_age_s < REACHES_S
+            if each.store_age_s < STORE_REACHABLE_S
             and (not each.serving, each.id) < (not own.serving, own.id)
         ]
         if self.many(now) and not self.serving and before:
-            return ENOUGH_WATCHERS
+            return NO_WATCH_RANK
         return len(before)
 
     def backoff_scale(self, own: NodeState) -> float:
@@ -254,7 +256,7 @@
         """
         if self.serving or own.lease is not None:
             return 1.0
-        return max(1.0, len(self.addresses.until) / FEW)
+        return max(1.0, len(self.addresses.expires_at) / MAX_MESH_PEERS)
 
     def knows_enough(self, own: NodeState, now: float) -> bool:
         """Say whether this node may tell callers where to go."""
@@ -264,9 +266,9 @@
 
     def listened(self, now: float) -> bool:
         """Say whether this node has listened for long enough to know how many others there are."""
-        wait_s = LISTEN_MANY_S if self.many(now) else LISTEN_S
+        wait_s = LISTEN_LARGE_S if self.many(now) else LISTEN_S
         return now - self._started_at >= wait_s
 
     def many(self, now: float) -> bool:
         """Say whether there are more nodes than can all tell each other everything."""
-        return len(self.addresses.until) > FEW
+        return len(self.addresses.expires_at) > MAX_MESH_PEERS
--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -22,7 +22,7 @@
 """The same where nodes are many, and those in reserve hear of others each second."""
 
 MAX_MESH_MEMBERS = 16
-"""Up to so many others, all tell all each round (see `neighbours.FEW`)."""
+"""Up to so many others, all tell all each round (see `neighbours.MAX_MESH_PEERS`)."""
 
 MEMBER_RETENTION_S = 40.0
 """A node's last counts are kept this long after it was last heard of."""
--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -29,7 +29,7 @@
 
 JITTER_S = 0.5
 """After a restore of the store, nodes register again after a random delay of up to this time per
-`neighbours.FEW` nodes."""
+`neighbours.MAX_MESH_PEERS` nodes."""
 
 
 class Registration:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -118,7 +118,7 @@
                 few, many = DeadStore(), DeadStore()
                 watches = make(few, 1.0), make(many, 20.0)
                 for watch in watches:
-                    watch._backoff._random = MiddleDraws()
+                    watch._backoff._rng = MiddleDraws()
                 asked = await asyncio.gather(
                     calls_of(watches[0], few, 3.0), calls_of(watches[1], many, 3.0)
                 )
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -6,7 +6,7 @@
 
 from moledale.clock import monotonic
 from moledale.gateway.cold_start import PEER_ANSWER_TIMEOUT_S, ColdStart
-from moledale.gateway.neighbours import FEW
+from moledale.gateway.neighbours import MAX_MESH_PEERS
 from tests.gateway_world import quietly
 
 STORE_S = 0.02
@@ -28,7 +28,7 @@
         return monotonic() - began_at
 
     async def _start(self) -> None:
-        start = ColdStart(lambda: max(1.0, (self.nodes - 1) / FEW))
+        start = ColdStart(lambda: max(1.0, (self.nodes - 1) / MAX_MESH_PEERS))
         await start.wait(self._passed(FETCH_S), self._passed(0.0))
         if not self._passed(FETCH_S)():
             self.asked += 1
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -279,7 +279,7 @@
         for number in range(int(for_s * self.REQUESTS_PER_S)):
             now = number / self.REQUESTS_PER_S
             for node in nodes.values():
-                if now >= self.ADDRESSES_S and not node.neighbours.addresses.until:
+                if now >= self.ADDRESSES_S and not node.neighbours.addresses.expires_at:
                     for address in nodes:
                         node.neighbours.addresses.add(address, now)
                 if now >= node.next_round_at:
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -17,7 +17,7 @@
     should_serve,
     wanted_nodes,
 )
-from moledale.gateway.neighbours import GOSSIP_INTERVAL_S, SUCCESSORS, Neighbours
+from moledale.gateway.neighbours import GOSSIP_INTERVAL_S, RING_SUCCESSORS, Neighbours
 from moledale.gateway.peers import ALIVE_TIMEOUT_S, LeaseNews, Membership, NodeState, Standing
 from moledale.gateway.plan import (
     TOKENS,
@@ -197,7 +197,7 @@
             for other in names:
                 neighbours.addresses.add(other, 10.0)
             tellers.update(neighbours.told_on(state(name), 10.0))
-        self.assertEqual([name for name in names if tellers[name] < SUCCESSORS], [])
+        self.assertEqual([name for name in names if tellers[name] < RING_SUCCESSORS], [])
 
     def test_placements_go_to_all_that_serve_or_to_the_halls_own_of_many(self) -> None:
         members = Membership("n0", 1)
