--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -112,14 +112,14 @@
             self.serving = True
         return self.serving != before
 
-    def steps_up_blind(self, now: float) -> bool:
+    def promoted_without_counts(self, now: float) -> bool:
         """Say whether this node serves now and did not hear before what others counted.
 
         Where nodes are many, those in reserve are told in short only.
         """
         return self.serving and self.many(now)
 
-    def note_busy(self, now: float) -> None:
+    def record_busy(self, now: float) -> None:
         """Note that requests are served here, whether callers were told to come or not."""
         self._busy_at = now
 
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -376,7 +376,7 @@
         now = monotonic()
         own = self._state()
         if self._callers.busy():
-            self.neighbours.note_busy(now)
+            self.neighbours.record_busy(now)
         hints = self.neighbours.hints(now)
         targets = self.neighbours.targets(own, now)
         news = StateNews(own, hints)
@@ -437,8 +437,8 @@
                 emit(Event.WOKEN, node=self.settings.node.id, slept_s=round(slept_s, 3))
             now = monotonic()
             self._request_rate.observe(self.forwarder.handled, now)
-            changed = self.neighbours.decide(self._state(), now)
-            if changed and self.neighbours.steps_up_blind(now):
+            changed = self.neighbours.update_serving(self._state(), now)
+            if changed and self.neighbours.promoted_without_counts(now):
                 self.forwarder.reset_limits()
             self._send_state(everyone=changed)
             self.sharing.take_over(self.balancer)
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -221,7 +221,7 @@
     def tell(self, now: float, nodes: dict[str, "StartingNode"]) -> None:
         """Tell in one round whom this node tells, who hear it at once."""
         own = self.state()
-        self.neighbours.note_busy(now)
+        self.neighbours.record_busy(now)
         targets = self.neighbours.targets(own, now)
         others = self.neighbours.reserves(own, targets, now)
         for address, told in (
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -89,9 +89,9 @@
         own = state("n1")
         better = next(name for name in map(str, range(99)) if rank_of(state(name)) < rank_of(own))
         members.heard(state(better, serving=True), 1.0)
-        self.assertFalse(neighbours.decide(own, 1.0))
+        self.assertFalse(neighbours.update_serving(own, 1.0))
         self.assertFalse(neighbours.serving)
-        self.assertTrue(neighbours.decide(own, 1.0 + ALIVE_TIMEOUT_S + 0.1))
+        self.assertTrue(neighbours.update_serving(own, 1.0 + ALIVE_TIMEOUT_S + 0.1))
         self.assertTrue(neighbours.serving)
 
 
