--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -123,7 +123,7 @@
         """Note that requests are served here, whether callers were told to come or not."""
         self._busy_at = now
 
-    def targets(self, own: NodeState, now: float) -> list[str]:
+    def state_targets(self, own: NodeState, now: float) -> list[str]:
         """Return whom to tell the whole state in this round."""
         self._round += 1
         known = self.addresses.known(now)
