--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -147,7 +147,7 @@
             chosen.update(self._rng.sample(known, RANDOM_RESERVE_TARGETS))
         return list(chosen)
 
-    def sharers(self, hall: str, now: float) -> list[str]:
+    def placement_targets(self, hall: str, now: float) -> list[str]:
         """Return whom to tell at once what is placed: nodes that serve, or its hall's of many."""
         serving = [each for each in self.members.alive(now) if each.serving]
         if len(serving) > MAX_MESH_PEERS:
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -378,7 +378,7 @@
         if self._callers.busy():
             self.neighbours.record_busy(now)
         hints = self.neighbours.hints(now)
-        targets = self.neighbours.targets(own, now)
+        targets = self.neighbours.state_targets(own, now)
         news = StateNews(own, hints)
         many = self.neighbours.many(now)
         self._gossip.tell(self._packer.pack(news, targets) if many else news, targets)
@@ -405,7 +405,7 @@
         if self._gossip is None or not placed:
             return
         node = self.settings.node
-        targets = self.neighbours.sharers(node.hall, monotonic())
+        targets = self.neighbours.placement_targets(node.hall, monotonic())
         self._gossip.tell(PlacementNews(node.id, self.incarnation, self._sequence, placed), targets)
 
     def _send_quarantine(
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -203,7 +203,7 @@
             return
         now = self.world.now
         own = self.state()
-        targets = self.neighbours.targets(own, now)
+        targets = self.neighbours.state_targets(own, now)
         self._send(StateNews(own, []), targets)
         self._send(StateNews(own.without_counts(), []), self.neighbours.reserves(own, targets, now))
         self.world.later(GOSSIP_INTERVAL_S, self.round)
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -222,7 +222,7 @@
         """Tell in one round whom this node tells, who hear it at once."""
         own = self.state()
         self.neighbours.record_busy(now)
-        targets = self.neighbours.targets(own, now)
+        targets = self.neighbours.state_targets(own, now)
         others = self.neighbours.reserves(own, targets, now)
         for address, told in (
             *((a, own) for a in targets),
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -173,18 +173,18 @@
         neighbours = Neighbours(Membership("n0", 1), "n0:2", 0.0)
         for number in range(8):
             neighbours.addresses.add(f"n{number}:2", 0.0)
-        self.assertEqual(len(neighbours.targets(state("n0"), 1.0)), 7)
+        self.assertEqual(len(neighbours.state_targets(state("n0"), 1.0)), 7)
 
     def test_node_in_reserve_tells_few_and_seldom(self) -> None:
         neighbours, own = self.backoff_scale(serving=False)
-        told = [len(neighbours.targets(own, 10.0 + n * GOSSIP_INTERVAL_S)) for n in range(50)]
+        told = [len(neighbours.state_targets(own, 10.0 + n * GOSSIP_INTERVAL_S)) for n in range(50)]
         self.assertLessEqual(sum(told) / (50 * GOSSIP_INTERVAL_S), 5.0)
 
     def test_serving_nodes_tell_each_other_each_round(self) -> None:
         neighbours, own = self.backoff_scale(serving=True)
         brief = 0
         for number in range(5):
-            targets = neighbours.targets(own, 10.0 + number * GOSSIP_INTERVAL_S)
+            targets = neighbours.state_targets(own, 10.0 + number * GOSSIP_INTERVAL_S)
             self.assertEqual({f"n{number}:2" for number in range(1, 9)}, set(targets))
             brief += len(neighbours.reserves(own, targets, 10.0))
         self.assertEqual(brief, 389 - 8)
@@ -204,12 +204,12 @@
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 41):
             members.heard(state(f"n{number}", hall=HALLS[number % 4], serving=number <= 8), 10.0)
-        self.assertEqual(len(neighbours.sharers("a", 10.0)), 8)
+        self.assertEqual(len(neighbours.placement_targets("a", 10.0)), 8)
         for number in range(1, 41):
             members.heard(
                 state(f"n{number}", sequence=2, hall=HALLS[number % 4], serving=True), 10.0
             )
-        self.assertEqual(len(neighbours.sharers("a", 10.0)), 10)
+        self.assertEqual(len(neighbours.placement_targets("a", 10.0)), 10)
 
     def test_one_serving_node_that_reaches_the_store_is_enough_for_those_in_reserve(self) -> None:
         members = Membership("n0", 1)
