--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -154,7 +154,7 @@
             serving = [each for each in serving if each.hall == hall]
         return [each.peer for each in serving]
 
-    def reserves(self, own: NodeState, told: list[str], now: float) -> list[str]:
+    def brief_targets(self, own: NodeState, told: list[str], now: float) -> list[str]:
         """Return whom to tell in this round just that this node is there, and what it spent."""
         slow = self._round % ROUNDS_PER_SLOW_ROUND == 0
         if not self.many(now) or not ((slow and self.serving) or self._spends_unheard(own, now)):
