--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -382,7 +382,7 @@
         news = StateNews(own, hints)
         many = self.neighbours.many(now)
         self._gossip.tell(self._packer.pack(news, targets) if many else news, targets)
-        others = self.neighbours.reserves(own, targets, now)
+        others = self.neighbours.brief_targets(own, targets, now)
         if everyone:
             told = set(targets)
             others = [each for each in self.neighbours.everyone(now) if each not in told]
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -205,7 +205,9 @@
         own = self.state()
         targets = self.neighbours.state_targets(own, now)
         self._send(StateNews(own, []), targets)
-        self._send(StateNews(own.without_counts(), []), self.neighbours.reserves(own, targets, now))
+        self._send(
+            StateNews(own.without_counts(), []), self.neighbours.brief_targets(own, targets, now)
+        )
         self.world.later(GOSSIP_INTERVAL_S, self.round)
 
     def look(self) -> None:
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -223,7 +223,7 @@
         own = self.state()
         self.neighbours.record_busy(now)
         targets = self.neighbours.state_targets(own, now)
-        others = self.neighbours.reserves(own, targets, now)
+        others = self.neighbours.brief_targets(own, targets, now)
         for address, told in (
             *((a, own) for a in targets),
             *((a, own.without_counts()) for a in others),
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -186,7 +186,7 @@
         for number in range(5):
             targets = neighbours.state_targets(own, 10.0 + number * GOSSIP_INTERVAL_S)
             self.assertEqual({f"n{number}:2" for number in range(1, 9)}, set(targets))
-            brief += len(neighbours.reserves(own, targets, 10.0))
+            brief += len(neighbours.brief_targets(own, targets, 10.0))
         self.assertEqual(brief, 389 - 8)
 
     def test_change_that_all_pass_on_is_told_to_each_node_by_others(self) -> None:
