--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -157,11 +157,13 @@
     def brief_targets(self, own: NodeState, told: list[str], now: float) -> list[str]:
         """Return whom to tell in this round just that this node is there, and what it spent."""
         slow = self._round % ROUNDS_PER_SLOW_ROUND == 0
-        if not self.many(now) or not ((slow and self.serving) or self._spends_unheard(own, now)):
+        if not self.many(now) or not (
+            (slow and self.serving) or self._admits_before_listened(own, now)
+        ):
             return []
         return [address for address in self.addresses.known(now) if address not in set(told)]
 
-    def _spends_unheard(self, own: NodeState, now: float) -> bool:
+    def _admits_before_listened(self, own: NodeState, now: float) -> bool:
         """Say whether this node admits requests before it can know who else does.
 
         Callers come to addresses that they kept at once, also after the end of all processes, when
@@ -171,7 +173,7 @@
         """
         return bool(own.spent) and not self.listened(now)
 
-    def readers(self, now: float) -> list[str]:
+    def possible_readers(self, now: float) -> list[str]:
         """Return the nodes that may read next what one reads for all: those that serve, if many."""
         if not self.many(now):
             return self.addresses.known(now)
@@ -181,7 +183,9 @@
         """Return whom the node that read a change tells: all, or of many those that pass it on."""
         if not self.many(now):
             return self.addresses.known(now)
-        return list({*self.readers(now), *self._own_hall(own, now), *self._passed_on_to(now)})
+        return list(
+            {*self.possible_readers(now), *self._own_hall(own, now), *self._passed_on_to(now)}
+        )
 
     def told_on(self, own: NodeState, now: float) -> list[str]:
         """Return whom a node that hears a change for the first time passes it on to.
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -317,7 +317,7 @@
     ("requests wait for their turn", Placer, "_wait_for_permit", _no_turn, SERVER_LIMITS),
     ("limits are made up for by renting", LimitedServers, "lost_servers", lambda *_: 0,
      SERVER_LIMITS),
-    ("starting nodes tell all what they admit", Neighbours, "_spends_unheard",
+    ("starting nodes tell all what they admit", Neighbours, "_admits_before_listened",
      lambda *_: False, LIMITS),
     ("the holder's looks are reckoned with", rollouts, "POLLS_AFTER_RISE", 0,
      "tests.test_rollout_timing"),
