--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -179,7 +179,7 @@
             return self.addresses.known(now)
         return [each.peer for each in self.members.alive(now) if each.serving]
 
-    def first_told(self, own: NodeState, now: float) -> list[str]:
+    def change_targets(self, own: NodeState, now: float) -> list[str]:
         """Return whom the node that read a change tells: all, or of many those that pass it on."""
         if not self.many(now):
             return self.addresses.known(now)
@@ -187,7 +187,7 @@
             {*self.possible_readers(now), *self._own_hall(own, now), *self._passed_on_to(now)}
         )
 
-    def told_on(self, own: NodeState, now: float) -> list[str]:
+    def relay_targets(self, own: NodeState, now: float) -> list[str]:
         """Return whom a node that hears a change for the first time passes it on to.
 
         Where nodes are few, the one that read it has told all. Of many, each that serves tells its
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -419,7 +419,7 @@
         elif everyone:
             targets = self.neighbours.everyone(now)
         else:
-            targets = self.neighbours.readers(now)
+            targets = self.neighbours.possible_readers(now)
         self._gossip.tell(news, targets)
 
     def _engine_of(self, server: str) -> Engine | None:
@@ -573,14 +573,14 @@
         if self._gossip is None:
             return
         now, own = monotonic(), self._state()
-        choose = self.neighbours.first_told if read_here else self.neighbours.told_on
+        choose = self.neighbours.change_targets if read_here else self.neighbours.relay_targets
         targets = choose(own, now)
         for change in changes:
             self._gossip.tell(change, targets)
 
     def _send_confirmation(self, unchanged: ServerChange) -> None:
         if self._gossip is not None:
-            self._gossip.tell(unchanged, self.neighbours.readers(monotonic()))
+            self._gossip.tell(unchanged, self.neighbours.possible_readers(monotonic()))
 
     def _update_readiness(self) -> None:
         known = self.forwarder.index is not None and self.fleet.known
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -154,7 +154,7 @@
             lambda: self.neighbours.rank(self.state(), world.now, reserve_first=False),
             self._took,
             self._tell,
-            lambda change: self._send(change, self.neighbours.readers(world.now)),
+            lambda change: self._send(change, self.neighbours.possible_readers(world.now)),
             lambda: self.neighbours.backoff_scale(self.state()),
             control=f"{self.name}:3",
             leave_s=4.0,
@@ -181,7 +181,7 @@
                 self.leaves_seen.setdefault(server.id, self.world.now)
 
     def _tell(self, changes: list[ServerChange], read_here: bool) -> None:
-        choose = self.neighbours.first_told if read_here else self.neighbours.told_on
+        choose = self.neighbours.change_targets if read_here else self.neighbours.relay_targets
         targets = choose(self.state(), self.world.now)
         for change in changes:
             self._send(change, targets)
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -196,7 +196,7 @@
             neighbours = Neighbours(Membership(name, 1), name, 0.0)
             for other in names:
                 neighbours.addresses.add(other, 10.0)
-            tellers.update(neighbours.told_on(state(name), 10.0))
+            tellers.update(neighbours.relay_targets(state(name), 10.0))
         self.assertEqual([name for name in names if tellers[name] < RING_SUCCESSORS], [])
 
     def test_placements_go_to_all_that_serve_or_to_the_halls_own_of_many(self) -> None:
