--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -184,7 +184,11 @@
         if not self.many(now):
             return self.addresses.known(now)
         return list(
-            {*self.possible_readers(now), *self._own_hall(own, now), *self._passed_on_to(now)}
+            {
+                *self.possible_readers(now),
+                *self._own_hall_peers(own, now),
+                *self._ring_and_random_peers(now),
+            }
         )
 
     def relay_targets(self, own: NodeState, now: float) -> list[str]:
@@ -196,18 +200,18 @@
         """
         if not self.many(now):
             return []
-        hall = self._own_hall(own, now) if self.serving else []
-        return list({*hall, *self._passed_on_to(now)})
+        hall = self._own_hall_peers(own, now) if self.serving else []
+        return list({*hall, *self._ring_and_random_peers(now)})
 
-    def _own_hall(self, own: NodeState, now: float) -> list[str]:
+    def _own_hall_peers(self, own: NodeState, now: float) -> list[str]:
         return [each.peer for each in self.members.alive(now) if each.hall == own.hall]
 
-    def _passed_on_to(self, now: float) -> list[str]:
+    def _ring_and_random_peers(self, now: float) -> list[str]:
         known = self.addresses.known(now)
         by_chance = self._rng.sample(known, min(RANDOM_RELAYS, len(known)))
         return [*ring_successors(self.addresses.own, known, RING_SUCCESSORS), *by_chance]
 
-    def everyone(self, now: float) -> list[str]:
+    def all_addresses(self, now: float) -> list[str]:
         """Return whom to tell news that can't wait."""
         return self.addresses.known(now)
 
