--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -385,7 +385,7 @@
         others = self.neighbours.brief_targets(own, targets, now)
         if everyone:
             told = set(targets)
-            others = [each for each in self.neighbours.everyone(now) if each not in told]
+            others = [each for each in self.neighbours.all_addresses(now) if each not in told]
         if others:
             self._gossip.tell(pack_alone(StateNews(own.without_counts(), [])), others)
 
@@ -417,7 +417,7 @@
         if peer is not None:
             targets = [peer]
         elif everyone:
-            targets = self.neighbours.everyone(now)
+            targets = self.neighbours.all_addresses(now)
         else:
             targets = self.neighbours.possible_readers(now)
         self._gossip.tell(news, targets)
