--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -215,7 +215,7 @@
         """Return whom to tell news that can't wait."""
         return self.addresses.known(now)
 
-    def some(self, now: float) -> list[str]:
+    def random_addresses(self, now: float) -> list[str]:
         """Return a few nodes by chance."""
         known = self.addresses.known(now)
         return self._rng.sample(known, min(PLAN_ANNOUNCE_PEERS, len(known)))
