--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -241,7 +241,7 @@
         order = [(each.serving == reserve_first, each.id) for each in (own, *alive)]
         return sorted(order).index((own.serving == reserve_first, own.id))
 
-    def watch_turn(self, own: NodeState, now: float) -> int:
+    def watch_rank(self, own: NodeState, now: float) -> int:
         """Return how many live nodes that reach the store watch it before this one.
 
         Nodes in reserve do not hear each other where nodes are many; one that serves and reaches
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -556,7 +556,7 @@
         return self.neighbours.backoff_scale(self._state())
 
     def _plan_watch_rank(self) -> int:
-        return self.neighbours.watch_turn(self._state(), monotonic())
+        return self.neighbours.watch_rank(self._state(), monotonic())
 
     def _list_read_rank(self) -> int:
         return self.neighbours.rank(self._state(), monotonic(), reserve_first=False)
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -217,11 +217,11 @@
         for number in range(1, 40):
             neighbours.addresses.add(f"n{number}:2", 10.0)
         own = state("n0")
-        self.assertEqual(neighbours.watch_turn(own, 10.0), 0)
+        self.assertEqual(neighbours.watch_rank(own, 10.0), 0)
         members.heard(state("n1", serving=True, store_age_s=0.2), 10.0)
-        self.assertGreaterEqual(neighbours.watch_turn(own, 10.0), WATCHER_COUNT)
+        self.assertGreaterEqual(neighbours.watch_rank(own, 10.0), WATCHER_COUNT)
         members.heard(state("n1", serving=True, sequence=2, store_age_s=60.0), 10.0)
-        self.assertEqual(neighbours.watch_turn(own, 10.0), 0)
+        self.assertEqual(neighbours.watch_rank(own, 10.0), 0)
 
     def test_shortened_state_changes_no_counts(self) -> None:
         members = Membership("n1", 1)
