--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -105,10 +105,10 @@
         if not wanted:
             self._unwanted_at = now
             self._promotion_delay_s = (
-                PROMOTION_JITTER_S * self._rng.random() if self.many(now) else 0.0
+                PROMOTION_JITTER_S * self._rng.random() if self.is_large(now) else 0.0
             )
             self.serving = False
-        elif self.listened(now) and now - self._unwanted_at >= self._promotion_delay_s:
+        elif self.has_listened(now) and now - self._unwanted_at >= self._promotion_delay_s:
             self.serving = True
         return self.serving != before
 
@@ -117,7 +117,7 @@
 
         Where nodes are many, those in reserve are told in short only.
         """
-        return self.serving and self.many(now)
+        return self.serving and self.is_large(now)
 
     def record_busy(self, now: float) -> None:
         """Note that requests are served here, whether callers were told to come or not."""
@@ -138,7 +138,7 @@
             if len(others) > MAX_MESH_PEERS and not slow:
                 others = [each for each in others if each.hall == own.hall or each.lease]
             return [each.peer for each in others]
-        if slow or not self.listened(now):
+        if slow or not self.has_listened(now):
             chosen.update(
                 each.peer
                 for each in alive
@@ -157,7 +157,7 @@
     def brief_targets(self, own: NodeState, told: list[str], now: float) -> list[str]:
         """Return whom to tell in this round just that this node is there, and what it spent."""
         slow = self._round % ROUNDS_PER_SLOW_ROUND == 0
-        if not self.many(now) or not (
+        if not self.is_large(now) or not (
             (slow and self.serving) or self._admits_before_listened(own, now)
         ):
             return []
@@ -171,17 +171,17 @@
         took an account's requests heard nothing of each other for 0.7 s, and all of them admitted
         what is meant for a few.
         """
-        return bool(own.spent) and not self.listened(now)
+        return bool(own.spent) and not self.has_listened(now)
 
     def possible_readers(self, now: float) -> list[str]:
         """Return the nodes that may read next what one reads for all: those that serve, if many."""
-        if not self.many(now):
+        if not self.is_large(now):
             return self.addresses.known(now)
         return [each.peer for each in self.members.alive(now) if each.serving]
 
     def change_targets(self, own: NodeState, now: float) -> list[str]:
         """Return whom the node that read a change tells: all, or of many those that pass it on."""
-        if not self.many(now):
+        if not self.is_large(now):
             return self.addresses.known(now)
         return list(
             {
@@ -198,7 +198,7 @@
         hall, and each node the next in the ring and some others by chance, so that no cut keeps the
         news from a node that hears any other.
         """
-        if not self.many(now):
+        if not self.is_large(now):
             return []
         hall = self._own_hall_peers(own, now) if self.serving else []
         return list({*hall, *self._ring_and_random_peers(now)})
@@ -236,7 +236,7 @@
         first in any case.
         """
         alive = self.members.alive(now)
-        if self.many(now) and not self.serving:
+        if self.is_large(now) and not self.serving:
             return sum(1 for each in alive if each.serving)
         order = [(each.serving == reserve_first, each.id) for each in (own, *alive)]
         return sorted(order).index((own.serving == reserve_first, own.id))
@@ -253,7 +253,7 @@
             if each.store_age_s < STORE_REACHABLE_S
             and (not each.serving, each.id) < (not own.serving, own.id)
         ]
-        if self.many(now) and not self.serving and before:
+        if self.is_large(now) and not self.serving and before:
             return NO_WATCH_RANK
         return len(before)
 
@@ -266,17 +266,17 @@
             return 1.0
         return max(1.0, len(self.addresses.expires_at) / MAX_MESH_PEERS)
 
-    def knows_enough(self, own: NodeState, now: float) -> bool:
+    def can_direct_callers(self, own: NodeState, now: float) -> bool:
         """Say whether this node may tell callers where to go."""
         if own.standing == Standing.READY and self.serving:
             return True
-        return self.listened(now) or any(each.serving for each in self.members.alive(now))
+        return self.has_listened(now) or any(each.serving for each in self.members.alive(now))
 
-    def listened(self, now: float) -> bool:
+    def has_listened(self, now: float) -> bool:
         """Say whether this node has listened for long enough to know how many others there are."""
-        wait_s = LISTEN_LARGE_S if self.many(now) else LISTEN_S
+        wait_s = LISTEN_LARGE_S if self.is_large(now) else LISTEN_S
         return now - self._started_at >= wait_s
 
-    def many(self, now: float) -> bool:
+    def is_large(self, now: float) -> bool:
         """Say whether there are more nodes than can all tell each other everything."""
         return len(self.addresses.expires_at) > MAX_MESH_PEERS
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -593,7 +593,7 @@
     async def _duties_forever(self) -> None:
         while True:
             now = monotonic()
-            if self.standing is not Standing.LEAVING and self.neighbours.listened(now):
+            if self.standing is not Standing.LEAVING and self.neighbours.has_listened(now):
                 state = self._state()
                 rank = self.neighbours.rank(state, now, True)
                 await self.keeper.step(rank, self.neighbours.backoff_scale(state))
--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -74,7 +74,7 @@
     def _send_addresses(self, reply: Reply, own: NodeState) -> None:
         now = monotonic()
         addresses = [each.address for each in self._neighbours.serving_nodes(own, now)]
-        if not addresses or not self._neighbours.knows_enough(own, now):
+        if not addresses or not self._neighbours.can_direct_callers(own, now):
             reply.send_whole(503, [], b"")
             return
         headers, body = self._entry.addresses(addresses, self._address_ttl_s)
