--- a/src/moledale/gateway/gossip.py
+++ b/src/moledale/gateway/gossip.py
@@ -57,10 +57,10 @@
 )
 MESSAGES: tuple[type[msgspec.Struct], ...] = get_args(Message)
 
-MOST_KINDS = 32
+MAX_UNREADABLE_KINDS = 32
 """Kinds of messages that can't be read which are told apart, whatever is sent to the port."""
 
-MOST_KIND_LETTERS = 32
+MAX_KIND_CHARS = 32
 """Letters of a kind that are kept: those of this build have fewer."""
 
 _encoder = msgspec.msgpack.Encoder()
@@ -71,14 +71,14 @@
 NO_KIND = "no message"
 
 
-def kind_of(data: bytes) -> str:
+def claimed_kind(data: bytes) -> str:
     """Return the name that a message which can't be read gives itself."""
     try:
         parts = msgspec.msgpack.decode(data)
     except msgspec.DecodeError:
         return NO_KIND
     if isinstance(parts, list) and parts and isinstance(parts[0], str):
-        return parts[0][:MOST_KIND_LETTERS]
+        return parts[0][:MAX_KIND_CHARS]
     return NO_KIND
 
 
@@ -86,7 +86,7 @@
     """The socket that news go through."""
 
     def __init__(self, heard: Callable[[Message], None]) -> None:
-        self._heard = heard
+        self._on_message = heard
         self._transport: asyncio.DatagramTransport | None = None
         self.unreadable: Counter[str] = Counter()
 
@@ -99,13 +99,13 @@
         try:
             message = _decoder.decode(data)
         except msgspec.DecodeError as error:
-            self._note_unreadable(kind_of(data), addr[0], str(error))
+            self._record_unreadable(claimed_kind(data), addr[0], str(error))
             return
-        self._heard(message)
+        self._on_message(message)
 
-    def _note_unreadable(self, kind: str, sender: str, why: str) -> None:
+    def _record_unreadable(self, kind: str, sender: str, why: str) -> None:
         """Count a message of another build, or of nobody; the first of a kind is logged."""
-        if kind not in self.unreadable and len(self.unreadable) >= MOST_KINDS:
+        if kind not in self.unreadable and len(self.unreadable) >= MAX_UNREADABLE_KINDS:
             kind = OTHER_KINDS
         self.unreadable[kind] += 1
         if self.unreadable[kind] == 1:
@@ -114,7 +114,7 @@
     def error_received(self, exc: Exception) -> None:
         """A peer's port is closed: its silence tells as much."""
 
-    def tell(self, message: Message, addresses: list[str]) -> None:
+    def send(self, message: Message, addresses: list[str]) -> None:
         """Send a message to some addresses."""
         if self._transport is None or self._transport.is_closing():
             return
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -12,7 +12,7 @@
 from moledale.build import build_id
 from moledale.edge.operators import NodeStatus
 from moledale.gateway.builds import FORMATS, BuildWatch
-from moledale.gateway.gossip import MOST_KINDS, OTHER_KINDS, GossipSocket, Message
+from moledale.gateway.gossip import MAX_UNREADABLE_KINDS, OTHER_KINDS, GossipSocket, Message
 from tests.gateway_states import state
 from tests.test_gateway_nodes import Cluster, ask, on_cluster, ready, until
 
@@ -43,8 +43,8 @@
 
     def test_kinds_are_bounded(self) -> None:
         logged = self.receive(*([f"kind{number}" * 9, 1] for number in range(200)))
-        self.assertEqual(len(logged), MOST_KINDS + 1)
-        self.assertEqual(self.socket.unreadable[OTHER_KINDS], 200 - MOST_KINDS)
+        self.assertEqual(len(logged), MAX_UNREADABLE_KINDS + 1)
+        self.assertEqual(self.socket.unreadable[OTHER_KINDS], 200 - MAX_UNREADABLE_KINDS)
         self.assertLess(max(len(kind) for kind in self.socket.unreadable), 40)
 
 
