--- a/src/moledale/gateway/directory.py
+++ b/src/moledale/gateway/directory.py
@@ -13,30 +13,30 @@
 from moledale.core.hashing import weight
 from moledale.gateway.peers import NodeState, Standing
 
-FOR_EACH_HALL = 1
+MIN_SERVING_PER_HALL = 1
 """Nodes that serve in a hall at least; more do as requests need them."""
 
-REQUEST_CORE_S = 0.0017
+CORE_S_PER_REQUEST = 0.0017
 """Processor time of a request with its events."""
 
-LOAD_SHARE = 0.35
+MAX_LOAD_SHARE = 0.35
 """Part of its processor that a node's requests may take before the hall has another one serve."""
 
-FEWER_SHARE = 0.6
+SCALE_DOWN_SHARE = 0.6
 """One fewer serves once the others would be this far below that, so that nodes don't take turns."""
 
 HASH_KEY = "callers"
 
-STRONG = 20.0
+MAX_POWER = 20.0
 """Power (see `power_of`) beyond which more of it makes no difference."""
 
-LINK_MBPS_FOR_A_CORE = 50.0
+LINK_MBPS_PER_CORE = 50.0
 """Link that counts as much as one core."""
 
 
 def power_of(cores: float, link_mbps: float) -> float:
     """Return what a node can carry, in tenths of a core; a thin link counts as few cores."""
-    return min(10.0 * cores, 10.0 * link_mbps / LINK_MBPS_FOR_A_CORE, STRONG)
+    return min(10.0 * cores, 10.0 * link_mbps / LINK_MBPS_PER_CORE, MAX_POWER)
 
 
 def rank_of(node: NodeState) -> tuple[bool, int, int]:
@@ -55,16 +55,18 @@
         if node.hall == own.hall and node.serving and node.standing == Standing.READY
     ]
     if not there:
-        return FOR_EACH_HALL
-    load = sum(node.requests_per_s for node in there) * REQUEST_CORE_S
-    room = fmean(max(1.0, node.power) for node in there) / 10 * LOAD_SHARE
+        return MIN_SERVING_PER_HALL
+    load = sum(node.requests_per_s for node in there) * CORE_S_PER_REQUEST
+    room = fmean(max(1.0, node.power) for node in there) / 10 * MAX_LOAD_SHARE
     wanted = ceil(load / room)
     if wanted < len(there):
-        wanted = min(len(there), ceil(load / (room * FEWER_SHARE)))
-    return max(FOR_EACH_HALL, wanted)
+        wanted = min(len(there), ceil(load / (room * SCALE_DOWN_SHARE)))
+    return max(MIN_SERVING_PER_HALL, wanted)
 
 
-def should_serve(own: NodeState, heard: Iterable[NodeState], most: int = FOR_EACH_HALL) -> bool:
+def should_serve(
+    own: NodeState, heard: Iterable[NodeState], most: int = MIN_SERVING_PER_HALL
+) -> bool:
     """Say whether a node serves, from the live nodes that it hears."""
     if own.standing != Standing.READY:
         return False
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -9,8 +9,8 @@
 from moledale.clock import monotonic
 from moledale.gateway.accounts import AccountLimits
 from moledale.gateway.directory import (
-    LOAD_SHARE,
-    REQUEST_CORE_S,
+    CORE_S_PER_REQUEST,
+    MAX_LOAD_SHARE,
     power_of,
     rank_of,
     serving_nodes,
@@ -111,7 +111,7 @@
     def test_target_has_as_many_serve_as_its_requests_need(self) -> None:
         own = state("n1", power=10.0)
         wanted = wanted_nodes(own, self.serving(1, 7_400 / 7))
-        self.assertGreaterEqual(wanted * LOAD_SHARE / REQUEST_CORE_S, 7_400 / 7)
+        self.assertGreaterEqual(wanted * MAX_LOAD_SHARE / CORE_S_PER_REQUEST, 7_400 / 7)
         self.assertLessEqual(wanted, 7)
 
     def test_other_halls_and_nodes_in_reserve_do_not_count(self) -> None:
@@ -124,7 +124,7 @@
 
     def test_small_changes_of_load_change_nothing(self) -> None:
         own = state("n1", power=10.0)
-        most_of_two = 2 * LOAD_SHARE / REQUEST_CORE_S
+        most_of_two = 2 * MAX_LOAD_SHARE / CORE_S_PER_REQUEST
         for share in (1.0, 0.9, 0.8, 0.7):
             self.assertEqual(wanted_nodes(own, self.serving(2, share * most_of_two)), 2)
         self.assertEqual(wanted_nodes(own, self.serving(2, 0.2 * most_of_two)), 1)
@@ -146,7 +146,7 @@
                 serves = should_serve(node, heard, wanted_nodes(node, heard))
                 nodes[index] = msgspec.structs.replace(node, serving=serves)
                 settled.append(sum(node.serving for node in nodes))
-        needed = ceil(total * REQUEST_CORE_S / LOAD_SHARE)
+        needed = ceil(total * CORE_S_PER_REQUEST / MAX_LOAD_SHARE)
         self.assertGreaterEqual(settled[-1], needed)
         self.assertLessEqual(settled[-1], needed + 1)
         self.assertEqual(len(set(settled[-10 * len(nodes) :])), 1, "they take turns")
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -321,7 +321,7 @@
      lambda *_: False, LIMITS),
     ("the holder's looks are reckoned with", rollouts, "POLLS_AFTER_RISE", 0,
      "tests.test_rollout_timing"),
-    ("as many serve as requests need", directory, "REQUEST_CORE_S", 1e-9, MEMBERSHIP),
+    ("as many serve as requests need", directory, "CORE_S_PER_REQUEST", 1e-9, MEMBERSHIP),
     ("answers of the store name its era", store, "first_count", lambda *_: None, RESTORED),
     ("a list read in vain is followed by a pause", FleetWatch, "_read_in_vain", lambda *_: None,
      "tests.test_server_list"),
