--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -43,48 +43,48 @@
 from moledale.gateway.usage import TrueTime
 from moledale.log import Event, emit
 
-READ_EVERY_S = 0.8
+READ_INTERVAL_S = 0.8
 """The list is read this often: 0.4 of the shortest time that a leaving server may get work (2 s),
 so that one reading may fail."""
 
-READ_RANK_S = 0.12
+READ_DELAY_PER_RANK_S = 0.12
 """Each next node waits this much longer for the reader before it, several round trips."""
 
-MOST_READ_RANK = 4
+MAX_READ_RANK = 4
 """Nodes of later turns wait as long as this one: 1.3 s at most in all."""
 
 READ_TIMEOUT_S = 0.8
 """A reading has this long; a later one would take its place in any case."""
 
-AGAIN_S = 0.2
+RETRY_INITIAL_S = 0.2
 """First pause after a reading that failed, for a node that reads for all."""
 
-AGAIN_MOST_S = 1.0
+RETRY_MAX_S = 1.0
 """Longest such pause: the store's return is to be seen within about a second."""
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 """A node that serves looks this often whether it is to read: less than the time between two
 turns."""
 
-RESERVE_LOOK_S = 0.5
+RESERVE_POLL_INTERVAL_S = 0.5
 """A node in reserve looks this often whether it is to read; its turn comes after seconds only, and
 a node that wakes up less leaves more of its instance to requests."""
 
 
-RESERVE_READ_S = 2.0
+RESERVE_READ_DELAY_S = 2.0
 """A node in reserve reads for itself when it heard of no reading for this long. Those that serve
 tell it once a second each, so less would have all of them read now and then."""
 
-CROWD_SPREAD_S = 0.5
+RESERVE_READ_JITTER_S = 0.5
 """Nodes in reserve read up to this much later, by chance, for each `neighbours.MAX_MESH_PEERS` nodes."""
 
-OUTAGE_S = 2.0
+MIN_OUTAGE_S = 2.0
 """Without a list for this long, and with readings that failed, the store was away."""
 
-RETURN_S = 1.8
+LAPSED_ENTRY_GRACE_S = 1.8
 """Entries that lapsed meanwhile are back within about two seconds of the store's return."""
 
-LAPSE_S = 4.5
+RESTORED_ENTRY_LAPSE_S = 4.5
 """Entries that nobody renews have lapsed so long after the store came back from an older copy:
 three heartbeats of 1.2 s, and a reading."""
 
@@ -92,26 +92,26 @@
 """Requests are sent by a list that is at most this part of `bounds.leave_s` old. A server may get
 no new work once it has been leaving for that long; the rest is for a slow connection."""
 
-CURRENT_WAIT_S = 0.3
+REFRESH_WAIT_S = 0.3
 """A request waits this long for a list that is being read, about the time of a connection that
 gets no answer."""
 
-FAILED_KEPT_S = 3.0
+FAILED_READ_COOLDOWN_S = 3.0
 """After a reading that failed, requests do not ask for another one for this long: longer than the
 pause and the time of one that this node makes anyway, so that an outage holds up no request."""
 
-LISTS_KEPT = 8
+MAX_KEPT_LISTS = 8
 """Lists that are kept as bases of differences: some seconds of changes on a day with reclaims."""
 
-TellChanges = Callable[[list[ServerChange], bool], None]
+SendChanges = Callable[[list[ServerChange], bool], None]
 """Sends changes; the flag tells that this node read them itself rather than passing them on."""
 
 
 class FleetWatch:
     """Reads or hears the list and hands it on.
 
-    `rank` is this node's turn, `took` gets the servers after each change, `tell` sends changes, and
-    `confirm` tells the nodes that may read next that nothing changed. `leave_s` is the time after
+    `rank` is this node's turn, `on_servers` gets the servers after each change, `send_changes` sends changes, and
+    `send_confirmation` tells the nodes that may read next that nothing changed. `leave_s` is the time after
     which a leaving server may get no new work. `start` tells when a starting node is to ask the
     store, at once if it is None.
     """
@@ -121,9 +121,9 @@
         store: Store,
         true_time: TrueTime,
         rank: Callable[[], int],
-        took: Callable[[list[Server]], None],
-        tell: TellChanges,
-        confirm: Callable[[ServerChange], None],
+        on_servers: Callable[[list[Server]], None],
+        send_changes: SendChanges,
+        send_confirmation: Callable[[ServerChange], None],
         backoff_scale: Callable[[], float],
         control: str = "",
         link_mbps: float = 1000.0,
@@ -132,7 +132,7 @@
         start: ColdStart | None = None,
     ) -> None:
         self.list = ServerList()
-        self.archive = DocumentArchive(link_mbps, now, LISTS_KEPT)
+        self.archive = DocumentArchive(link_mbps, now, MAX_KEPT_LISTS)
         self.fetch = DocumentFetch(
             SERVERS_PATH,
             self.archive,
@@ -144,30 +144,30 @@
         self._health = StoreHealth("list of servers")
         self._true_time = true_time
         self._rank = rank
-        self._took = took
-        self._tell = tell
-        self._confirm = confirm
+        self._on_servers = on_servers
+        self._send_changes = send_changes
+        self._send_confirmation = send_confirmation
         self._crowd = backoff_scale
         self._control = control
         self._usable_s = USABLE_SHARE * leave_s
         self._now = now
-        self._start = start
+        self._cold_start = start
         self._newest_head: ListHead | None = None
         self._fresh_at = -1e9
         self._read_s = NEVER_S
         self._returned_s = NEVER_S
         self._returned_at = -1e9
         self._failed_at = -1e9
-        self._futile_at = -1e9
+        self._stale_read_at = -1e9
         self._restored_at = -1e9
         self._era = UNKNOWN_ERA
-        self._believed: list[Server] = []
-        self._keeps_lapsed = False
-        self._reading: asyncio.Task[bool] | None = None
-        self._reading_since = -1e9
-        self._backoff = Backoff(AGAIN_S, AGAIN_MOST_S, backoff_scale)
+        self._published: list[Server] = []
+        self._retains_lapsed = False
+        self._read_task: asyncio.Task[bool] | None = None
+        self._read_started_at = -1e9
+        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, backoff_scale)
         self._rng = random.Random()
-        self._spread_s = 0.0
+        self._read_jitter_s = 0.0
 
     @property
     def known(self) -> bool:
@@ -183,8 +183,10 @@
 
     async def watch(self) -> None:
         """Read the list whenever it is this node's turn, for ever."""
-        if self._start is not None:
-            await self._start.wait(lambda: self.known, lambda: self.fetch.is_behind(self._now()))
+        if self._cold_start is not None:
+            await self._cold_start.wait(
+                lambda: self.known, lambda: self.fetch.is_behind(self._now())
+            )
         while True:
             left_s = self.due_at() - self._now()
             if left_s > 0:
@@ -195,16 +197,16 @@
                 await asyncio.sleep(self._backoff.next_s())
 
     def _look_s(self) -> float:
-        return RESERVE_LOOK_S if self._crowd() > 1.0 else LOOK_S
+        return RESERVE_POLL_INTERVAL_S if self._crowd() > 1.0 else POLL_INTERVAL_S
 
     def due_at(self) -> float:
         """Return when this node reads the list unless it hears of another reading before."""
         if self._crowd() > 1.0:
-            return self._fresh_at + RESERVE_READ_S + self._spread_s
-        turn = min(self._rank(), MOST_READ_RANK)
-        return self._fresh_at + READ_EVERY_S + turn * READ_RANK_S
+            return self._fresh_at + RESERVE_READ_DELAY_S + self._read_jitter_s
+        turn = min(self._rank(), MAX_READ_RANK)
+        return self._fresh_at + READ_INTERVAL_S + turn * READ_DELAY_PER_RANK_S
 
-    async def current(self) -> bool:
+    async def ensure_current(self) -> bool:
         """Make sure that requests may be sent by the list that is here.
 
         Return False if it is too old and other nodes have a newer one, so that these can serve.
@@ -214,13 +216,16 @@
             return True
         if self._may_read_for_request():
             reading = self._start_reading()
-            left_s = self._reading_since + CURRENT_WAIT_S - self._now()
+            left_s = self._read_started_at + REFRESH_WAIT_S - self._now()
             await asyncio.wait([reading], timeout=max(0.0, left_s))
         return self._is_fresh() or not self.fetch.is_behind(self._now())
 
     def _may_read_for_request(self) -> bool:
         now = self._now()
-        return now - self._failed_at > FAILED_KEPT_S and now - self._futile_at > AGAIN_MOST_S
+        return (
+            now - self._failed_at > FAILED_READ_COOLDOWN_S
+            and now - self._stale_read_at > RETRY_MAX_S
+        )
 
     def heard_head(self, head: ListHead, control: str, power: float) -> None:
         """Take over which list another node has; a newer one is fetched from there."""
@@ -248,27 +253,27 @@
             self._changed(from_store=False)
         if heard.is_new:
             source = self._control if heard.confirmed else change.source
-            self._tell([msgspec.structs.replace(change, source=source)], False)
+            self._send_changes([msgspec.structs.replace(change, source=source)], False)
         if heard.needs_fetch:
             self.fetch.add_source(change.source, change.head.era_version, 1.0, self._now())
 
     def drop_lapsed(self) -> None:
         """Take servers that are still missing as gone; called often, as lists come seldom."""
-        lapsed = self._keeps_lapsed and self._now() - self._returned_at >= RETURN_S
-        if self._now() - self._restored_at >= LAPSE_S:
+        lapsed = self._retains_lapsed and self._now() - self._returned_at >= LAPSED_ENTRY_GRACE_S
+        if self._now() - self._restored_at >= RESTORED_ENTRY_LAPSE_S:
             lapsed = self.list.trust_entries() or lapsed
         if lapsed:
-            self._believe()
+            self._publish()
 
     def _is_fresh(self) -> bool:
         return self._now() - self._fresh_at <= self._usable_s
 
     def _start_reading(self) -> asyncio.Task[bool]:
         """Return the reading that is under way, or a new one."""
-        if self._reading is None or self._reading.done():
-            self._reading = asyncio.get_running_loop().create_task(self._read())
-            self._reading_since = self._now()
-        return self._reading
+        if self._read_task is None or self._read_task.done():
+            self._read_task = asyncio.get_running_loop().create_task(self._read())
+            self._read_started_at = self._now()
+        return self._read_task
 
     async def _read(self) -> bool:
         """Read the list and tell the others; say whether it is this node's list now."""
@@ -285,7 +290,7 @@
         if listed.at < self.list.era_version:
             self._read_in_vain(listed)
             return False
-        if self._failed_at > self._fresh_at and sent_at - self._fresh_at > OUTAGE_S:
+        if self._failed_at > self._fresh_at and sent_at - self._fresh_at > MIN_OUTAGE_S:
             self._returned_at, self._returned_s = sent_at, listed.store_s
         base = self.list.digest
         unchanged = before is not None and not listed.changed and base == digest
@@ -294,7 +299,7 @@
         self._follow_era()
         self._note_fresh(sent_at, listed.store_s)
         if marks_fell:
-            self._believe()
+            self._publish()
         if difference is None:
             self.archive.update_version(self.list.era_version)
             self.drop_lapsed()
@@ -309,9 +314,9 @@
         now = self._now()
         if self._is_fresh():
             return
-        if now - self._futile_at > FAILED_KEPT_S:
+        if now - self._stale_read_at > FAILED_READ_COOLDOWN_S:
             emit(Event.LIST_OLDER, read=listed.at, here=self.list.era_version)
-        self._futile_at = now
+        self._stale_read_at = now
 
     def _follow_era(self) -> None:
         """Begin anew with times of the store's clock where the list is of another era than before.
@@ -325,7 +330,7 @@
         self._read_s = self._returned_s = NEVER_S
         if self._newest_head is not None and self.list.is_from_older_era(self._newest_head):
             self._newest_head = None
-        self._believe()
+        self._publish()
 
     def _held(self) -> StoredList | None:
         """Return the list that is here, to be told only what changed since."""
@@ -340,12 +345,12 @@
     def _tell_unchanged(self) -> None:
         head = self.head()
         if head is not None:
-            self._confirm(ServerChange(head, head.digest, self._control))
+            self._send_confirmation(ServerChange(head, head.digest, self._control))
 
     def _tell_difference(self, base: int, difference: ServerDelta) -> None:
         head = self.head()
         if head is not None:
-            self._tell(split_into_packets(head, base, self._control, difference), True)
+            self._send_changes(split_into_packets(head, base, self._control, difference), True)
 
     def _fetched(self, version: EraVersion, raw: bytes) -> None:
         """Take over a list that another node passed on whole."""
@@ -380,7 +385,7 @@
         reading changes nothing: each new draw would be another chance to read early.
         """
         if read_at > self._fresh_at:
-            self._spread_s = CROWD_SPREAD_S * (self._crowd() - 1.0) * self._rng.random()
+            self._read_jitter_s = RESERVE_READ_JITTER_S * (self._crowd() - 1.0) * self._rng.random()
             self._fresh_at = read_at
         self._read_s = max(self._read_s, store_s)
 
@@ -392,32 +397,32 @@
         returned_at = self._true_time.to_local(head.returned_s)
         if head.era > self.list.era_version.era > UNKNOWN_ERA:
             return
-        if returned_at is not None and head.read_s - self._read_s > OUTAGE_S:
+        if returned_at is not None and head.read_s - self._read_s > MIN_OUTAGE_S:
             self._returned_at = max(self._returned_at, returned_at)
             self._returned_s = max(self._returned_s, head.returned_s)
 
     def _changed(self, from_store: bool) -> None:
         """Hand on a list that differs from the one before."""
         self.archive.add(self.list.era_version, self.list.raw)
-        self._believe()
+        self._publish()
         emit(
             Event.SERVERS_CHANGED,
             era=self.list.era_version.era,
             version=self.list.version,
             from_store=from_store,
-            there=len(self._believed),
-            spot=sum(1 for server in self._believed if server.spot),
-            leaving=[server.id for server in self._believed if server.leaving],
+            there=len(self._published),
+            spot=sum(1 for server in self._published if server.spot),
+            leaving=[server.id for server in self._published if server.leaving],
         )
 
-    def _believe(self) -> None:
+    def _publish(self) -> None:
         """Hand the list on, with the servers that only lapsed while the store was away."""
         servers = self.list.usable()
         kept = []
-        if self._now() - self._returned_at < RETURN_S:
+        if self._now() - self._returned_at < LAPSED_ENTRY_GRACE_S:
             listed = {server.address for server in servers}
-            before = (server for server in self._believed if server.address not in listed)
+            before = (server for server in self._published if server.address not in listed)
             kept = [server for server in before if not server.leaving]
-        self._keeps_lapsed = bool(kept)
-        self._believed = [*servers, *kept]
-        self._took(self._believed)
+        self._retains_lapsed = bool(kept)
+        self._published = [*servers, *kept]
+        self._on_servers(self._published)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -7,7 +7,12 @@
 from result import Err
 
 from moledale.gateway.backoff import JITTER, Backoff
-from moledale.gateway.fleet_watch import AGAIN_MOST_S, AGAIN_S, CROWD_SPREAD_S, FleetWatch
+from moledale.gateway.fleet_watch import (
+    RESERVE_READ_JITTER_S,
+    RETRY_INITIAL_S,
+    RETRY_MAX_S,
+    FleetWatch,
+)
 from moledale.gateway.outside import CallFailure
 from moledale.gateway.plan_watch import PlanWatch
 from moledale.gateway.store_era import EraVersion
@@ -77,7 +82,7 @@
 
 def calls_in(length_s: float, most_s: float, backoff_scale: float) -> int:
     """Return how many calls that all fail a node makes."""
-    backoff = Backoff(AGAIN_S, most_s, lambda: backoff_scale)
+    backoff = Backoff(RETRY_INITIAL_S, most_s, lambda: backoff_scale)
     calls, at = 0, 0.0
     while at < length_s:
         calls += 1
@@ -104,7 +109,7 @@
 
     def test_many_nodes_call_at_most_a_third_as_often_over_half_a_minute(self) -> None:
         """Whatever is drawn: 7 to 11 calls, where a node alone makes 27 to 83."""
-        for most_s in (AGAIN_MOST_S, 0.4):
+        for most_s in (RETRY_MAX_S, 0.4):
             for _ in range(200):
                 few, many = (calls_in(30.0, most_s, backoff_scale) for backoff_scale in (1.0, 20.0))
                 self.assertLessEqual(3 * many, few + 3)
@@ -147,9 +152,9 @@
         due = []
         for watch in watches:
             watch._note_fresh(0.0, 0.0)
-            due.append(watch._spread_s)
-        self.assertGreater(max(due) - min(due), CROWD_SPREAD_S * (MANY - 1) / 2)
-        self.assertLess(max(due), CROWD_SPREAD_S * (MANY - 1))
+            due.append(watch._read_jitter_s)
+        self.assertGreater(max(due) - min(due), RESERVE_READ_JITTER_S * (MANY - 1) / 2)
+        self.assertLess(max(due), RESERVE_READ_JITTER_S * (MANY - 1))
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -7,7 +7,7 @@
 
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.events import EventSplitter
-from moledale.gateway.fleet_watch import OUTAGE_S, FleetWatch
+from moledale.gateway.fleet_watch import MIN_OUTAGE_S, FleetWatch
 from moledale.gateway.messages import PromptPart, RequestFacts, Server
 from moledale.gateway.outside import CallFailure, ServerList
 from moledale.gateway.peers import Membership
@@ -240,7 +240,7 @@
 
     def list_at(self, now: float, *names: str, leaving: str = "") -> set[str]:
         """Let one node read a list and return the servers that both nodes believe in then."""
-        if now - self.now > OUTAGE_S:
+        if now - self.now > MIN_OUTAGE_S:
             self.now = (self.now + now) / 2
             self.store.away = True
             finished(self.watch._read())
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -10,8 +10,8 @@
 from result import Err, Ok
 
 from moledale.gateway.fleet_watch import (
-    CURRENT_WAIT_S,
-    RESERVE_READ_S,
+    REFRESH_WAIT_S,
+    RESERVE_READ_DELAY_S,
     USABLE_SHARE,
     FleetWatch,
 )
@@ -481,7 +481,7 @@
         self.now += 0.2
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 2)
-        self.assertLess(USABLE_SHARE * LEAVE_S + CURRENT_WAIT_S, LEAVE_S - 1.0)
+        self.assertLess(USABLE_SHARE * LEAVE_S + REFRESH_WAIT_S, LEAVE_S - 1.0)
 
     def test_first_list_that_a_peer_passes_on_is_as_old_as_the_peer_told(self) -> None:
         self.true_time.record_store_clock(self.now, self.now, self.now)
@@ -552,7 +552,7 @@
             due.append(self.watch.due_at() - self.now)
             self.watch._note_fresh(self.now, 0.0)
             self.assertEqual(self.watch.due_at() - self.now, due[-1], "known already")
-        self.assertGreaterEqual(min(due), RESERVE_READ_S)
+        self.assertGreaterEqual(min(due), RESERVE_READ_DELAY_S)
         self.assertGreater(max(due) - min(due), 2.0)
 
 
