--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -137,7 +137,7 @@
             self.sharing,
             engines,
             newer_plan=lambda: self.plans.fetch.is_behind(monotonic()),
-            list_is_current=lambda: self.fleet.current(),
+            list_is_current=lambda: self.fleet.ensure_current(),
             first_start=node.first_start,
             trial_share=self.rollouts.trial_share,
             starting_nodes=lambda: max(1, len(node.halls), self._serving_count()),
