--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -468,7 +468,7 @@
         result: list[bool] = []
 
         async def ask() -> None:
-            result.append(await self.watch.current())
+            result.append(await self.watch.ensure_current())
 
         quietly(ask())
         return result[0]
@@ -526,7 +526,7 @@
     def test_nodes_that_read_in_vain_pause_before_they_read_again(self) -> None:
         async def watch() -> None:
             self.store.version = 90
-            await self.watch.current()
+            await self.watch.ensure_current()
             self.store.version, self.store.step = 50, 0
             self.now += 60.0
             reads = self.store.reads
@@ -539,7 +539,7 @@
 
     def test_requests_that_come_together_share_one_reading(self) -> None:
         async def ask() -> None:
-            await asyncio.gather(*(self.watch.current() for _ in range(20)))
+            await asyncio.gather(*(self.watch.ensure_current() for _ in range(20)))
 
         quietly(ask())
         self.assertEqual(self.store.reads, 1)
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -255,7 +255,7 @@
     ("others' states show a missed list", FleetWatch, "heard_head", lambda *_: None, LISTS),
     ("changes of servers are passed on", Neighbours, "relay_targets", lambda *_: [], LISTS),
     ("leaving servers are marked at once", ServerList, "_mark_departures", lambda *_: False, LISTS),
-    ("no request goes by an old list", FleetWatch, "current", _always_current, LISTS),
+    ("no request goes by an old list", FleetWatch, "ensure_current", _always_current, LISTS),
     ("reserves wait before they read", fleet_watch, "RESERVE_READ_JITTER_S", 0.0, LISTS),
     ("a stop waits for requests", GatewayNode, "_drain", _stop_at_once, f"{NODES}.StopTest"),
     ("counts of former lives are kept", Membership, "all_states",
