--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -227,7 +227,7 @@
             and now - self._stale_read_at > RETRY_MAX_S
         )
 
-    def heard_head(self, head: ListHead, control: str, power: float) -> None:
+    def on_head(self, head: ListHead, control: str, power: float) -> None:
         """Take over which list another node has; a newer one is fetched from there."""
         if self.list.is_from_older_era(head):
             return
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -501,7 +501,7 @@
         if state.era is not None:
             self._store.era.observe(state.era.number, state.era.age_s)
         if state.servers is not None:
-            self.fleet.heard_head(state.servers, state.control, state.power)
+            self.fleet.on_head(state.servers, state.control, state.power)
         index = self.forwarder.index
         if state.plan_version > (index.version if index is not None else -1):
             version = EraVersion(number=state.plan_version)
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -233,7 +233,7 @@
             return
         self.neighbours.addresses.add(told.peer, self.world.now)
         if told.servers is not None:
-            self.watch.heard_head(told.servers, told.control, told.power)
+            self.watch.on_head(told.servers, told.control, told.power)
 
 
 def thaw(node: ListNode) -> None:
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -488,7 +488,7 @@
         self.store.version = 5
         peer = ServerList()
         peer.update_from_store([a_server(1)], at(5))
-        self.watch.heard_head(ListHead(5, peer.digest, self.now - 0.3, era=1), "n2:3", 1.0)
+        self.watch.on_head(ListHead(5, peer.digest, self.now - 0.3, era=1), "n2:3", 1.0)
         self.watch._fetched(at(5), peer.raw)
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 0)
@@ -509,7 +509,7 @@
         self.assertTrue(self.current())
         self.store.away = True
         self.now += 60.0
-        self.watch.heard_head(ListHead(9, 9, self.now, era=1), "n2:3", 1.0)
+        self.watch.on_head(ListHead(9, 9, self.now, era=1), "n2:3", 1.0)
         self.assertFalse(self.current())
 
     def test_list_that_is_read_in_vain_is_not_read_again_for_each_request(self) -> None:
