--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -239,7 +239,7 @@
         elif head.era_version > self.list.era_version:
             self.fetch.add_source(control, head.era_version, power, self._now())
 
-    def heard(self, change: ServerChange) -> None:
+    def on_change(self, change: ServerChange) -> None:
         """Take over a change that another node told, and pass it on the first time."""
         if self.list.is_from_older_era(change.head):
             return
