--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -453,7 +453,7 @@
     def _on_message(self, message: Message) -> None:
         now = monotonic()
         if isinstance(message, ServerChange):
-            self.fleet.heard(message)
+            self.fleet.on_change(message)
             return
         if isinstance(message, EndNews | ClearedNews | BlockNews):
             self.quarantine.on_message(message)
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -226,7 +226,7 @@
             self.held.append(message)
             return
         if isinstance(message, ServerChange):
-            self.watch.heard(message)
+            self.watch.on_change(message)
             return
         told = message.state
         if self.members.heard(told, self.world.now) is None:
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -229,14 +229,14 @@
             lambda: 0,
             lambda servers: taken.append({server.id for server in servers}),
             tell,
-            lambda change: self.other.heard(change),
+            lambda change: self.other.on_change(change),
             lambda: 1.0,
             now=lambda: self.now,
         )
 
     def tell(self, changes: list[ServerChange], _: bool) -> None:
         for change in changes:
-            self.other.heard(change)
+            self.other.on_change(change)
 
     def list_at(self, now: float, *names: str, leaving: str = "") -> set[str]:
         """Let one node read a list and return the servers that both nodes believe in then."""
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -251,7 +251,7 @@
     ("a slow server is told apart", Slowness, "observe", lambda *_: None, LEARNING),
     ("a front is fetched", EngineCosts, "should_fetch", lambda *_: False, PLACEMENTS),
     ("missing spot servers are made up", renting, "RESERVE_SHARE", -1e9, RENTING),
-    ("one reader tells all others", FleetWatch, "heard", lambda *_: None, LISTS),
+    ("one reader tells all others", FleetWatch, "on_change", lambda *_: None, LISTS),
     ("others' states show a missed list", FleetWatch, "on_head", lambda *_: None, LISTS),
     ("changes of servers are passed on", Neighbours, "relay_targets", lambda *_: [], LISTS),
     ("leaving servers are marked at once", ServerList, "_mark_departures", lambda *_: False, LISTS),
