--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -191,7 +191,7 @@
             left_s = self.due_at() - self._now()
             if left_s > 0:
                 await asyncio.sleep(min(self._look_s(), left_s))
-            elif await asyncio.shield(self._start_reading()):
+            elif await asyncio.shield(self._start_read()):
                 self._backoff.answered()
             else:
                 await asyncio.sleep(self._backoff.next_s())
@@ -215,7 +215,7 @@
         if self._is_fresh():
             return True
         if self._may_read_for_request():
-            reading = self._start_reading()
+            reading = self._start_read()
             left_s = self._read_started_at + REFRESH_WAIT_S - self._now()
             await asyncio.wait([reading], timeout=max(0.0, left_s))
         return self._is_fresh() or not self.fetch.is_behind(self._now())
@@ -268,7 +268,7 @@
     def _is_fresh(self) -> bool:
         return self._now() - self._fresh_at <= self._usable_s
 
-    def _start_reading(self) -> asyncio.Task[bool]:
+    def _start_read(self) -> asyncio.Task[bool]:
         """Return the reading that is under way, or a new one."""
         if self._read_task is None or self._read_task.done():
             self._read_task = asyncio.get_running_loop().create_task(self._read())
@@ -340,7 +340,7 @@
         return StoredList(servers, at.number, self._read_s, era=at.era)
 
     async def _read_for_want_of_peers(self) -> bool:
-        return await asyncio.shield(self._start_reading())
+        return await asyncio.shield(self._start_read())
 
     def _tell_unchanged(self) -> None:
         head = self.head()
