--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -138,7 +138,7 @@
             self.archive,
             lambda: self.list.era_version,
             self._fetched,
-            self._read_for_want_of_peers,
+            self._read_without_peers,
         )
         self._store = store
         self._health = StoreHealth("list of servers")
@@ -149,7 +149,7 @@
         self._send_confirmation = send_confirmation
         self._crowd = backoff_scale
         self._control = control
-        self._usable_s = USABLE_SHARE * leave_s
+        self._max_list_age_s = USABLE_SHARE * leave_s
         self._now = now
         self._cold_start = start
         self._newest_head: ListHead | None = None
@@ -190,13 +190,13 @@
         while True:
             left_s = self.due_at() - self._now()
             if left_s > 0:
-                await asyncio.sleep(min(self._look_s(), left_s))
+                await asyncio.sleep(min(self._poll_interval_s(), left_s))
             elif await asyncio.shield(self._start_read()):
                 self._backoff.answered()
             else:
                 await asyncio.sleep(self._backoff.next_s())
 
-    def _look_s(self) -> float:
+    def _poll_interval_s(self) -> float:
         return RESERVE_POLL_INTERVAL_S if self._crowd() > 1.0 else POLL_INTERVAL_S
 
     def due_at(self) -> float:
@@ -231,11 +231,11 @@
         """Take over which list another node has; a newer one is fetched from there."""
         if self.list.is_from_older_era(head):
             return
-        self._note_return(head)
-        self._note_head(head)
+        self._record_return(head)
+        self._record_head(head)
         if self.list.confirm_head(head):
-            self._follow_era()
-            self._confirmed(head)
+            self._reset_on_restore()
+            self._on_confirmed(head)
         elif head.era_version > self.list.era_version:
             self.fetch.add_source(control, head.era_version, power, self._now())
 
@@ -243,14 +243,14 @@
         """Take over a change that another node told, and pass it on the first time."""
         if self.list.is_from_older_era(change.head):
             return
-        self._note_return(change.head)
-        self._note_head(change.head)
+        self._record_return(change.head)
+        self._record_head(change.head)
         heard = self.list.apply_change(change)
-        self._follow_era()
+        self._reset_on_restore()
         if heard.confirmed:
-            self._confirmed(change.head)
+            self._on_confirmed(change.head)
         if heard.servers_differ:
-            self._changed(from_store=False)
+            self._on_changed(from_store=False)
         if heard.is_new:
             source = self._control if heard.confirmed else change.source
             self._send_changes([msgspec.structs.replace(change, source=source)], False)
@@ -266,7 +266,7 @@
             self._publish()
 
     def _is_fresh(self) -> bool:
-        return self._now() - self._fresh_at <= self._usable_s
+        return self._now() - self._fresh_at <= self._max_list_age_s
 
     def _start_read(self) -> asyncio.Task[bool]:
         """Return the reading that is under way, or a new one."""
@@ -278,7 +278,7 @@
     async def _read(self) -> bool:
         """Read the list and tell the others; say whether it is this node's list now."""
         sent_at = self._now()
-        before, digest = self._held(), self.list.digest
+        before, digest = self._current_list(), self.list.digest
         outcome = await self._store.servers(READ_TIMEOUT_S, before)
         if isinstance(outcome, Err):
             self._failed_at = self._now()
@@ -296,17 +296,17 @@
         unchanged = before is not None and not listed.changed and base == digest
         difference = None if unchanged else self.list.update_from_store(listed.servers, listed.at)
         marks_fell = unchanged and self.list.confirm_version(listed.at)
-        self._follow_era()
-        self._note_fresh(sent_at, listed.store_s)
+        self._reset_on_restore()
+        self._record_read(sent_at, listed.store_s)
         if marks_fell:
             self._publish()
         if difference is None:
             self.archive.update_version(self.list.era_version)
             self.drop_lapsed()
-            self._tell_unchanged()
+            self._send_unchanged()
         else:
-            self._changed(from_store=True)
-            self._tell_difference(base, difference)
+            self._on_changed(from_store=True)
+            self._send_difference(base, difference)
         return True
 
     def _record_stale_read(self, listed: StoredList) -> None:
@@ -318,7 +318,7 @@
             emit(Event.LIST_OLDER, read=listed.at, here=self.list.era_version)
         self._stale_read_at = now
 
-    def _follow_era(self) -> None:
+    def _reset_on_restore(self) -> None:
         """Begin anew with times of the store's clock where the list is of another era than before.
 
         Entries of servers that started since the copy are missing until these write again.
@@ -332,22 +332,22 @@
             self._newest_head = None
         self._publish()
 
-    def _held(self) -> StoredList | None:
+    def _current_list(self) -> StoredList | None:
         """Return the list that is here, to be told only what changed since."""
         if not self.known:
             return None
         at, servers = self.list.era_version, tuple(self.list.servers.values())
         return StoredList(servers, at.number, self._read_s, era=at.era)
 
-    async def _read_for_want_of_peers(self) -> bool:
+    async def _read_without_peers(self) -> bool:
         return await asyncio.shield(self._start_read())
 
-    def _tell_unchanged(self) -> None:
+    def _send_unchanged(self) -> None:
         head = self.head()
         if head is not None:
             self._send_confirmation(ServerChange(head, head.digest, self._control))
 
-    def _tell_difference(self, base: int, difference: ServerDelta) -> None:
+    def _send_difference(self, base: int, difference: ServerDelta) -> None:
         head = self.head()
         if head is not None:
             self._send_changes(split_into_packets(head, base, self._control, difference), True)
@@ -359,26 +359,26 @@
         except ValueError as error:
             emit(Event.PEER_FETCH_FAILED, what="servers", version=version, why=str(error))
             return
-        self._follow_era()
+        self._reset_on_restore()
         if differs:
-            self._changed(from_store=False)
+            self._on_changed(from_store=False)
         if self._newest_head is not None and self.list.confirm_head(self._newest_head):
-            self._confirmed(self._newest_head)
+            self._on_confirmed(self._newest_head)
 
-    def _note_head(self, head: ListHead) -> None:
+    def _record_head(self, head: ListHead) -> None:
         """Remember the newest list that was heard of: it tells how old it is once it is here."""
         newest = self._newest_head
         if newest is None or (head.era, head.read_s) > (newest.era, newest.read_s):
             self._newest_head = head
 
-    def _confirmed(self, head: ListHead) -> None:
+    def _on_confirmed(self, head: ListHead) -> None:
         self.archive.update_version(self.list.era_version)
         read_at = self._true_time.to_local(head.read_s)
         if read_at is not None:
-            self._note_fresh(min(read_at, self._now()), head.read_s)
+            self._record_read(min(read_at, self._now()), head.read_s)
         self.drop_lapsed()
 
-    def _note_fresh(self, read_at: float, store_s: float) -> None:
+    def _record_read(self, read_at: float, store_s: float) -> None:
         """Note that the list is that of a reading, on this node's clock and on the store's.
 
         Nodes in reserve that find the next reading late must not read all at once. Word of a known
@@ -389,7 +389,7 @@
             self._fresh_at = read_at
         self._read_s = max(self._read_s, store_s)
 
-    def _note_return(self, head: ListHead) -> None:
+    def _record_return(self, head: ListHead) -> None:
         """Note when the store was back, as the node that reads it knows it.
 
         A node that had a list all the time knows better.
@@ -401,7 +401,7 @@
             self._returned_at = max(self._returned_at, returned_at)
             self._returned_s = max(self._returned_s, head.returned_s)
 
-    def _changed(self, from_store: bool) -> None:
+    def _on_changed(self, from_store: bool) -> None:
         """Hand on a list that differs from the one before."""
         self.archive.add(self.list.era_version, self.list.raw)
         self._publish()
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -273,7 +273,7 @@
         raw, version = self.nodes[0].watch.list.raw, self.nodes[0].watch.list.era_version
         for node in self.nodes:
             node.watch._fetched(version, raw)
-            node.watch._note_fresh(0.0, STORE_STARTED_S)
+            node.watch._record_read(0.0, STORE_STARTED_S)
             for other in self.nodes:
                 node.neighbours.addresses.add(f"{other.name}:2", 0.0)
                 if other.neighbours.serving or other.hall == node.hall:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -151,7 +151,7 @@
         watches = [fleet_watch(DeadStore(), MANY) for _ in range(40)]
         due = []
         for watch in watches:
-            watch._note_fresh(0.0, 0.0)
+            watch._record_read(0.0, 0.0)
             due.append(watch._read_jitter_s)
         self.assertGreater(max(due) - min(due), RESERVE_READ_JITTER_S * (MANY - 1) / 2)
         self.assertLess(max(due), RESERVE_READ_JITTER_S * (MANY - 1))
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -548,9 +548,9 @@
         due = []
         for _ in range(40):
             self.now += 0.8
-            self.watch._note_fresh(self.now, 0.0)
+            self.watch._record_read(self.now, 0.0)
             due.append(self.watch.due_at() - self.now)
-            self.watch._note_fresh(self.now, 0.0)
+            self.watch._record_read(self.now, 0.0)
             self.assertEqual(self.watch.due_at() - self.now, due[-1], "known already")
         self.assertGreaterEqual(min(due), RESERVE_READ_DELAY_S)
         self.assertGreater(max(due) - min(due), 2.0)
--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -61,7 +61,7 @@
                 lambda: 1.0,
                 leave_s=scaled(self.bounds, factor).leave_s,
             )
-            ages.append(watch._usable_s / factor)
+            ages.append(watch._max_list_age_s / factor)
         self.assertEqual(len(set(ages)), 1)
 
     def test_limits_follow(self) -> None:
