--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -269,4 +269,4 @@
     def _count_usage(self, job: Job) -> None:
         if not job.usage_counted and job.caller.account is not None:
             job.usage_counted = True
-            self._sharing.started(job.caller.account)
+            self._sharing.record_started(job.caller.account)
--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -53,7 +53,7 @@
             return None
         return Tolerance(bounds.limit_share, bounds.limit_tokens)
 
-    def started(self, account: str) -> None:
+    def record_started(self, account: str) -> None:
         """Count a request that began to run."""
         self.usage.count(account, self.time())
 
@@ -61,11 +61,11 @@
         """Return true time in seconds since the epoch."""
         return self.true_time.now(self._wall(), self._now())
 
-    def request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a caller's request for a service."""
         self._budget(service).record_request(now)
 
-    def repeat(self, service: str, now: float) -> None:
+    def record_repeat(self, service: str, now: float) -> None:
         """Count a send after a request's first one."""
         self._budget(service).record_retry(now)
 
@@ -88,7 +88,7 @@
         """Return how far this machine's time of day is ahead of the store's clock."""
         return self.true_time.offset_s(self._wall(), self._now())
 
-    def heard(self, state: NodeState, limits: AccountLimits) -> bool:
+    def merge_state(self, state: NodeState, limits: AccountLimits) -> bool:
         """Take over a peer's state; say whether it was news."""
         now = self._now()
         before = self.members.heard(state, now)
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -134,7 +134,7 @@
         self.second.keeper.epoch += 1
         for holder, number in ((self.first, 3), (self.second, 2)):
             for _ in range(number):
-                holder.sharing.started("north")
+                holder.sharing.record_started("north")
 
     def counts_of_first_window(self) -> list[object]:
         log = self.world.log
@@ -170,7 +170,7 @@
             world.store.row = StateRow("8", b"spoilt", 9)
             await world.run(self.second, 1_008.0)
             self.assertEqual(self.counts_of_first_window(), [])
-            self.second.sharing.started("north")
+            self.second.sharing.record_started("north")
             await world.run(self.second, 1_014.0)
             self.assertEqual(world.log.reported, [201])
 
@@ -216,7 +216,7 @@
             world.store.era = restarted.duties._store.era = StoreEra(world.now)
             world.store.era.observe(1)
             world.store.era.observe(1, age_s=60.0)
-            restarted.sharing.started("north")
+            restarted.sharing.record_started("north")
             restarted.sharing.usage.started = {200: {"north": 2}}
             await world.run(restarted, 1_009.0)
             self.assertEqual(self.counts_of_first_window(), [{"north": 2}])
@@ -248,19 +248,19 @@
             wall = 1_002.0
             sharing = Sharing(Membership("n1", 1), Bounds(usage_window_s=5.0), wall=lambda: wall)
             duties = duties_of("n1", keeper, OneRow(), log, sharing)
-            sharing.started("north")
+            sharing.record_started("north")
             wall = 1_005.1 + SETTLE_S
             began = monotonic()
             while not log.reported:
                 await duties.step()
                 await asyncio.sleep(0.02)
             self.assertGreaterEqual(monotonic() - began, NEW_HOLDER_DELAY_S)
-            sharing.started("north")
+            sharing.record_started("north")
             wall += 5.0
             await duties.step()
             self.assertEqual(len(log.reported), 2, "a holder of some time reports at once")
             keeper.epoch += 1
-            sharing.started("north")
+            sharing.record_started("north")
             wall += 5.0
             await duties.step()
             self.assertEqual(len(log.reported), 2)
