--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -477,7 +477,7 @@
     def _on_state(self, message: StateNews, now: float) -> None:
         state = message.state
         stranger = state.id not in self.members.members
-        if not self.sharing.heard(state, self.forwarder.limits):
+        if not self.sharing.merge_state(state, self.forwarder.limits):
             return
         self._builds.heard(state)
         if stranger and self._gossip is not None:
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -230,7 +230,7 @@
         ):
             other = nodes[address]
             other.now = now
-            other.sharing.heard(told, other.limits)
+            other.sharing.merge_state(told, other.limits)
 
 
 class AllStartTest(unittest.TestCase):
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -233,7 +233,7 @@
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         limits.configure([account], monotonic())
         for news in (full, short, more):
-            self.assertTrue(sharing.heard(news, limits))
+            self.assertTrue(sharing.merge_state(news, limits))
         self.assertEqual(members.all_states()[0].started, {2: {"north": 4}})
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_950.0, delta=1.0)
 
@@ -244,7 +244,7 @@
         limits.configure([account], monotonic())
         for sequence, spent in enumerate((0.0, 400.0, 900.0), start=1):
             told = state("n2", sequence=sequence, spent={"north": spent}).without_counts()
-            sharing.heard(told, limits)
+            sharing.merge_state(told, limits)
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_100.0, delta=1.0)
 
     def test_what_a_new_life_spent_before_it_was_heard_counts(self) -> None:
@@ -253,7 +253,7 @@
             sharing = Sharing(Membership("n1", 1), Bounds(limit_window_s=8.0))
             limits = AccountLimits(True)
             limits.configure([account], monotonic())
-            sharing.heard(state("n2", spent={"north": 900.0}, age_s=age_s), limits)
+            sharing.merge_state(state("n2", spent={"north": 900.0}, age_s=age_s), limits)
             self.assertAlmostEqual(limits.level(account, monotonic()), level, delta=1.0)
 
     def test_shortened_state_first_draws_nothing(self) -> None:
@@ -262,9 +262,11 @@
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         limits.configure([account], monotonic())
         full = state("n2", sequence=2, spent={"north": 900.0})
-        sharing.heard(msgspec.structs.replace(full, sequence=1).without_counts(), limits)
-        sharing.heard(full, limits)
-        sharing.heard(msgspec.structs.replace(full, sequence=3, spent={"north": 950.0}), limits)
+        sharing.merge_state(msgspec.structs.replace(full, sequence=1).without_counts(), limits)
+        sharing.merge_state(full, limits)
+        sharing.merge_state(
+            msgspec.structs.replace(full, sequence=3, spent={"north": 950.0}), limits
+        )
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_950.0, delta=1.0)
 
 
