--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -102,7 +102,7 @@
             limits.record_peer_spending(before.spent, state.spent, now)
         return True
 
-    def take_over(self, balancer: LoadBalancer) -> None:
+    def apply_peers(self, balancer: LoadBalancer) -> None:
         """Take over what live peers tell of clocks and servers; once a round is enough."""
         alive = self.members.alive(self._now())
         self.true_time.set_peer_offsets(each.offset_s for each in alive)
