--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -441,7 +441,7 @@
             if changed and self.neighbours.promoted_without_counts(now):
                 self.forwarder.reset_limits()
             self._send_state(everyone=changed)
-            self.sharing.take_over(self.balancer)
+            self.sharing.apply_peers(self.balancer)
             self.server_limits.refresh(self.neighbours.serving)
             self.rollouts.step()
             self.forwarder.guard.block_suspects()
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -76,7 +76,7 @@
         assert placed is not None
         self.two.hear(self.one.news())
         self.two.members.heard(self.one.state(), 1.0)
-        self.two.sharing.take_over(self.two.balancer)
+        self.two.sharing.apply_peers(self.two.balancer)
         self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 1)
 
     def test_prompt_follows_its_shared_part_to_where_another_node_placed_it(self) -> None:
@@ -89,7 +89,7 @@
         home.on_first_token()
         elsewhere.on_first_token()
         self.two.members.heard(self.one.state(), 1.0)
-        self.two.sharing.take_over(self.two.balancer)
+        self.two.sharing.apply_peers(self.two.balancer)
         found = self.two.balancer.place("model", prompt("a", "z"), ENGINE, 1.0)
         assert found is not None
         self.assertLess(found.uncached, 1_000)
