--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -108,7 +108,9 @@
         self.true_time.set_peer_offsets(each.offset_s for each in alive)
         balancer.apply_peer_states(alive)
 
-    def heard_placed(self, news: PlacementNews, balancer: LoadBalancer, engine: EngineOf) -> None:
+    def apply_placements(
+        self, news: PlacementNews, balancer: LoadBalancer, engine: EngineOf
+    ) -> None:
         """Take over what a peer placed since it last told its whole state."""
         state = self.members.state_of(news.id, news.life, news.sequence)
         if state is None:
