--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -463,7 +463,7 @@
             return
         if isinstance(message, PlacementNews):
             self.server_limits.on_placed(message)
-            self.sharing.heard_placed(message, self.balancer, self._engine_of)
+            self.sharing.apply_placements(message, self.balancer, self._engine_of)
             return
         if isinstance(message, PackedState):
             news = self._unpacker.unpack(message)
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -54,7 +54,7 @@
         return PlacementNews(self.name, 1, self.sequence, self.balancer.drain_placements())
 
     def hear(self, news: PlacementNews) -> None:
-        self.sharing.heard_placed(news, self.balancer, lambda _: ENGINE)
+        self.sharing.apply_placements(news, self.balancer, lambda _: ENGINE)
 
 
 class PlacementNewsTest(unittest.TestCase):
