--- a/src/moledale/gateway/state_packing.py
+++ b/src/moledale/gateway/state_packing.py
@@ -1,6 +1,6 @@
 """States of nodes packed for the wire: compressed, and as differences from one sent before.
 
-Most of a state is the same a round later. Every `KEY_EVERY`-th is sent by itself; those between are
+Most of a state is the same a round later. Every `ROUNDS_PER_SNAPSHOT`-th is sent by itself; those between are
 compressed with its bytes as the dictionary. A node that missed the state a difference is made from
 waits for the next one that is sent by itself; until then it knows only that the sender lives.
 """
@@ -13,19 +13,19 @@
 
 from moledale.gateway.gossip import PackedState, StateNews
 
-KEY_EVERY = 5
+ROUNDS_PER_SNAPSHOT = 5
 """Rounds from one state that is sent by itself to the next: a second."""
 
-ALONE = -1
+NO_BASE = -1
 """Base of a state that is sent by itself."""
 
-MOST_KEPT = 256
+MAX_SNAPSHOTS = 256
 """Nodes whose last whole state is kept; only those that serve send differences."""
 
-MOST_BYTES = 65_536
+MAX_UNPACKED_BYTES = 65_536
 """A packed state that would be larger is not unpacked: about what a datagram can hold."""
 
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 """Level 3 makes the difference no smaller."""
 
 _encoder = msgspec.msgpack.Encoder()
@@ -34,14 +34,14 @@
 
 def pack_alone(news: StateNews) -> PackedState:
     """Return a state that can be read by itself."""
-    return _packed(news, _encoder.encode(news), ALONE, b"")
+    return _packed(news, _encoder.encode(news), NO_BASE, b"")
 
 
 class StatePacker(msgspec.Struct):
     """Packs the states of one node, one after the other."""
 
     _key: bytes = b""
-    _key_sequence: int = ALONE
+    _key_sequence: int = NO_BASE
     _since_key: int = 0
     _told: set[str] = msgspec.field(default_factory=set)
 
@@ -53,11 +53,11 @@
         """
         raw = _encoder.encode(news)
         self._since_key += 1
-        if self._since_key < KEY_EVERY and self._told.issuperset(targets):
+        if self._since_key < ROUNDS_PER_SNAPSHOT and self._told.issuperset(targets):
             return _packed(news, raw, self._key_sequence, self._key)
         self._key, self._key_sequence, self._since_key = raw, news.state.sequence, 0
         self._told = set(targets)
-        return _packed(news, raw, ALONE, b"")
+        return _packed(news, raw, NO_BASE, b"")
 
 
 class StateUnpacker(msgspec.Struct):
@@ -68,32 +68,34 @@
     def unpack(self, packed: PackedState) -> StateNews | None:
         """Return a state, or None if what it is made from is not here or it can't be read."""
         base = b""
-        if packed.base != ALONE:
-            life, sequence, base = self._keys.get(packed.id, (0, ALONE, b""))
+        if packed.base != NO_BASE:
+            life, sequence, base = self._keys.get(packed.id, (0, NO_BASE, b""))
             if (life, sequence) != (packed.life, packed.base):
                 return None
         try:
-            raw = _decompressor(base).decompress(packed.frame, max_output_size=MOST_BYTES)
+            raw = _decompressor(base).decompress(packed.frame, max_output_size=MAX_UNPACKED_BYTES)
             news = _decoder.decode(raw)
         except (zstandard.ZstdError, msgspec.DecodeError):
             return None
-        if packed.base == ALONE and not news.state.brief:
+        if packed.base == NO_BASE and not news.state.brief:
             self._keep(news, raw)
         return news
 
     def _keep(self, news: StateNews, raw: bytes) -> None:
         state = news.state
-        life, sequence, _ = self._keys.get(state.id, (0, ALONE, b""))
+        life, sequence, _ = self._keys.get(state.id, (0, NO_BASE, b""))
         if life == state.life and sequence >= state.sequence:
             return
         self._keys[state.id] = (state.life, state.sequence, raw)
         self._keys.move_to_end(state.id)
-        if len(self._keys) > MOST_KEPT:
+        if len(self._keys) > MAX_SNAPSHOTS:
             self._keys.popitem(last=False)
 
 
 def _packed(news: StateNews, raw: bytes, base: int, dictionary: bytes) -> PackedState:
-    parameters = zstandard.ZstdCompressionParameters.from_level(LEVEL, write_checksum=True)
+    parameters = zstandard.ZstdCompressionParameters.from_level(
+        COMPRESSION_LEVEL, write_checksum=True
+    )
     compressor = zstandard.ZstdCompressor(
         compression_params=parameters, dict_data=_dictionary(dictionary)
     )
--- a/tests/test_state_packing.py
+++ b/tests/test_state_packing.py
@@ -8,7 +8,12 @@
 
 from moledale.gateway.gossip import PackedState, StateNews
 from moledale.gateway.peers import ALIVE_TIMEOUT_LARGE_S, Membership
-from moledale.gateway.state_packing import KEY_EVERY, StatePacker, StateUnpacker, pack_alone
+from moledale.gateway.state_packing import (
+    ROUNDS_PER_SNAPSHOT,
+    StatePacker,
+    StateUnpacker,
+    pack_alone,
+)
 from tests.gateway_states import state
 
 ACCOUNTS = [f"account{number}" for number in range(19)]
@@ -42,7 +47,7 @@
 class PackingTest(unittest.TestCase):
     def test_states_come_back_whole(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
-        for sequence in range(1, 3 * KEY_EVERY):
+        for sequence in range(1, 3 * ROUNDS_PER_SNAPSHOT):
             told = news(sequence)
             self.assertEqual(unpacker.unpack(packer.pack(told, PEERS)), told)
 
@@ -50,7 +55,7 @@
         packer = StatePacker()
         sizes = [
             len(msgspec.msgpack.encode(packer.pack(news(sequence), PEERS)))
-            for sequence in range(1, 1 + 4 * KEY_EVERY)
+            for sequence in range(1, 1 + 4 * ROUNDS_PER_SNAPSHOT)
         ]
         self.assertGreater(len(msgspec.msgpack.encode(news(1))), 2_000)
         self.assertLess(sum(sizes) / len(sizes), ROUND_BYTES)
@@ -58,17 +63,19 @@
     def test_node_that_missed_the_base_waits_for_the_next_whole_state(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
         got = [
-            unpacker.unpack(packer.pack(news(number), PEERS)) for number in range(1, 3 * KEY_EVERY)
+            unpacker.unpack(packer.pack(news(number), PEERS))
+            for number in range(1, 3 * ROUNDS_PER_SNAPSHOT)
         ]
         self.assertNotIn(None, got)
         late = StateUnpacker()
         packer = StatePacker()
         packer.pack(news(1), PEERS)
         got = [
-            late.unpack(packer.pack(news(number), PEERS)) for number in range(2, 2 + 2 * KEY_EVERY)
+            late.unpack(packer.pack(news(number), PEERS))
+            for number in range(2, 2 + 2 * ROUNDS_PER_SNAPSHOT)
         ]
-        self.assertEqual(got[: KEY_EVERY - 1], [None] * (KEY_EVERY - 1))
-        self.assertNotIn(None, got[KEY_EVERY - 1 :])
+        self.assertEqual(got[: ROUNDS_PER_SNAPSHOT - 1], [None] * (ROUNDS_PER_SNAPSHOT - 1))
+        self.assertNotIn(None, got[ROUNDS_PER_SNAPSHOT - 1 :])
 
     def test_state_that_can_not_be_read_still_shows_that_its_node_lives(self) -> None:
         members = Membership("n1", 1)
@@ -106,7 +113,7 @@
         told: list[tuple[StateNews, PackedState]] = []
         for life in lives:
             packer = StatePacker()
-            for sequence in range(1, 2 * KEY_EVERY):
+            for sequence in range(1, 2 * ROUNDS_PER_SNAPSHOT):
                 each = news(sequence, life=life)
                 told.append((each, packer.pack(each, PEERS)))
         unpacker = StateUnpacker()
