--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -54,7 +54,7 @@
 from moledale.gateway.server_list import ServerChange
 from moledale.gateway.settings import Bounds, GatewaySettings
 from moledale.gateway.sharing import Sharing
-from moledale.gateway.state_packing import StatePacker, StateUnpacker, pack_alone
+from moledale.gateway.state_packing import StatePacker, StateUnpacker, pack_snapshot
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.suspension import SuspensionWatch
 from moledale.log import Event, emit
@@ -387,7 +387,7 @@
             told = set(targets)
             others = [each for each in self.neighbours.all_addresses(now) if each not in told]
         if others:
-            self._gossip.tell(pack_alone(StateNews(own.without_counts(), [])), others)
+            self._gossip.tell(pack_snapshot(StateNews(own.without_counts(), [])), others)
 
     def _send_to(self, message: PermitAsk | PermitAnswer, address: str) -> None:
         if self._gossip is not None:
--- a/src/moledale/gateway/state_packing.py
+++ b/src/moledale/gateway/state_packing.py
@@ -32,7 +32,7 @@
 _decoder = msgspec.msgpack.Decoder(StateNews)
 
 
-def pack_alone(news: StateNews) -> PackedState:
+def pack_snapshot(news: StateNews) -> PackedState:
     """Return a state that can be read by itself."""
     return _packed(news, _encoder.encode(news), NO_BASE, b"")
 
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -12,7 +12,7 @@
 
 from moledale.gateway.gossip import GossipSocket, Message, StateNews
 from moledale.gateway.messages import AnswerHead, RequestHead, Server
-from moledale.gateway.state_packing import pack_alone
+from moledale.gateway.state_packing import pack_snapshot
 from moledale.http_fields import retry_after_s
 from moledale.platform.entries import EntryReader
 from moledale.platform.headers import PlatformHeaders
@@ -139,7 +139,7 @@
         self.socket = GossipSocket(self.heard.append)
 
     def test_whole_ones_are_heard(self) -> None:
-        packed = pack_alone(StateNews(state("n1"), []))
+        packed = pack_snapshot(StateNews(state("n1"), []))
         self.socket.datagram_received(msgspec.msgpack.encode(packed), ("", 0))
         self.assertEqual((len(self.heard), self.socket.unreadable.total()), (1, 0))
 
--- a/tests/test_state_packing.py
+++ b/tests/test_state_packing.py
@@ -12,7 +12,7 @@
     ROUNDS_PER_SNAPSHOT,
     StatePacker,
     StateUnpacker,
-    pack_alone,
+    pack_snapshot,
 )
 from tests.gateway_states import state
 
@@ -96,7 +96,7 @@
         packer, unpacker = StatePacker(), StateUnpacker()
         unpacker.unpack(packer.pack(news(1), PEERS))
         short = StateNews(news(2).state.without_counts(), [])
-        self.assertEqual(unpacker.unpack(pack_alone(short)), short)
+        self.assertEqual(unpacker.unpack(pack_snapshot(short)), short)
         self.assertEqual(unpacker.unpack(packer.pack(news(3), PEERS)), news(3))
 
     @settings(
