--- a/src/moledale/gateway/state_packing.py
+++ b/src/moledale/gateway/state_packing.py
@@ -34,16 +34,16 @@
 
 def pack_snapshot(news: StateNews) -> PackedState:
     """Return a state that can be read by itself."""
-    return _packed(news, _encoder.encode(news), NO_BASE, b"")
+    return _compress(news, _encoder.encode(news), NO_BASE, b"")
 
 
 class StatePacker(msgspec.Struct):
     """Packs the states of one node, one after the other."""
 
-    _key: bytes = b""
-    _key_sequence: int = NO_BASE
-    _since_key: int = 0
-    _told: set[str] = msgspec.field(default_factory=set)
+    _snapshot: bytes = b""
+    _snapshot_sequence: int = NO_BASE
+    _rounds_since_snapshot: int = 0
+    _snapshot_targets: set[str] = msgspec.field(default_factory=set)
 
     def pack(self, news: StateNews, targets: Iterable[str]) -> PackedState:
         """Return a state for some addresses.
@@ -52,24 +52,32 @@
         was, as a node that has just taken the duties.
         """
         raw = _encoder.encode(news)
-        self._since_key += 1
-        if self._since_key < ROUNDS_PER_SNAPSHOT and self._told.issuperset(targets):
-            return _packed(news, raw, self._key_sequence, self._key)
-        self._key, self._key_sequence, self._since_key = raw, news.state.sequence, 0
-        self._told = set(targets)
-        return _packed(news, raw, NO_BASE, b"")
+        self._rounds_since_snapshot += 1
+        if self._rounds_since_snapshot < ROUNDS_PER_SNAPSHOT and self._snapshot_targets.issuperset(
+            targets
+        ):
+            return _compress(news, raw, self._snapshot_sequence, self._snapshot)
+        self._snapshot, self._snapshot_sequence, self._rounds_since_snapshot = (
+            raw,
+            news.state.sequence,
+            0,
+        )
+        self._snapshot_targets = set(targets)
+        return _compress(news, raw, NO_BASE, b"")
 
 
 class StateUnpacker(msgspec.Struct):
     """Reads the states of all other nodes."""
 
-    _keys: OrderedDict[str, tuple[int, int, bytes]] = msgspec.field(default_factory=OrderedDict)
+    _snapshots: OrderedDict[str, tuple[int, int, bytes]] = msgspec.field(
+        default_factory=OrderedDict
+    )
 
     def unpack(self, packed: PackedState) -> StateNews | None:
         """Return a state, or None if what it is made from is not here or it can't be read."""
         base = b""
         if packed.base != NO_BASE:
-            life, sequence, base = self._keys.get(packed.id, (0, NO_BASE, b""))
+            life, sequence, base = self._snapshots.get(packed.id, (0, NO_BASE, b""))
             if (life, sequence) != (packed.life, packed.base):
                 return None
         try:
@@ -78,21 +86,21 @@
         except (zstandard.ZstdError, msgspec.DecodeError):
             return None
         if packed.base == NO_BASE and not news.state.brief:
-            self._keep(news, raw)
+            self._store_snapshot(news, raw)
         return news
 
-    def _keep(self, news: StateNews, raw: bytes) -> None:
+    def _store_snapshot(self, news: StateNews, raw: bytes) -> None:
         state = news.state
-        life, sequence, _ = self._keys.get(state.id, (0, NO_BASE, b""))
+        life, sequence, _ = self._snapshots.get(state.id, (0, NO_BASE, b""))
         if life == state.life and sequence >= state.sequence:
             return
-        self._keys[state.id] = (state.life, state.sequence, raw)
-        self._keys.move_to_end(state.id)
-        if len(self._keys) > MAX_SNAPSHOTS:
-            self._keys.popitem(last=False)
+        self._snapshots[state.id] = (state.life, state.sequence, raw)
+        self._snapshots.move_to_end(state.id)
+        if len(self._snapshots) > MAX_SNAPSHOTS:
+            self._snapshots.popitem(last=False)
 
 
-def _packed(news: StateNews, raw: bytes, base: int, dictionary: bytes) -> PackedState:
+def _compress(news: StateNews, raw: bytes, base: int, dictionary: bytes) -> PackedState:
     parameters = zstandard.ZstdCompressionParameters.from_level(
         COMPRESSION_LEVEL, write_checksum=True
     )
