--- a/src/moledale/gateway/builds.py
+++ b/src/moledale/gateway/builds.py
@@ -8,7 +8,7 @@
 from moledale.gateway.peers import NodeState
 from moledale.log import Event, emit
 
-MOST_NODES = 1_024
+MAX_LOGGED_NODES = 1_024
 """Nodes of which it is remembered that their build was told: more than a large system has."""
 
 
@@ -27,13 +27,13 @@
     """Logs once for each node and build that it shares other formats than this one."""
 
     def __init__(self) -> None:
-        self._told: LRUCache[str, str] = LRUCache(MOST_NODES)
+        self._logged: LRUCache[str, str] = LRUCache(MAX_LOGGED_NODES)
 
-    def heard(self, state: NodeState) -> None:
+    def check(self, state: NodeState) -> None:
         """Compare a node's formats with those of this build."""
-        if self._told.get(state.id, FORMATS) == state.formats:
+        if self._logged.get(state.id, FORMATS) == state.formats:
             return
-        self._told[state.id] = state.formats
+        self._logged[state.id] = state.formats
         emit(Event.BUILDS_DIFFER, peer=state.id, formats=state.formats, own=FORMATS)
 
     def others(self, alive: list[NodeState]) -> int:
