--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -479,7 +479,7 @@
         stranger = state.id not in self.members.members
         if not self.sharing.merge_state(state, self.forwarder.limits):
             return
-        self._builds.heard(state)
+        self._builds.check(state)
         if stranger and self._gossip is not None:
             self._gossip.tell(StateNews(self._state(), self.neighbours.hints(now)), [state.peer])
         for name in state.leaving:
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -80,7 +80,7 @@
         older, newer = state("n2"), state("n2", formats="f00")
         with logbook.TestHandler().applicationbound() as handler:
             for each in (same, older, older, newer, newer, state("n2", formats=FORMATS), older):
-                watch.heard(each)
+                watch.check(each)
         # The way back to this build is told as well: nobody is left who runs the other one.
         self.assertEqual(events(handler), ["E603"] * 4)
         self.assertEqual(watch.others([same, older, newer]), 2)
