--- a/src/moledale/gateway/builds.py
+++ b/src/moledale/gateway/builds.py
@@ -36,6 +36,6 @@
         self._logged[state.id] = state.formats
         emit(Event.BUILDS_DIFFER, peer=state.id, formats=state.formats, own=FORMATS)
 
-    def others(self, alive: list[NodeState]) -> int:
+    def count_different(self, alive: list[NodeState]) -> int:
         """Return how many live nodes share other formats."""
         return sum(state.formats != FORMATS for state in alive)
