--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -232,7 +232,7 @@
         unreadable = self._gossip.unreadable.total() if self._gossip is not None else 0
         return {
             "servers_limited": self.balancer.limited_count(),
-            "peers_of_other_builds": self._builds.others(alive),
+            "peers_of_other_builds": self._builds.count_different(alive),
             "news_unreadable_total": unreadable,
         }
 
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -83,7 +83,7 @@
                 watch.check(each)
         # The way back to this build is told as well: nobody is left who runs the other one.
         self.assertEqual(events(handler), ["E603"] * 4)
-        self.assertEqual(watch.others([same, older, newer]), 2)
+        self.assertEqual(watch.count_different([same, older, newer]), 2)
 
     def test_nodes_of_one_build_differ_from_none_and_tell_it(self) -> None:
         async def work(cluster: Cluster) -> None:
