--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -192,7 +192,7 @@
             if left_s > 0:
                 await asyncio.sleep(min(self._poll_interval_s(), left_s))
             elif await asyncio.shield(self._start_read()):
-                self._backoff.answered()
+                self._backoff.reset()
             else:
                 await asyncio.sleep(self._backoff.next_s())
 
--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -117,7 +117,7 @@
                 self._health.record_failure(outcome.err_value.detail)
                 await self._wait_before_retry()
                 continue
-            self._backoff.answered()
+            self._backoff.reset()
             self._health.record_success()
             self.store_reached_at = monotonic()
             update = outcome.ok_value
--- a/src/moledale/gateway/quarantine_store.py
+++ b/src/moledale/gateway/quarantine_store.py
@@ -85,7 +85,7 @@
             else:
                 continue
             if done:
-                self._backoff.answered()
+                self._backoff.reset()
                 self._health.record_success()
             else:
                 await asyncio.sleep(self._backoff.next_s())
--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -75,7 +75,7 @@
             registered = registered or await self._write()
             read = await self._read()
             await asyncio.sleep(self._backoff.next_s())
-        self._backoff.answered()
+        self._backoff.reset()
 
     async def _write(self) -> bool:
         value = self._own_address.encode()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -97,7 +97,7 @@
         for pause, middle in zip(pauses, (0.2, 0.4, 0.8, 1.0, 1.0, 1.0, 1.0, 1.0), strict=True):
             self.assertGreaterEqual(pause, middle * (1 - JITTER))
             self.assertLessEqual(pause, middle * (1 + JITTER))
-        backoff.answered()
+        backoff.reset()
         self.assertLessEqual(backoff.next_s(), 0.2 * (1 + JITTER))
 
     def test_crowd_stretches_the_longest_pause_only(self) -> None:
