--- a/src/moledale/gateway/cold_start.py
+++ b/src/moledale/gateway/cold_start.py
@@ -36,7 +36,7 @@
     def __init__(
         self, backoff_scale: Callable[[], float], now: Callable[[], float] = monotonic
     ) -> None:
-        self._crowd = backoff_scale
+        self._backoff_scale = backoff_scale
         self._now = now
         self._draw = random.Random().random()
 
@@ -55,7 +55,7 @@
 
     def _peer_wait_s(self) -> float:
         """Return how long to wait for a peer, from what is known of their number now."""
-        backoff_scale = self._crowd()
+        backoff_scale = self._backoff_scale()
         return PEER_ANSWER_TIMEOUT_S + (
             STAGGER_PER_SCALE_S * backoff_scale * self._draw
             if backoff_scale >= STAGGER_MIN_SCALE
--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -147,7 +147,7 @@
         self._on_servers = on_servers
         self._send_changes = send_changes
         self._send_confirmation = send_confirmation
-        self._crowd = backoff_scale
+        self._backoff_scale = backoff_scale
         self._control = control
         self._max_list_age_s = USABLE_SHARE * leave_s
         self._now = now
@@ -197,11 +197,11 @@
                 await asyncio.sleep(self._backoff.next_s())
 
     def _poll_interval_s(self) -> float:
-        return RESERVE_POLL_INTERVAL_S if self._crowd() > 1.0 else POLL_INTERVAL_S
+        return RESERVE_POLL_INTERVAL_S if self._backoff_scale() > 1.0 else POLL_INTERVAL_S
 
     def due_at(self) -> float:
         """Return when this node reads the list unless it hears of another reading before."""
-        if self._crowd() > 1.0:
+        if self._backoff_scale() > 1.0:
             return self._fresh_at + RESERVE_READ_DELAY_S + self._read_jitter_s
         turn = min(self._rank(), MAX_READ_RANK)
         return self._fresh_at + READ_INTERVAL_S + turn * READ_DELAY_PER_RANK_S
@@ -385,7 +385,9 @@
         reading changes nothing: each new draw would be another chance to read early.
         """
         if read_at > self._fresh_at:
-            self._read_jitter_s = RESERVE_READ_JITTER_S * (self._crowd() - 1.0) * self._rng.random()
+            self._read_jitter_s = (
+                RESERVE_READ_JITTER_S * (self._backoff_scale() - 1.0) * self._rng.random()
+            )
             self._fresh_at = read_at
         self._read_s = max(self._read_s, store_s)
 
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -172,7 +172,7 @@
             self.quarantine,
             self.sharing.true_time,
             lambda: self.neighbours.serving,
-            self._crowd,
+            self._backoff_scale,
         )
         self.supervisor = Supervisor("gateway", SystemClock())
         self.neighbours = Neighbours(self.members, node.peers, monotonic())
@@ -186,14 +186,14 @@
         self._packer = StatePacker()
         self._unpacker = StateUnpacker()
         self._builds = BuildWatch()
-        cold_start = ColdStart(self._crowd)
+        cold_start = ColdStart(self._backoff_scale)
         self.plans = PlanWatch(
             store,
             self.sharing.true_time,
             self._plan_watch_rank,
             self._adopt,
             self._announce_plan,
-            self._crowd,
+            self._backoff_scale,
             node.link_mbps,
             lambda stored: self.rollouts.apply_order(stored.order, stored.phase),
             cold_start,
@@ -205,7 +205,7 @@
             self._apply_servers,
             self._send_changes,
             self._send_confirmation,
-            self._crowd,
+            self._backoff_scale,
             node.control,
             node.link_mbps,
             settings.bounds.leave_s,
@@ -272,7 +272,7 @@
             node.id,
             node.peers,
             self.neighbours.addresses,
-            self._crowd,
+            self._backoff_scale,
             self.sharing.true_time,
         )
         start = self.supervisor.start
@@ -552,7 +552,7 @@
             others = self.neighbours.some(monotonic())
             self._gossip.tell(StateNews(self._state().without_counts(), []), others)
 
-    def _crowd(self) -> float:
+    def _backoff_scale(self) -> float:
         return self.neighbours.backoff_scale(self._state())
 
     def _plan_watch_rank(self) -> int:
