--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -53,7 +53,7 @@
         question = self._entry.parse_control_request(request.head)
         if question is None:
             reply.send_whole(404, [], b"")
-        elif question.about is ControlRequestKind.READY:
+        elif question.kind is ControlRequestKind.READY:
             reply.send_whole(200 if own.standing == Standing.READY else 503, [], b"")
         else:
             self._send_addresses(reply, own)
