--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -91,7 +91,7 @@
     def merge_state(self, state: NodeState, limits: AccountLimits) -> bool:
         """Take over a peer's state; say whether it was news."""
         now = self._now()
-        before = self.members.heard(state, now)
+        before = self.members.merge(state, now)
         if before is None:
             return False
         if before is state:
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -229,7 +229,7 @@
             self.watch.on_change(message)
             return
         told = message.state
-        if self.members.heard(told, self.world.now) is None:
+        if self.members.merge(told, self.world.now) is None:
             return
         self.neighbours.addresses.add(told.peer, self.world.now)
         if told.servers is not None:
@@ -277,7 +277,7 @@
             for other in self.nodes:
                 node.neighbours.addresses.add(f"{other.name}:2", 0.0)
                 if other.neighbours.serving or other.hall == node.hall:
-                    node.members.heard(other.state(), 0.0)
+                    node.members.merge(other.state(), 0.0)
 
     def later(self, delay_s: float, action: Callable[[], None]) -> None:
         """Do something after a time."""
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -33,7 +33,7 @@
 class MembershipTest(unittest.TestCase):
     def test_silent_node_is_left_out_and_its_counts_are_kept(self) -> None:
         members = Membership("n1", 1)
-        members.heard(state("n2"), 0.0)
+        members.merge(state("n2"), 0.0)
         self.assertEqual([each.id for each in members.alive(0.9)], ["n2"])
         self.assertEqual(members.alive(ALIVE_TIMEOUT_S + 0.1), [])
         members.forget_old(ALIVE_TIMEOUT_S + 0.1)
@@ -88,7 +88,7 @@
         neighbours = Neighbours(members, "n1:2", 0.0)
         own = state("n1")
         better = next(name for name in map(str, range(99)) if rank_of(state(name)) < rank_of(own))
-        members.heard(state(better, serving=True), 1.0)
+        members.merge(state(better, serving=True), 1.0)
         self.assertFalse(neighbours.update_serving(own, 1.0))
         self.assertFalse(neighbours.serving)
         self.assertTrue(neighbours.update_serving(own, 1.0 + ALIVE_TIMEOUT_S + 0.1))
@@ -164,7 +164,7 @@
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 390):
             other = state(f"n{number}", hall=HALLS[number % 4], serving=number <= 8)
-            members.heard(other, 10.0)
+            members.merge(other, 10.0)
             neighbours.addresses.add(other.peer, 10.0)
         neighbours.serving = serving
         return neighbours, state("n0")
@@ -203,10 +203,10 @@
         members = Membership("n0", 1)
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 41):
-            members.heard(state(f"n{number}", hall=HALLS[number % 4], serving=number <= 8), 10.0)
+            members.merge(state(f"n{number}", hall=HALLS[number % 4], serving=number <= 8), 10.0)
         self.assertEqual(len(neighbours.placement_targets("a", 10.0)), 8)
         for number in range(1, 41):
-            members.heard(
+            members.merge(
                 state(f"n{number}", sequence=2, hall=HALLS[number % 4], serving=True), 10.0
             )
         self.assertEqual(len(neighbours.placement_targets("a", 10.0)), 10)
@@ -218,9 +218,9 @@
             neighbours.addresses.add(f"n{number}:2", 10.0)
         own = state("n0")
         self.assertEqual(neighbours.watch_rank(own, 10.0), 0)
-        members.heard(state("n1", serving=True, store_age_s=0.2), 10.0)
+        members.merge(state("n1", serving=True, store_age_s=0.2), 10.0)
         self.assertGreaterEqual(neighbours.watch_rank(own, 10.0), WATCHER_COUNT)
-        members.heard(state("n1", serving=True, sequence=2, store_age_s=60.0), 10.0)
+        members.merge(state("n1", serving=True, sequence=2, store_age_s=60.0), 10.0)
         self.assertEqual(neighbours.watch_rank(own, 10.0), 0)
 
     def test_shortened_state_changes_no_counts(self) -> None:
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -61,7 +61,7 @@
     def setUp(self) -> None:
         self.one = Node("n1")
         self.two = Node("n2")
-        self.two.members.heard(self.one.state(), 1.0)
+        self.two.members.merge(self.one.state(), 1.0)
 
     def test_other_node_counts_a_placement_before_the_next_state(self) -> None:
         placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
@@ -75,7 +75,7 @@
         placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         assert placed is not None
         self.two.hear(self.one.news())
-        self.two.members.heard(self.one.state(), 1.0)
+        self.two.members.merge(self.one.state(), 1.0)
         self.two.sharing.apply_peers(self.two.balancer)
         self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 1)
 
@@ -88,7 +88,7 @@
         self.two.hear(self.one.news())
         home.on_first_token()
         elsewhere.on_first_token()
-        self.two.members.heard(self.one.state(), 1.0)
+        self.two.members.merge(self.one.state(), 1.0)
         self.two.sharing.apply_peers(self.two.balancer)
         found = self.two.balancer.place("model", prompt("a", "z"), ENGINE, 1.0)
         assert found is not None
@@ -103,7 +103,7 @@
         placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         assert placed is not None
         news = self.one.news()
-        self.two.members.heard(self.one.state(), 1.0)
+        self.two.members.merge(self.one.state(), 1.0)
         self.two.hear(news)
         self.two.hear(PlacementNews("n1", 2, 99, news.placed))
         self.two.hear(PlacementNews("n9", 1, 99, news.placed))
@@ -173,8 +173,8 @@
         one, other = Node("n1"), Node("n2")
         for node in (one, other):
             node.balancer.apply(SERVERS[:1])
-        one.members.heard(other.state(), 1.0)
-        other.members.heard(one.state(), 1.0)
+        one.members.merge(other.state(), 1.0)
+        other.members.merge(one.state(), 1.0)
         first = one.balancer.place("model", prompt("a", "1"), ENGINE, 1.0)
         other.hear(one.news())
         between = other.balancer.place("model", prompt("b", "2"), ENGINE, 1.01)
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -49,19 +49,19 @@
         usage = UsageCounts(5.0)
         usage.count("north", 12.0)
         members = Membership("n1", 1)
-        members.heard(state("n2", started={2: {"north": 4}}), 0.0)
-        members.heard(state("n2", life=2, started={2: {"north": 1}}), 1.0)
-        members.heard(state("n1", life=9, started={2: {"north": 7}}), 1.0)
+        members.merge(state("n2", started={2: {"north": 4}}), 0.0)
+        members.merge(state("n2", life=2, started={2: {"north": 1}}), 1.0)
+        members.merge(state("n1", life=9, started={2: {"north": 7}}), 1.0)
         self.assertEqual(total_counts(2, usage, members.all_states()), {"north": 13})
 
     def test_doubled_and_late_news_count_once(self) -> None:
         members = Membership("n1", 1)
         new = state("n2", sequence=5, started={2: {"north": 4}})
-        members.heard(new, 0.0)
-        self.assertIsNone(members.heard(new, 0.1))
-        self.assertIsNone(members.heard(state("n2", sequence=4), 0.1))
-        members.heard(state("n2", life=2), 0.2)
-        self.assertIsNone(members.heard(state("n2", life=1, sequence=9), 0.3))
+        members.merge(new, 0.0)
+        self.assertIsNone(members.merge(new, 0.1))
+        self.assertIsNone(members.merge(state("n2", sequence=4), 0.1))
+        members.merge(state("n2", life=2), 0.2)
+        self.assertIsNone(members.merge(state("n2", life=1, sequence=9), 0.3))
         self.assertEqual(total_counts(2, UsageCounts(5.0), members.all_states()), {"north": 4})
 
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -49,7 +49,7 @@
         """Let the node hear of others that serve."""
         for name in names:
             told = state(name, serving=True, **{"limits": {}, **more})
-            self.members.heard(told, now)
+            self.members.merge(told, now)
         self.sharing.refresh(serving=True)
 
 
@@ -243,7 +243,7 @@
                     others = [each for each in half if each != name]
                     for other in others:
                         told = state(other, sequence=9, serving=True, limits={})
-                        world.nodes[name].members.heard(told, 2.0)
+                        world.nodes[name].members.merge(told, 2.0)
                     world.nodes[name].sharing.refresh(serving=True)
             granted = 0
             world.heard_from = 2.0
@@ -296,7 +296,7 @@
             for name in world.nodes:
                 if name not in (before.name, node.name):
                     told = state(name, sequence=9, serving=True, limits={})
-                    node.members.heard(told, 5.0)
+                    node.members.merge(told, 5.0)
             node.sharing.refresh(serving=True)
         view = before.view()
         left = [node for node in world.nodes.values() if node is not before]
@@ -360,8 +360,8 @@
 
     def test_nodes_that_leave_are_no_part_of_a_cut(self) -> None:
         members = Membership("n0", 1)
-        members.heard(state("n1", serving=True), 0.0)
-        members.heard(state("n2", serving=True, standing=int(Standing.LEAVING)), 0.0)
+        members.merge(state("n1", serving=True), 0.0)
+        members.merge(state("n2", serving=True, standing=int(Standing.LEAVING)), 0.0)
         self.assertEqual(members.reachable_share(0.5), 1.0)
         self.assertEqual(members.reachable_share(5.0), 0.5)
 
@@ -369,8 +369,8 @@
         """Where nodes are many, those of other halls are heard now and then only."""
         members = Membership("n0", 1)
         for number in range(300):
-            members.heard(state(f"r{number}"), 0.0)
-        members.heard(state("n1", serving=True), 5.0)
+            members.merge(state(f"r{number}"), 0.0)
+        members.merge(state("n1", serving=True), 5.0)
         self.assertEqual(members.reachable_share(5.5), 1.0)
 
     def test_requests_of_builds_that_do_not_ask_count(self) -> None:
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -253,7 +253,7 @@
         sharing = Sharing(members, Bounds(), now=lambda: 1.0)
         for _ in range(20):
             sharing.request("model", 1.0)
-        members.heard(state("n1", sends={"model": (30, 2)}), 1.0)
+        members.merge(state("n1", sends={"model": (30, 2)}), 1.0)
         self.assertEqual(sharing.requests_per_s("model", 1.0), 5.0)
 
 
--- a/tests/test_state_packing.py
+++ b/tests/test_state_packing.py
@@ -79,7 +79,7 @@
 
     def test_state_that_can_not_be_read_still_shows_that_its_node_lives(self) -> None:
         members = Membership("n1", 1)
-        members.heard(state("n2", life=7), 0.0)
+        members.merge(state("n2", life=7), 0.0)
         members.record_alive("n2", 7, 2.0)
         members.record_alive("n2", 8, 9.0)
         self.assertEqual([each.id for each in members.alive(2.5)], ["n2"])
