--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -157,7 +157,7 @@
     """A node as this one knows it."""
 
     state: NodeState
-    heard_at: float
+    last_seen_at: float
 
 
 class Membership(msgspec.Struct):
