--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -64,7 +64,7 @@
     """Addresses to send news to, and until when one that is silent is still tried."""
 
     own: str
-    until: dict[str, float] = msgspec.field(default_factory=dict)
+    expires_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def add(self, address: str, now: float) -> None:
         """Note an address that was told or heard from."""
