--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -549,7 +549,7 @@
         if from_store:
             self._send_state()
         elif self._gossip is not None:
-            others = self.neighbours.some(monotonic())
+            others = self.neighbours.random_addresses(monotonic())
             self._gossip.tell(StateNews(self._state().without_counts(), []), others)
 
     def _backoff_scale(self) -> float:
