--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -380,7 +380,7 @@
         hints = self.neighbours.hints(now)
         targets = self.neighbours.state_targets(own, now)
         news = StateNews(own, hints)
-        many = self.neighbours.many(now)
+        many = self.neighbours.is_large(now)
         self._gossip.tell(self._packer.pack(news, targets) if many else news, targets)
         others = self.neighbours.brief_targets(own, targets, now)
         if everyone:
