--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -381,17 +381,17 @@
         targets = self.neighbours.state_targets(own, now)
         news = StateNews(own, hints)
         many = self.neighbours.is_large(now)
-        self._gossip.tell(self._packer.pack(news, targets) if many else news, targets)
+        self._gossip.send(self._packer.pack(news, targets) if many else news, targets)
         others = self.neighbours.brief_targets(own, targets, now)
         if everyone:
             told = set(targets)
             others = [each for each in self.neighbours.all_addresses(now) if each not in told]
         if others:
-            self._gossip.tell(pack_snapshot(StateNews(own.without_counts(), [])), others)
+            self._gossip.send(pack_snapshot(StateNews(own.without_counts(), [])), others)
 
     def _send_to(self, message: PermitAsk | PermitAnswer, address: str) -> None:
         if self._gossip is not None:
-            self._gossip.tell(message, [address])
+            self._gossip.send(message, [address])
 
     def _on_placed(self) -> None:
         """Tell of placements soon; some that come together are told together."""
@@ -406,7 +406,7 @@
             return
         node = self.settings.node
         targets = self.neighbours.placement_targets(node.hall, monotonic())
-        self._gossip.tell(PlacementNews(node.id, self.incarnation, self._sequence, placed), targets)
+        self._gossip.send(PlacementNews(node.id, self.incarnation, self._sequence, placed), targets)
 
     def _send_quarantine(
         self, news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
@@ -420,7 +420,7 @@
             targets = self.neighbours.all_addresses(now)
         else:
             targets = self.neighbours.possible_readers(now)
-        self._gossip.tell(news, targets)
+        self._gossip.send(news, targets)
 
     def _engine_of(self, server: str) -> Engine | None:
         view = self.balancer.views.get(server)
@@ -481,7 +481,7 @@
             return
         self._builds.check(state)
         if stranger and self._gossip is not None:
-            self._gossip.tell(StateNews(self._state(), self.neighbours.hints(now)), [state.peer])
+            self._gossip.send(StateNews(self._state(), self.neighbours.hints(now)), [state.peer])
         for name in state.leaving:
             self.forwarder.handle_leaving_server(name, source=state.id)
         self.balancer.notices.merge_peer_declines(state.declined, now)
@@ -550,7 +550,7 @@
             self._send_state()
         elif self._gossip is not None:
             others = self.neighbours.random_addresses(monotonic())
-            self._gossip.tell(StateNews(self._state().without_counts(), []), others)
+            self._gossip.send(StateNews(self._state().without_counts(), []), others)
 
     def _backoff_scale(self) -> float:
         return self.neighbours.backoff_scale(self._state())
@@ -576,11 +576,11 @@
         choose = self.neighbours.change_targets if read_here else self.neighbours.relay_targets
         targets = choose(own, now)
         for change in changes:
-            self._gossip.tell(change, targets)
+            self._gossip.send(change, targets)
 
     def _send_confirmation(self, unchanged: ServerChange) -> None:
         if self._gossip is not None:
-            self._gossip.tell(unchanged, self.neighbours.possible_readers(monotonic()))
+            self._gossip.send(unchanged, self.neighbours.possible_readers(monotonic()))
 
     def _update_readiness(self) -> None:
         known = self.forwarder.index is not None and self.fleet.known
