--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -88,7 +88,7 @@
 """Entries that nobody renews have lapsed so long after the store came back from an older copy:
 three heartbeats of 1.2 s, and a reading."""
 
-USABLE_SHARE = 0.6
+MAX_LIST_AGE_SHARE = 0.6
 """Requests are sent by a list that is at most this part of `bounds.leave_s` old. A server may get
 no new work once it has been leaving for that long; the rest is for a slow connection."""
 
@@ -112,7 +112,7 @@
 
     `rank` is this node's turn, `on_servers` gets the servers after each change, `send_changes` sends changes, and
     `send_confirmation` tells the nodes that may read next that nothing changed. `leave_s` is the time after
-    which a leaving server may get no new work. `start` tells when a starting node is to ask the
+    which a leaving server may get no new work. `cold_start` tells when a starting node is to ask the
     store, at once if it is None.
     """
 
@@ -129,7 +129,7 @@
         link_mbps: float = 1000.0,
         leave_s: float = 2.0,
         now: Callable[[], float] = monotonic,
-        start: ColdStart | None = None,
+        cold_start: ColdStart | None = None,
     ) -> None:
         self.list = ServerList()
         self.archive = DocumentArchive(link_mbps, now, MAX_KEPT_LISTS)
@@ -149,9 +149,9 @@
         self._send_confirmation = send_confirmation
         self._backoff_scale = backoff_scale
         self._control = control
-        self._max_list_age_s = USABLE_SHARE * leave_s
+        self._max_list_age_s = MAX_LIST_AGE_SHARE * leave_s
         self._now = now
-        self._cold_start = start
+        self._cold_start = cold_start
         self._newest_head: ListHead | None = None
         self._fresh_at = -1e9
         self._read_s = NEVER_S
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -10,9 +10,9 @@
 from result import Err, Ok
 
 from moledale.gateway.fleet_watch import (
+    MAX_LIST_AGE_SHARE,
     REFRESH_WAIT_S,
     RESERVE_READ_DELAY_S,
-    USABLE_SHARE,
     FleetWatch,
 )
 from moledale.gateway.messages import Server
@@ -475,13 +475,13 @@
 
     def test_node_in_reserve_that_missed_the_news_reads_before_it_sends(self) -> None:
         self.assertTrue(self.current())
-        self.now += USABLE_SHARE * LEAVE_S - 0.1
+        self.now += MAX_LIST_AGE_SHARE * LEAVE_S - 0.1
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 1)
         self.now += 0.2
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 2)
-        self.assertLess(USABLE_SHARE * LEAVE_S + REFRESH_WAIT_S, LEAVE_S - 1.0)
+        self.assertLess(MAX_LIST_AGE_SHARE * LEAVE_S + REFRESH_WAIT_S, LEAVE_S - 1.0)
 
     def test_first_list_that_a_peer_passes_on_is_as_old_as_the_peer_told(self) -> None:
         self.true_time.record_store_clock(self.now, self.now, self.now)
@@ -492,7 +492,7 @@
         self.watch._fetched(at(5), peer.raw)
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 0)
-        self.now += USABLE_SHARE * LEAVE_S - 0.2
+        self.now += MAX_LIST_AGE_SHARE * LEAVE_S - 0.2
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 1)
 
