--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -209,7 +209,7 @@
             node.control,
             node.link_mbps,
             settings.bounds.leave_s,
-            start=cold_start,
+            cold_start=cold_start,
         )
         self._control_handler = ControlHandler(
             entry,
