--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -171,7 +171,7 @@
 
     async def _forward(self, job: Job) -> None:
         """Try servers until one responds or no further attempt is allowed."""
-        self._sharing.request(job.service, self._now())
+        self._sharing.record_request(job.service, self._now())
         last = Attempt(AttemptOutcome.NOT_SENT, why=NO_SERVER)
         moved: Continuation | None = None
         while True:
@@ -348,7 +348,7 @@
     ) -> None:
         now = self._now()
         if job.sends:
-            self._sharing.repeat(job.service, now)
+            self._sharing.record_repeat(job.service, now)
         job.sends += 1
         job.was_sent = True
         after = job.splitter.last_id if job.splitter.event_count else ""
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -252,7 +252,7 @@
         members = Membership("n0", 1)
         sharing = Sharing(members, Bounds(), now=lambda: 1.0)
         for _ in range(20):
-            sharing.request("model", 1.0)
+            sharing.record_request("model", 1.0)
         members.merge(state("n1", sends={"model": (30, 2)}), 1.0)
         self.assertEqual(sharing.requests_per_s("model", 1.0), 5.0)
 
