--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -222,9 +222,9 @@
         )
         self._leaving_since: float | None = None
         self._rollouts_sent: dict[str, RolloutNews] = {}
-        self._callers = Listener(self._handle, self._limits, monotonic)
+        self._caller_listener = Listener(self._handle, self._limits, monotonic)
         self._control_listener = Listener(self._handle_control, self._limits, monotonic)
-        self._servers: list[asyncio.Server] = []
+        self._tcp_servers: list[asyncio.Server] = []
 
     def _extra_metrics(self) -> dict[str, int]:
         """Return figures of the parts that only the node knows."""
@@ -260,8 +260,8 @@
         node = self.settings.node
         self._gossip = await open_gossip(node.peers, self._on_message)
         for address in {node.control, node.directory, node.readiness}:
-            self._servers.append(await listen(address, self._control_listener))
-        self._servers.append(await listen(node.callers, self._callers))
+            self._tcp_servers.append(await listen(address, self._control_listener))
+        self._tcp_servers.append(await listen(node.callers, self._caller_listener))
         emit(Event.LISTENING, node=node.id, hall=node.hall)
         now = monotonic()
         port = node.peers.rpartition(":")[2]
@@ -285,7 +285,7 @@
         start("duties", self._duties_forever)
         start("blocks", self._blocks.run)
         start("pool", self._sweep_pool_forever)
-        start("callers", lambda: sweep_forever(self._callers))
+        start("callers", lambda: sweep_forever(self._caller_listener))
         start("questions", lambda: sweep_forever(self._control_listener))
         gave_up = asyncio.create_task(self.supervisor.gave_up.wait())
         stopping = asyncio.create_task(stop.wait())
@@ -303,22 +303,22 @@
         self.standing = Standing.LEAVING
         self._leaving_since = began
         emit(Event.DRAINING, node=self.settings.node.id)
-        self._callers.closing = True
+        self._caller_listener.closing = True
         self._send_state()
         giving_back = asyncio.create_task(self._release_lease())
         end = began + max(0.5, self.settings.bounds.stop_s - STOP_MARGIN_S)
         least = began + min_stop_s(self.settings.bounds)
         quiet_since = monotonic()
         while (now := monotonic()) < end:
-            if self._callers.busy():
+            if self._caller_listener.busy():
                 quiet_since = now
             elif now >= least and now - quiet_since >= STOP_QUIET_S:
                 break
             await asyncio.sleep(0.05)
         giving_back.cancel()
-        for server in self._servers:
+        for server in self._tcp_servers:
             server.close()
-        self._callers.close_idle()
+        self._caller_listener.close_idle()
         await self.supervisor.stop()
         self._send_state()
         emit(Event.STOPPED, node=self.settings.node.id)
@@ -330,7 +330,7 @@
 
     # News between nodes
 
-    def _state(self) -> NodeState:
+    def _own_state(self) -> NodeState:
         now = monotonic()
         node = self.settings.node
         self._sequence += 1
@@ -374,8 +374,8 @@
         if self._gossip is None:
             return
         now = monotonic()
-        own = self._state()
-        if self._callers.busy():
+        own = self._own_state()
+        if self._caller_listener.busy():
             self.neighbours.record_busy(now)
         hints = self.neighbours.hints(now)
         targets = self.neighbours.state_targets(own, now)
@@ -437,7 +437,7 @@
                 emit(Event.WOKEN, node=self.settings.node.id, slept_s=round(slept_s, 3))
             now = monotonic()
             self._request_rate.observe(self.forwarder.handled, now)
-            changed = self.neighbours.update_serving(self._state(), now)
+            changed = self.neighbours.update_serving(self._own_state(), now)
             if changed and self.neighbours.promoted_without_counts(now):
                 self.forwarder.reset_limits()
             self._send_state(everyone=changed)
@@ -481,7 +481,9 @@
             return
         self._builds.check(state)
         if stranger and self._gossip is not None:
-            self._gossip.send(StateNews(self._state(), self.neighbours.hints(now)), [state.peer])
+            self._gossip.send(
+                StateNews(self._own_state(), self.neighbours.hints(now)), [state.peer]
+            )
         for name in state.leaving:
             self.forwarder.handle_leaving_server(name, source=state.id)
         self.balancer.notices.merge_peer_declines(state.declined, now)
@@ -534,7 +536,7 @@
 
     def serving_nodes(self) -> list[NodeState]:
         """Return the nodes that callers should use."""
-        return self.neighbours.serving_nodes(self._state(), monotonic())
+        return self.neighbours.serving_nodes(self._own_state(), monotonic())
 
     # The plan and the list of backend servers
 
@@ -550,16 +552,16 @@
             self._send_state()
         elif self._gossip is not None:
             others = self.neighbours.random_addresses(monotonic())
-            self._gossip.send(StateNews(self._state().without_counts(), []), others)
+            self._gossip.send(StateNews(self._own_state().without_counts(), []), others)
 
     def _backoff_scale(self) -> float:
-        return self.neighbours.backoff_scale(self._state())
+        return self.neighbours.backoff_scale(self._own_state())
 
     def _plan_watch_rank(self) -> int:
-        return self.neighbours.watch_rank(self._state(), monotonic())
+        return self.neighbours.watch_rank(self._own_state(), monotonic())
 
     def _list_read_rank(self) -> int:
-        return self.neighbours.rank(self._state(), monotonic(), reserve_first=False)
+        return self.neighbours.rank(self._own_state(), monotonic(), reserve_first=False)
 
     def _apply_servers(self, servers: list[Server]) -> None:
         gone = self.balancer.apply(servers)
@@ -572,7 +574,7 @@
         """Tell of changes of the servers that this node read, or pass on what it heard."""
         if self._gossip is None:
             return
-        now, own = monotonic(), self._state()
+        now, own = monotonic(), self._own_state()
         choose = self.neighbours.change_targets if read_here else self.neighbours.relay_targets
         targets = choose(own, now)
         for change in changes:
@@ -594,7 +596,7 @@
         while True:
             now = monotonic()
             if self.standing is not Standing.LEAVING and self.neighbours.has_listened(now):
-                state = self._state()
+                state = self._own_state()
                 rank = self.neighbours.rank(state, now, True)
                 await self.keeper.step(rank, self.neighbours.backoff_scale(state))
                 await self.duties.step()
@@ -606,4 +608,4 @@
             self.pool.sweep()
 
     async def _handle_control(self, request: InboundRequest, reply: Reply) -> None:
-        self._control_handler.answer(request, reply, self._state(), self._callers)
+        self._control_handler.answer(request, reply, self._own_state(), self._caller_listener)
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -160,9 +160,9 @@
         if node._gossip is not None:
             node._gossip.close()
             node._gossip = None
-        for server in node._servers:
+        for server in node._tcp_servers:
             server.close()
-        for connection in list(node._callers.connections):
+        for connection in list(node._caller_listener.connections):
             connection.close()
         self._tasks.pop(name).cancel()
         for child in node.supervisor._children:
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -151,9 +151,9 @@
 
 
 async def _stop_at_once(self: GatewayNode) -> None:
-    for server in self._servers:
+    for server in self._tcp_servers:
         server.close()
-    for connection in list(self._callers.connections):
+    for connection in list(self._caller_listener.connections):
         connection.close()
     await self.supervisor.stop()
 
