--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -266,7 +266,7 @@
      "tests.test_gateway_placements"),
     ("servers that lapsed are kept", fleet_watch, "LAPSED_ENTRY_GRACE_S", 0.0, STATE),
     ("a window's spending counts", RecentSpending, "wait_s", lambda *_: 0.0, LIMITS),
-    ("the past of a node is no demand", WorkMeter, "note", _note_all_of_it, RENTING),
+    ("the past of a node is no demand", WorkMeter, "record", _note_all_of_it, RENTING),
     ("changes go along a ring, too", neighbours, "ring_successors", lambda *_: [], MEMBERSHIP),
     ("starting nodes share a limit's tolerance", AccountLimits, "_start_level",
      lambda _, account: account.burst, LIMITS),
