--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -288,7 +288,7 @@
         listed = outcome.ok_value
         self._true_time.record_store_clock(listed.store_s, sent_at, self._now())
         if listed.at < self.list.era_version:
-            self._record_stale_read(listed)
+            self._on_stale_read(listed)
             return False
         if self._failed_at > self._fresh_at and sent_at - self._fresh_at > MIN_OUTAGE_S:
             self._returned_at, self._returned_s = sent_at, listed.store_s
@@ -309,7 +309,7 @@
             self._send_difference(base, difference)
         return True
 
-    def _record_stale_read(self, listed: StoredList) -> None:
+    def _on_stale_read(self, listed: StoredList) -> None:
         """Note a reading of an older list; a node without a current one pauses before the next."""
         now = self._now()
         if self._is_fresh():
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -323,7 +323,7 @@
      "tests.test_rollout_timing"),
     ("as many serve as requests need", directory, "CORE_S_PER_REQUEST", 1e-9, MEMBERSHIP),
     ("answers of the store name its era", store, "first_count", lambda *_: None, RESTORED),
-    ("a list read in vain is followed by a pause", FleetWatch, "_record_stale_read", lambda *_: None,
+    ("a list read in vain is followed by a pause", FleetWatch, "_on_stale_read", lambda *_: None,
      "tests.test_server_list"),
     ("servers that had ended are not used again", DepartureLog, "contradicted_departure",
      lambda *_: None,
