--- a/src/moledale/gateway/outside.py
+++ b/src/moledale/gateway/outside.py
@@ -14,7 +14,7 @@
 """Version of a row that does not exist."""
 
 
-class CallFailure(msgspec.Struct, frozen=True):
+class Failure(msgspec.Struct, frozen=True):
     """A call that brought nothing; with `uncertain` its effect may have happened or may yet.
 
     `history_gone` tells that changes since the asked version are no longer known.
@@ -108,50 +108,48 @@
 
     era: StoreEra
 
-    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, CallFailure]:
+    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, Failure]:
         """Return all rows of one of this system's tables."""
         ...
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[WriteResult, CallFailure]:
+    ) -> Result[WriteResult, Failure]:
         """Put a row if it stands at version `expected`."""
         ...
 
-    async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> CallFailure | None:
+    async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> Failure | None:
         """Put a row without a condition."""
         ...
 
-    async def remove(self, table: str, key: str, timeout_s: float) -> CallFailure | None:
+    async def remove(self, table: str, key: str, timeout_s: float) -> Failure | None:
         """Remove a row."""
         ...
 
     async def servers(
         self, timeout_s: float, before: ServerList | None = None
-    ) -> Result[ServerList, CallFailure]:
+    ) -> Result[ServerList, Failure]:
         """Return the list of backend servers, if possible from what changed since `before`."""
         ...
 
-    async def plan(self, timeout_s: float) -> Result[PlanUpdate, CallFailure]:
+    async def plan(self, timeout_s: float) -> Result[PlanUpdate, Failure]:
         """Return the newest plan."""
         ...
 
-    async def watch_plan(
-        self, position: EraVersion, wait_s: float
-    ) -> Result[PlanUpdate, CallFailure]:
+    async def watch_plan(self, position: EraVersion, wait_s: float) -> Result[PlanUpdate, Failure]:
         """Return the newest plan once there is one after `position`, or after `wait_s`."""
         ...
 
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
-    ) -> Result[StatusWriteResult, CallFailure]:
+    ) -> Result[StatusWriteResult, Failure]:
         """Tell the operator how far a roll-out is, and keep what a later holder needs.
 
         It holds only if the order still stands, and the status at version `expected`.
         """
         ...
 
-    async def load_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], CallFailure]:
+    async def load_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], Failure]:
         """Return what earlier holders kept of roll-outs."""
         ...
 
@@ -165,12 +163,12 @@
 
     async def report_usage(
         self, holder: str, fence: int, window: int, counts: dict[str, int]
-    ) -> CallFailure | None:
+    ) -> Failure | None:
         """Report how many requests of each account began to run in a window."""
         ...
 
     async def order_servers(
         self, holder: str, fence: int, service: str, hall: str, number: int, spot: bool
-    ) -> Result[bool, CallFailure]:
+    ) -> Result[bool, Failure]:
         """Order how many servers a hall shall have; False where none are to be had now."""
         ...
--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -11,7 +11,7 @@
 from moledale.gateway.calls import HttpCaller
 from moledale.gateway.messages import Headers, Server
 from moledale.gateway.outside import (
-    CallFailure,
+    Failure,
     PlanUpdate,
     ServerList,
     StateRow,
@@ -46,9 +46,7 @@
 STATUS_HISTORY_GONE = 410
 """Status of a feed response if the changes since the given version are no longer known."""
 
-ERA_CHANGED = CallFailure(
-    "the store came back from an older copy", uncertain=False, history_gone=True
-)
+ERA_CHANGED = Failure("the store came back from an older copy", uncertain=False, history_gone=True)
 WATCH_TIMEOUT_MARGIN_S = 0.7
 """Timeout of a watch beyond the time that the store may wait before it responds."""
 
@@ -65,7 +63,7 @@
     status: int
     rows: RowsRecord
 
-    def rows_if_era(self, era: int) -> Result[RowsRecord, CallFailure]:
+    def rows_if_era(self, era: int) -> Result[RowsRecord, Failure]:
         """Return the rows, or an error if they are not of this era."""
         return Ok(self.rows) if self.rows.era == era else Err(ERA_CHANGED)
 
@@ -78,7 +76,7 @@
         self._calls = HttpCaller(address)
         self._entry_reader = EntryReader()
 
-    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, CallFailure]:
+    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, Failure]:
         """Return all rows of a table."""
         outcome = await self._read_table(table, timeout_s)
         if isinstance(outcome, Err):
@@ -89,7 +87,7 @@
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[WriteResult, CallFailure]:
+    ) -> Result[WriteResult, Failure]:
         """Put a row if its version is still `expected`."""
         name = {"table": table, "part": "", "key": key}
         body = {
@@ -107,19 +105,19 @@
         standing = None if row is None else _state_row(row)
         return Ok(WriteResult(record.ver, committed, standing, record.now_ms / 1000, record.era))
 
-    async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> CallFailure | None:
+    async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> Failure | None:
         """Put a row without a condition."""
         row = {"table": table, "part": "", "key": key, "value": _to_base64(value)}
         return await self._commit({"expectedRev": [], "put": [row], "remove": []}, timeout_s)
 
-    async def remove(self, table: str, key: str, timeout_s: float) -> CallFailure | None:
+    async def remove(self, table: str, key: str, timeout_s: float) -> Failure | None:
         """Remove a row."""
         row = {"table": table, "part": "", "key": key}
         return await self._commit({"expectedRev": [], "put": [], "remove": [row]}, timeout_s)
 
     async def servers(
         self, timeout_s: float, before: ServerList | None = None
-    ) -> Result[ServerList, CallFailure]:
+    ) -> Result[ServerList, Failure]:
         """Return the list of backend servers, if possible from what changed since `before`."""
         if before is not None:
             outcome = await self._servers_since(before, timeout_s)
@@ -132,7 +130,7 @@
         complete = await self._servers_since(outcome.ok_value, timeout_s)
         return complete.map(lambda listed: msgspec.structs.replace(listed, changed=True))
 
-    async def _all_servers(self, timeout_s: float) -> Result[ServerList, CallFailure]:
+    async def _all_servers(self, timeout_s: float) -> Result[ServerList, Failure]:
         outcome = await self._read_table(SERVER_TABLE, timeout_s)
         if isinstance(outcome, Err):
             return outcome
@@ -143,7 +141,7 @@
 
     async def _servers_since(
         self, before: ServerList, timeout_s: float
-    ) -> Result[ServerList, CallFailure]:
+    ) -> Result[ServerList, Failure]:
         """Return an earlier list with the changes since applied."""
         changes: dict[str, Server | None] = {}
         position = before.version
@@ -169,7 +167,7 @@
         remaining = tuple(server for server in servers.values() if server is not None)
         return Ok(ServerList(remaining, record.ver, now_s, era=before.era))
 
-    async def plan(self, timeout_s: float) -> Result[PlanUpdate, CallFailure]:
+    async def plan(self, timeout_s: float) -> Result[PlanUpdate, Failure]:
         """Return the newest plan."""
         outcome = await self._read_table(CONFIG_TABLE, timeout_s)
         if isinstance(outcome, Err):
@@ -184,9 +182,7 @@
         rollouts = tuple(_with_status(each, rows) for each in news.rollouts)
         return Ok(msgspec.structs.replace(news, rollouts=rollouts))
 
-    async def watch_plan(
-        self, position: EraVersion, wait_s: float
-    ) -> Result[PlanUpdate, CallFailure]:
+    async def watch_plan(self, position: EraVersion, wait_s: float) -> Result[PlanUpdate, Failure]:
         """Return what changed after `position`, once there is a change or after `wait_s`."""
         wait = int(wait_s * 1000)
         path = f"/v1/rows-feed?table={CONFIG_TABLE}&startAfter={position.number}&waitMs={wait}"
@@ -195,7 +191,7 @@
 
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
-    ) -> Result[StatusWriteResult, CallFailure]:
+    ) -> Result[StatusWriteResult, Failure]:
         """Write a rollout's status, and in the same transaction the state for later holders."""
         order = news.order
         key = ROLLOUT_PREFIX + order.service
@@ -221,7 +217,7 @@
             StatusWriteResult(True, record.ver) if committed else _write_conflict(record, order)
         )
 
-    async def load_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], CallFailure]:
+    async def load_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], Failure]:
         """Return the state of rollouts that earlier holders stored."""
         outcome = await self._read_table(ROLLOUT_TABLE, timeout_s)
         return outcome.map(_kept_rollouts)
@@ -230,7 +226,7 @@
         """Decode a configuration that a peer sent; raise ValueError if it can't be read."""
         return read_config(raw)
 
-    async def _read_table(self, table: str, timeout_s: float) -> Result[RowsRecord, CallFailure]:
+    async def _read_table(self, table: str, timeout_s: float) -> Result[RowsRecord, Failure]:
         """Read all pages of a table and return the rows with the version of the first page."""
         rows: list[RowRecord] = []
         start = ""
@@ -249,7 +245,7 @@
                 return Ok(msgspec.structs.replace(first, rows=tuple(rows), more=False))
             start = page.rows[-1].key + "\x00"
 
-    async def _commit(self, body: dict[str, object], timeout_s: float) -> CallFailure | None:
+    async def _commit(self, body: dict[str, object], timeout_s: float) -> Failure | None:
         outcome = await self._call("POST", "/v1/rows-tx", timeout_s, encode(body))
         return outcome.err_value if isinstance(outcome, Err) else None
 
@@ -260,21 +256,21 @@
         timeout_s: float,
         body: bytes = b"",
         good: tuple[int, ...] = (200,),
-    ) -> Result[Answer, CallFailure]:
+    ) -> Result[Answer, Failure]:
         outcome = await self._calls.call(method, path, body, JSON_TYPE if body else [], timeout_s)
         if isinstance(outcome, Err):
-            return Err(CallFailure(outcome.err_value.detail, uncertain=outcome.err_value.sent))
+            return Err(Failure(outcome.err_value.detail, uncertain=outcome.err_value.sent))
         got = outcome.ok_value
         count = first_count(got.headers, ERA_HEADER)
         era = UNKNOWN_ERA if count is None else count + 1  # the count may be 0, as UNKNOWN_ERA is
         self.era.observe(era)
         if got.status not in good:
             gone = got.status == STATUS_HISTORY_GONE
-            return Err(CallFailure(f"status {got.status}", uncertain=False, history_gone=gone))
+            return Err(Failure(f"status {got.status}", uncertain=False, history_gone=gone))
         try:
             rows = msgspec.json.decode(got.body, type=RowsRecord)
         except msgspec.DecodeError as error:
-            return Err(CallFailure(f"an answer that can't be read: {error}"))
+            return Err(Failure(f"an answer that can't be read: {error}"))
         return Ok(Answer(got.status, msgspec.structs.replace(rows, era=era)))
 
 
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -18,7 +18,7 @@
 from moledale.gateway.gossip import StateNews
 from moledale.gateway.messages import Server
 from moledale.gateway.neighbours import GOSSIP_INTERVAL_S, Neighbours
-from moledale.gateway.outside import CallFailure
+from moledale.gateway.outside import Failure
 from moledale.gateway.outside import ServerList as StoredList
 from moledale.gateway.peers import Membership, NodeState
 from moledale.gateway.server_list import ServerChange
@@ -93,10 +93,10 @@
 
     async def servers(
         self, _: float, before: StoredList | None = None
-    ) -> Result[StoredList, CallFailure]:
+    ) -> Result[StoredList, Failure]:
         """Return the list, or nothing for a node that is cut off."""
         if self.world.store.away or self.node in self.world.no_store:
-            return Err(CallFailure("away"))
+            return Err(Failure("away"))
         return Ok(self.world.store.listed())
 
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -14,7 +14,7 @@
 from tests.soak.process import ROOT
 from tests.soak.records import STOOD_STILL, Ledger
 from tests.soak.stalls import stall_lines
-from tests.soak.troubles import CallFailure, Troubles
+from tests.soak.troubles import Failure, Troubles
 from tests.soak.world import ACCOUNTS, LIMITS, SoakWorld
 
 LIMIT_SLACK = 200.0
@@ -195,7 +195,7 @@
     def _is_over(self) -> bool:
         return self._over
 
-    async def _phase(self, length_s: float, choices: list[CallFailure], gap_s: float) -> None:
+    async def _phase(self, length_s: float, choices: list[Failure], gap_s: float) -> None:
         ends = time.monotonic() + length_s
         while time.monotonic() < ends:
             trouble = self._chance.choice(choices)
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -35,7 +35,7 @@
 ALL_LIMITED_SHARE = 0.3
 """Limits that servers name, for how long, and how often all servers of a service do."""
 
-CallFailure = Callable[[], Coroutine[None, None, None]]
+Failure = Callable[[], Coroutine[None, None, None]]
 
 
 class Troubles:
@@ -46,7 +46,7 @@
         self._guilty = 0
         self._store = asyncio.Lock()
 
-    def planned(self) -> list[CallFailure]:
+    def planned(self) -> list[Failure]:
         """Return what operators do; nothing of it may cut a request."""
         return [
             self._roll_node,
@@ -105,7 +105,7 @@
         old.crash()
         old.link.close()
 
-    def unplanned(self) -> list[CallFailure]:
+    def unplanned(self) -> list[Failure]:
         """Return what may go wrong, with some planned work between."""
         return [
             self._kill_node,
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -13,7 +13,7 @@
     RETRY_MAX_S,
     FleetWatch,
 )
-from moledale.gateway.outside import CallFailure
+from moledale.gateway.outside import Failure
 from moledale.gateway.plan_watch import PlanWatch
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.usage import TrueTime
@@ -32,11 +32,11 @@
 
     async def plan(self, _: float) -> object:
         self.calls += 1
-        return Err(CallFailure("away"))
+        return Err(Failure("away"))
 
     async def servers(self, _: float, _before: object = None) -> object:
         self.calls += 1
-        return Err(CallFailure("away"))
+        return Err(Failure("away"))
 
     def decode_plan(self, raw: bytes) -> object:
         return read_config(raw)
--- a/tests/test_gateway_lease.py
+++ b/tests/test_gateway_lease.py
@@ -11,7 +11,7 @@
 from moledale.core.leases import LeaseRow
 from moledale.gateway import lease_keeper
 from moledale.gateway.lease_keeper import LEASE_KEY, NO_HOLDER, LeaseKeeper, StoreClock
-from moledale.gateway.outside import CallFailure, StateRow, TableSnapshot, WriteResult
+from moledale.gateway.outside import Failure, StateRow, TableSnapshot, WriteResult
 from moledale.gateway.peers import LeaseNews
 from moledale.gateway.settings import Bounds
 from moledale.gateway.store_era import StoreEra
@@ -42,28 +42,28 @@
         """Return the store's clock, whose start is its own."""
         return monotonic() + 5_000.0
 
-    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, CallFailure]:
+    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, Failure]:
         """Return the row."""
         self.reads += 1
         if self.down:
-            return Err(CallFailure("down"))
+            return Err(Failure("down"))
         rows = (self.row,) if self.row is not None else ()
         return Ok(TableSnapshot(rows, self.version, self.clock(), self.era.number))
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[WriteResult, CallFailure]:
+    ) -> Result[WriteResult, Failure]:
         """Put the row under its condition."""
         self.writes += 1
         if self.down:
-            return Err(CallFailure("down", uncertain=False))
+            return Err(Failure("down", uncertain=False))
         standing = self.row.version if self.row is not None else 0
         if standing != expected:
             return Ok(WriteResult(self.version, False, self.row, self.clock(), self.era.number))
         self.version += 1
         self.row = StateRow(key, value, self.version)
         if self.loses:
-            return Err(CallFailure("lost"))
+            return Err(Failure("lost"))
         return Ok(WriteResult(self.version, True, None, self.clock(), self.era.number))
 
     def holds(self) -> LeaseRow:
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -452,8 +452,10 @@
             self.assertTrue(first.committed)
             second = (await store.write("usage", "7", b"{}", ABSENT_VERSION, 1.0)).unwrap()
             self.assertFalse(second.committed)
-            assert second.standing is not None
-            self.assertEqual((second.standing.value, second.standing.version), (row, first.version))
+            assert second.conflicting_row is not None
+            self.assertEqual(
+                (second.conflicting_row.value, second.conflicting_row.version), (row, first.version)
+            )
 
         on_cluster(work)
 
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -9,7 +9,7 @@
 from moledale.gateway.events import EventSplitter
 from moledale.gateway.fleet_watch import MIN_OUTAGE_S, FleetWatch
 from moledale.gateway.messages import PromptPart, RequestFacts, Server
-from moledale.gateway.outside import CallFailure, ServerList
+from moledale.gateway.outside import Failure, ServerList
 from moledale.gateway.peers import Membership
 from moledale.gateway.plan import (
     Engine,
@@ -203,7 +203,7 @@
     async def servers(self, _: float, _before: object = None) -> object:
         self.version += 1
         if self.away:
-            return Err(CallFailure("away"))
+            return Err(Failure("away"))
         return Ok(ServerList(tuple(self.servers_now), self.version, self.now()))
 
 
--- a/tests/test_lease_over_restores.py
+++ b/tests/test_lease_over_restores.py
@@ -10,7 +10,7 @@
 from moledale.clock import monotonic
 from moledale.gateway import lease_keeper
 from moledale.gateway.lease_keeper import LeaseKeeper
-from moledale.gateway.outside import CallFailure, StateRow, TableSnapshot, WriteResult
+from moledale.gateway.outside import Failure, StateRow, TableSnapshot, WriteResult
 from moledale.gateway.settings import Bounds
 from moledale.gateway.store_era import StoreEra
 from tests.gateway_world import quietly
@@ -55,26 +55,26 @@
         self._store = store
         self._chance = chance
 
-    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, CallFailure]:
+    async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, Failure]:
         """Return the row."""
         await asyncio.sleep(0.005 * self._chance.random())
         if monotonic() < self.cut_until:
-            return Err(CallFailure("cut off"))
+            return Err(Failure("cut off"))
         answer = await self._store.read(table, timeout_s)
         self.era.observe(self._store.era.number)
         return answer
 
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
-    ) -> Result[WriteResult, CallFailure]:
+    ) -> Result[WriteResult, Failure]:
         """Put the row; at times much later, or with an answer that is lost."""
         late_s = 0.2 if self._chance.random() < 0.05 else 0.005
         await asyncio.sleep(late_s * self._chance.random())
         if monotonic() < self.cut_until:
-            return Err(CallFailure("cut off"))
+            return Err(Failure("cut off"))
         answer = await self._store.write(table, key, value, expected, timeout_s)
         if self._chance.random() < 0.05:
-            return Err(CallFailure("lost"))
+            return Err(Failure("lost"))
         self.era.observe(self._store.era.number)
         return answer
 
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -16,7 +16,7 @@
     FleetWatch,
 )
 from moledale.gateway.messages import Server
-from moledale.gateway.outside import CallFailure
+from moledale.gateway.outside import Failure
 from moledale.gateway.outside import ServerList as StoredList
 from moledale.gateway.server_list import (
     MAX_PACKET_BYTES,
@@ -439,7 +439,7 @@
         self.reads += 1
         if self.away:
             await asyncio.sleep(0.01)
-            return Err(CallFailure("away"))
+            return Err(Failure("away"))
         self.version += self.step
         return Ok(StoredList((a_server(1),), self.version, self.now(), era=1))
 
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -10,7 +10,7 @@
 from moledale.core.leases import Grant
 from moledale.gateway.duties import NEW_HOLDER_DELAY_S, SETTLE_S, Duties
 from moledale.gateway.lease_keeper import LEASE_KEY
-from moledale.gateway.outside import CallFailure, StateRow, WriteResult
+from moledale.gateway.outside import Failure, StateRow, WriteResult
 from moledale.gateway.peers import Membership
 from moledale.gateway.settings import Bounds
 from moledale.gateway.sharing import Sharing
@@ -37,10 +37,10 @@
         self.counts: list[object] = []
         self.down = False
 
-    async def report_usage(self, *report: object) -> CallFailure | None:
+    async def report_usage(self, *report: object) -> Failure | None:
         """Note the window."""
         if self.down:
-            return CallFailure("down")
+            return Failure("down")
         self.reported.append(int(str(report[2])))
         self.counts.append(report[3])
         return None
@@ -228,7 +228,7 @@
             world = self.world
             writes = world.store.write
 
-            async def restoring(*call: object) -> Result[WriteResult, CallFailure]:
+            async def restoring(*call: object) -> Result[WriteResult, Failure]:
                 world.store.write = writes  # type: ignore[method-assign]
                 world.store.restore(None, 5)
                 return await writes(*call)  # type: ignore[arg-type]
