--- a/src/moledale/gateway/__init__.py
+++ b/src/moledale/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding of requests to backend servers byte for byte, on nodes that keep nothing."""
+"""The gateway: stateless nodes that forward requests to backend servers byte for byte."""
