--- a/src/moledale/gateway/backoff.py
+++ b/src/moledale/gateway/backoff.py
@@ -1,7 +1,8 @@
-"""Pauses between calls that fail, longer each time and the more nodes there are.
+"""Exponential backoff with jitter, scaled by the size of the cluster.
 
-What the store's outage costs must not grow with the nodes: those that call for all others ask
-often, the others seldom, since they hear from these once the store answers.
+The load of retries on a store during an outage must not grow with the number of nodes. Nodes that
+call on behalf of all others retry often. The others retry seldom, since they learn from those
+nodes when the store answers again.
 """
 
 import random
@@ -10,11 +11,14 @@
 import msgspec
 
 JITTER = 0.5
-"""A pause is shorter or longer by up to this part, by chance."""
+"""A pause is randomly shorter or longer by up to this share."""
 
 
 class Backoff(msgspec.Struct):
-    """Pauses from `initial_s` to `max_s`, times `backoff_scale`: 1.0 for a node that calls for others."""
+    """Computes pauses from `initial_s`, doubled after each failure up to `max_s * backoff_scale()`.
+
+    The scale is 1.0 for a node that calls on behalf of others.
+    """
 
     initial_s: float
     max_s: float
@@ -23,11 +27,11 @@
     _rng: random.Random = msgspec.field(default_factory=random.Random)
 
     def next_s(self) -> float:
-        """Return how long to wait after a call that failed."""
+        """Return how long to wait after a failed call."""
         longer = 2 * self._pause_s if self._pause_s else self.initial_s
         self._pause_s = min(longer, self.max_s * max(1.0, self.backoff_scale()))
         return self._pause_s * (1.0 - JITTER + 2 * JITTER * self._rng.random())
 
     def reset(self) -> None:
-        """Begin anew after a call that did not fail."""
+        """Start again from the initial pause, after a call that did not fail."""
         self._pause_s = 0.0
