--- a/src/moledale/gateway/cold_start.py
+++ b/src/moledale/gateway/cold_start.py
@@ -1,8 +1,9 @@
-"""A starting node's first plan and first list of servers: from its peers, else from the store.
+"""Delays the first reads of a starting node, which gets its documents from peers if they have them.
 
-Where nodes are many, each that starts would ask the store for what its peers have; when all start
-at once they would all do so at the same moment. So one waits for word of its peers first, and where
-nobody has anything yet a few nodes by chance read the store and the others fetch it from these.
+In a large cluster each starting node would read from the store what its peers have, and nodes that
+start together would all do so at the same moment. So a starting node first waits for its peers. If
+no node has the documents yet, a few random nodes read the store first and the others fetch the
+documents from them.
 """
 
 import asyncio
@@ -12,25 +13,27 @@
 from moledale.clock import monotonic
 
 PEER_ANSWER_TIMEOUT_S = 0.06
-"""Time in which a peer that lives answers a node's first state: a round trip of a few ms, and a
-busy processor. Where all end at once nobody answers, and callers wait for all that is longer."""
+"""Time within which a live peer answers a node's first state: a round trip of a few ms, plus time
+for a busy processor. If all nodes stopped at once no peer answers, and each longer wait delays
+callers."""
 
 STAGGER_MIN_SCALE = 8.0
-"""From so many times `neighbours.MAX_MESH_PEERS` nodes on they do not all ask the store at once: 81 nodes read
-20 KB each in a moment, 300 nodes before 3,000 servers 0.7 MB each."""
+"""Store reads are staggered from this multiple of `neighbours.MAX_MESH_PEERS` nodes on: 81 nodes
+read 20 KB each in a moment, but 300 nodes with 3,000 servers read 0.7 MB each."""
 
 STAGGER_PER_SCALE_S = 0.15
-"""Where no peer answers, many nodes ask the store within this time for each `neighbours.MAX_MESH_PEERS` of
-them, by chance, so that most of them hear of its answer before they ask."""
+"""Without an answer of a peer, staggered nodes read the store at a random time within this, for
+each `neighbours.MAX_MESH_PEERS` nodes, so that most of them learn of a read before their own."""
 
 POLL_INTERVAL_S = 0.02
-"""A document that came is noticed within this time, a third of `PEER_ANSWER_TIMEOUT_S`."""
+"""Interval between checks for a document that arrived: a third of `PEER_ANSWER_TIMEOUT_S`."""
 
 
 class ColdStart:
-    """Tells a starting node when to ask the store.
+    """Decides when a starting node reads the store.
 
-    `backoff_scale` is 1.0 where nodes are few, and grows with them (see `Neighbours.backoff_scale`).
+    `backoff_scale` is 1.0 in a small cluster and grows with the number of nodes (see
+    `Neighbours.backoff_scale`).
     """
 
     def __init__(
@@ -41,9 +44,9 @@
         self._draw = random.Random().random()
 
     async def wait(self, known: Callable[[], bool], coming: Callable[[], bool]) -> None:
-        """Wait until a document is `known`, or until this node is to ask the store for it.
+        """Wait until a document is `known`, or until this node should read it from the store.
 
-        While it is `coming` from a peer the store is left alone.
+        It should not do so while the document is `coming` from a peer.
         """
         began_at = self._now()
         while True:
@@ -54,7 +57,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _peer_wait_s(self) -> float:
-        """Return how long to wait for a peer, from what is known of their number now."""
+        """Return how long to wait for a peer, given the number of nodes known now."""
         backoff_scale = self._backoff_scale()
         return PEER_ANSWER_TIMEOUT_S + (
             STAGGER_PER_SCALE_S * backoff_scale * self._draw
