--- a/src/moledale/gateway/directory.py
+++ b/src/moledale/gateway/directory.py
@@ -1,9 +1,9 @@
-"""Which nodes callers are told to use: a few in each hall, the others in reserve.
+"""Selects the nodes that callers are directed to: a few in each hall, the others in reserve.
 
-Few nodes see more of the traffic each, so their views of the servers are better and connections
-to servers are used again more often. Each node decides for itself whether it serves, from what it
-hears: it does unless enough nodes of its hall that rank before it say that they do. So no node has
-to know all others, and a hall whose serving nodes fall silent has others in their place at once.
+With few serving nodes each one sees more of the traffic, so its view of the servers is better and
+connections to servers are reused more often. Each node decides for itself whether it serves, from
+the states that it gets: it serves unless enough nodes of its hall that rank before it serve. So no
+node has to know all others, and serving nodes that fall silent are replaced at once.
 """
 
 from collections.abc import Iterable
@@ -14,75 +14,76 @@
 from moledale.gateway.peers import NodeState, Standing
 
 MIN_SERVING_PER_HALL = 1
-"""Nodes that serve in a hall at least; more do as requests need them."""
+"""Minimum number of serving nodes in a hall; the load may require more."""
 
 CORE_S_PER_REQUEST = 0.0017
-"""Processor time of a request with its events."""
+"""Processor time of a request including its streamed events."""
 
 MAX_LOAD_SHARE = 0.35
-"""Part of its processor that a node's requests may take before the hall has another one serve."""
+"""Share of a node's capacity that requests may use before another node of the hall serves."""
 
 SCALE_DOWN_SHARE = 0.6
-"""One fewer serves once the others would be this far below that, so that nodes don't take turns."""
+"""One node fewer serves only if the rest would stay below this share of that limit. This hysteresis
+keeps nodes from flapping."""
 
 HASH_KEY = "callers"
 
 MAX_POWER = 20.0
-"""Power (see `power_of`) beyond which more of it makes no difference."""
+"""Cap of a node's power (see `power_of`): beyond it, more makes no difference."""
 
 LINK_MBPS_PER_CORE = 50.0
-"""Link that counts as much as one core."""
+"""Link bandwidth that counts as much as one core."""
 
 
 def power_of(cores: float, link_mbps: float) -> float:
-    """Return what a node can carry, in tenths of a core; a thin link counts as few cores."""
+    """Return a node's capacity in tenths of a core, limited by its link and by `MAX_POWER`."""
     return min(10.0 * cores, 10.0 * link_mbps / LINK_MBPS_PER_CORE, MAX_POWER)
 
 
 def rank_of(node: NodeState) -> tuple[bool, int, int]:
-    """Return a node's place in its hall, the first to serve being the least.
+    """Return a sort key of the nodes of a hall; the smallest serves first.
 
-    The holder of the duties comes last, since what strikes it should strike few callers.
+    The lease holder comes last, so that a failure of it affects few callers.
     """
     return node.lease is not None, -int(node.power), -weight(HASH_KEY, node.id)
 
 
-def wanted_nodes(own: NodeState, heard: Iterable[NodeState]) -> int:
-    """Return how many nodes of its hall should serve, from what those that serve have to do."""
-    there = [
+def wanted_nodes(own: NodeState, alive: Iterable[NodeState]) -> int:
+    """Return how many nodes of the hall should serve, from the load of the serving ones."""
+    serving = [
         node
-        for node in (own, *heard)
+        for node in (own, *alive)
         if node.hall == own.hall and node.serving and node.standing == Standing.READY
     ]
-    if not there:
+    if not serving:
         return MIN_SERVING_PER_HALL
-    load = sum(node.requests_per_s for node in there) * CORE_S_PER_REQUEST
-    room = fmean(max(1.0, node.power) for node in there) / 10 * MAX_LOAD_SHARE
-    wanted = ceil(load / room)
-    if wanted < len(there):
-        wanted = min(len(there), ceil(load / (room * SCALE_DOWN_SHARE)))
+    load = sum(node.requests_per_s for node in serving) * CORE_S_PER_REQUEST
+    capacity = fmean(max(1.0, node.power) for node in serving) / 10 * MAX_LOAD_SHARE
+    wanted = ceil(load / capacity)
+    if wanted < len(serving):
+        wanted = min(len(serving), ceil(load / (capacity * SCALE_DOWN_SHARE)))
     return max(MIN_SERVING_PER_HALL, wanted)
 
 
 def should_serve(
-    own: NodeState, heard: Iterable[NodeState], most: int = MIN_SERVING_PER_HALL
+    own: NodeState, alive: Iterable[NodeState], max_serving: int = MIN_SERVING_PER_HALL
 ) -> bool:
-    """Say whether a node serves, from the live nodes that it hears."""
+    """Return whether a node should serve, given the other live nodes that it knows."""
     if own.standing != Standing.READY:
         return False
-    place = rank_of(own)
+    rank = rank_of(own)
     before = [
         node
-        for node in heard
+        for node in alive
         if node.hall == own.hall
         and node.serving
         and node.standing == Standing.READY
-        and rank_of(node) < place
+        and rank_of(node) < rank
     ]
-    return len(before) < most
+    return len(before) < max_serving
 
 
 def serving_nodes(nodes: Iterable[NodeState]) -> list[NodeState]:
-    """Return the nodes that callers should use; all that are ready where none says it serves."""
+    """Return the nodes that callers should connect to: all ready ones if none of them serves."""
     ready = [node for node in nodes if node.standing == Standing.READY]
     return [node for node in ready if node.serving] or ready
