--- a/src/moledale/gateway/entry.py
+++ b/src/moledale/gateway/entry.py
@@ -1,4 +1,4 @@
-"""The small questions that callers and the platform ask a node; how they are spelled is outside."""
+"""Control requests of callers and the platform to a node; dialects implement their wire format."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -9,26 +9,26 @@
 
 
 class ControlRequestKind(StrEnum):
-    """What a question is about."""
+    """What a control request asks for."""
 
     READY = "ready"
     ADDRESSES = "addresses"
 
 
 class ControlRequest(msgspec.Struct, frozen=True):
-    """A question, and the hall of the one who asks if it was told."""
+    """A parsed control request; `hall` is that of the sender, empty if it was not given."""
 
     kind: ControlRequestKind
     hall: str = ""
 
 
 class EntryDialect(Protocol):
-    """Reads questions and writes their answers."""
+    """Parses control requests and encodes their answers."""
 
     def parse_control_request(self, head: RequestHead) -> ControlRequest | None:
-        """Return the question, or None for any other request."""
+        """Return the control request, or None for any other request."""
         ...
 
     def addresses(self, addresses: list[str], ttl_s: float) -> tuple[Headers, bytes]:
-        """Return headers and body that tell which addresses to use."""
+        """Return headers and body of an answer that lists the addresses to use."""
         ...
