--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -1,18 +1,19 @@
-"""Keeping the list of backend servers: one node reads it and tells the others what changed.
-
-There is no election: each node waits a little longer than the one before it, so the first reads
-while it can, and another does as soon as its news stay away. A change is told in packets and passed
-on from node to node; a node that sees by the digest that it misses something fetches it from a node
-that has it (`document_fetch`). The store is the last way, and where nodes are many they don't come
-to it together.
-
-Nothing is sent to a server by a list that is too old: `current` reads the list first if need be.
-
-Servers renew their entries in the same store. While it is away entries may lapse though their
-servers live, and these are back soon after it is; so a server that is missing from the first lists
-after an outage is kept for that long. The same goes for a store that comes back from an older copy.
-Servers that had left or were gone before are listed again then; such entries are not believed until
-those that nobody renews have lapsed.
+"""Keeps the list of backend servers up to date: one node reads it and sends changes to the others.
+
+There is no election. Each node waits a little longer than the one that ranks before it, so the
+first one reads while it can, and the next one does when updates fail to arrive. A change is sent in
+packets and relayed from node to node. A node whose digest shows that it missed something fetches
+the list from a node that has it (`document_fetch`). Reading the store is the last resort, and in a
+large cluster the reads are spread over time.
+
+No request is sent to a server based on an outdated list: `ensure_current` reads the list first if
+necessary.
+
+Servers renew their entries in the same store. During an outage of the store entries may lapse
+although their servers are alive, and they reappear soon after it. So a server that is missing from
+the first lists after an outage is kept for that long. The same applies when the store is restored
+from an older copy. That copy may also list servers that had already left or were gone; such
+entries are ignored until those that are not renewed have lapsed.
 """
 
 import asyncio
@@ -44,76 +45,81 @@
 from moledale.log import Event, emit
 
 READ_INTERVAL_S = 0.8
-"""The list is read this often: 0.4 of the shortest time that a leaving server may get work (2 s),
-so that one reading may fail."""
+"""Interval between reads: 0.4 of the shortest time for which a leaving server may get work (2 s),
+so that one read may fail."""
 
 READ_DELAY_PER_RANK_S = 0.12
-"""Each next node waits this much longer for the reader before it, several round trips."""
+"""Each node waits this much longer than the one ranked before it, which is several round trips."""
 
 MAX_READ_RANK = 4
-"""Nodes of later turns wait as long as this one: 1.3 s at most in all."""
+"""Nodes of higher ranks wait as long as this one: 1.3 s at most in total."""
 
 READ_TIMEOUT_S = 0.8
-"""A reading has this long; a later one would take its place in any case."""
+"""Timeout of a read; the next one would replace it in any case."""
 
 RETRY_INITIAL_S = 0.2
-"""First pause after a reading that failed, for a node that reads for all."""
+"""First pause after a failed read, for a node that reads on behalf of all."""
 
 RETRY_MAX_S = 1.0
-"""Longest such pause: the store's return is to be seen within about a second."""
+"""Longest such pause: the end of an outage should be noticed within about a second."""
 
 POLL_INTERVAL_S = 0.1
-"""A node that serves looks this often whether it is to read: less than the time between two
-turns."""
+"""Interval at which a serving node checks whether a read is due: shorter than
+`READ_DELAY_PER_RANK_S`."""
 
 RESERVE_POLL_INTERVAL_S = 0.5
-"""A node in reserve looks this often whether it is to read; its turn comes after seconds only, and
-a node that wakes up less leaves more of its instance to requests."""
+"""Interval at which a node in reserve checks whether a read is due. Its turn comes only after
+seconds, and fewer wake-ups leave more of its instance to requests."""
 
 
 RESERVE_READ_DELAY_S = 2.0
-"""A node in reserve reads for itself when it heard of no reading for this long. Those that serve
-tell it once a second each, so less would have all of them read now and then."""
+"""A node in reserve reads for itself after this time without news of a read. Serving nodes
+send their states to it once a second each; with a shorter delay all nodes in reserve would read at
+times."""
 
 RESERVE_READ_JITTER_S = 0.5
-"""Nodes in reserve read up to this much later, by chance, for each `neighbours.MAX_MESH_PEERS` nodes."""
+"""Nodes in reserve delay reads by a random time up to this, for each `neighbours.MAX_MESH_PEERS`
+nodes."""
 
 MIN_OUTAGE_S = 2.0
-"""Without a list for this long, and with readings that failed, the store was away."""
+"""The store counts as having been down if reads failed and there was no list for this long."""
 
 LAPSED_ENTRY_GRACE_S = 1.8
-"""Entries that lapsed meanwhile are back within about two seconds of the store's return."""
+"""Servers that are missing after an outage are kept for this long: entries that lapsed meanwhile
+reappear within about two seconds of its end."""
 
 RESTORED_ENTRY_LAPSE_S = 4.5
-"""Entries that nobody renews have lapsed so long after the store came back from an older copy:
-three heartbeats of 1.2 s, and a reading."""
+"""Entries that are not renewed have lapsed this long after a restore of the store from an older
+copy: three heartbeats of 1.2 s, and a read."""
 
 MAX_LIST_AGE_SHARE = 0.6
-"""Requests are sent by a list that is at most this part of `bounds.leave_s` old. A server may get
-no new work once it has been leaving for that long; the rest is for a slow connection."""
+"""Maximum age of the list that requests rely on, as a share of `bounds.leave_s`. A server may get
+no new work once it has been leaving for `leave_s`; the rest is left for a slow connection."""
 
 REFRESH_WAIT_S = 0.3
-"""A request waits this long for a list that is being read, about the time of a connection that
-gets no answer."""
+"""A request waits this long for a read in progress, about as long as for a connection that gets no
+answer."""
 
 FAILED_READ_COOLDOWN_S = 3.0
-"""After a reading that failed, requests do not ask for another one for this long: longer than the
-pause and the time of one that this node makes anyway, so that an outage holds up no request."""
+"""Requests start no read for this long after a failed one. It is longer than the pause and the
+timeout of the node's regular reads, so that an outage delays no request."""
 
 MAX_KEPT_LISTS = 8
-"""Lists that are kept as bases of differences: some seconds of changes on a day with reclaims."""
+"""Lists kept as bases of deltas: some seconds of changes on a day when instances are reclaimed."""
 
 SendChanges = Callable[[list[ServerChange], bool], None]
-"""Sends changes; the flag tells that this node read them itself rather than passing them on."""
+"""Sends changes; the flag is set if this node read them itself and unset if it relays them."""
 
 
 class FleetWatch:
-    """Reads or hears the list and hands it on.
-
-    `rank` is this node's turn, `on_servers` gets the servers after each change, `send_changes` sends changes, and
-    `send_confirmation` tells the nodes that may read next that nothing changed. `leave_s` is the time after
-    which a leaving server may get no new work. `cold_start` tells when a starting node is to ask the
-    store, at once if it is None.
+    """Keeps the server list current from reads and peers, and publishes it.
+
+    `rank` returns this node's place in the order of readers, `on_servers` gets the servers after
+    each change, `send_changes` sends changes to peers, and `send_confirmation` informs the nodes
+    that might read next that nothing changed. `backoff_scale` returns more than 1.0 on a node in
+    reserve in a large cluster (see `Neighbours.backoff_scale`). `leave_s` is the time after which a
+    leaving server may get no new work. `cold_start` decides when a starting node reads the store
+    first; without it, it does at once.
     """
 
     def __init__(
@@ -171,18 +177,18 @@
 
     @property
     def known(self) -> bool:
-        """Say whether there is a list."""
+        """Return whether there is a list."""
         return self.list.version >= 0
 
     def head(self) -> ListHead | None:
-        """Return which list this node has, for others."""
+        """Return the identity and age of this node's list to send to peers, None without a list."""
         if not self.known:
             return None
         at = self.list.era_version
         return ListHead(at.number, self.list.digest, self._read_s, self._returned_s, at.era)
 
     async def watch(self) -> None:
-        """Read the list whenever it is this node's turn, for ever."""
+        """Read the list whenever it is due on this node, forever."""
         if self._cold_start is not None:
             await self._cold_start.wait(
                 lambda: self.known, lambda: self.fetch.is_behind(self._now())
@@ -200,27 +206,28 @@
         return RESERVE_POLL_INTERVAL_S if self._backoff_scale() > 1.0 else POLL_INTERVAL_S
 
     def due_at(self) -> float:
-        """Return when this node reads the list unless it hears of another reading before."""
+        """Return when this node reads the list unless it learns of another read before."""
         if self._backoff_scale() > 1.0:
             return self._fresh_at + RESERVE_READ_DELAY_S + self._read_jitter_s
-        turn = min(self._rank(), MAX_READ_RANK)
-        return self._fresh_at + READ_INTERVAL_S + turn * READ_DELAY_PER_RANK_S
+        rank = min(self._rank(), MAX_READ_RANK)
+        return self._fresh_at + READ_INTERVAL_S + rank * READ_DELAY_PER_RANK_S
 
     async def ensure_current(self) -> bool:
-        """Make sure that requests may be sent by the list that is here.
+        """Read the list if it is too old for requests; return whether requests may rely on it.
 
-        Return False if it is too old and other nodes have a newer one, so that these can serve.
-        Where nobody has one, as the store is away, the last list counts.
+        Return False if it is still too old and other nodes have a newer one, so that they can
+        serve. If no node has a newer one because the store is down, the last list is used.
         """
         if self._is_fresh():
             return True
         if self._may_read_for_request():
-            reading = self._start_read()
+            read_task = self._start_read()
             left_s = self._read_started_at + REFRESH_WAIT_S - self._now()
-            await asyncio.wait([reading], timeout=max(0.0, left_s))
+            await asyncio.wait([read_task], timeout=max(0.0, left_s))
         return self._is_fresh() or not self.fetch.is_behind(self._now())
 
     def _may_read_for_request(self) -> bool:
+        """Return whether enough time has passed since a failed or stale read."""
         now = self._now()
         return (
             now - self._failed_at > FAILED_READ_COOLDOWN_S
@@ -228,7 +235,7 @@
         )
 
     def on_head(self, head: ListHead, control: str, power: float) -> None:
-        """Take over which list another node has; a newer one is fetched from there."""
+        """Handle the list head of a peer's state; fetch the list from the peer if it is newer."""
         if self.list.is_from_older_era(head):
             return
         self._record_return(head)
@@ -240,25 +247,28 @@
             self.fetch.add_source(control, head.era_version, power, self._now())
 
     def on_change(self, change: ServerChange) -> None:
-        """Take over a change that another node told, and pass it on the first time."""
+        """Apply a change received from a peer, and relay it the first time."""
         if self.list.is_from_older_era(change.head):
             return
         self._record_return(change.head)
         self._record_head(change.head)
-        heard = self.list.apply_change(change)
+        result = self.list.apply_change(change)
         self._reset_on_restore()
-        if heard.confirmed:
+        if result.confirmed:
             self._on_confirmed(change.head)
-        if heard.servers_differ:
+        if result.servers_differ:
             self._on_changed(from_store=False)
-        if heard.is_new:
-            source = self._control if heard.confirmed else change.source
+        if result.is_new:
+            source = self._control if result.confirmed else change.source
             self._send_changes([msgspec.structs.replace(change, source=source)], False)
-        if heard.needs_fetch:
+        if result.needs_fetch:
             self.fetch.add_source(change.source, change.head.era_version, 1.0, self._now())
 
     def drop_lapsed(self) -> None:
-        """Take servers that are still missing as gone; called often, as lists come seldom."""
+        """Drop servers still missing after an outage; accept remaining entries of a restored store.
+
+        Called each gossip round, since lists are read less often.
+        """
         lapsed = self._retains_lapsed and self._now() - self._returned_at >= LAPSED_ENTRY_GRACE_S
         if self._now() - self._restored_at >= RESTORED_ENTRY_LAPSE_S:
             lapsed = self.list.trust_entries() or lapsed
@@ -266,17 +276,18 @@
             self._publish()
 
     def _is_fresh(self) -> bool:
+        """Return whether the list is recent enough for requests to rely on it."""
         return self._now() - self._fresh_at <= self._max_list_age_s
 
     def _start_read(self) -> asyncio.Task[bool]:
-        """Return the reading that is under way, or a new one."""
+        """Return the read in progress, or start one."""
         if self._read_task is None or self._read_task.done():
             self._read_task = asyncio.get_running_loop().create_task(self._read())
             self._read_started_at = self._now()
         return self._read_task
 
     async def _read(self) -> bool:
-        """Read the list and tell the others; say whether it is this node's list now."""
+        """Read the list and send changes; return whether what was read is this node's list now."""
         sent_at = self._now()
         before, digest = self._current_list(), self.list.digest
         outcome = await self._store.servers(READ_TIMEOUT_S, before)
@@ -295,10 +306,10 @@
         base = self.list.digest
         unchanged = before is not None and not listed.changed and base == digest
         difference = None if unchanged else self.list.update_from_store(listed.servers, listed.at)
-        marks_fell = unchanged and self.list.confirm_version(listed.at)
+        marks_dropped = unchanged and self.list.confirm_version(listed.at)
         self._reset_on_restore()
         self._record_read(sent_at, listed.store_s)
-        if marks_fell:
+        if marks_dropped:
             self._publish()
         if difference is None:
             self.archive.update_version(self.list.era_version)
@@ -310,7 +321,7 @@
         return True
 
     def _on_stale_read(self, listed: StoredList) -> None:
-        """Note a reading of an older list; a node without a current one pauses before the next."""
+        """Record a read that returned an older list, so that requests pause before the next one."""
         now = self._now()
         if self._is_fresh():
             return
@@ -319,9 +330,9 @@
         self._stale_read_at = now
 
     def _reset_on_restore(self) -> None:
-        """Begin anew with times of the store's clock where the list is of another era than before.
+        """Reset times of the store's clock if the list is of a newer era than before.
 
-        Entries of servers that started since the copy are missing until these write again.
+        Entries of servers that started after the copy was made are missing until they write again.
         """
         known, self._era = self._era, self.list.era_version.era
         if not self.list.era_version.is_restored_since(EraVersion(known)):
@@ -333,13 +344,14 @@
         self._publish()
 
     def _current_list(self) -> StoredList | None:
-        """Return the list that is here, to be told only what changed since."""
+        """Return this node's list as the base of a read, None if there is none."""
         if not self.known:
             return None
         at, servers = self.list.era_version, tuple(self.list.servers.values())
         return StoredList(servers, at.number, self._read_s, era=at.era)
 
     async def _read_without_peers(self) -> bool:
+        """Read the list from the store when no peer delivers it; return as `_read` does."""
         return await asyncio.shield(self._start_read())
 
     def _send_unchanged(self) -> None:
@@ -353,7 +365,7 @@
             self._send_changes(split_into_packets(head, base, self._control, difference), True)
 
     def _fetched(self, version: EraVersion, raw: bytes) -> None:
-        """Take over a list that another node passed on whole."""
+        """Adopt a complete list that was fetched from a peer."""
         try:
             differs = self.list.update_from_peer(raw, version)
         except ValueError as error:
@@ -366,12 +378,13 @@
             self._on_confirmed(self._newest_head)
 
     def _record_head(self, head: ListHead) -> None:
-        """Remember the newest list that was heard of: it tells how old it is once it is here."""
+        """Keep the head of the newest known list, which gives its age once it is fetched."""
         newest = self._newest_head
         if newest is None or (head.era, head.read_s) > (newest.era, newest.read_s):
             self._newest_head = head
 
     def _on_confirmed(self, head: ListHead) -> None:
+        """Record that this node's list was current when `head` was read."""
         self.archive.update_version(self.list.era_version)
         read_at = self._true_time.to_local(head.read_s)
         if read_at is not None:
@@ -379,10 +392,10 @@
         self.drop_lapsed()
 
     def _record_read(self, read_at: float, store_s: float) -> None:
-        """Note that the list is that of a reading, on this node's clock and on the store's.
+        """Record when the list was read, on this node's clock and on the store's.
 
-        Nodes in reserve that find the next reading late must not read all at once. Word of a known
-        reading changes nothing: each new draw would be another chance to read early.
+        A newer read draws a new jitter, so that nodes in reserve do not all read at once when the
+        next read is late. A known read must not: each draw would be another chance to read early.
         """
         if read_at > self._fresh_at:
             self._read_jitter_s = (
@@ -392,9 +405,9 @@
         self._read_s = max(self._read_s, store_s)
 
     def _record_return(self, head: ListHead) -> None:
-        """Note when the store was back, as the node that reads it knows it.
+        """Record the end of the store's outage as the reading node stated it.
 
-        A node that had a list all the time knows better.
+        A node whose own list was not interrupted ignores it.
         """
         returned_at = self._true_time.to_local(head.returned_s)
         if head.era > self.list.era_version.era > UNKNOWN_ERA:
@@ -404,7 +417,7 @@
             self._returned_s = max(self._returned_s, head.returned_s)
 
     def _on_changed(self, from_store: bool) -> None:
-        """Hand on a list that differs from the one before."""
+        """Archive, publish and log a list that differs from the one before."""
         self.archive.add(self.list.era_version, self.list.raw)
         self._publish()
         emit(
@@ -418,7 +431,7 @@
         )
 
     def _publish(self) -> None:
-        """Hand the list on, with the servers that only lapsed while the store was away."""
+        """Publish the list, with servers added that may only have lapsed during an outage."""
         servers = self.list.usable()
         kept = []
         if self._now() - self._returned_at < LAPSED_ENTRY_GRACE_S:
