--- a/src/moledale/gateway/gossip.py
+++ b/src/moledale/gateway/gossip.py
@@ -1,7 +1,7 @@
-"""News between nodes by datagrams: own state often, changes of the list of servers at once.
+"""Gossip between nodes over UDP: states in rounds, changes of the server list at once.
 
-Datagrams fit since a state replaces the one before it: nothing is sent again, a dark peer costs
-no connection, and a node that starts is heard of within one round.
+Datagrams suffice because each state replaces the one before it. Nothing is retransmitted, an
+unreachable peer costs no connection, and a starting node is known to others within one round.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 
 
 class StateNews(msgspec.Struct, array_like=True, tag="state"):
-    """A node's own state and some addresses of nodes it has heard of."""
+    """A node's own state and some addresses of other nodes that it knows."""
 
     state: NodeState
     addresses: list[str]
 
 
 class PackedState(msgspec.Struct, array_like=True, tag="packed"):
-    """A `StateNews` of a node, compressed; `base` is the sequence of the state it is made from."""
+    """A compressed `StateNews`; `base` is the sequence of the snapshot it is a delta to, or -1."""
 
     id: str
     life: int
@@ -36,7 +36,7 @@
 
 
 class PlacementNews(msgspec.Struct, array_like=True, tag="placed"):
-    """What a node placed since it last told; `sequence` is that of its last state."""
+    """A node's placements since the last ones it sent; `sequence` is that of its last state."""
 
     id: str
     life: int
@@ -58,10 +58,11 @@
 MESSAGES: tuple[type[msgspec.Struct], ...] = get_args(Message)
 
 MAX_UNREADABLE_KINDS = 32
-"""Kinds of messages that can't be read which are told apart, whatever is sent to the port."""
+"""Kinds of unreadable messages that are counted separately. It bounds the memory, since anyone may
+send anything to the port."""
 
 MAX_KIND_CHARS = 32
-"""Letters of a kind that are kept: those of this build have fewer."""
+"""Kinds are cut to this length; those of this build are shorter."""
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
@@ -72,7 +73,7 @@
 
 
 def claimed_kind(data: bytes) -> str:
-    """Return the name that a message which can't be read gives itself."""
+    """Return the kind that an unreadable message claims to be, `NO_KIND` if it names none."""
     try:
         parts = msgspec.msgpack.decode(data)
     except msgspec.DecodeError:
@@ -83,19 +84,19 @@
 
 
 class GossipSocket(asyncio.DatagramProtocol):
-    """The socket that news go through."""
+    """UDP endpoint that encodes and sends messages, and decodes received ones."""
 
-    def __init__(self, heard: Callable[[Message], None]) -> None:
-        self._on_message = heard
+    def __init__(self, on_message: Callable[[Message], None]) -> None:
+        self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
         self.unreadable: Counter[str] = Counter()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Read a message; what can't be read is counted by kind and dropped."""
+        """Decode a message; an unreadable one is counted by kind and dropped."""
         try:
             message = _decoder.decode(data)
         except msgspec.DecodeError as error:
@@ -104,7 +105,10 @@
         self._on_message(message)
 
     def _record_unreadable(self, kind: str, sender: str, why: str) -> None:
-        """Count a message of another build, or of nobody; the first of a kind is logged."""
+        """Count an unreadable message and log the first of its kind.
+
+        It comes from another build or is no message at all.
+        """
         if kind not in self.unreadable and len(self.unreadable) >= MAX_UNREADABLE_KINDS:
             kind = OTHER_KINDS
         self.unreadable[kind] += 1
@@ -112,10 +116,10 @@
             emit(Event.FORMAT_REFUSED, kind=kind, sender=sender, why=why)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer's port is closed: its silence tells as much."""
+        """Ignore that a peer's port is closed: its silence shows it too."""
 
     def send(self, message: Message, addresses: list[str]) -> None:
-        """Send a message to some addresses."""
+        """Send a message to each address; do nothing while the socket is not open."""
         if self._transport is None or self._transport.is_closing():
             return
         data = _encoder.encode(message)
@@ -129,10 +133,10 @@
             self._transport.close()
 
 
-async def open_gossip(address: str, heard: Callable[[Message], None]) -> GossipSocket:
-    """Bind the socket for news at `host:port`."""
+async def open_gossip(address: str, on_message: Callable[[Message], None]) -> GossipSocket:
+    """Bind the gossip socket at `host:port`."""
     host, _, port = address.rpartition(":")
     _, protocol = await asyncio.get_running_loop().create_datagram_endpoint(
-        lambda: GossipSocket(heard), local_addr=(host, int(port))
+        lambda: GossipSocket(on_message), local_addr=(host, int(port))
     )
     return protocol
