--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -1,9 +1,10 @@
-"""Whom a node tells its news, and whether it serves callers.
+"""Selects the targets of a node's gossip and decides whether the node serves callers.
 
-While nodes are few, each tells all others each round. When they are many, those that serve tell
-each other each round (where many serve, those of other halls now and then) and all others seldom;
-those in reserve tell the serving ones of their hall now and then. What a node in reserve hears
-grows with the halls, not with the nodes.
+In a small cluster gossip is full mesh: each node sends its state to all others each round. In a
+large one, serving nodes send to each other each round (to those of other halls only in slow rounds
+if many serve) and to all other nodes in slow rounds. Nodes in reserve send to the serving nodes of
+their hall in slow rounds. So the traffic to a node in reserve grows with the number of halls, not
+with the number of nodes.
 """
 
 import random
@@ -15,76 +16,82 @@
 from moledale.gateway.peers import Membership, NodeState, Standing
 
 GOSSIP_INTERVAL_S = 0.2
-"""Time between two tellings. Views of loads are half as old on average; placements go at once."""
+"""Time between two gossip rounds. Views of loads are half as old on average; placements are sent
+at once."""
 
 MAX_MESH_PEERS = 16
-"""Up to this many other nodes, all tell all each round."""
+"""Up to this many other nodes, gossip is full mesh: all send to all each round."""
 
 ROUNDS_PER_SLOW_ROUND = 5
-"""Rounds between two tellings to nodes in reserve."""
+"""Every n-th round is a slow round, which also reaches nodes in reserve and other halls."""
 
 LISTEN_S = 0.25
 LISTEN_LARGE_S = 0.8
-"""A node that starts listens for this long before it serves."""
+"""A starting node listens for this long before it serves, in a small and in a large cluster."""
 
 PROMOTION_JITTER_S = 0.5
-"""Nodes in reserve wait up to this long, by chance, before they take a silent one's place."""
+"""Nodes in reserve wait a random time up to this long before one replaces a silent node."""
 
 STORE_REACHABLE_S = 5.0
-"""A node reaches the store if its watch was answered within this time."""
+"""A node counts as reaching the store if its watch was answered within this time."""
 
 NO_WATCH_RANK = 16
-"""Turn of a node that need not watch the store."""
+"""Rank of a node that need not watch the store, above those of the nodes that do."""
 
 BUSY_S = 3.0
-"""A node counts as busy this long after a request: callers keep addresses for 2 s and longer."""
+"""A node counts as busy for this long after a request: callers cache addresses for 2 s and
+longer."""
 
 ADDRESS_RETENTION_S = 60.0
-"""A silent address is still tried for this long: nodes that were cut off find each other again."""
+"""A silent address is still tried for this long, so that nodes find each other again after a
+network partition."""
 
 MAX_HINTS = 8
-"""Addresses told with a state, 20 bytes each; a node that starts hears of all others by and by."""
+"""Addresses sent with a state, 20 bytes each. A starting node learns those of all others over
+several rounds."""
 
 RANDOM_RESERVE_TARGETS = 2
-"""Nodes by chance that one in reserve tells: groups that lost each other meet again within
-seconds."""
+"""Random nodes to which a node in reserve sends its state, so that separated groups find each other
+again within seconds."""
 
 RING_SUCCESSORS = 2
-"""Nodes next in the ring of addresses that one passes a change of the servers on to. So two others
-tell each node, whatever chance does; one that is told by none hears of it up to a second later."""
+"""Next nodes in the ring of addresses to which a node relays a change of the server list. So each
+node gets it from two others independently of the random targets. A node that misses all of them
+learns of the change up to a second later."""
 
 RANDOM_RELAYS = 2
-"""Nodes by chance that one tells beside these: whole parts of the ring may be cut off."""
+"""Random nodes that get a relayed change as well: whole parts of the ring may be unreachable."""
 
 PLAN_ANNOUNCE_PEERS = 6
-"""Nodes that one that fetched a plan tells of it; so sources outnumber nodes that wait at once."""
+"""Nodes to which a node announces a plan that it fetched. So sources soon outnumber the nodes that
+wait for it."""
 
 
 class AddressBook(msgspec.Struct):
-    """Addresses to send news to, and until when one that is silent is still tried."""
+    """Gossip addresses, and until when each is tried if nothing more is received from it."""
 
     own: str
     expires_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def add(self, address: str, now: float) -> None:
-        """Note an address that was told or heard from."""
+        """Add an address that is configured or sent a message, and renew its expiry."""
         if address and address != self.own:
             self.expires_at[address] = now + ADDRESS_RETENTION_S
 
     def hint(self, address: str, now: float) -> None:
-        """Note an address that a peer knows; its time is not made longer."""
+        """Add an address that a peer knows; the expiry of a known one is not renewed."""
         if address and address != self.own and address not in self.expires_at:
             self.expires_at[address] = now + ADDRESS_RETENTION_S
 
     def known(self, now: float) -> list[str]:
-        """Return the addresses that are still tried."""
-        for address in [each for each, until in self.expires_at.items() if until < now]:
+        """Drop expired addresses and return the others."""
+        for address in [each for each, at in self.expires_at.items() if at < now]:
             del self.expires_at[address]
         return list(self.expires_at)
 
 
 class Neighbours:
-    """A node's own place among the others."""
+    """Decides a node's role among its peers: whether it serves, its rank and its gossip targets."""
 
     def __init__(self, members: Membership, own_address: str, now: float) -> None:
         self.members = members
@@ -98,7 +105,7 @@
         self._rng = random.Random()
 
     def update_serving(self, own: NodeState, now: float) -> bool:
-        """Decide whether this node serves; say whether that changed."""
+        """Decide whether this node serves; return whether that changed."""
         before = self.serving
         alive = self.members.alive(now)
         wanted = should_serve(own, alive, wanted_nodes(own, alive))
@@ -113,18 +120,18 @@
         return self.serving != before
 
     def promoted_without_counts(self, now: float) -> bool:
-        """Say whether this node serves now and did not hear before what others counted.
+        """Return whether this node serves but did not get its peers' counts before.
 
-        Where nodes are many, those in reserve are told in short only.
+        In a large cluster, nodes in reserve only get brief states.
         """
         return self.serving and self.is_large(now)
 
     def record_busy(self, now: float) -> None:
-        """Note that requests are served here, whether callers were told to come or not."""
+        """Record that requests are served here, whether or not callers were directed here."""
         self._busy_at = now
 
     def state_targets(self, own: NodeState, now: float) -> list[str]:
-        """Return whom to tell the whole state in this round."""
+        """Start the next round and return the addresses that get the full state in it."""
         self._round += 1
         known = self.addresses.known(now)
         if len(known) <= MAX_MESH_PEERS:
@@ -134,10 +141,10 @@
         busy = self.serving or own.lease is not None or now - self._busy_at < BUSY_S
         chosen: set[str] = set()
         if busy:
-            others = [each for each in alive if each.serving or each.lease]
-            if len(others) > MAX_MESH_PEERS and not slow:
-                others = [each for each in others if each.hall == own.hall or each.lease]
-            return [each.peer for each in others]
+            peers = [each for each in alive if each.serving or each.lease]
+            if len(peers) > MAX_MESH_PEERS and not slow:
+                peers = [each for each in peers if each.hall == own.hall or each.lease]
+            return [each.peer for each in peers]
         if slow or not self.has_listened(now):
             chosen.update(
                 each.peer
@@ -148,39 +155,39 @@
         return list(chosen)
 
     def placement_targets(self, hall: str, now: float) -> list[str]:
-        """Return whom to tell at once what is placed: nodes that serve, or its hall's of many."""
+        """Return the serving nodes, to get placements at once; if many, those of the hall."""
         serving = [each for each in self.members.alive(now) if each.serving]
         if len(serving) > MAX_MESH_PEERS:
             serving = [each for each in serving if each.hall == hall]
         return [each.peer for each in serving]
 
-    def brief_targets(self, own: NodeState, told: list[str], now: float) -> list[str]:
-        """Return whom to tell in this round just that this node is there, and what it spent."""
+    def brief_targets(self, own: NodeState, sent: list[str], now: float) -> list[str]:
+        """Return the addresses that get only the brief state in this round."""
         slow = self._round % ROUNDS_PER_SLOW_ROUND == 0
         if not self.is_large(now) or not (
             (slow and self.serving) or self._admits_before_listened(own, now)
         ):
             return []
-        return [address for address in self.addresses.known(now) if address not in set(told)]
+        return [address for address in self.addresses.known(now) if address not in set(sent)]
 
     def _admits_before_listened(self, own: NodeState, now: float) -> bool:
-        """Say whether this node admits requests before it can know who else does.
+        """Return whether this node admits requests before it can know which others do.
 
-        Callers come to addresses that they kept at once, also after the end of all processes, when
-        nobody serves for `LISTEN_LARGE_S`. While nodes told those that serve only, 19 nodes that
-        took an account's requests heard nothing of each other for 0.7 s, and all of them admitted
+        Callers use cached addresses at once, even after a restart of all processes, when no node
+        serves for `LISTEN_LARGE_S`. If nodes sent to serving nodes only, those that take requests
+        of one account would not know of each other (19 nodes for 0.7 s), and each would admit
         what is meant for a few.
         """
         return bool(own.spent) and not self.has_listened(now)
 
     def possible_readers(self, now: float) -> list[str]:
-        """Return the nodes that may read next what one reads for all: those that serve, if many."""
+        """Return who may read the list next: all nodes, or the serving ones in a large cluster."""
         if not self.is_large(now):
             return self.addresses.known(now)
         return [each.peer for each in self.members.alive(now) if each.serving]
 
     def change_targets(self, own: NodeState, now: float) -> list[str]:
-        """Return whom the node that read a change tells: all, or of many those that pass it on."""
+        """Return who gets a change from its reader: all, or relays in a large cluster."""
         if not self.is_large(now):
             return self.addresses.known(now)
         return list(
@@ -192,11 +199,11 @@
         )
 
     def relay_targets(self, own: NodeState, now: float) -> list[str]:
-        """Return whom a node that hears a change for the first time passes it on to.
+        """Return the nodes to which a change is relayed that was received for the first time.
 
-        Where nodes are few, the one that read it has told all. Of many, each that serves tells its
-        hall, and each node the next in the ring and some others by chance, so that no cut keeps the
-        news from a node that hears any other.
+        In a small cluster the reader has sent it to all. In a large one each serving node relays
+        it to its hall, and each node to the next ones in the ring and a few random ones, so that it
+        reaches every node that is connected to any other.
         """
         if not self.is_large(now):
             return []
@@ -207,33 +214,34 @@
         return [each.peer for each in self.members.alive(now) if each.hall == own.hall]
 
     def _ring_and_random_peers(self, now: float) -> list[str]:
+        """Return the next addresses in the ring and a few random ones."""
         known = self.addresses.known(now)
-        by_chance = self._rng.sample(known, min(RANDOM_RELAYS, len(known)))
-        return [*ring_successors(self.addresses.own, known, RING_SUCCESSORS), *by_chance]
+        sampled = self._rng.sample(known, min(RANDOM_RELAYS, len(known)))
+        return [*ring_successors(self.addresses.own, known, RING_SUCCESSORS), *sampled]
 
     def all_addresses(self, now: float) -> list[str]:
-        """Return whom to tell news that can't wait."""
+        """Return all known addresses, for messages that cannot wait for a gossip round."""
         return self.addresses.known(now)
 
     def random_addresses(self, now: float) -> list[str]:
-        """Return a few nodes by chance."""
+        """Return a few random addresses."""
         known = self.addresses.known(now)
         return self._rng.sample(known, min(PLAN_ANNOUNCE_PEERS, len(known)))
 
     def hints(self, now: float) -> list[str]:
-        """Return some addresses that others may not know."""
+        """Return some addresses of live nodes that others may not know."""
         known = [state.peer for state in self.members.alive(now)]
         return self._rng.sample(known, MAX_HINTS) if len(known) > MAX_HINTS else known
 
     def serving_nodes(self, own: NodeState, now: float) -> list[NodeState]:
-        """Return the nodes that callers should use, as this one knows them."""
+        """Return the nodes that callers should connect to, as far as this node knows them."""
         return serving_nodes([own, *self.members.alive(now)])
 
     def rank(self, own: NodeState, now: float, reserve_first: bool) -> int:
-        """Return this node's turn among those that may do something for all.
+        """Return this node's rank, from 0, among the live nodes that may do a task for all.
 
-        Nodes in reserve do not hear each other where nodes are many; there those that serve go
-        first in any case.
+        Nodes in reserve go first with `reserve_first`. In a large cluster they get no states of
+        each other, so there they always rank after the serving nodes.
         """
         alive = self.members.alive(now)
         if self.is_large(now) and not self.serving:
@@ -242,10 +250,10 @@
         return sorted(order).index((own.serving == reserve_first, own.id))
 
     def watch_rank(self, own: NodeState, now: float) -> int:
-        """Return how many live nodes that reach the store watch it before this one.
+        """Return how many live nodes that reach the store rank before this one as its watchers.
 
-        Nodes in reserve do not hear each other where nodes are many; one that serves and reaches
-        the store is enough for them, else all of them would watch where few serve.
+        In a large cluster nodes in reserve get no states of each other. There one serving node that
+        reaches the store is enough, or else all of them would watch where few nodes serve.
         """
         before = [
             each
@@ -258,25 +266,26 @@
         return len(before)
 
     def backoff_scale(self, own: NodeState) -> float:
-        """Return how many times as seldom as a node alone this one repeats calls that failed.
+        """Return the factor by which this node lengthens the pauses between failed calls.
 
-        Nodes that serve or hold the lease call for all others, so they do not wait for these.
+        It is 1.0 for nodes that serve or hold the lease, since they call on behalf of all others,
+        and grows with the number of nodes for those in reserve.
         """
         if self.serving or own.lease is not None:
             return 1.0
         return max(1.0, len(self.addresses.expires_at) / MAX_MESH_PEERS)
 
     def can_direct_callers(self, own: NodeState, now: float) -> bool:
-        """Say whether this node may tell callers where to go."""
+        """Return whether this node knows enough peers to direct callers to them."""
         if own.standing == Standing.READY and self.serving:
             return True
         return self.has_listened(now) or any(each.serving for each in self.members.alive(now))
 
     def has_listened(self, now: float) -> bool:
-        """Say whether this node has listened for long enough to know how many others there are."""
+        """Return whether this node has listened long enough to know how many others there are."""
         wait_s = LISTEN_LARGE_S if self.is_large(now) else LISTEN_S
         return now - self._started_at >= wait_s
 
     def is_large(self, now: float) -> bool:
-        """Say whether there are more nodes than can all tell each other everything."""
+        """Return whether the cluster is too large for full-mesh gossip."""
         return len(self.addresses.expires_at) > MAX_MESH_PEERS
