--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -1,4 +1,4 @@
-"""One gateway node: its tasks, its standing, its stop."""
+"""The gateway node: wires its components, runs their tasks and drains them on a planned stop."""
 
 import asyncio
 import os
@@ -61,42 +61,47 @@
 from moledale.node.supervisor import Supervisor
 
 POOL_SWEEP_INTERVAL_S = 0.5
-"""Connections at rest for too long are closed this often."""
+"""Interval between closing of connections that have been idle for too long."""
 
 MIN_STOP_FACTOR = 1.6
-"""A stop takes so many times `bounds.address_ttl_s` at least, since callers keep addresses that
-they were told, some of them for longer than that."""
+"""Minimum duration of a planned stop as a multiple of `bounds.address_ttl_s`. Callers cache the
+addresses they got, some of them for longer than the TTL."""
 
 STOP_MARGIN_S = 0.9
-"""A stop ends this long before the time that is allowed: for closing, at a slow instance."""
+"""A planned stop ends this long before `bounds.stop_s`, to leave time for closing on a slow
+instance."""
 
 STOP_ADMISSION_SHARE = 0.35
-"""Part of a stop's time in which new requests are taken; later ones could be cut at its end."""
+"""Share of `bounds.stop_s` during which a draining node still admits new requests. Later ones might
+be cut off at the end of the stop."""
 
 PLACEMENT_BATCH_S = 0.02
-"""Placements are collected for this long before other nodes hear of them."""
+"""Placements are batched for this long before they are sent to other nodes."""
 
 OLD_SERVERS_END_SHARE = 0.9
-"""Part of a roll-out's time after which old servers are to have nothing left; streams that would
-last longer are moved. The rest is for the last copies and for telling the operator."""
+"""Share of a roll-out's duration after which servers of the old version should be empty. Streams
+that would run longer are moved. The rest is left for the last copies and for reporting to the
+operator."""
 
 STOPPING_RETRY_AFTER_S = 0.05
-"""Time to come back for callers of a node that stops: others serve at once."""
+"""Retry-After of requests that a draining node rejects. It is short because other nodes serve
+immediately."""
 
 STOP_QUIET_S = 0.3
-"""A node that stops ends once nothing came for this long, several round trips of a caller."""
+"""A draining node ends once it has had no request for this long, which is several round trips of a
+caller."""
 
 EXIT_OK = 0
-"""Exit code of a planned stop."""
+"""Exit code after a planned stop."""
 
 
 def min_stop_s(bounds: Bounds) -> float:
-    """Return the least time of a planned stop."""
+    """Return the minimum duration of a planned stop."""
     return min(MIN_STOP_FACTOR * bounds.address_ttl_s, bounds.stop_s / 2)
 
 
 class GatewayNode:
-    """Everything that one process runs."""
+    """Owns the components of one gateway process and connects them to gossip and callers."""
 
     def __init__(
         self,
@@ -227,7 +232,7 @@
         self._tcp_servers: list[asyncio.Server] = []
 
     def _extra_metrics(self) -> dict[str, int]:
-        """Return figures of the parts that only the node knows."""
+        """Return metrics that the control handler cannot read from the components it holds."""
         alive = self.members.alive(monotonic())
         unreadable = self._gossip.unreadable.total() if self._gossip is not None else 0
         return {
@@ -241,7 +246,7 @@
         return index.limits if index is not None else Limits()
 
     async def _handle(self, request: InboundRequest, reply: Reply) -> None:
-        """Forward a request, or send it elsewhere where too little of a stop's time is left."""
+        """Forward a request, or reject it with 503 if too little time of a planned stop is left."""
         since = self._leaving_since
         if since is not None and monotonic() - since > self._stop_admission_s:
             self.forwarder.refuse(
@@ -252,11 +257,11 @@
 
     @property
     def _stop_admission_s(self) -> float:
-        """Return how long after a stop began requests are still taken."""
+        """Return for how long after the start of a planned stop new requests are admitted."""
         return self.settings.bounds.stop_s * STOP_ADMISSION_SHARE
 
     async def run(self, stop: asyncio.Event) -> int:
-        """Serve until told to stop; return the exit code."""
+        """Serve until `stop` is set or a task gives up, then drain; return the exit code."""
         node = self.settings.node
         self._gossip = await open_gossip(node.peers, self._on_message)
         for address in {node.control, node.directory, node.readiness}:
@@ -294,28 +299,28 @@
         return EXIT_OK if stop.is_set() else 1
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take over changed settings; where a node listens and who it is stay as they are."""
+        """Apply changed settings; the node's identity and listen addresses stay as they are."""
         self.settings = msgspec.structs.replace(settings, node=self.settings.node)
 
     async def _drain(self) -> None:
-        """Stop in order: no cut request, out of the directory at once, gone in time."""
+        """Leave the directory, finish requests in flight and stop within `bounds.stop_s`."""
         began = monotonic()
         self.standing = Standing.LEAVING
         self._leaving_since = began
         emit(Event.DRAINING, node=self.settings.node.id)
         self._caller_listener.closing = True
         self._send_state()
-        giving_back = asyncio.create_task(self._release_lease())
+        release = asyncio.create_task(self._release_lease())
         end = began + max(0.5, self.settings.bounds.stop_s - STOP_MARGIN_S)
-        least = began + min_stop_s(self.settings.bounds)
+        earliest_end = began + min_stop_s(self.settings.bounds)
         quiet_since = monotonic()
         while (now := monotonic()) < end:
             if self._caller_listener.busy():
                 quiet_since = now
-            elif now >= least and now - quiet_since >= STOP_QUIET_S:
+            elif now >= earliest_end and now - quiet_since >= STOP_QUIET_S:
                 break
             await asyncio.sleep(0.05)
-        giving_back.cancel()
+        release.cancel()
         for server in self._tcp_servers:
             server.close()
         self._caller_listener.close_idle()
@@ -324,13 +329,14 @@
         emit(Event.STOPPED, node=self.settings.node.id)
 
     async def _release_lease(self) -> None:
-        """Give the lease back once no call of a duty is under way."""
+        """Release the lease once no duty's call is in flight."""
         async with self.duties.step_lock:
             await self.keeper.release()
 
-    # News between nodes
+    # Gossip
 
     def _own_state(self) -> NodeState:
+        """Return this node's current state under the next sequence number."""
         now = monotonic()
         node = self.settings.node
         self._sequence += 1
@@ -371,6 +377,10 @@
         )
 
     def _send_state(self, everyone: bool = True) -> None:
+        """Send the full state to this round's targets, and a brief one to others that need it.
+
+        With `everyone` all remaining addresses get the brief state.
+        """
         if self._gossip is None:
             return
         now = monotonic()
@@ -380,21 +390,21 @@
         hints = self.neighbours.hints(now)
         targets = self.neighbours.state_targets(own, now)
         news = StateNews(own, hints)
-        many = self.neighbours.is_large(now)
-        self._gossip.send(self._packer.pack(news, targets) if many else news, targets)
-        others = self.neighbours.brief_targets(own, targets, now)
+        large = self.neighbours.is_large(now)
+        self._gossip.send(self._packer.pack(news, targets) if large else news, targets)
+        brief = self.neighbours.brief_targets(own, targets, now)
         if everyone:
-            told = set(targets)
-            others = [each for each in self.neighbours.all_addresses(now) if each not in told]
-        if others:
-            self._gossip.send(pack_snapshot(StateNews(own.without_counts(), [])), others)
+            sent = set(targets)
+            brief = [each for each in self.neighbours.all_addresses(now) if each not in sent]
+        if brief:
+            self._gossip.send(pack_snapshot(StateNews(own.without_counts(), [])), brief)
 
     def _send_to(self, message: PermitAsk | PermitAnswer, address: str) -> None:
         if self._gossip is not None:
             self._gossip.send(message, [address])
 
     def _on_placed(self) -> None:
-        """Tell of placements soon; some that come together are told together."""
+        """Schedule the sending of new placements, batched over `PLACEMENT_BATCH_S`."""
         if self._placement_timer is None:
             loop = asyncio.get_running_loop()
             self._placement_timer = loop.call_later(PLACEMENT_BATCH_S, self._send_placements)
@@ -423,6 +433,7 @@
         self._gossip.send(news, targets)
 
     def _engine_of(self, server: str) -> Engine | None:
+        """Return the engine of a server's service, None for an unknown or plain server."""
         view = self.balancer.views.get(server)
         index = self.forwarder.index
         if view is None or index is None:
@@ -451,6 +462,7 @@
             await asyncio.sleep(GOSSIP_INTERVAL_S)
 
     def _on_message(self, message: Message) -> None:
+        """Dispatch a gossip message to the component that handles its kind."""
         now = monotonic()
         if isinstance(message, ServerChange):
             self.fleet.on_change(message)
@@ -475,12 +487,13 @@
         self._on_state(message, now)
 
     def _on_state(self, message: StateNews, now: float) -> None:
+        """Merge a peer's state unless it is outdated; answer an unknown peer with the own state."""
         state = message.state
-        stranger = state.id not in self.members.members
+        unknown = state.id not in self.members.members
         if not self.sharing.merge_state(state, self.forwarder.limits):
             return
         self._builds.check(state)
-        if stranger and self._gossip is not None:
+        if unknown and self._gossip is not None:
             self._gossip.send(
                 StateNews(self._own_state(), self.neighbours.hints(now)), [state.peer]
             )
@@ -510,7 +523,7 @@
             self.plans.fetch.add_source(state.control, version, state.power, now)
 
     def _on_rollout_changed(self, news: RolloutNews) -> None:
-        """Tell all others of a roll-out at once, and empty old servers when requests move."""
+        """Broadcast a changed roll-out; drain old servers once requests move to the new ones."""
         if news.phase is Phase.MOVING:
             self._drain_old_servers(news)
         if self._gossip is not None and self._rollouts_sent.get(news.order.service) != news:
@@ -518,6 +531,7 @@
             self._send_state()
 
     def _drain_old_servers(self, news: RolloutNews) -> None:
+        """Drain servers of the old version before the roll-out's duration is over."""
         order = news.order
         now = monotonic()
         ordered_at = self.sharing.true_time.to_local(order.ordered_s)
@@ -528,31 +542,32 @@
         self.forwarder.evacuation.evacuate_by(old, ends)
 
     def _serving_count(self) -> int:
-        """Return how many nodes serve, 0 if this one does not."""
+        """Return how many nodes serve, or 0 if this one does not."""
         if not self.neighbours.serving:
             return 0
         alive = self.members.alive(monotonic())
         return 1 + sum(1 for each in alive if each.serving)
 
     def serving_nodes(self) -> list[NodeState]:
-        """Return the nodes that callers should use."""
+        """Return the nodes that callers should connect to."""
         return self.neighbours.serving_nodes(self._own_state(), monotonic())
 
-    # The plan and the list of backend servers
+    # Plan and server list
 
     def _adopt(self, plan: Plan) -> bool:
+        """Adopt a plan unless a newer one is in force; return whether it is in force now."""
         if not self.forwarder.adopt(plan):
             return False
         self._update_readiness()
         return True
 
     def _announce_plan(self, from_store: bool) -> None:
-        """Tell of a newer plan: all others if it came from the store, else a few more sources."""
+        """Announce a newer plan: to all peers if it came from the store, else to a random few."""
         if from_store:
             self._send_state()
         elif self._gossip is not None:
-            others = self.neighbours.random_addresses(monotonic())
-            self._gossip.send(StateNews(self._own_state().without_counts(), []), others)
+            targets = self.neighbours.random_addresses(monotonic())
+            self._gossip.send(StateNews(self._own_state().without_counts(), []), targets)
 
     def _backoff_scale(self) -> float:
         return self.neighbours.backoff_scale(self._own_state())
@@ -564,6 +579,7 @@
         return self.neighbours.rank(self._own_state(), monotonic(), reserve_first=False)
 
     def _apply_servers(self, servers: list[Server]) -> None:
+        """Apply a changed server list to the balancer, the pool and the evacuation."""
         gone = self.balancer.apply(servers)
         for server in gone:
             self.pool.discard(server.id)
@@ -571,7 +587,7 @@
         self._update_readiness()
 
     def _send_changes(self, changes: list[ServerChange], read_here: bool) -> None:
-        """Tell of changes of the servers that this node read, or pass on what it heard."""
+        """Send changes of the server list that this node read itself, or relay received ones."""
         if self._gossip is None:
             return
         now, own = monotonic(), self._own_state()
@@ -581,16 +597,18 @@
             self._gossip.send(change, targets)
 
     def _send_confirmation(self, unchanged: ServerChange) -> None:
+        """Send that the list is unchanged to the nodes that might read it next."""
         if self._gossip is not None:
             self._gossip.send(unchanged, self.neighbours.possible_readers(monotonic()))
 
     def _update_readiness(self) -> None:
+        """Become ready once both the plan and the server list are known."""
         known = self.forwarder.index is not None and self.fleet.known
         if self.standing is Standing.STARTING and known:
             self.standing = Standing.READY
             emit(Event.READY, node=self.settings.node.id)
 
-    # Duties and upkeep
+    # Duties and maintenance
 
     async def _duties_forever(self) -> None:
         while True:
