--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -1,7 +1,7 @@
-"""What nodes tell each other: each node's own state, newest first, and who is there.
+"""Node state exchanged by gossip, and the membership view built from it.
 
-A state holds counters that only grow within one life of a process, so a message that is lost,
-late or doubled changes nothing, and what a node counted outlives it at its peers.
+Counters in a state only grow within one incarnation of a process. A lost, late or duplicated
+message therefore does no harm, and peers still hold a node's counts after it has gone.
 """
 
 from enum import IntEnum
@@ -16,20 +16,20 @@
 from moledale.gateway.store_era import UNKNOWN_ERA, EraNews, EraVersion
 
 ALIVE_TIMEOUT_S = 1.0
-"""A node not heard of for this long takes no part in choices, while all hear all each round."""
+"""A node that was silent for this long is left out of decisions, while gossip is full mesh."""
 
 ALIVE_TIMEOUT_LARGE_S = 2.5
-"""The same where nodes are many, and those in reserve hear of others each second."""
+"""The same in a large cluster, where nodes in reserve get states of others once a second."""
 
 MAX_MESH_MEMBERS = 16
-"""Up to so many others, all tell all each round (see `neighbours.MAX_MESH_PEERS`)."""
+"""Up to this many other nodes, gossip is full mesh (see `neighbours.MAX_MESH_PEERS`)."""
 
 MEMBER_RETENTION_S = 40.0
-"""A node's last counts are kept this long after it was last heard of."""
+"""A node's last state is kept for this long after its last message."""
 
 
 Loads = dict[str, tuple[int, int]]
-"""Requests that a node has running, and prompt tokens of them still to be read, by server."""
+"""By server: requests that a node has running there, and their prompt tokens left to prefill."""
 
 
 class Standing(IntEnum):
@@ -43,7 +43,7 @@
 class LeaseNews(msgspec.Struct, array_like=True):
     """The lease as its holder last wrote it; `age_s` counts from before the write was sent.
 
-    `era` is that of the version, unknown from earlier builds.
+    `era` is the store era of `version`, unknown in messages of earlier builds.
     """
 
     fence: int
@@ -58,15 +58,15 @@
 
 
 class HeldLease(msgspec.Struct, array_like=True):
-    """A lease that another node holds, as its holder told it."""
+    """A lease that another node holds, as received from its holder."""
 
     holder: str
     news: LeaseNews
 
 
 class TrialCounts(msgspec.Struct, array_like=True):
-    """What a node saw of a new version: its requests for the service since the trial began, those
-    that it sent to the new version, and how the answers came."""
+    """A node's evidence on a new version: its requests for the service since the trial began, those
+    that it sent to the new version, and the outcomes of the answers."""
 
     revision: int
     requests: int = 0
@@ -75,21 +75,21 @@
 
 
 class NodeState(msgspec.Struct, array_like=True):
-    """All that a node tells of itself; `life` is new at each start of its process.
-
-    `age_s` is the time since this life began. `store_age_s` is the time since the store answered
-    its watch, endless while it does not.
-    `lease_heard` is the lease that its holder told this node, for nodes that don't hear the holder.
-    `servers` is the list of backend servers that it has. `rollouts` are the roll-outs of versions
-    that it knows, and `trials` what it saw of those that are not decided on, by service. `blocks`
-    is a digest of the requests that get no server there, None while it was not told of any.
-    `leaving` are servers that said in answers that they leave, while the list does not say so, and
-    `declined` those that turned requests of this node away, with the seconds that are left.
-    `limits` are those that servers named to this node, None from builds that know of none.
-    `formats` is a digest of what its build tells others, empty from builds that tell none.
-    `era` is that of the store, None from builds that know of none.
-    Builds of two versions hear each other while nodes are replaced one by one, so new fields come
-    last, with a default, and none is ever taken out.
+    """The state that a node sends to others; `life` is new at each start of its process.
+
+    `age_s` is the time since the process started. `store_age_s` is the time since the store last
+    answered its watch, and grows without bound while it does not.
+    `lease_heard` is the lease as received from its holder, relayed to nodes that have no contact
+    with the holder. `servers` identifies the list of backend servers that the node has. `rollouts`
+    are the version roll-outs that it knows, and `trials` its evidence on the undecided ones, by
+    service. `blocks` is a digest of the requests that get no server there, None before it received
+    any. `leaving` are servers that announced in answers that they leave, as long as the list does
+    not say so, and `declined` those that rejected requests of this node, with the seconds left of
+    their backoff. `limits` are those that servers stated to this node, None from builds without
+    limits. `formats` is a digest of the formats that its build sends, empty from builds without
+    one. `era` is that of the store, None from builds without eras.
+    Two builds exchange states during a rolling replacement, so new fields are added last with a
+    default, and none is ever removed.
     """
 
     id: str
@@ -127,17 +127,17 @@
     era: EraNews | None = None
 
     def without_counts(self) -> "NodeState":
-        """Return the state without most counts, for nodes that only need to know who is there.
+        """Return a brief state without most counts, for nodes that only need the membership.
 
-        What accounts spent stays: callers may come to any node at any moment, and one that did not
-        hear of it would grant the limits anew.
+        What accounts spent is kept: callers may connect to any node at any time, and a node that
+        does not know it would grant the limits a second time.
         """
         return msgspec.structs.replace(
             self, started={}, loads={}, sends={}, work={}, trials={}, brief=True
         )
 
     def with_counts_of(self, earlier: "NodeState") -> "NodeState":
-        """Return a shortened state with the counts that were told before in the same life."""
+        """Return a brief state with the counts of an earlier one of the same incarnation."""
         return msgspec.structs.replace(
             self,
             started=earlier.started,
@@ -154,14 +154,14 @@
 
 
 class Member(msgspec.Struct):
-    """A node as this one knows it."""
+    """The last state of another node and when it was last heard from."""
 
     state: NodeState
     last_seen_at: float
 
 
 class Membership(msgspec.Struct):
-    """Every node heard of, this one left out; earlier lives are kept for their counts."""
+    """All known nodes except this one; former incarnations are kept for their counts."""
 
     own_id: str
     own_incarnation: int
@@ -169,9 +169,10 @@
     former: list[Member] = msgspec.field(default_factory=list)
 
     def merge(self, state: NodeState, now: float) -> NodeState | None:
-        """Take over a newer state; return the one before it of the same life.
+        """Merge a newer state; return the previous one of the same incarnation.
 
-        The state itself is returned where nothing was known of that life.
+        Return the state itself if that incarnation was unknown, None if the state is outdated or
+        belongs to this node.
         """
         if state.id == self.own_id:
             if state.life != self.own_incarnation:
@@ -195,16 +196,16 @@
         self.members[state.id] = Member(state, now)
         return state
 
-    def record_alive(self, node: str, life: int, now: float) -> None:
-        """Note that a node lives whose state could not be read."""
+    def record_alive(self, node: str, incarnation: int, now: float) -> None:
+        """Record that a node is alive although its state could not be unpacked."""
         known = self.members.get(node)
-        if known is not None and known.state.life == life:
+        if known is not None and known.state.life == incarnation:
             known.last_seen_at = now
 
-    def state_of(self, node: str, life: int, sequence: int) -> NodeState | None:
-        """Return a node's state if it is of this life and not newer than `sequence`."""
+    def state_of(self, node: str, incarnation: int, sequence: int) -> NodeState | None:
+        """Return a node's state if it is of this incarnation and not newer than `sequence`."""
         known = self.members.get(node)
-        if known is None or known.state.life != life or known.state.sequence > sequence:
+        if known is None or known.state.life != incarnation or known.state.sequence > sequence:
             return None
         return known.state
 
@@ -215,26 +216,26 @@
         self.former.append(Member(state, now))
 
     def alive(self, now: float) -> list[NodeState]:
-        """Return the nodes heard of lately."""
+        """Return the states of nodes that were heard from recently."""
         limit = ALIVE_TIMEOUT_S if len(self.members) <= MAX_MESH_MEMBERS else ALIVE_TIMEOUT_LARGE_S
         return [each.state for each in self.members.values() if now - each.last_seen_at < limit]
 
     def reachable_share(self, now: float) -> float:
-        """Return the part of the nodes that serve which is heard, this one with them.
+        """Return the share of serving nodes that is reachable, this one included.
 
-        One that fell silent without saying that it leaves may live behind a cut. Nodes in reserve
-        are left out: where nodes are many, those of other halls are hardly heard in any case.
+        A node that fell silent without leaving may be alive behind a network partition. Nodes in
+        reserve are left out: in a large cluster those of other halls send little in any case.
         """
         known = sum(_serves(each.state) for each in self.members.values())
-        heard = sum(_serves(state) for state in self.alive(now))
-        return (1 + heard) / (1 + known)
+        reachable = sum(_serves(state) for state in self.alive(now))
+        return (1 + reachable) / (1 + known)
 
     def all_states(self) -> list[NodeState]:
-        """Return the last state of each life of each node still remembered."""
+        """Return the last state of each incarnation of each node that is still kept."""
         return [each.state for each in (*self.members.values(), *self.former)]
 
     def forget_old(self, now: float) -> None:
-        """Forget nodes that were not heard of for long."""
+        """Drop nodes that were silent for longer than `MEMBER_RETENTION_S`."""
         self.former = [each for each in self.former if now - each.last_seen_at < MEMBER_RETENTION_S]
         gone = [
             name
