--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -68,7 +68,7 @@
         watch_rank: Callable[[], int],
         adopt: Callable[[Plan], bool],
         on_adopted: Callable[[bool], None],
-        interval_factor: Callable[[], float],
+        backoff_scale: Callable[[], float],
         link_mbps: float,
         on_rollout: Callable[[StoredRollout], None] = _no_rollout,
         cold_start: ColdStart | None = None,
@@ -91,7 +91,7 @@
         self._on_adopted = on_adopted
         self._on_rollout = on_rollout
         self._cold_start = cold_start
-        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, interval_factor)
+        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, backoff_scale)
         self._plan_arrived = asyncio.Event()
 
     async def watch(self) -> None:
