--- a/src/moledale/gateway/quarantine_store.py
+++ b/src/moledale/gateway/quarantine_store.py
@@ -57,7 +57,7 @@
         sharing: QuarantineSharing,
         true_time: TrueTime,
         is_serving: Callable[[], bool],
-        interval_factor: Callable[[], float],
+        backoff_scale: Callable[[], float],
         now: Callable[[], float] = monotonic,
     ) -> None:
         self._store = store
@@ -67,7 +67,7 @@
         self._is_serving = is_serving
         self._now = now
         self._health = StoreHealth("blocked requests")
-        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, interval_factor)
+        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, backoff_scale)
         self._unwritten: dict[bytes, Block] = {}
         self._written: dict[bytes, Block] = {}
         self._has_unwritten = asyncio.Event()
