--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -1,4 +1,4 @@
-"""Answers to what callers and the platform ask a node: where to go, and whether it is ready."""
+"""Answers control requests: node addresses, readiness, metrics and documents for peers."""
 
 from collections.abc import Callable
 from urllib.parse import parse_qsl
@@ -20,7 +20,7 @@
 
 
 class ControlHandler:
-    """Answers one request at a time from what the node knows."""
+    """Answers control requests from the state of the node's components."""
 
     def __init__(
         self,
@@ -30,19 +30,19 @@
         servers: DocumentArchive,
         pool: ConnectionPool,
         address_ttl_s: float,
-        figures: Callable[[], dict[str, int]] = dict,
+        extra_metrics: Callable[[], dict[str, int]] = dict,
     ) -> None:
         self._entry = entry
         self._neighbours = neighbours
         self._archives = {PLAN_PATH: plans, SERVERS_PATH: servers}
         self._pool = pool
         self._address_ttl_s = address_ttl_s
-        self._extra_metrics = figures
+        self._extra_metrics = extra_metrics
 
     def answer(
         self, request: InboundRequest, reply: Reply, own: NodeState, callers: Listener
     ) -> None:
-        """Answer a question."""
+        """Answer a control request, or any other one with 404."""
         path, _, query = request.head.target.decode("latin-1").partition("?")
         if path in self._archives:
             self._send_piece(reply, self._archives[path], query)
@@ -50,16 +50,16 @@
         if request.head.target == METRICS_PATH:
             reply.send_whole(200, [(b"Content-Type", b"text/plain")], self._metrics(own, callers))
             return
-        question = self._entry.parse_control_request(request.head)
-        if question is None:
+        control_request = self._entry.parse_control_request(request.head)
+        if control_request is None:
             reply.send_whole(404, [], b"")
-        elif question.kind is ControlRequestKind.READY:
+        elif control_request.kind is ControlRequestKind.READY:
             reply.send_whole(200 if own.standing == Standing.READY else 503, [], b"")
         else:
             self._send_addresses(reply, own)
 
     def _send_piece(self, reply: Reply, archive: DocumentArchive, query: str) -> None:
-        """Answer a node that fetches a document; 503 while there is none or others are served."""
+        """Answer a peer that fetches a document; 503 without one or while others fetch it."""
         try:
             wanted = msgspec.convert(dict(parse_qsl(query)), PieceRequest, strict=False)
         except msgspec.ValidationError:
@@ -72,6 +72,7 @@
             reply.send_whole(200, [], msgspec.msgpack.encode(piece))
 
     def _send_addresses(self, reply: Reply, own: NodeState) -> None:
+        """Answer with the addresses of serving nodes; 503 while too few nodes are known."""
         now = monotonic()
         addresses = [each.address for each in self._neighbours.serving_nodes(own, now)]
         if not addresses or not self._neighbours.can_direct_callers(own, now):
@@ -81,7 +82,7 @@
         reply.send_whole(200, headers, body)
 
     def _metrics(self, own: NodeState, callers: Listener) -> bytes:
-        figures = {
+        metrics = {
             "plan_version": own.plan_version,
             "standing": own.standing,
             "serving": int(own.serving),
@@ -91,4 +92,4 @@
             "peers": len(self._neighbours.members.alive(monotonic())),
             **self._extra_metrics(),
         }
-        return "".join(f"moledale_{name} {value}\n" for name, value in figures.items()).encode()
+        return "".join(f"moledale_{name} {value}\n" for name, value in metrics.items()).encode()
