--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -46,7 +46,7 @@
         node: str,
         own_address: str,
         addresses: AddressBook,
-        interval_factor: Callable[[], float],
+        backoff_scale: Callable[[], float],
         true_time: TrueTime,
     ) -> None:
         self._store = store
@@ -54,9 +54,9 @@
         self._own_address = own_address
         self._addresses = addresses
         self._true_time = true_time
-        self._interval_factor = interval_factor
+        self._interval_factor = backoff_scale
         self._rng = random.Random()
-        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, interval_factor)
+        self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, backoff_scale)
         self._restored = asyncio.Event()
         store.era.on_restored.append(self._restored.set)
 
