--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -1,4 +1,4 @@
-"""What a node counts for all nodes, and what it takes over from what they count."""
+"""Counters and clocks that nodes share: this node's own ones and those received from peers."""
 
 import time
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 from moledale.gateway.usage import TrueTime, UsageCounts
 
 EngineOf = Callable[[str], Engine | None]
-"""Tells the engine that a server runs, or None for a plain server."""
+"""Returns the engine that a server runs, None for a plain server."""
 
 
 class Sharing:
-    """Usage, retry budgets and true time of this node, with the news of its peers."""
+    """Holds usage, retry budgets and true time of this node, and merges the states of its peers."""
 
     def __init__(
         self,
@@ -37,24 +37,24 @@
 
     @property
     def limit_window_s(self) -> float:
-        """Return the span that limits of accounts are told for."""
+        """Return the length of the window over which account limits apply."""
         return self._bounds.limit_window_s
 
     @property
     def leave_s(self) -> float:
-        """Return the time that a server serves on at least once it said that it leaves."""
+        """Return the minimum time for which a server still serves after it announced to leave."""
         return self._bounds.leave_s
 
     @property
     def limit_tolerance(self) -> Tolerance | None:
-        """Return by how much limits may be exceeded in a window, None if that is not stated."""
+        """Return by how much limits may be exceeded in a window, None if no tolerance is set."""
         bounds = self._bounds
         if not bounds.limit_share and not bounds.limit_tokens:
             return None
         return Tolerance(bounds.limit_share, bounds.limit_tokens)
 
     def record_started(self, account: str) -> None:
-        """Count a request that began to run."""
+        """Count a request of an account that began to run."""
         self.usage.count(account, self.time())
 
     def time(self) -> float:
@@ -66,22 +66,22 @@
         self._budget(service).record_request(now)
 
     def record_repeat(self, service: str, now: float) -> None:
-        """Count a send after a request's first one."""
+        """Count a retry: a send of a request after its first one."""
         self._budget(service).record_retry(now)
 
     def may_repeat(self, service: str, now: float) -> bool:
-        """Say whether the budget of all nodes allows one more repeat."""
+        """Return whether the retry budget shared by all nodes allows one more retry."""
         alive = self.members.alive(now)
-        others = [state.sends[service] for state in alive if service in state.sends]
-        return self._budget(service).allows(now, others, len(alive) + 1)
+        peers = [state.sends[service] for state in alive if service in state.sends]
+        return self._budget(service).allows(now, peers, len(alive) + 1)
 
     def requests_per_s(self, service: str, now: float) -> float:
-        """Return the callers' requests for a service at all nodes, over the window of repeats."""
-        told = [state.sends.get(service, (0, 0))[0] for state in self.members.alive(now)]
-        return (self._budget(service).counts(now)[0] + sum(told)) / self._bounds.retry_window_s
+        """Return the rate of requests for a service at all nodes, over the retry window."""
+        at_peers = [state.sends.get(service, (0, 0))[0] for state in self.members.alive(now)]
+        return (self._budget(service).counts(now)[0] + sum(at_peers)) / self._bounds.retry_window_s
 
     def sends(self, now: float) -> dict[str, tuple[int, int]]:
-        """Return requests and repeats of the window, by service."""
+        """Return requests and retries within the retry window, by service."""
         return {service: budget.counts(now) for service, budget in self._budgets.items()}
 
     def offset_s(self) -> float | None:
@@ -89,13 +89,13 @@
         return self.true_time.offset_s(self._wall(), self._now())
 
     def merge_state(self, state: NodeState, limits: AccountLimits) -> bool:
-        """Take over a peer's state; say whether it was news."""
+        """Merge a peer's state and its spending; return whether the state was new."""
         now = self._now()
         before = self.members.merge(state, now)
         if before is None:
             return False
         if before is state:
-            # A life that began within the window has spent all of it there, heard or not.
+            # All that an incarnation younger than the window has spent belongs to the window.
             if state.age_s < self._bounds.limit_window_s:
                 limits.record_peer_spending({}, state.spent, now)
         else:
@@ -103,7 +103,7 @@
         return True
 
     def apply_peers(self, balancer: LoadBalancer) -> None:
-        """Take over what live peers tell of clocks and servers; once a round is enough."""
+        """Apply clock offsets and server states of live peers; called once per gossip round."""
         alive = self.members.alive(self._now())
         self.true_time.set_peer_offsets(each.offset_s for each in alive)
         balancer.apply_peer_states(alive)
@@ -111,7 +111,7 @@
     def apply_placements(
         self, news: PlacementNews, balancer: LoadBalancer, engine: EngineOf
     ) -> None:
-        """Take over what a peer placed since it last told its whole state."""
+        """Apply a peer's placements since its last full state."""
         state = self.members.state_of(news.id, news.life, news.sequence)
         if state is None:
             return
