--- a/src/moledale/gateway/state_packing.py
+++ b/src/moledale/gateway/state_packing.py
@@ -1,8 +1,9 @@
-"""States of nodes packed for the wire: compressed, and as differences from one sent before.
+"""Compression of node states for the wire, as snapshots and deltas.
 
-Most of a state is the same a round later. Every `ROUNDS_PER_SNAPSHOT`-th is sent by itself; those between are
-compressed with its bytes as the dictionary. A node that missed the state a difference is made from
-waits for the next one that is sent by itself; until then it knows only that the sender lives.
+Most of a state is unchanged one round later. Every `ROUNDS_PER_SNAPSHOT`-th state is sent as a
+snapshot, and those between as deltas: compressed with the snapshot's bytes as the dictionary. A
+node that missed the snapshot waits for the next one; until then it only knows that the sender is
+alive.
 """
 
 from collections import OrderedDict
@@ -14,31 +15,31 @@
 from moledale.gateway.gossip import PackedState, StateNews
 
 ROUNDS_PER_SNAPSHOT = 5
-"""Rounds from one state that is sent by itself to the next: a second."""
+"""Rounds from one snapshot to the next: one second."""
 
 NO_BASE = -1
-"""Base of a state that is sent by itself."""
+"""Base of a snapshot."""
 
 MAX_SNAPSHOTS = 256
-"""Nodes whose last whole state is kept; only those that serve send differences."""
+"""Nodes whose last snapshot is kept; only serving nodes send deltas."""
 
 MAX_UNPACKED_BYTES = 65_536
-"""A packed state that would be larger is not unpacked: about what a datagram can hold."""
+"""Larger states are not unpacked: about the maximum size of a datagram."""
 
 COMPRESSION_LEVEL = 1
-"""Level 3 makes the difference no smaller."""
+"""Zstandard level; level 3 makes deltas no smaller."""
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(StateNews)
 
 
 def pack_snapshot(news: StateNews) -> PackedState:
-    """Return a state that can be read by itself."""
+    """Return a state compressed as a snapshot, which can be read without another one."""
     return _compress(news, _encoder.encode(news), NO_BASE, b"")
 
 
 class StatePacker(msgspec.Struct):
-    """Packs the states of one node, one after the other."""
+    """Packs the successive states of one node as snapshots and deltas."""
 
     _snapshot: bytes = b""
     _snapshot_sequence: int = NO_BASE
@@ -46,10 +47,10 @@
     _snapshot_targets: set[str] = msgspec.field(default_factory=set)
 
     def pack(self, news: StateNews, targets: Iterable[str]) -> PackedState:
-        """Return a state for some addresses.
+        """Return a state packed for some addresses.
 
-        It is a difference, or by itself if it is time for that or one of them missed the last that
-        was, as a node that has just taken the duties.
+        It is a delta, or a snapshot if one is due or a target did not get the last one, such as a
+        node that has just become the lease holder.
         """
         raw = _encoder.encode(news)
         self._rounds_since_snapshot += 1
@@ -67,14 +68,14 @@
 
 
 class StateUnpacker(msgspec.Struct):
-    """Reads the states of all other nodes."""
+    """Unpacks the states of all other nodes, keeping their last snapshots."""
 
     _snapshots: OrderedDict[str, tuple[int, int, bytes]] = msgspec.field(
         default_factory=OrderedDict
     )
 
     def unpack(self, packed: PackedState) -> StateNews | None:
-        """Return a state, or None if what it is made from is not here or it can't be read."""
+        """Return a state, or None if its base is not known here or it is unreadable."""
         base = b""
         if packed.base != NO_BASE:
             life, sequence, base = self._snapshots.get(packed.id, (0, NO_BASE, b""))
