--- a/src/moledale/gateway/suspension.py
+++ b/src/moledale/gateway/suspension.py
@@ -1,4 +1,4 @@
-"""Noticing that the machine was suspended: timers stood still, while all that is known grew old."""
+"""Detects that the machine was suspended: timers stopped while the node's data became outdated."""
 
 import time
 from collections.abc import Callable
@@ -6,11 +6,11 @@
 from moledale.clock import monotonic
 
 MIN_SUSPENSION_S = 0.1
-"""Shorter suspensions are not told: half a round of news, which makes no difference."""
+"""Shorter suspensions are not reported: half a gossip round makes no difference."""
 
 
 class SuspensionWatch:
-    """Compares the clock that counts suspended time with the one that does not."""
+    """Compares a clock that includes suspended time with one that does not."""
 
     def __init__(
         self,
@@ -22,10 +22,10 @@
         self._offset_s = boot_clock() - monotonic_clock()
 
     def slept_s(self) -> float:
-        """Return for how long the machine was suspended since the last call, 0.0 if it wasn't."""
-        ahead_s = self._boot_clock() - self._monotonic_clock()
-        slept_s = ahead_s - self._offset_s
+        """Return how long the machine was suspended since the last report, 0.0 if it was not."""
+        offset_s = self._boot_clock() - self._monotonic_clock()
+        slept_s = offset_s - self._offset_s
         if slept_s < MIN_SUSPENSION_S:
             return 0.0
-        self._offset_s = ahead_s
+        self._offset_s = offset_s
         return slept_s
