--- a/src/moledale/gateway/work.py
+++ b/src/moledale/gateway/work.py
@@ -1,4 +1,4 @@
-"""How much work all nodes have placed, from counters that each of them tells."""
+"""Sums up the work that all nodes have placed, from the counters in their states."""
 
 from collections.abc import Iterable
 
@@ -8,19 +8,19 @@
 
 
 class WorkMeter(msgspec.Struct):
-    """Adds up, by service, what each life of each node placed while it was heard here.
+    """Sums up, by service, the work that each incarnation of a node placed since it is known here.
 
-    What a life had counted before it was first heard is left out: a node that starts hears of all
-    the past at once, which is no demand of the moment.
+    Work counted before the first state of an incarnation is left out: a starting node receives all
+    past counts at once, and they are not current demand.
     """
 
     total: dict[str, int] = msgspec.field(default_factory=dict)
     _counted: dict[int, dict[str, int]] = msgspec.field(default_factory=dict)
 
-    def record(self, life: int, work: dict[str, int]) -> None:
-        """Take over the counters of a node's life."""
-        before = self._counted.get(life)
-        self._counted[life] = dict(work)
+    def record(self, incarnation: int, work: dict[str, int]) -> None:
+        """Add the increase of an incarnation's counters since its last ones."""
+        before = self._counted.get(incarnation)
+        self._counted[incarnation] = dict(work)
         if before is None:
             return
         for service, amount in work.items():
@@ -28,14 +28,14 @@
             self.total[service] = self.total.get(service, 0) + more
 
     def merge_peers(self, states: Iterable[NodeState]) -> None:
-        """Take over what other nodes told, and forget lives that are remembered no more."""
-        lives = set()
+        """Record the counters of other nodes, and drop incarnations that are no longer known."""
+        incarnations = set()
         for state in states:
-            lives.add(state.life)
+            incarnations.add(state.life)
             self.record(state.life, state.work)
-        for life in set(self._counted) - lives - {OWN_INCARNATION}:
-            del self._counted[life]
+        for incarnation in set(self._counted) - incarnations - {OWN_INCARNATION}:
+            del self._counted[incarnation]
 
 
 OWN_INCARNATION = -1
-"""Stands for this process; its counters are known from their beginning."""
+"""Key of this process, whose counters are known from the beginning."""
