--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -12,11 +12,11 @@
 WINDOW_S = 4.0
 """Span in which what a server got is counted."""
 
-TOLD_BEFORE_S = 0.5
+LIMIT_EFFECTIVE_AFTER_S = 0.5
 """A request counts if any node had passed on an answer that named the limit this long before."""
 
 
-def allowed(limit_per_s: float) -> float:
+def max_expected_arrivals(limit_per_s: float) -> float:
     """Return the most requests that a server may get in a window."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
@@ -93,7 +93,7 @@
 
         Requests of all nodes count, also of those that only heard of the limit from others.
         """
-        from_then_on = min(self.told.values()) + TOLD_BEFORE_S
+        from_then_on = min(self.told.values()) + LIMIT_EFFECTIVE_AFTER_S
         counted = [each.at for each in server.arrivals if each.at >= from_then_on]
         return max(
             (sum(at <= each < at + WINDOW_S for each in counted) for at in counted), default=0
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -26,7 +26,7 @@
 from moledale.platform.headers import PlatformHeaders
 from tests.gateway_states import state
 from tests.gateway_world import HOST, GatewayWorld, a_plan, fine, quietly
-from tests.limit_world import Callers, allowed, limited_server, start_nodes, unhurried
+from tests.limit_world import Callers, limited_server, max_expected_arrivals, start_nodes, unhurried
 from tests.test_gateway_nodes import Cluster, on_cluster
 from tests.test_server_notices import headers
 
@@ -74,7 +74,7 @@
         await callers.ask_for(6.0, 40.0)
         free.stop()
         self.assertEqual(set(callers.statuses), {200})
-        self.assertLessEqual(callers.most_in_a_window(limited), allowed(limit_per_s))
+        self.assertLessEqual(callers.most_in_a_window(limited), max_expected_arrivals(limit_per_s))
 
     def test_limits_are_used_where_no_other_server_is_free(self) -> None:
         """Of a limit at most half stays unused; what can't be served is told at once."""
@@ -95,7 +95,9 @@
         await callers.ask_for(seconds, 20.0)
         for server, number in zip(servers, before, strict=True):
             limit_per_s = server.limit_per_s or 0.0
-            self.assertLessEqual(callers.most_in_a_window(server), allowed(limit_per_s))
+            self.assertLessEqual(
+                callers.most_in_a_window(server), max_expected_arrivals(limit_per_s)
+            )
             self.assertGreaterEqual(len(server.arrivals) - number, limit_per_s * seconds / 2)
         self.assertEqual(set(callers.statuses), {200, 503})
         # A request of its rank waits for its turn for a quarter of its target.
