--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -38,7 +38,7 @@
         writer.write(answer(arrival, more=STAMP + named))
 
 
-def limited_server(name: str, limit_per_s: float | None) -> LimitedServer:
+def make_limited_server(name: str, limit_per_s: float | None) -> LimitedServer:
     """Return a server that is not started yet."""
 
     async def unset(_: Arrival, __: asyncio.StreamReader, ___: asyncio.StreamWriter) -> None:
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -26,7 +26,13 @@
 from moledale.platform.headers import PlatformHeaders
 from tests.gateway_states import state
 from tests.gateway_world import HOST, GatewayWorld, a_plan, fine, quietly
-from tests.limit_world import Callers, limited_server, max_expected_arrivals, start_nodes, unhurried
+from tests.limit_world import (
+    Callers,
+    make_limited_server,
+    max_expected_arrivals,
+    start_nodes,
+    unhurried,
+)
 from tests.test_gateway_nodes import Cluster, on_cluster
 from tests.test_server_notices import headers
 
@@ -61,11 +67,11 @@
                 on_cluster(lambda cluster, limit=limit_per_s: self._ask(cluster, limit))
 
     async def _ask(self, cluster: Cluster, limit_per_s: float) -> None:
-        limited = limited_server("s1", limit_per_s)
+        limited = make_limited_server("s1", limit_per_s)
         cluster.backend = limited
         await limited.start()
         cluster.list_backend("ready")
-        free = limited_server("s2", None)
+        free = make_limited_server("s2", None)
         await free.start()
         cluster.list_server(free, "ready")
         unhurried(cluster)
@@ -81,7 +87,7 @@
         on_cluster(self._ask_limited_ones)
 
     async def _ask_limited_ones(self, cluster: Cluster) -> None:
-        servers = [limited_server("s1", 4.0), limited_server("s2", 2.0)]
+        servers = [make_limited_server("s1", 4.0), make_limited_server("s2", 2.0)]
         cluster.backend = servers[0]
         for server in servers:
             await server.start()
@@ -118,7 +124,7 @@
             Route("later", HOST, "/later/", Kind.SAFE, (Share("plain"),), 1.0, 2.0, priority=4),
         )
         async with GatewayWorld(a_plan(routes=routes)) as world:
-            server = limited_server("s1", 5.0)
+            server = make_limited_server("s1", 5.0)
             await world.add(server, "plain")
             # The limit is heard with the first answer, and kept from the second request on.
             for _ in range(2):
@@ -142,10 +148,10 @@
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                first = limited_server("s1", None)
+                first = make_limited_server("s1", None)
                 first.answer_s = 0.5
                 await world.add(first, "plain")
-                await world.add(limited_server("s2", 0.1), "plain")
+                await world.add(make_limited_server("s2", 0.1), "plain")
                 limit = {"s2": LimitNews(0.1, 0.0)}
                 world.balancer.notices.merge_peer_limits(limit, "n2", monotonic())
                 self.assertEqual((await world.ask("/check/")).status, 200)
