--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -53,54 +53,54 @@
 class Callers:
     """Callers that ask nodes by chance, and what they saw.
 
-    `asked` counts the requests, `told` tells when each node first passed on an answer that named
+    `request_count` counts the requests, `limit_forwarded_at` tells when each node first passed on an answer that named
     a limit.
     """
 
     cluster: Cluster
-    chance: random.Random
-    asked: int = 0
-    told: dict[str, float] = field(default_factory=dict)
+    rng: random.Random
+    request_count: int = 0
+    limit_forwarded_at: dict[str, float] = field(default_factory=dict)
     statuses: list[int] = field(default_factory=list)
-    again_s: list[float] = field(default_factory=list)
-    refused_in_s: list[float] = field(default_factory=list)
+    retry_after_s: list[float] = field(default_factory=list)
+    rejection_latencies_s: list[float] = field(default_factory=list)
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
-    async def ask_for(self, seconds: float, per_s: float) -> None:
+    async def send_requests(self, seconds: float, per_s: float) -> None:
         """Ask at a steady rate, and wait for the answers."""
         ends = monotonic() + seconds
         while monotonic() < ends:
-            self._tasks.append(asyncio.create_task(self._ask_one()))
+            self._tasks.append(asyncio.create_task(self._send_request()))
             await asyncio.sleep(1.0 / per_s)
         await asyncio.gather(*self._tasks)
         self._tasks.clear()
 
-    async def _ask_one(self) -> None:
-        name = self.chance.choice(sorted(self.cluster.nodes))
-        self.asked += 1
-        data = request_bytes("/check/", request_id=f"r{self.asked}")
+    async def _send_request(self) -> None:
+        name = self.rng.choice(sorted(self.cluster.nodes))
+        self.request_count += 1
+        data = request_bytes("/check/", request_id=f"r{self.request_count}")
         began = monotonic()
         got = await ask(self.cluster.nodes[name].settings.node.callers, data)
         self.statuses.append(got.status)
         if "server-limit" in got.headers:
-            self.told.setdefault(name, monotonic())
+            self.limit_forwarded_at.setdefault(name, monotonic())
         if "retry-after" in got.headers:
-            self.again_s.append(float(got.headers["retry-after"]))
-            self.refused_in_s.append(monotonic() - began)
+            self.retry_after_s.append(float(got.headers["retry-after"]))
+            self.rejection_latencies_s.append(monotonic() - began)
 
-    def most_in_a_window(self, server: ScriptedServer) -> int:
+    def max_arrivals_in_window(self, server: ScriptedServer) -> int:
         """Return the most requests that a server got in a window once its limit was heard.
 
         Requests of all nodes count, also of those that only heard of the limit from others.
         """
-        from_then_on = min(self.told.values()) + LIMIT_EFFECTIVE_AFTER_S
-        counted = [each.at for each in server.arrivals if each.at >= from_then_on]
+        counted_from = min(self.limit_forwarded_at.values()) + LIMIT_EFFECTIVE_AFTER_S
+        counted = [each.at for each in server.arrivals if each.at >= counted_from]
         return max(
             (sum(at <= each < at + WINDOW_S for each in counted) for at in counted), default=0
         )
 
 
-def unhurried(cluster: Cluster) -> None:
+def set_long_timeouts(cluster: Cluster) -> None:
     """Give requests so much time that no pause of the machine itself ends them."""
     plan = config(2)
     plan["routes"][0].update(timeoutMs=10_000, sloMs=2_000)  # type: ignore[index]
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -30,8 +30,8 @@
     Callers,
     make_limited_server,
     max_expected_arrivals,
+    set_long_timeouts,
     start_nodes,
-    unhurried,
 )
 from tests.test_gateway_nodes import Cluster, on_cluster
 from tests.test_server_notices import headers
@@ -74,13 +74,15 @@
         free = make_limited_server("s2", None)
         await free.start()
         cluster.list_server(free, "ready")
-        unhurried(cluster)
+        set_long_timeouts(cluster)
         await start_nodes(cluster, 9)
         callers = Callers(cluster, random.Random(1))
-        await callers.ask_for(6.0, 40.0)
+        await callers.send_requests(6.0, 40.0)
         free.stop()
         self.assertEqual(set(callers.statuses), {200})
-        self.assertLessEqual(callers.most_in_a_window(limited), max_expected_arrivals(limit_per_s))
+        self.assertLessEqual(
+            callers.max_arrivals_in_window(limited), max_expected_arrivals(limit_per_s)
+        )
 
     def test_limits_are_used_where_no_other_server_is_free(self) -> None:
         """Of a limit at most half stays unused; what can't be served is told at once."""
@@ -92,23 +94,23 @@
         for server in servers:
             await server.start()
             cluster.list_server(server, "ready")
-        unhurried(cluster)
+        set_long_timeouts(cluster)
         await start_nodes(cluster, 9)
         callers = Callers(cluster, random.Random(1))
-        await callers.ask_for(2.0, 20.0)
+        await callers.send_requests(2.0, 20.0)
         before = [len(server.arrivals) for server in servers]
         seconds = 5.0
-        await callers.ask_for(seconds, 20.0)
+        await callers.send_requests(seconds, 20.0)
         for server, number in zip(servers, before, strict=True):
             limit_per_s = server.limit_per_s or 0.0
             self.assertLessEqual(
-                callers.most_in_a_window(server), max_expected_arrivals(limit_per_s)
+                callers.max_arrivals_in_window(server), max_expected_arrivals(limit_per_s)
             )
             self.assertGreaterEqual(len(server.arrivals) - number, limit_per_s * seconds / 2)
         self.assertEqual(set(callers.statuses), {200, 503})
         # A request of its rank waits for its turn for a quarter of its target.
-        self.assertLess(median(callers.refused_in_s), 0.5)
-        self.assertGreater(len(set(callers.again_s)), len(callers.again_s) / 2)
+        self.assertLess(median(callers.rejection_latencies_s), 0.5)
+        self.assertGreater(len(set(callers.retry_after_s)), len(callers.retry_after_s) / 2)
         servers[1].stop()
 
 
