--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -30,14 +30,14 @@
 LINK_BYTES_PER_S = 10 * 125_000
 """The thinnest link of the users' large site, 10 Mbit/s."""
 
-LATENCY_S = (0.001, 0.004)
-FETCH_S = 0.08
-STORE_STARTED_S = 5_000.0
+LATENCY_RANGE_S = (0.001, 0.004)
+FETCH_DURATION_S = 0.08
+STORE_CLOCK_START_S = 5_000.0
 """What the store's clock shows when the world begins."""
 SEED = 3
 
 
-def finished(work: Coroutine[Any, Any, Any]) -> Any:
+def run_to_completion(work: Coroutine[Any, Any, Any]) -> Any:
     """Run a coroutine that waits for nothing."""
     try:
         work.send(None)
@@ -46,7 +46,7 @@
     raise AssertionError("it waits")
 
 
-def a_server(number: int, halls: int = HALLS) -> Server:
+def make_server(number: int, halls: int = HALLS) -> Server:
     """Return a server as the platform lists it."""
     hall = f"hall-{number % halls}"
     return Server(
@@ -56,16 +56,16 @@
 
 @dataclass
 class VirtualStore:
-    """The store's list; nodes in `cut` get no answer."""
+    """The store's list; nodes in `is_partitioned` get no answer."""
 
     servers: dict[str, Server] = field(default_factory=dict)
     version: int = 1
     era: int = 1
-    away: bool = False
+    is_down: bool = False
     reads: int = 0
     clock: Callable[[], float] = lambda: 0.0
 
-    def leave(self, name: str, leaves_s: float | None = None) -> None:
+    def mark_leaving(self, name: str, leaves_s: float | None = None) -> None:
         """Have a server say that it leaves."""
         self.version += 1
         self.servers[name] = msgspec.structs.replace(
@@ -85,7 +85,7 @@
 
 
 @dataclass
-class StoreOfNode:
+class StoreClient:
     """The store as one node reaches it."""
 
     world: "ListWorld"
@@ -95,7 +95,7 @@
         self, _: float, before: StoredList | None = None
     ) -> Result[StoredList, Failure]:
         """Return the list, or nothing for a node that is cut off."""
-        if self.world.store.away or self.node in self.world.no_store:
+        if self.world.store.is_down or self.node in self.world.nodes_without_store:
             return Err(Failure("away"))
         return Ok(self.world.store.listed())
 
@@ -105,28 +105,28 @@
 
     def __init__(self, node: "ListNode") -> None:
         self.node = node
-        self.wanted = EraVersion()
-        self.fetched = 0
+        self.pending_version = EraVersion()
+        self.fetch_count = 0
 
     def add_source(self, control: str, version: EraVersion, _power: float, _now: float) -> None:
         """Fetch a newer list soon."""
-        if version <= self.wanted:
+        if version <= self.pending_version:
             return
-        self.wanted = version
-        self.node.world.later(FETCH_S, lambda: self._copy(control))
+        self.pending_version = version
+        self.node.world.schedule(FETCH_DURATION_S, lambda: self._copy(control))
 
     def _copy(self, control: str) -> None:
         world = self.node.world
         source = world.by_control.get(control)
-        self.wanted = EraVersion()
-        if source is None or not source.alive or world.cut(source.name, self.node.name):
+        self.pending_version = EraVersion()
+        if source is None or not source.alive or world.is_partitioned(source.name, self.node.name):
             return
-        self.fetched += 1
+        self.fetch_count += 1
         self.node.watch._fetched(source.watch.list.era_version, source.watch.list.raw)
 
     def is_behind(self, _now: float) -> bool:
         """Say whether a newer list is on its way."""
-        return self.wanted > EraVersion()
+        return self.pending_version > EraVersion()
 
 
 class ListNode:
@@ -138,22 +138,22 @@
         self.hall = f"hall-{number % HALLS}"
         self.alive = True
         self.frozen = False
-        self.held: list[StateNews | ServerChange] = []
+        self.deferred: list[StateNews | ServerChange] = []
         self.sent_bytes = 0
         self.link_free_at = 0.0
         self.members = Membership(self.name, 1)
         self.neighbours = Neighbours(self.members, f"{self.name}:2", -100.0)
         self.neighbours.serving = number < HALLS
         self.sequence = 0
-        self.leaves_seen: dict[str, float] = {}
+        self.leaving_learned_at: dict[str, float] = {}
         true_time = TrueTime()
-        true_time.record_store_clock(STORE_STARTED_S, 0.0, 0.0)
+        true_time.record_store_clock(STORE_CLOCK_START_S, 0.0, 0.0)
         self.watch = FleetWatch(
-            StoreOfNode(world, self.name),  # type: ignore[arg-type]
+            StoreClient(world, self.name),  # type: ignore[arg-type]
             true_time,
             lambda: self.neighbours.rank(self.state(), world.now, reserve_first=False),
-            self._took,
-            self._tell,
+            self._on_servers,
+            self._broadcast,
             lambda change: self._send(change, self.neighbours.possible_readers(world.now)),
             lambda: self.neighbours.backoff_scale(self.state()),
             control=f"{self.name}:3",
@@ -175,12 +175,12 @@
             servers=self.watch.head(),
         )
 
-    def _took(self, servers: list[Server]) -> None:
+    def _on_servers(self, servers: list[Server]) -> None:
         for server in servers:
             if server.leaving:
-                self.leaves_seen.setdefault(server.id, self.world.now)
+                self.leaving_learned_at.setdefault(server.id, self.world.now)
 
-    def _tell(self, changes: list[ServerChange], read_here: bool) -> None:
+    def _broadcast(self, changes: list[ServerChange], read_here: bool) -> None:
         choose = self.neighbours.change_targets if read_here else self.neighbours.relay_targets
         targets = choose(self.state(), self.world.now)
         for change in changes:
@@ -194,12 +194,12 @@
             self.link_free_at = begins + size / LINK_BYTES_PER_S
             self.world.deliver(self, address, message, self.link_free_at - self.world.now)
 
-    def round(self) -> None:
+    def gossip_round(self) -> None:
         """Tell this node's state, and read the list if it is its turn."""
         if not self.alive:
             return
         if self.frozen:
-            self.world.later(GOSSIP_INTERVAL_S, self.round)
+            self.world.schedule(GOSSIP_INTERVAL_S, self.gossip_round)
             return
         now = self.world.now
         own = self.state()
@@ -208,22 +208,22 @@
         self._send(
             StateNews(own.without_counts(), []), self.neighbours.brief_targets(own, targets, now)
         )
-        self.world.later(GOSSIP_INTERVAL_S, self.round)
+        self.world.schedule(GOSSIP_INTERVAL_S, self.gossip_round)
 
-    def look(self) -> None:
+    def poll_store(self) -> None:
         """Read the list once it is this node's turn."""
         if not self.alive:
             return
         if not self.frozen and self.watch.due_at() <= self.world.now:
-            finished(self.watch._read())
-        self.world.later(0.05, self.look)
+            run_to_completion(self.watch._read())
+        self.world.schedule(0.05, self.poll_store)
 
-    def hear(self, message: StateNews | ServerChange) -> None:
+    def on_message(self, message: StateNews | ServerChange) -> None:
         """Take over what another node told; a frozen node does so once it thaws."""
         if not self.alive:
             return
         if self.frozen:
-            self.held.append(message)
+            self.deferred.append(message)
             return
         if isinstance(message, ServerChange):
             self.watch.on_change(message)
@@ -236,50 +236,50 @@
             self.watch.on_head(told.servers, told.control, told.power)
 
 
-def thaw(node: ListNode) -> None:
+def unfreeze(node: ListNode) -> None:
     """Let a frozen node go on with what came meanwhile."""
     node.frozen = False
-    held, node.held = node.held, []
-    for message in held:
-        node.hear(message)
+    deferred, node.deferred = node.deferred, []
+    for message in deferred:
+        node.on_message(message)
 
 
 class ListWorld:
     """All nodes, the store and the network between them."""
 
-    def __init__(self, nodes: int, servers: int, loss: float = 0.0) -> None:
+    def __init__(self, nodes: int, servers: int, loss_rate: float = 0.0) -> None:
         self.now = 0.0
-        self.chance = random.Random(SEED)
-        self.loss = loss
-        self.doubled = 0.0
-        self.extra_s = 0.0
-        self.no_store: set[str] = set()
-        self.cut: Callable[[str, str], bool] = lambda _a, _b: False
-        self.store = VirtualStore({each.id: each for each in map(a_server, range(servers))})
-        self.store.clock = lambda: self.now + STORE_STARTED_S
+        self.rng = random.Random(SEED)
+        self.loss_rate = loss_rate
+        self.duplicate_rate = 0.0
+        self.extra_latency_s = 0.0
+        self.nodes_without_store: set[str] = set()
+        self.is_partitioned: Callable[[str, str], bool] = lambda _a, _b: False
+        self.store = VirtualStore({each.id: each for each in map(make_server, range(servers))})
+        self.store.clock = lambda: self.now + STORE_CLOCK_START_S
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self.nodes = [ListNode(self, number) for number in range(nodes)]
         self.by_peer = {f"{node.name}:2": node for node in self.nodes}
         self.by_control = {f"{node.name}:3": node for node in self.nodes}
-        self._introduce()
+        self._bootstrap()
         for node in self.nodes:
-            self.later(self.chance.uniform(0, GOSSIP_INTERVAL_S), node.round)
-            self.later(self.chance.uniform(0, 0.05), node.look)
+            self.schedule(self.rng.uniform(0, GOSSIP_INTERVAL_S), node.gossip_round)
+            self.schedule(self.rng.uniform(0, 0.05), node.poll_store)
 
-    def _introduce(self) -> None:
+    def _bootstrap(self) -> None:
         """Let all nodes have the list, and know of each other what they would have heard."""
-        finished(self.nodes[0].watch._read())
+        run_to_completion(self.nodes[0].watch._read())
         raw, version = self.nodes[0].watch.list.raw, self.nodes[0].watch.list.era_version
         for node in self.nodes:
             node.watch._fetched(version, raw)
-            node.watch._record_read(0.0, STORE_STARTED_S)
+            node.watch._record_read(0.0, STORE_CLOCK_START_S)
             for other in self.nodes:
                 node.neighbours.addresses.add(f"{other.name}:2", 0.0)
                 if other.neighbours.serving or other.hall == node.hall:
                     node.members.merge(other.state(), 0.0)
 
-    def later(self, delay_s: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
         """Do something after a time."""
         heapq.heappush(self._events, (self.now + delay_s, next(self._order), action))
 
@@ -288,12 +288,12 @@
     ) -> None:
         """Carry a datagram, if nothing stands in its way."""
         target = self.by_peer[address]
-        if self.cut(sender.name, target.name):
+        if self.is_partitioned(sender.name, target.name):
             return
-        for _ in range(2 if self.chance.random() < self.doubled else 1):
-            if self.chance.random() >= self.loss:
-                latency_s = self.extra_s + self.chance.uniform(*LATENCY_S)
-                self.later(delay_s + latency_s, lambda: target.hear(message))
+        for _ in range(2 if self.rng.random() < self.duplicate_rate else 1):
+            if self.rng.random() >= self.loss_rate:
+                latency_s = self.extra_latency_s + self.rng.uniform(*LATENCY_RANGE_S)
+                self.schedule(delay_s + latency_s, lambda: target.on_message(message))
 
     def run(self, until: float) -> None:
         """Let time pass."""
@@ -302,6 +302,6 @@
             action()
         self.now = until
 
-    def last_to_see(self, server: str, nodes: list[ListNode] | None = None) -> float:
+    def last_learned_at(self, server: str, nodes: list[ListNode] | None = None) -> float:
         """Return when the last node knew that a server leaves; never is an error."""
-        return max(node.leaves_seen[server] for node in nodes or self.nodes if node.alive)
+        return max(node.leaving_learned_at[server] for node in nodes or self.nodes if node.alive)
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -24,7 +24,7 @@
 from moledale.gateway.server_view import record_silence
 from moledale.gateway.usage import TrueTime, UsageCounts, total_counts
 from tests.gateway_states import state
-from tests.list_world import finished
+from tests.list_world import run_to_completion
 
 
 class TrueTimeTest(unittest.TestCase):
@@ -243,13 +243,13 @@
         if now - self.now > MIN_OUTAGE_S:
             self.now = (self.now + now) / 2
             self.store.away = True
-            finished(self.watch._read())
+            run_to_completion(self.watch._read())
             self.store.away = False
         self.now = now
         self.store.servers_now = [
             Server(name, "model", f"{name}:1", "a", 64, leaving=name == leaving) for name in names
         ]
-        finished(self.watch._read())
+        run_to_completion(self.watch._read())
         self.assertEqual(self.taken[-1], self.heard[-1])
         return self.taken[-1]
 
@@ -282,7 +282,7 @@
         self.list_at(1_000.0, "s1", "s2")
         self.now = 1_006.0
         self.store.servers_now.pop()
-        finished(self.watch._read())
+        run_to_completion(self.watch._read())
         self.assertEqual((self.taken[-1], self.heard[-1]), ({"s1"}, {"s1"}))
 
     def test_server_that_was_leaving_is_not_kept(self) -> None:
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -32,7 +32,7 @@
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.usage import TrueTime
 from tests.gateway_world import quietly
-from tests.list_world import HALLS, ListWorld, a_server, finished, thaw
+from tests.list_world import HALLS, ListWorld, make_server, run_to_completion, unfreeze
 
 TARGET_NODES = 390
 TARGET_SERVERS = 1_100
@@ -65,7 +65,7 @@
 
 class PacketsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.servers = [a_server(number) for number in range(TARGET_SERVERS)]
+        self.servers = [make_server(number) for number in range(TARGET_SERVERS)]
         self.list = ServerList()
         self.list.update_from_store(self.servers, at(1))
 
@@ -95,7 +95,7 @@
                 self.assertEqual(other.raw, self.list.raw)
 
     def test_servers_that_leave_are_told_though_the_rest_is_too_much(self) -> None:
-        new = [a_server(number) for number in range(5_000, 5_400)]
+        new = [make_server(number) for number in range(5_000, 5_400)]
         listed = [*self.leave(False, "hall-3"), *new]
         parts = told(self.list, listed, 2)
         self.assertLessEqual(max(map(size_of, parts)), MAX_PACKET_BYTES)
@@ -109,21 +109,21 @@
 
 class ServerListTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.servers = {each.id: each for each in map(a_server, range(8))}
+        self.servers = {each.id: each for each in map(make_server, range(8))}
         self.reader = ServerList()
         self.reader.update_from_store(self.servers.values(), at(1))
         self.other = ServerList()
         self.other.update_from_store(self.servers.values(), at(1))
 
     def leave(self, number: int) -> None:
-        server = a_server(number)
+        server = make_server(number)
         self.servers[server.id] = msgspec.structs.replace(server, leaving=True, leaves_s=3.0)
 
     def test_time_left_stays_as_it_was_first_told(self) -> None:
         self.leave(1)
         self.reader.update_from_store(self.servers.values(), at(2))
         before = self.reader.digest
-        name = a_server(1).id
+        name = make_server(1).id
         self.servers[name] = msgspec.structs.replace(self.servers[name], leaves_s=1.0)
         self.assertIsNone(self.reader.update_from_store(self.servers.values(), at(3)))
         self.assertEqual((self.reader.digest, self.reader.version), (before, 3))
@@ -133,12 +133,12 @@
         self.leave(2)
         heard = self.other.apply_change(told(self.reader, list(self.servers.values())[1:], 3)[0])
         self.assertTrue(heard.servers_differ and heard.needs_fetch)
-        self.assertIn(a_server(0).id, {server.id for server in self.other.usable()})
+        self.assertIn(make_server(0).id, {server.id for server in self.other.usable()})
         self.assertTrue(
             self.other.apply_change(lost[0]).is_new is False, "an older change counts no more"
         )
         leaving = [server.id for server in self.other.usable() if server.leaving]
-        self.assertEqual(leaving, [a_server(2).id])
+        self.assertEqual(leaving, [make_server(2).id])
         self.assertTrue(self.other.update_from_peer(self.reader.raw, self.reader.era_version))
         self.assertEqual(self.other.usable(), self.reader.usable())
 
@@ -164,7 +164,7 @@
     def test_news_that_are_lost_doubled_or_late_never_take_a_list_back(
         self, data: st.DataObject
     ) -> None:
-        servers = {each.id: each for each in map(a_server, range(12))}
+        servers = {each.id: each for each in map(make_server, range(12))}
         reader, other = ServerList(), ServerList()
         reader.update_from_store(servers.values(), at(1))
         other.update_from_store(servers.values(), at(1))
@@ -196,20 +196,20 @@
     """The store came back from an older copy, so versions start again in a new era."""
 
     def setUp(self) -> None:
-        self.servers = {each.id: each for each in map(a_server, range(4))}
+        self.servers = {each.id: each for each in map(make_server, range(4))}
         self.list = ServerList()
         self.list.update_from_store(self.servers.values(), at(100))
 
     def leave(self, number: int) -> Server:
-        return msgspec.structs.replace(a_server(number), leaving=True, leaves_s=3.0)
+        return msgspec.structs.replace(make_server(number), leaving=True, leaves_s=3.0)
 
     def usable(self) -> dict[str, bool]:
         return {server.id: server.leaving for server in self.list.usable()}
 
     def test_list_of_the_new_era_is_taken_though_its_version_is_lower(self) -> None:
-        difference = self.list.update_from_store([a_server(0), self.leave(1)], at(60, era=2))
+        difference = self.list.update_from_store([make_server(0), self.leave(1)], at(60, era=2))
         assert difference is not None
-        self.assertEqual([each.id for each in difference.leaving], [a_server(1).id])
+        self.assertEqual([each.id for each in difference.leaving], [make_server(1).id])
         self.assertEqual(self.list.era_version, at(60, era=2))
 
     def test_list_of_the_former_era_is_dropped_though_its_version_is_higher(self) -> None:
@@ -223,9 +223,9 @@
         self.assertEqual(set(self.usable()), set(self.servers))
 
     def test_server_that_had_left_is_not_believed_to_be_back_until_entries_lapsed(self) -> None:
-        self.list.update_from_store([self.leave(1), a_server(2), a_server(3)], at(101))
+        self.list.update_from_store([self.leave(1), make_server(2), make_server(3)], at(101))
         self.list.update_from_store(self.servers.values(), at(60, era=2))
-        gone, leaving = a_server(0).id, a_server(1).id
+        gone, leaving = make_server(0).id, make_server(1).id
         self.assertNotIn(gone, self.usable())
         self.assertTrue(self.usable()[leaving])
         self.assertTrue(self.list.trust_entries())
@@ -233,14 +233,16 @@
 
     def test_server_marked_as_leaving_stays_so_over_the_stores_return(self) -> None:
         head = ListHead(101, 1, 0.0, era=1)
-        marked = [Leaving(a_server(1).id, 2.0)]
-        self.list.apply_change(ServerChange(head, 0, "n2:3", gone=[a_server(0).id], leaving=marked))
+        marked = [Leaving(make_server(1).id, 2.0)]
+        self.list.apply_change(
+            ServerChange(head, 0, "n2:3", gone=[make_server(0).id], leaving=marked)
+        )
         self.list.update_from_store(self.servers.values(), at(60, era=2))
-        self.assertNotIn(a_server(0).id, self.usable())
-        self.assertTrue(self.usable()[a_server(1).id])
+        self.assertNotIn(make_server(0).id, self.usable())
+        self.assertTrue(self.usable()[make_server(1).id])
 
     def test_server_that_was_back_before_the_stores_return_is_used(self) -> None:
-        self.list.update_from_store([a_server(0)], at(101))
+        self.list.update_from_store([make_server(0)], at(101))
         self.list.update_from_store(self.servers.values(), at(102))
         self.list.update_from_store(self.servers.values(), at(60, era=2))
         self.assertEqual(set(self.usable()), set(self.servers))
@@ -249,7 +251,7 @@
         former = ServerList()
         former.update_from_store(self.servers.values(), EraVersion(0, 100))
         head_of = ListHead(101, 0, 0.0)
-        listed = [a_server(0), a_server(2), a_server(3)]
+        listed = [make_server(0), make_server(2), make_server(3)]
         difference = former.update_from_store(listed, EraVersion(0, 101))
         assert difference is not None
         head_of = ListHead(101, former.digest, 0.0)
@@ -263,15 +265,15 @@
         heard = self.list.apply_change(ServerChange(ListHead(900, 5, 0.0), 4, "n2:3"))
         self.assertFalse(heard.needs_fetch)
         former = ServerList()
-        former.update_from_store([a_server(9)], EraVersion(0, 900))
+        former.update_from_store([make_server(9)], EraVersion(0, 900))
         self.assertFalse(self.list.update_from_peer(former.raw, former.era_version))
 
 
 class SpreadTest(unittest.TestCase):
     """At the letter's size, on links of 10 Mbit/s."""
 
-    def world(self, loss: float = 0.0, nodes: int = TARGET_NODES) -> ListWorld:
-        world = ListWorld(nodes, TARGET_SERVERS, loss)
+    def world(self, loss_rate: float = 0.0, nodes: int = TARGET_NODES) -> ListWorld:
+        world = ListWorld(nodes, TARGET_SERVERS, loss_rate)
         world.run(1.0)
         return world
 
@@ -280,12 +282,12 @@
             with self.subTest(nodes=nodes):
                 world = self.world(0.05, nodes)
                 before = [node.sent_bytes for node in world.nodes]
-                name = a_server(5).id
-                world.store.leave(name, 4.0)
+                name = make_server(5).id
+                world.store.mark_leaving(name, 4.0)
                 reads = world.store.reads
                 world.run(1.0 + READ_S + SEEN_S)
-                first = min(node.leaves_seen[name] for node in world.nodes)
-                self.assertLess(world.last_to_see(name) - first, SEEN_S)
+                first = min(node.leaving_learned_at[name] for node in world.nodes)
+                self.assertLess(world.last_learned_at(name) - first, SEEN_S)
                 sent = [
                     node.sent_bytes - told for node, told in zip(world.nodes, before, strict=True)
                 ]
@@ -296,50 +298,50 @@
         world = self.world(0.05)
         names = [server.id for server in world.store.servers.values() if server.hall == "hall-2"]
         for name in names:
-            world.store.leave(name, 4.0)
+            world.store.mark_leaving(name, 4.0)
         world.run(1.0 + READ_S + SEEN_S)
-        first = min(node.leaves_seen[names[0]] for node in world.nodes)
+        first = min(node.leaving_learned_at[names[0]] for node in world.nodes)
         for name in names:
-            self.assertLess(world.last_to_see(name) - first, SEEN_S)
+            self.assertLess(world.last_learned_at(name) - first, SEEN_S)
 
     def test_reader_that_dies_while_it_tells_is_made_up_for(self) -> None:
         world = self.world()
         reader = world.nodes[0]
         only = {"n11", "n12"}
-        world.cut = lambda a, b: a == reader.name and b not in only
-        name = a_server(5).id
-        world.store.leave(name, 4.0)
+        world.is_partitioned = lambda a, b: a == reader.name and b not in only
+        name = make_server(5).id
+        world.store.mark_leaving(name, 4.0)
         world.run(2.0)
         reader.alive = False
         world.run(4.0)
         alive = [node for node in world.nodes if node.alive]
-        first = min(node.leaves_seen[name] for node in alive)
-        self.assertLess(world.last_to_see(name, alive) - first, SEEN_S)
+        first = min(node.leaving_learned_at[name] for node in alive)
+        self.assertLess(world.last_learned_at(name, alive) - first, SEEN_S)
 
     def test_node_cut_from_the_store_and_from_all_that_serve_hears_of_it(self) -> None:
         world = self.world()
         lone = world.nodes[200]
         serving = {node.name for node in world.nodes if node.neighbours.serving}
-        world.no_store = {lone.name}
-        world.cut = lambda a, b: lone.name in (a, b) and bool({a, b} & serving)
+        world.nodes_without_store = {lone.name}
+        world.is_partitioned = lambda a, b: lone.name in (a, b) and bool({a, b} & serving)
         world.run(2.0)
-        name = a_server(5).id
-        world.store.leave(name, 4.0)
+        name = make_server(5).id
+        world.store.mark_leaving(name, 4.0)
         world.run(2.0 + READ_S + SEEN_S)
-        first = min(node.leaves_seen[name] for node in world.nodes)
-        self.assertLess(lone.leaves_seen[name] - first, PASSED_ON_S)
+        first = min(node.leaving_learned_at[name] for node in world.nodes)
+        self.assertLess(lone.leaving_learned_at[name] - first, PASSED_ON_S)
 
     def test_two_that_read_at_once_agree_with_all(self) -> None:
         world = self.world(0.05)
-        world.doubled = 0.3
-        one, two = a_server(5).id, a_server(6).id
-        world.store.leave(one, 4.0)
-        finished(world.nodes[0].watch._read())
-        world.store.leave(two, 4.0)
-        finished(world.nodes[1].watch._read())
-        finished(world.nodes[0].watch._read())
+        world.duplicate_rate = 0.3
+        one, two = make_server(5).id, make_server(6).id
+        world.store.mark_leaving(one, 4.0)
+        run_to_completion(world.nodes[0].watch._read())
+        world.store.mark_leaving(two, 4.0)
+        run_to_completion(world.nodes[1].watch._read())
+        run_to_completion(world.nodes[0].watch._read())
         world.run(1.0 + SEEN_S)
-        self.assertLess(max(world.last_to_see(one), world.last_to_see(two)), 1.0 + SEEN_S)
+        self.assertLess(max(world.last_learned_at(one), world.last_learned_at(two)), 1.0 + SEEN_S)
         world.run(1.0 + READ_S + SEEN_S)
         self.assertEqual(len({node.watch.list.digest for node in world.nodes}), 1)
 
@@ -347,32 +349,32 @@
         world = self.world(nodes=77)
         reader = world.nodes[0]
         reader.frozen = True
-        name = a_server(5).id
-        world.store.leave(name, 4.0)
+        name = make_server(5).id
+        world.store.mark_leaving(name, 4.0)
         world.run(5.0)
         others = [node for node in world.nodes if node is not reader]
-        self.assertLess(world.last_to_see(name, others), 1.0 + 2 * READ_S)
+        self.assertLess(world.last_learned_at(name, others), 1.0 + 2 * READ_S)
         versions = []
-        thaw(reader)
+        unfreeze(reader)
         for step in range(20):
             world.run(5.0 + step * 0.1)
             versions.append(reader.watch.list.version)
         self.assertEqual(versions, sorted(versions))
-        self.assertIn(name, reader.leaves_seen)
+        self.assertIn(name, reader.leaving_learned_at)
         self.assertEqual(len({node.watch.list.digest for node in world.nodes}), 1)
 
     def test_reader_cut_from_the_store_is_made_up_for(self) -> None:
         world = self.world()
-        world.no_store = {"n0"}
-        name = a_server(5).id
-        world.store.leave(name, 4.0)
+        world.nodes_without_store = {"n0"}
+        name = make_server(5).id
+        world.store.mark_leaving(name, 4.0)
         world.run(1.0 + 2 * READ_S + SEEN_S)
-        self.assertLess(world.last_to_see(name), 1.0 + 2 * READ_S + SEEN_S)
+        self.assertLess(world.last_learned_at(name), 1.0 + 2 * READ_S + SEEN_S)
 
     def test_list_that_nobody_reads_does_not_pass_for_new_over_slow_links(self) -> None:
         world = self.world(nodes=9)
-        world.store.away = True
-        world.extra_s = 0.25
+        world.store.is_down = True
+        world.extra_latency_s = 0.25
         world.run(6.0)
         ages = [world.now - node.watch._fresh_at for node in world.nodes]
         self.assertGreater(min(ages), 4.9)
@@ -399,9 +401,9 @@
         copy = dict(world.store.servers)
         world.store.version = 500
         world.run(3.0)
-        world.store.away = True
+        world.store.is_down = True
         world.run(3.6)
-        world.store.away = False
+        world.store.is_down = False
         world.store.restore(copy, 450)
         return world
 
@@ -410,10 +412,10 @@
             with self.subTest(nodes=nodes):
                 world = self.restored(nodes)
                 world.run(4.0)
-                name = a_server(5).id
-                world.store.leave(name, 4.0)
+                name = make_server(5).id
+                world.store.mark_leaving(name, 4.0)
                 world.run(4.0 + READ_S + SEEN_S)
-                self.assertLess(world.last_to_see(name), 4.0 + READ_S + SEEN_S)
+                self.assertLess(world.last_learned_at(name), 4.0 + READ_S + SEEN_S)
 
     def test_nodes_do_not_come_to_the_store_at_once(self) -> None:
         for nodes in (9, 77, TARGET_NODES):
@@ -430,18 +432,18 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self.away = False
+        self.is_down = False
         self.reads = 0
         self.version = 1
         self.step = 1
 
     async def servers(self, _: float, _before: object = None) -> object:
         self.reads += 1
-        if self.away:
+        if self.is_down:
             await asyncio.sleep(0.01)
             return Err(Failure("away"))
         self.version += self.step
-        return Ok(StoredList((a_server(1),), self.version, self.now(), era=1))
+        return Ok(StoredList((make_server(1),), self.version, self.now(), era=1))
 
 
 class CurrentTest(unittest.TestCase):
@@ -487,7 +489,7 @@
         self.true_time.record_store_clock(self.now, self.now, self.now)
         self.store.version = 5
         peer = ServerList()
-        peer.update_from_store([a_server(1)], at(5))
+        peer.update_from_store([make_server(1)], at(5))
         self.watch.on_head(ListHead(5, peer.digest, self.now - 0.3, era=1), "n2:3", 1.0)
         self.watch._fetched(at(5), peer.raw)
         self.assertTrue(self.current())
@@ -498,7 +500,7 @@
 
     def test_last_list_counts_while_the_store_is_away_for_all(self) -> None:
         self.assertTrue(self.current())
-        self.store.away = True
+        self.store.is_down = True
         self.now += 60.0
         self.assertTrue(self.current())
         reads = self.store.reads
@@ -507,7 +509,7 @@
 
     def test_node_that_knows_of_a_newer_list_which_it_can_not_get_sends_nothing(self) -> None:
         self.assertTrue(self.current())
-        self.store.away = True
+        self.store.is_down = True
         self.now += 60.0
         self.watch.on_head(ListHead(9, 9, self.now, era=1), "n2:3", 1.0)
         self.assertFalse(self.current())
