--- a/tests/plan_world.py
+++ b/tests/plan_world.py
@@ -24,12 +24,12 @@
 
 def config_bytes(version: int, routes: int, timeout_ms: int = 10_000) -> bytes:
     """Return a configuration with many routes, as the operator writes it."""
-    chance = random.Random(SEED)
+    rng = random.Random(SEED)
     listed = [
         {
-            "name": f"r-{chance.randrange(10**8):08}",
-            "host": f"host{chance.randrange(90)}.example",
-            "pathPrefix": f"/p{chance.randrange(10**6)}/",
+            "name": f"r-{rng.randrange(10**8):08}",
+            "host": f"host{rng.randrange(90)}.example",
+            "pathPrefix": f"/p{rng.randrange(10**6)}/",
             "kind": "streaming",
             "timeoutMs": timeout_ms if number == 0 else 10_000,
             "sloMs": 318,
@@ -50,19 +50,19 @@
 class PlanNode:
     """One node's plan, served to others and fetched from them.
 
-    `refuses` can't read newer plans, `dark` swallows questions; `cut_after` breaks off after that
-    many pieces; `delay_s` holds each. Plans are not decoded here: one process carries all nodes.
+    `rejects_plans` can't read newer plans, `unresponsive` swallows questions; `abort_after` breaks off after that
+    many pieces; `reply_delay_s` holds each. Plans are not decoded here: one process carries all nodes.
     """
 
     world: "PlanWorld"
     link_mbps: float
-    dark: bool = False
-    cut_after: int = 1_000_000
-    delay_s: float = 0.0
-    refuses: bool = False
+    unresponsive: bool = False
+    abort_after: int = 1_000_000
+    reply_delay_s: float = 0.0
+    rejects_plans: bool = False
     version: int = -1
     adopted_at: dict[int, float] = field(default_factory=dict)
-    pieces: int = 0
+    piece_requests: int = 0
     store_reads: int = 0
     address: str = ""
     archive: DocumentArchive = field(init=False)
@@ -76,7 +76,7 @@
             PLAN_PATH,
             self.archive,
             lambda: EraVersion(number=self.version),
-            self.take,
+            self.adopt_plan,
             self._read_store,
         )
 
@@ -95,13 +95,13 @@
         self._task.cancel()
 
     async def _answer(self, request: InboundRequest, reply: Reply) -> None:
-        self.pieces += 1
-        if self.dark:
+        self.piece_requests += 1
+        if self.unresponsive:
             await asyncio.sleep(60)
-        if self.pieces > self.cut_after:
+        if self.piece_requests > self.abort_after:
             reply.abort()
             return
-        await asyncio.sleep(self.delay_s)
+        await asyncio.sleep(self.reply_delay_s)
         questions = ControlHandler(None, None, self.archive, self.archive, None, 1.0)  # type: ignore[arg-type]
         questions.answer(request, reply, state("n"), None)  # type: ignore[arg-type]
 
@@ -112,22 +112,22 @@
             return False
         # The store spells bytes as base64, over the node's own link.
         await asyncio.sleep(len(self.world.raw) * 4 / 3 / (self.link_mbps * BYTES_PER_MBIT))
-        self.take(EraVersion(number=read_config(self.world.raw).version), self.world.raw)
+        self.adopt_plan(EraVersion(number=read_config(self.world.raw).version), self.world.raw)
         return True
 
-    def take(self, at: EraVersion, raw: bytes) -> None:
+    def adopt_plan(self, at: EraVersion, raw: bytes) -> None:
         """Adopt a newer plan and tell a few others."""
         version = at.number
-        if version <= self.version or self.refuses:
+        if version <= self.version or self.rejects_plans:
             return
         self.version = version
         self.adopted_at[version] = monotonic()
         self.archive.add(at, raw)
         others = [each for each in self.world.nodes if each is not self]
-        for each in self.world.chance.sample(others, min(FANOUT, len(others))):
-            each.hear(self)
+        for each in self.world.rng.sample(others, min(FANOUT, len(others))):
+            each.on_announcement(self)
 
-    def hear(self, other: "PlanNode") -> None:
+    def on_announcement(self, other: "PlanNode") -> None:
         """Hear which version another node has."""
         if other.version > self.version:
             power = min(20.0, other.link_mbps / 5)
@@ -142,7 +142,7 @@
         self.nodes: list[PlanNode] = []
         self.raw = b""
         self.store_answers = True
-        self.chance = random.Random(SEED)
+        self.rng = random.Random(SEED)
 
     async def __aenter__(self) -> "PlanWorld":
         return self
@@ -161,16 +161,16 @@
             node.archive.add(EraVersion(number=node.version), raw)
         return node
 
-    def roll(self, raw: bytes, watchers: list[PlanNode]) -> None:
+    def publish(self, raw: bytes, watchers: list[PlanNode]) -> None:
         """Have the store take a plan, and its watchers hear of it and tell all."""
         self.raw = raw
         version = read_config(raw).version
         for watcher in watchers:
-            watcher.take(EraVersion(number=version), raw)
+            watcher.adopt_plan(EraVersion(number=version), raw)
             for node in self.nodes:
-                node.hear(watcher)
+                node.on_announcement(watcher)
 
-    async def wait_for(self, version: int, within_s: float) -> float:
+    async def wait_for_version(self, version: int, within_s: float) -> float:
         """Wait until all nodes have a version; return how long the last one took."""
         began = monotonic()
         while any(node.version < version for node in self.nodes):
@@ -181,7 +181,7 @@
         return monotonic() - began
 
 
-async def call(address: str, query: str = "") -> int:
+async def request_piece(address: str, query: str = "") -> int:
     """Ask a node for a piece with any query; return the status."""
     outcome = await HttpCaller(address).call("GET", PLAN_PATH + query)
     return outcome.unwrap().status
--- a/tests/test_plan_spread.py
+++ b/tests/test_plan_spread.py
@@ -22,7 +22,7 @@
 from moledale.gateway.store_era import EraVersion
 from moledale.platform.headers import PlatformHeaders
 from tests.gateway_world import HOST, a_plan, quietly
-from tests.plan_world import PlanWorld, call, config_bytes
+from tests.plan_world import PlanWorld, config_bytes, request_piece
 
 SMALL = config_bytes(7, 20)
 LARGE = config_bytes(9, 1_268)
@@ -114,8 +114,8 @@
                 watchers = [await world.add(100.0, SMALL) for _ in range(3)]
                 for number in range(74):
                     await world.add((THIN_MBPS, 20.0, 100.0)[number % 3], SMALL)
-                world.roll(LARGE, watchers)
-                took = await world.wait_for(9, IN_FORCE_S)
+                world.publish(LARGE, watchers)
+                took = await world.wait_for_version(9, IN_FORCE_S)
                 self.assertEqual(sum(node.store_reads for node in world.nodes), 0)
                 self.assertLess(took, IN_FORCE_S)
 
@@ -127,8 +127,8 @@
                 first = await world.add(THIN_MBPS, SMALL)
                 for _ in range(39):
                     await world.add(THIN_MBPS, SMALL)
-                world.roll(LARGE, [first])
-                await world.wait_for(9, IN_FORCE_S)
+                world.publish(LARGE, [first])
+                await world.wait_for_version(9, IN_FORCE_S)
 
         quietly(story())
 
@@ -139,9 +139,9 @@
                 for _ in range(30):
                     await world.add(THIN_MBPS, SMALL)
                 for version in (9, 11, 13, 15):
-                    world.roll(config_bytes(version, 1_268, 9_000 + version), watchers)
+                    world.publish(config_bytes(version, 1_268, 9_000 + version), watchers)
                     await asyncio.sleep(0.25)
-                await world.wait_for(15, IN_FORCE_S)
+                await world.wait_for_version(15, IN_FORCE_S)
                 for node in world.nodes:
                     versions = sorted(node.adopted_at, key=lambda each: node.adopted_at[each])
                     self.assertEqual(versions, sorted(versions))
@@ -152,12 +152,12 @@
         async def story() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(3)]
-                watchers[0].dark = True
-                watchers[1].cut_after = 1
+                watchers[0].unresponsive = True
+                watchers[1].abort_after = 1
                 for _ in range(10):
                     await world.add(THIN_MBPS, SMALL)
-                world.roll(LARGE, watchers)
-                await world.wait_for(9, IN_FORCE_S)
+                world.publish(LARGE, watchers)
+                await world.wait_for_version(9, IN_FORCE_S)
 
         quietly(story())
 
@@ -165,20 +165,20 @@
         async def story() -> None:
             async with PlanWorld() as world:
                 breaking = await world.add(100.0, SMALL)
-                breaking.cut_after = 1
+                breaking.abort_after = 1
                 sound = await world.add(100.0, SMALL)
                 node = await world.add(100.0, SMALL)
                 pieces = -(-len(encode(LARGEST, SMALL)) // PIECE_BYTES)
                 self.assertGreater(pieces, 1)
                 breaking.archive.add(EraVersion(number=9), LARGEST)
                 breaking.version = 9
-                node.hear(breaking)
+                node.on_announcement(breaking)
                 await asyncio.sleep(0.2)
                 sound.archive.add(EraVersion(number=9), LARGEST)
                 sound.version = 9
-                node.hear(sound)
-                await world.wait_for(9, IN_FORCE_S)
-                self.assertEqual(sound.pieces, pieces - 1)
+                node.on_announcement(sound)
+                await world.wait_for_version(9, IN_FORCE_S)
+                self.assertEqual(sound.piece_requests, pieces - 1)
 
         quietly(story())
 
@@ -186,10 +186,10 @@
         async def story() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(2)]
-                world.roll(LARGE, watchers)
+                world.publish(LARGE, watchers)
                 late = await world.add(THIN_MBPS)
-                late.hear(watchers[0])
-                await world.wait_for(9, IN_FORCE_S)
+                late.on_announcement(watchers[0])
+                await world.wait_for_version(9, IN_FORCE_S)
 
         quietly(story())
 
@@ -199,8 +199,8 @@
                 source = await world.add(100.0, SMALL)
                 node = await world.add(100.0, SMALL)
                 node.archive._documents[digest_of(SMALL)].raw = SMALL[:-1]
-                world.roll(LARGE, [source])
-                await world.wait_for(9, IN_FORCE_S)
+                world.publish(LARGE, [source])
+                await world.wait_for_version(9, IN_FORCE_S)
                 self.assertEqual(node.archive.raw(digest_of(LARGE)), LARGE)
 
         quietly(story())
@@ -210,12 +210,12 @@
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
                 node = await world.add(100.0, SMALL)
-                node.refuses = True
+                node.rejects_plans = True
                 world.store_answers = False
-                world.roll(LARGE, [source])
+                world.publish(LARGE, [source])
                 await asyncio.sleep(1.5)
-                self.assertGreater(source.pieces, 1)
-                self.assertLess(source.pieces, 10)
+                self.assertGreater(source.piece_requests, 1)
+                self.assertLess(source.piece_requests, 10)
 
         quietly(story())
 
@@ -223,11 +223,11 @@
         async def story() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
-                source.dark = True
+                source.unresponsive = True
                 for _ in range(5):
                     await world.add(20.0, SMALL)
-                world.roll(LARGE, [source])
-                await world.wait_for(9, 3.5)
+                world.publish(LARGE, [source])
+                await world.wait_for_version(9, 3.5)
                 reads = [node.store_reads for node in world.nodes]
                 self.assertLessEqual(max(reads), 1)
 
@@ -237,12 +237,12 @@
         async def story() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
-                source.dark = True
+                source.unresponsive = True
                 node = await world.add(100.0, SMALL)
                 world.store_answers = False
                 source.version = 9
                 now = monotonic()
-                node.hear(source)
+                node.on_announcement(source)
                 self.assertTrue(node.fetch.is_behind(now))
                 self.assertFalse(node.fetch.is_behind(now + NEWER_VERSION_TTL_S + 0.1))
 
@@ -252,11 +252,11 @@
         async def story() -> None:
             async with PlanWorld() as world:
                 node = await world.add(100.0, SMALL)
-                self.assertEqual(await call(node.address, "?offset=-1"), 400)
-                self.assertEqual(await call(node.address, "?offset=x"), 400)
-                self.assertEqual(await call(node.address), 200)
+                self.assertEqual(await request_piece(node.address, "?offset=-1"), 400)
+                self.assertEqual(await request_piece(node.address, "?offset=x"), 400)
+                self.assertEqual(await request_piece(node.address), 200)
                 empty = await world.add(100.0)
-                self.assertEqual(await call(empty.address), 503)
+                self.assertEqual(await request_piece(empty.address), 503)
 
         quietly(story())
 
