--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -77,7 +77,7 @@
         self.era += 1
         self.servers, self.version = dict(servers), version
 
-    def listed(self) -> StoredList:
+    def read_list(self) -> StoredList:
         """Return the list as of now; heartbeats change its version all the time."""
         self.reads += 1
         self.version += 1
@@ -97,7 +97,7 @@
         """Return the list, or nothing for a node that is cut off."""
         if self.world.store.is_down or self.node in self.world.nodes_without_store:
             return Err(Failure("away"))
-        return Ok(self.world.store.listed())
+        return Ok(self.world.store.read_list())
 
 
 class VirtualFetch:
