--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -45,7 +45,7 @@
         """Return what the node believes of a server."""
         return self.balancer.views[server]
 
-    def hears(self, *names: str, now: float = 0.0, **more: object) -> None:
+    def receive_states(self, *names: str, now: float = 0.0, **more: object) -> None:
         """Let the node hear of others that serve."""
         for name in names:
             told = state(name, serving=True, **{"limits": {}, **more})
@@ -58,19 +58,19 @@
 
     def __init__(self, *names: str) -> None:
         self.now = 0.0
-        self.heard_from = 0.0
+        self.reachable_since = 0.0
         self.silent: set[str] = set()
         self.sent: list[PermitAsk | PermitAnswer] = []
         self.nodes = {name: Node(self, name) for name in names}
         for name, node in self.nodes.items():
-            node.hears(*(other for other in names if other != name))
+            node.receive_states(*(other for other in names if other != name))
 
     def pass_time(self, seconds: float) -> None:
         """Let time pass while all nodes that hear each other go on to do so."""
         self.now += seconds
         for node in self.nodes.values():
             for member in node.members.members.values():
-                if member.last_seen_at >= self.heard_from:
+                if member.last_seen_at >= self.reachable_since:
                     member.last_seen_at = self.now
             node.sharing.refresh(serving=True)
 
@@ -99,13 +99,13 @@
         asked = {node.sharing._grantors.address(node.view(server)) for node in self.nodes.values()}
         return next(node for node in self.nodes.values() if f"{node.name}:2" in asked)
 
-    def others(self, server: str = "s0") -> list[Node]:
+    def asking_nodes(self, server: str = "s0") -> list[Node]:
         """Return the nodes that have to ask."""
         grantor = self.grantor(server)
         return [node for node in self.nodes.values() if node is not grantor]
 
 
-def play(work: Callable[[], Awaitable[None]]) -> None:
+def run_async(work: Callable[[], Awaitable[None]]) -> None:
     """Run a test's coroutine."""
     quietly(work())
 
@@ -113,11 +113,11 @@
 class SumTest(unittest.TestCase):
     """What nodes are granted together keeps the limit."""
 
-    def test_all_nodes_together_get_what_the_server_takes(self) -> None:
+    def test_permits_of_all_nodes_add_up_to_the_limit(self) -> None:
         async def work() -> None:
             for number, per_s in ((9, 1.0), (45, 0.4), (45, 50.0)):
                 world = World(*(f"n{each}" for each in range(number)))
-                world.limit(per_s)
+                world.set_limit(per_s)
                 granted = 0
                 for _ in range(400):
                     world.pass_time(0.025)
@@ -127,26 +127,26 @@
                 self.assertLessEqual(granted, per_s * 10.0 + 1 + max(1, 0.25 * per_s))
                 self.assertGreaterEqual(granted, per_s * 10.0 * 0.7)
 
-        play(work)
+        run_async(work)
 
-    def test_high_limits_cost_a_question_for_many_requests(self) -> None:
+    def test_high_limits_take_one_ask_for_many_requests(self) -> None:
         async def work() -> None:
             world = World("n0", "n1")
-            world.limit(1_000.0)
-            node = world.others()[0]
+            world.set_limit(1_000.0)
+            node = world.asking_nodes()[0]
             for _ in range(1_000):
                 world.now += 0.001
                 await node.sharing.permits.take(node.view())
             asks = [each for each in world.sent if isinstance(each, PermitAsk)]
             self.assertLess(len(asks), 120)
 
-        play(work)
+        run_async(work)
 
-    def test_permits_that_were_not_used_are_void(self) -> None:
+    def test_unused_permits_expire(self) -> None:
         async def work() -> None:
             world = World("n0", "n1")
-            world.limit(1_000.0)
-            node = world.others()[0]
+            world.set_limit(1_000.0)
+            node = world.asking_nodes()[0]
             self.assertFalse(await node.sharing.permits.take(node.view()))
             world.now += 0.5
             self.assertTrue(await node.sharing.permits.take(node.view()))
@@ -155,40 +155,40 @@
             self.assertTrue(await node.sharing.permits.take(node.view()))
             self.assertGreater(len(world.sent), asked)
 
-        play(work)
+        run_async(work)
 
-    def test_who_waits_for_its_turn_takes_one_place_only(self) -> None:
+    def test_waiting_request_reserves_a_single_permit(self) -> None:
         async def work() -> None:
             world = World("n0", "n1")
-            world.limit(1_000.0)
-            node = world.others()[0]
+            world.set_limit(1_000.0)
+            node = world.asking_nodes()[0]
             await node.sharing.permits.take(node.view())
             self.assertTrue(await node.sharing.permits.take(node.view(), max_wait_s=0.1))
             asks = [each for each in world.sent if isinstance(each, PermitAsk)]
             self.assertEqual([each.number for each in asks], [20, 1])
             self.assertFalse(node.sharing.permits._unused)
 
-        play(work)
+        run_async(work)
 
-    def test_permits_for_another_limit_are_void(self) -> None:
+    def test_unused_permits_for_a_former_limit_are_discarded(self) -> None:
         async def work() -> None:
             world = World("n0", "n1")
-            world.limit(1_000.0)
-            node = world.others()[0]
+            world.set_limit(1_000.0)
+            node = world.asking_nodes()[0]
             await node.sharing.permits.take(node.view())
             world.now += 0.5
             self.assertTrue(await node.sharing.permits.take(node.view()))
-            world.limit(1.0)
+            world.set_limit(1.0)
             granted = [await node.sharing.permits.take(node.view()) for _ in range(5)]
             self.assertEqual(granted, [False] * 5)
 
-        play(work)
+        run_async(work)
 
-    def test_server_that_the_granting_node_does_not_list_yet_keeps_its_limit(self) -> None:
+    def test_limit_holds_while_the_grantor_does_not_list_the_server(self) -> None:
         async def work() -> None:
             world = World("n0", "n1")
-            world.limit(1.0)
-            grantor, asker = world.grantor(), world.others()[0]
+            world.set_limit(1.0)
+            grantor, asker = world.grantor(), world.asking_nodes()[0]
             grantor.balancer.apply(SERVERS[1:])
             granted = 0
             for _ in range(100):
@@ -197,25 +197,25 @@
                 granted += await asker.sharing.permits.take(asker.view())
             self.assertIn(granted, range(8, 13))
 
-        play(work)
+        run_async(work)
 
-    def test_node_that_was_not_told_makes_the_grantor_heed_the_limit(self) -> None:
+    def test_grantor_adopts_the_limit_of_the_asking_node(self) -> None:
         """Only the node that asks has heard the limit yet."""
 
         async def work() -> None:
             world = World("n0", "n1", "n2")
-            asker = world.others()[0]
+            asker = world.asking_nodes()[0]
             asker.balancer.notices.merge_peer_limits({"s0": LimitNews(1.0, 0.0)}, "x", world.now)
             world.now += 0.1
             self.assertFalse(await asker.sharing.permits.take(asker.view()))
             self.assertEqual(world.grantor().view().limit_per_s, 1.0)
 
-        play(work)
+        run_async(work)
 
-    def test_use_of_a_limit_is_logged_now_and_then(self) -> None:
+    def test_permit_counts_are_logged_once_per_interval(self) -> None:
         async def work() -> None:
             world = World("n0")
-            world.limit(1.0)
+            world.set_limit(1.0)
             node = world.nodes["n0"]
             for _ in range(3):
                 await node.sharing.permits.take(node.view())
@@ -230,12 +230,12 @@
             self.assertEqual((fields["server"], fields["asked"]), ("s0", 3))
             self.assertEqual((fields["granted"], fields["limit_per_s"]), (1, 1.0))
 
-        play(work)
+        run_async(work)
 
-    def test_halves_that_are_cut_grant_a_part_each(self) -> None:
+    def test_halves_of_a_partition_grant_a_share_each(self) -> None:
         async def work() -> None:
             world = World(*(f"n{each}" for each in range(8)))
-            world.limit(8.0)
+            world.set_limit(8.0)
             world.now = 2.0
             halves = (["n0", "n1", "n2", "n3"], ["n4", "n5", "n6", "n7"])
             for half in halves:
@@ -246,7 +246,7 @@
                         world.nodes[name].members.merge(told, 2.0)
                     world.nodes[name].sharing.refresh(serving=True)
             granted = 0
-            world.heard_from = 2.0
+            world.reachable_since = 2.0
             for _ in range(400):
                 world.pass_time(0.025)
                 for node in world.nodes.values():
@@ -255,44 +255,44 @@
             self.assertLessEqual(granted, 8.0 * 10.0 + 2 * 2)
             self.assertGreaterEqual(granted, 8.0 * 10.0 * 0.7)
 
-        play(work)
+        run_async(work)
 
 
 class SilenceTest(unittest.TestCase):
     """A granting node that says nothing costs a moment, and no server."""
 
-    def test_request_goes_on_without_the_server(self) -> None:
+    def test_silent_grantor_pauses_the_server_for_a_moment(self) -> None:
         async def work() -> None:
             world = World("n0", "n1")
-            world.limit(10.0)
+            world.set_limit(10.0)
             world.now += 1.0
             world.silent.add(world.grantor().name)
-            node = world.others()[0]
+            node = world.asking_nodes()[0]
             self.assertFalse(await node.sharing.permits.take(node.view()))
             self.assertTrue(node.view().standing.is_held(world.now + SILENT_GRANTOR_PAUSE_S - 0.01))
             self.assertFalse(
                 node.view().standing.is_held(world.now + SILENT_GRANTOR_PAUSE_S + 0.01)
             )
 
-        play(work)
+        run_async(work)
 
-    def test_answer_that_comes_too_late_is_void(self) -> None:
+    def test_answer_after_the_timeout_is_ignored(self) -> None:
         async def work() -> None:
             world = World("n0", "n1")
-            world.limit(10.0)
-            grantor, node = world.grantor(), world.others()[0]
+            world.set_limit(10.0)
+            grantor, node = world.grantor(), world.asking_nodes()[0]
             world.silent.add(grantor.name)
             await node.sharing.permits.take(node.view(), timeout_s=PERMIT_TIMEOUT_S / 8)
             node.sharing.on_message(PermitAnswer(1, 1, 0.0))
             self.assertTrue(node.view().standing.is_held(world.now + 0.01))
 
-        play(work)
+        run_async(work)
 
-    def test_another_node_grants_once_the_silent_one_is_missed(self) -> None:
+    def test_another_grantor_is_selected_once_the_silent_one_is_gone(self) -> None:
         world = World("n0", "n1", "n2")
         before = world.grantor()
         world.now = 5.0
-        for node in world.others():
+        for node in world.asking_nodes():
             for name in world.nodes:
                 if name not in (before.name, node.name):
                     told = state(name, sequence=9, serving=True, limits={})
@@ -304,13 +304,13 @@
         self.assertNotIn(f"{before.name}:2", asked)
         self.assertEqual(len(asked), 2, "one of two grants itself, the other asks it")
 
-    def test_only_one_question_is_under_way(self) -> None:
+    def test_only_one_ask_is_in_flight(self) -> None:
         async def work() -> None:
             world = World("n0", "n1")
-            world.limit(10.0)
+            world.set_limit(10.0)
             world.now += 1.0
             world.silent.add(world.grantor().name)
-            node = world.others()[0]
+            node = world.asking_nodes()[0]
             asking = asyncio.create_task(node.sharing.permits.take(node.view()))
             await asyncio.sleep(0)
             self.assertTrue(node.view().standing.is_held(world.now))
@@ -319,13 +319,13 @@
             )
             await asking
 
-        play(work)
+        run_async(work)
 
 
 class GrantorsTest(unittest.TestCase):
     """Who grants is drawn among nodes that serve and know of limits."""
 
-    def test_builds_that_know_no_limits_and_nodes_in_reserve_do_not_grant(self) -> None:
+    def test_builds_without_limits_and_nodes_in_reserve_do_not_grant(self) -> None:
         grantors = GrantorSelector("n0")
         grantors.refresh(
             "a",
@@ -353,19 +353,19 @@
             server = Server(f"t{each}", "plain", "h:1", "b", 4)
             self.assertIn(grantors.address(ServerView(server)), {"m0:2", "m1:2", "m2:2"})
 
-    def test_all_nodes_draw_the_same_one(self) -> None:
+    def test_all_nodes_select_the_same_grantor(self) -> None:
         world = World(*(f"n{each}" for each in range(9)))
         for server in ("s0", "s1", "s2"):
-            self.assertEqual(len(world.others(server)), 8)
+            self.assertEqual(len(world.asking_nodes(server)), 8)
 
-    def test_nodes_that_leave_are_no_part_of_a_cut(self) -> None:
+    def test_leaving_nodes_do_not_count_as_partitioned(self) -> None:
         members = Membership("n0", 1)
         members.merge(state("n1", serving=True), 0.0)
         members.merge(state("n2", serving=True, standing=int(Standing.LEAVING)), 0.0)
         self.assertEqual(members.reachable_share(0.5), 1.0)
         self.assertEqual(members.reachable_share(5.0), 0.5)
 
-    def test_nodes_in_reserve_are_no_part_of_a_cut(self) -> None:
+    def test_nodes_in_reserve_do_not_count_as_partitioned(self) -> None:
         """Where nodes are many, those of other halls are heard now and then only."""
         members = Membership("n0", 1)
         for number in range(300):
@@ -373,11 +373,11 @@
         members.merge(state("n1", serving=True), 5.0)
         self.assertEqual(members.reachable_share(5.5), 1.0)
 
-    def test_requests_of_builds_that_do_not_ask_count(self) -> None:
+    def test_requests_of_builds_without_permits_use_up_the_limit(self) -> None:
         async def work() -> None:
             world = World("n0")
             node = world.nodes["n0"]
-            world.limit(1.0)
+            world.set_limit(1.0)
             await node.sharing.permits.take(node.view())
             node.view().hold_until(0.0)
             world.now = 10.0
@@ -386,13 +386,13 @@
             world.now = 10.1
             self.assertFalse(await node.sharing.permits.take(node.view()))
 
-        play(work)
+        run_async(work)
 
 
 class StatedLimitTest(unittest.TestCase):
     """What was heard last counts, and no answer that was overtaken raises a limit."""
 
-    def test_lower_counts_at_once_and_higher_from_later_requests_only(self) -> None:
+    def test_lower_limit_applies_at_once_and_higher_from_later_requests_only(self) -> None:
         limit = StatedLimit()
         self.assertTrue(limit.update_from_answer(2.0, 9.0, 10.0))
         self.assertFalse(limit.update_from_answer(5.0, 9.5, 10.1))
@@ -402,7 +402,7 @@
         self.assertTrue(limit.update_from_answer(None, 10.5, 10.6))
         self.assertIsNone(limit.per_s)
 
-    def test_newer_word_of_others_counts_and_is_not_told_on(self) -> None:
+    def test_newer_peer_update_applies_and_is_not_relayed(self) -> None:
         limit = StatedLimit()
         self.assertTrue(limit.update_from_peer(LimitNews(2.0, 0.1), 10.0))
         self.assertIsNone(limit.to_broadcast(10.0))
@@ -411,14 +411,14 @@
         self.assertFalse(limit.update_from_peer(LimitNews(2.0, 0.3), 10.2))
         self.assertIsNone(limit.per_s)
 
-    def test_end_of_a_limit_is_told_for_a_while(self) -> None:
+    def test_removal_of_a_limit_is_broadcast_for_a_while(self) -> None:
         limit = StatedLimit()
         limit.update_from_answer(2.0, 1.0, 1.0)
         limit.update_from_answer(None, 2.0, 2.0)
         self.assertEqual(limit.to_broadcast(2.5), LimitNews(None, 0.5))
         self.assertIsNone(limit.to_broadcast(2.1 + REMOVAL_BROADCAST_S))
 
-    def test_limit_outlasts_a_lapse_of_the_entry_but_no_new_life(self) -> None:
+    def test_limit_outlasts_a_lapsed_entry_but_not_a_new_incarnation(self) -> None:
         balancer = LoadBalancer("a")
         balancer.apply(SERVERS)
         balancer.views["s0"].standing.limit.update_from_answer(2.0, 1.0, 1.0)
@@ -431,7 +431,7 @@
         balancer.apply([Server("s0#2", "plain", "h:0", "a", 4), *SERVERS[1:]])
         self.assertIsNone(balancer.views["s0#2"].limit_per_s)
 
-    def test_where_all_are_held_back_no_request_walks_over_all_servers(self) -> None:
+    def test_choice_does_not_scan_all_servers_that_are_held(self) -> None:
         balancer = LoadBalancer("a")
         balancer.apply([Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(3_000)])
         limits = {name: LimitNews(1.0, 0.0) for name in balancer.views}
@@ -448,7 +448,7 @@
             self.assertEqual(len(group.candidates(11.1, frozenset())), 1)
         self.assertLess(asked.call_count, 20)
 
-    def test_end_of_a_limit_frees_a_server_that_is_held_back(self) -> None:
+    def test_removal_of_a_limit_releases_a_held_server(self) -> None:
         balancer = LoadBalancer("a")
         balancer.apply(SERVERS[:1])
         view = balancer.views["s0"]
