--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -34,7 +34,7 @@
     start_nodes,
 )
 from tests.test_gateway_nodes import Cluster, on_cluster
-from tests.test_server_notices import headers
+from tests.test_server_notices import make_rejection_head
 
 
 def grant_only(server: str, ask: PermitAsk) -> PermitAnswer:
@@ -168,14 +168,14 @@
                 await world.server("s2", "plain", fine)
                 take = world.pool.acquire
 
-                async def take_slowly(server: str, address: str) -> UpstreamConnection:
+                async def acquire_slowly(server: str, address: str) -> UpstreamConnection:
                     connection = await take(server, address)
                     if server == "s1":
                         limit = {"s1": LimitNews(0.1, 0.0)}
                         world.balancer.notices.merge_peer_limits(limit, "n2", monotonic())
                     return connection
 
-                world.pool.acquire = take_slowly  # type: ignore[method-assign]
+                world.pool.acquire = acquire_slowly  # type: ignore[method-assign]
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(first.arrivals, [])
 
@@ -272,27 +272,33 @@
 
     def test_numbers_with_and_without_parts(self) -> None:
         for text, limit in (("1", 1.0), ("0.4", 0.4), (" 50 ", 50.0), ("0", 0.0), ("1e9", 1e9)):
-            stated = PlatformHeaders().read_answer(headers(("Server-Limit", text))).statement
+            stated = (
+                PlatformHeaders().read_answer(make_rejection_head(("Server-Limit", text))).statement
+            )
             self.assertEqual(stated.limit_per_s, limit, text)
             self.assertFalse(stated.limit_unreadable, text)
 
     def test_what_is_no_limit_is_unreadable_and_logged(self) -> None:
         for text in ("-1", "nan", "inf", "few", ""):
             with logbook.TestHandler().applicationbound() as handler:
-                stated = PlatformHeaders().read_answer(headers(("Server-Limit", text))).statement
+                stated = (
+                    PlatformHeaders()
+                    .read_answer(make_rejection_head(("Server-Limit", text)))
+                    .statement
+                )
             self.assertIsNone(stated.limit_per_s, text)
             self.assertTrue(stated.limit_unreadable, text)
             self.assertEqual([record.message[:4] for record in handler.records], ["E423"], text)
 
     def test_lower_of_two_counts(self) -> None:
         for texts, limit in ((("3", "2"), 2.0), (("x", "2"), 2.0)):
-            named = headers(*(("Server-Limit", text) for text in texts))
+            named = make_rejection_head(*(("Server-Limit", text) for text in texts))
             stated = PlatformHeaders().read_answer(named).statement
             self.assertEqual(stated.limit_per_s, limit)
             self.assertFalse(stated.limit_unreadable)
 
     def test_answer_without_it_names_none(self) -> None:
-        stated = PlatformHeaders().read_answer(headers()).statement
+        stated = PlatformHeaders().read_answer(make_rejection_head()).statement
         self.assertIsNone(stated.limit_per_s)
         self.assertFalse(stated.limit_unreadable)
 
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -40,28 +40,36 @@
 RETRY_LATER = b"Not-Executed: 1\r\nRetry-After: %.1f\r\n" % RETRY_AFTER_S
 
 
-async def leaves(arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def answer_leaving(
+    arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """A script that answers whole and says that the server leaves."""
     writer.write(answer(arrival, more=STAMP + LEAVES))
 
 
-async def slow(arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def answer_slowly(
+    arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """A script that answers after a time that makes the other server look better."""
     await asyncio.sleep(0.05)
     writer.write(answer(arrival))
 
 
-async def declines(arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def decline_with_retry_time(
+    arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """A script that turns a request away and states when to retry."""
     writer.write(answer(arrival, b"", 503, RETRY_LATER))
 
 
-async def is_full(arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def decline_without_retry_time(
+    arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """A script that turns a request away and names no time."""
     writer.write(answer(arrival, b"", 503, b"Not-Executed: 1\r\n"))
 
 
-async def is_another(
+async def answer_misdirected(
     arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     """A script of a server that is not the one that was meant, and leaves."""
@@ -73,7 +81,7 @@
     return await ask(node.settings.node.callers, request_bytes("/check/"))
 
 
-async def two_ready(cluster: Cluster) -> tuple[GatewayNode, GatewayNode]:
+async def start_two_nodes(cluster: Cluster) -> tuple[GatewayNode, GatewayNode]:
     """Start two nodes that know of each other."""
     first = await cluster.start("n1")
     second = await cluster.start("n2", (first.settings.node.control,))
@@ -102,15 +110,18 @@
     server was named as ready, had no cached front and was not the last one left.
     """
 
-    def test_later_requests_go_by_what_an_answer_said(self) -> None:
-        for name, script in (("leaves", leaves), ("states when to retry", declines)):
+    def test_later_requests_follow_what_an_answer_stated(self) -> None:
+        for name, script in (
+            ("leaves", answer_leaving),
+            ("states when to retry", decline_with_retry_time),
+        ):
             with self.subTest(name):
                 quietly(self._ask_after(script))
 
     async def _ask_after(self, script: object) -> None:
         async with GatewayWorld(a_plan()) as world:
             first = await world.server("s1", "plain", script)  # type: ignore[arg-type]
-            other = await world.server("s2", "plain", slow)
+            other = await world.server("s2", "plain", answer_slowly)
             await world.ask("/check/")
             for number in range(4):
                 asked = await world.ask("/order/", request_id=f"r{number}")
@@ -119,7 +130,7 @@
             self.assertGreaterEqual(len(other.arrivals), 4)
 
 
-def headers(*values: tuple[str, str]) -> AnswerHead:
+def make_rejection_head(*values: tuple[str, str]) -> AnswerHead:
     """Return the head of an answer that turns a request away."""
     named = [(name.encode(), value.encode()) for name, value in values]
     return AnswerHead(503, [(b"Not-Executed", b"1"), *named])
@@ -129,13 +140,13 @@
     """Each value that a time to come back may have is read in one way."""
 
     def seconds(self, *values: tuple[str, str]) -> float | None:
-        return PlatformHeaders().read_answer(headers(*values)).statement.retry_after_s
+        return PlatformHeaders().read_answer(make_rejection_head(*values)).statement.retry_after_s
 
-    def test_seconds_whole_and_in_parts(self) -> None:
+    def test_whole_and_fractional_seconds(self) -> None:
         for text, seconds in (("3", 3.0), ("0.25", 0.25), ("0", 0.0), ("86400", 86_400.0)):
             self.assertEqual(self.seconds(("Retry-After", text)), seconds)
 
-    def test_what_is_no_time_counts_as_none_and_is_logged(self) -> None:
+    def test_invalid_time_counts_as_none_and_is_logged(self) -> None:
         for text in ("-1", "nan", "inf", "soon", "", "Wed, 21 Oct 2026 07:28:00 GMT"):
             with logbook.TestHandler().applicationbound() as handler:
                 self.assertIsNone(self.seconds(("Retry-After", text)), text)
@@ -153,39 +164,39 @@
         self.assertEqual(self.seconds(("Retry-After", "2"), ("Retry-After", "5")), 5.0)
         self.assertEqual(self.seconds(("Retry-After", "2"), ("Retry-After", "x")), 2.0)
 
-    def test_only_one_means_leaving(self) -> None:
+    def test_only_the_value_1_means_leaving(self) -> None:
         for text, leaving in (("1", True), (" 1 ", True), ("0", False), ("", False), ("11", False)):
-            facts = PlatformHeaders().read_answer(headers(("Server-Leaving", text)))
+            facts = PlatformHeaders().read_answer(make_rejection_head(("Server-Leaving", text)))
             self.assertEqual(facts.statement.leaving, leaving, text)
-        both = headers(("Server-Leaving", "0"), ("server-leaving", "1"))
+        both = make_rejection_head(("Server-Leaving", "0"), ("server-leaving", "1"))
         self.assertTrue(PlatformHeaders().read_answer(both).statement.leaving)
 
 
 class LeavingTest(unittest.TestCase):
     """A server's word that it leaves holds until another life of it is there."""
 
-    def test_list_that_says_ready_does_not_take_it_back(self) -> None:
+    def test_list_does_not_override_a_leaving_statement(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                first = await world.server("s1", "plain", leaves)
-                await world.server("s2", "plain", slow)
+                first = await world.server("s1", "plain", answer_leaving)
+                await world.server("s2", "plain", answer_slowly)
                 await world.ask("/order/")
                 world.list_as("s1", slots=5)
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 world.unlist("s1")
                 world.list_as("s2", slots=5)
-                await self.list_again(world, first)
+                await self.relist_as_ready(world, first)
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
 
         quietly(work())
 
-    async def list_again(self, world: GatewayWorld, server: ScriptedServer) -> None:
+    async def relist_as_ready(self, world: GatewayWorld, server: ScriptedServer) -> None:
         """List a server as ready whose entry had lapsed."""
         world._listed.append(Server(server.id, "plain", server.address, "hall-a", 4))
         world.balancer.apply(world._listed)
 
-    def test_word_counts_though_the_list_said_it_before(self) -> None:
+    def test_leaving_statement_counts_though_the_list_had_it_first(self) -> None:
         balancer = LoadBalancer("a")
         ready = Server("s1", "model", "h:1", "a", 64)
         balancer.apply([msgspec.structs.replace(ready, leaving=True)])
@@ -193,14 +204,14 @@
         balancer.apply([ready])
         self.assertTrue(balancer.views["s1"].server.leaving)
 
-    def test_another_life_of_it_gets_requests(self) -> None:
+    def test_another_incarnation_gets_requests(self) -> None:
         for name, same_id in (("another address", True), ("another id", False)):
             with self.subTest(name):
-                quietly(self.next_life(same_id))
+                quietly(self._check_next_incarnation(same_id))
 
-    async def next_life(self, same_id: bool) -> None:
+    async def _check_next_incarnation(self, same_id: bool) -> None:
         async with GatewayWorld(a_plan()) as world:
-            first = await world.server("s1", "plain", leaves)
+            first = await world.server("s1", "plain", answer_leaving)
             await world.ask("/order/")
             self.assertEqual((await world.ask("/order/")).status, 503)
             world.unlist("s1")
@@ -213,13 +224,13 @@
             world.balancer.apply([life])
             self.assertEqual((await world.ask("/order/")).status, 200)
 
-    def test_word_of_another_server_at_its_address_is_not_its_own(self) -> None:
+    def test_leaving_statement_of_another_server_at_the_address_is_ignored(self) -> None:
         """It gets no requests for a while, but it is not the one that leaves."""
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                first = await world.server("s1", "plain", is_another)
-                await world.server("s2", "plain", slow)
+                first = await world.server("s1", "plain", answer_misdirected)
+                await world.server("s2", "plain", answer_slowly)
                 for _ in range(4):
                     self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
@@ -228,7 +239,7 @@
 
         quietly(work())
 
-    def test_bytes_that_are_no_answer_say_nothing(self) -> None:
+    def test_leaving_statement_of_an_invalid_answer_is_ignored(self) -> None:
         async def unsigned(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(arrival, more=LEAVES))
 
@@ -240,26 +251,26 @@
 
         quietly(work())
 
-    def test_word_that_comes_while_a_connection_is_made_counts(self) -> None:
+    def test_leaving_statement_during_a_connect_counts(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 first = await world.server("s1", "plain", fine)
-                await world.server("s2", "plain", slow)
+                await world.server("s2", "plain", answer_slowly)
                 take = world.pool.acquire
 
-                async def take_slowly(server: str, address: str) -> UpstreamConnection:
+                async def acquire_slowly(server: str, address: str) -> UpstreamConnection:
                     connection = await take(server, address)
                     if server == "s1":
                         world.forwarder.handle_leaving_server("s1")
                     return connection
 
-                world.pool.acquire = take_slowly  # type: ignore[method-assign]
+                world.pool.acquire = acquire_slowly  # type: ignore[method-assign]
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(first.arrivals, [])
 
         quietly(work())
 
-    def test_streams_of_a_server_that_says_so_are_moved(self) -> None:
+    def test_streams_of_a_leaving_server_are_moved(self) -> None:
         """A short answer says it; the stream that runs there beside it goes on elsewhere."""
 
         async def work() -> None:
@@ -296,10 +307,10 @@
 class RetryAfterTest(unittest.TestCase):
     """A time to come back holds for all requests of a node, and is told to callers."""
 
-    def test_all_that_back_off_refuse_at_once_until_the_first_is_free(self) -> None:
+    def test_requests_are_rejected_at_once_while_all_servers_back_off(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                first = await world.server("s1", "plain", declines)
+                first = await world.server("s1", "plain", decline_with_retry_time)
                 await world.ask("/open/")
                 began = monotonic()
                 got = await world.ask("/check/")
@@ -315,11 +326,11 @@
 
         quietly(work())
 
-    def test_caller_is_not_told_the_time_of_one_server_while_others_are_free(self) -> None:
+    def test_retry_time_of_one_server_is_not_returned_while_others_are_free(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                await world.server("s1", "plain", declines)
-                await world.server("s2", "plain", slow)
+                await world.server("s1", "plain", decline_with_retry_time)
+                await world.server("s2", "plain", answer_slowly)
                 routes = tuple(
                     msgspec.structs.replace(each, max_servers=1) for each in a_plan().routes
                 )
@@ -331,36 +342,36 @@
 
         quietly(work())
 
-    def test_zero_is_no_backoff(self) -> None:
-        async def declines_for_none(
+    def test_zero_retry_time_is_no_backoff(self) -> None:
+        async def decline_with_zero_retry_time(
             arrival: Arrival, _: object, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(answer(arrival, b"", 503, b"Not-Executed: 1\r\nRetry-After: 0\r\n"))
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                first = await world.server("s1", "plain", declines_for_none)
+                first = await world.server("s1", "plain", decline_with_zero_retry_time)
                 for _ in range(3):
                     await world.ask("/order/")
                 self.assertEqual(len(first.arrivals), 3)
 
         quietly(work())
 
-    def test_full_server_is_asked_last_but_is_asked(self) -> None:
+    def test_declining_server_is_the_last_choice_but_stays_one(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                first = await world.server("s1", "plain", is_full)
-                other = await world.server("s2", "plain", slow)
+                first = await world.server("s1", "plain", decline_without_retry_time)
+                other = await world.server("s2", "plain", answer_slowly)
                 for _ in range(4):
                     self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
-                other.script = is_full
+                other.script = decline_without_retry_time
                 got = await world.ask("/order/")
                 self.assertEqual((got.status, len(first.arrivals)), (503, 2))
 
         quietly(work())
 
-    def test_pauses_of_a_full_server_grow_and_end_with_an_answer(self) -> None:
+    def test_decline_pauses_grow_and_end_with_an_accepted_request(self) -> None:
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
         for expected in (0.25, 0.5, 1.0, 2.0, 3.0, 3.0):
             now = view.standing.declined_until
@@ -371,7 +382,7 @@
         view.record_accepted(view.standing.declined_at + 0.1)
         self.assertFalse(view.is_deprioritized(view.standing.declined_at))
 
-    def test_time_that_was_stated_outlasts_an_answer_to_an_earlier_request(self) -> None:
+    def test_stated_retry_time_outlasts_accepted_requests(self) -> None:
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
         view.record_decline(10.0, 3.0)
         view.record_decline(10.5, 1.0)
@@ -380,7 +391,7 @@
         self.assertFalse(view.is_open(12.9))
         self.assertTrue(view.is_open(13.0))
 
-    def test_servers_that_fail_for_hours_do_no_harm(self) -> None:
+    def test_pauses_stay_bounded_after_thousands_of_failures(self) -> None:
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
         for each in range(5_000):
             view.record_decline(float(each), None)
@@ -388,7 +399,7 @@
         self.assertEqual(view.standing.declined_until, 4_999.0 + 3.0)
         self.assertEqual(view.standing.paused_until, 4_999.0 + 3.0)
 
-    def test_node_that_serves_nobody_counts_what_others_were_told(self) -> None:
+    def test_node_without_requests_counts_declines_of_peers(self) -> None:
         """The holder of the duties is a node in reserve, so it hears of it from others only."""
         balancer = LoadBalancer("a")
         balancer.apply([Server("s1", "model", "h:1", "a", 64)])
@@ -399,7 +410,7 @@
         balancer.notices.merge_peer_declines({"s1": 1.0}, 30.0)
         self.assertEqual(balancer.group("model").unavailable(30.0, 4.0), 0)
 
-    def test_servers_that_turn_away_for_longer_than_a_start_are_made_up_for(self) -> None:
+    def test_servers_that_decline_for_longer_than_a_boot_are_replaced(self) -> None:
         balancer = LoadBalancer("a")
         balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(4)])
         group = balancer.group("model")
@@ -421,8 +432,8 @@
 
     def test_other_nodes_send_nothing_to_a_server_that_leaves(self) -> None:
         async def work(cluster: Cluster) -> None:
-            first, second = await two_ready(cluster)
-            cluster.backend.script = leaves
+            first, second = await start_two_nodes(cluster)
+            cluster.backend.script = answer_leaving
             cluster.platform.mood = Mood.SILENT
             self.assertEqual((await ask_node(first)).status, 200)
             arrived = len(cluster.backend.arrivals)
@@ -432,10 +443,10 @@
 
         on_cluster(work)
 
-    def test_other_nodes_ask_a_server_that_turns_away_later(self) -> None:
+    def test_other_nodes_retry_a_declining_server_later(self) -> None:
         async def work(cluster: Cluster) -> None:
-            first, second = await two_ready(cluster)
-            cluster.backend.script = declines
+            first, second = await start_two_nodes(cluster)
+            cluster.backend.script = decline_with_retry_time
             self.assertEqual((await ask_node(first)).status, 503)
             now = monotonic()
             await until(lambda: second.balancer.views["s1"].standing.peers_declined_until > now)
@@ -449,7 +460,7 @@
 
         on_cluster(work)
 
-    def test_a_state_tells_a_bounded_number(self) -> None:
+    def test_a_state_holds_a_bounded_number_of_servers(self) -> None:
         balancer = LoadBalancer("a")
         names = [f"s{each}" for each in range(100)]
         balancer.apply([Server(name, "model", "h:1", "a", 64) for name in names])
@@ -460,7 +471,7 @@
         self.assertEqual(len(balancer.declined(1.0)), MAX_BROADCAST_SERVERS)
         self.assertEqual(len(balancer.notices.leaving_ahead_of_list()), MAX_BROADCAST_SERVERS)
 
-    def test_what_the_list_says_is_not_told(self) -> None:
+    def test_leaving_servers_in_the_list_are_not_broadcast(self) -> None:
         balancer = LoadBalancer("a")
         ready = Server("s1", "model", "h:1", "a", 64)
         balancer.apply([ready])
