--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -37,28 +37,28 @@
 TARGET_NODES = 390
 TARGET_SERVERS = 1_100
 DATAGRAM_BYTES = 65_507
-SEEN_S = 1.0
-READ_S = 1.0
+MAX_PROPAGATION_S = 1.0
+MAX_READ_DELAY_S = 1.0
 """The store is read once in 0.8 s; a turn of another node and a round more."""
 
 LEAVE_S = 4.0
-PASSED_ON_S = 0.1
+MAX_RELAY_S = 0.1
 """Time of a few hops; by the next state of some node it takes a second."""
 
 
-def at(number: int, era: int = 1) -> EraVersion:
+def era_version(number: int, era: int = 1) -> EraVersion:
     """Return a version of the store."""
     return EraVersion(era, number)
 
 
-def size_of(change: ServerChange) -> int:
+def encoded_size(change: ServerChange) -> int:
     return len(msgspec.msgpack.encode(change))
 
 
-def told(before: ServerList, servers: list[Server], version: int) -> list[ServerChange]:
+def changes_for(before: ServerList, servers: list[Server], version: int) -> list[ServerChange]:
     """Let a node read a list and return what it tells."""
     base = before.digest
-    difference = before.update_from_store(servers, at(version))
+    difference = before.update_from_store(servers, era_version(version))
     head = ListHead(before.version, before.digest, 0.0, era=before.era_version.era)
     return split_into_packets(head, base, "n1:3", difference or ServerDelta())
 
@@ -67,7 +67,7 @@
     def setUp(self) -> None:
         self.servers = [make_server(number) for number in range(TARGET_SERVERS)]
         self.list = ServerList()
-        self.list.update_from_store(self.servers, at(1))
+        self.list.update_from_store(self.servers, era_version(1))
 
     def leave(self, gone: bool, hall: str) -> list[Server]:
         result = []
@@ -78,29 +78,29 @@
                 result.append(msgspec.structs.replace(server, leaving=True, leaves_s=4.0))
         return result
 
-    def test_whole_list_of_the_target_is_beyond_a_datagram(self) -> None:
+    def test_full_list_at_target_size_exceeds_a_datagram(self) -> None:
         self.assertGreater(len(self.list.raw), DATAGRAM_BYTES)
 
-    def test_hall_that_goes_is_told_in_few_packets(self) -> None:
+    def test_departure_of_a_hall_fits_few_packets(self) -> None:
         for gone in (False, True):
             with self.subTest(gone=gone):
                 self.setUp()
-                parts = told(self.list, self.leave(gone, "hall-3"), 2)
+                parts = changes_for(self.list, self.leave(gone, "hall-3"), 2)
                 self.assertLessEqual(len(parts), MAX_PACKETS)
-                self.assertLessEqual(max(map(size_of, parts)), MAX_PACKET_BYTES)
+                self.assertLessEqual(max(map(encoded_size, parts)), MAX_PACKET_BYTES)
                 other = ServerList()
-                other.update_from_store(self.servers, at(1))
+                other.update_from_store(self.servers, era_version(1))
                 for part in reversed(parts):
                     other.apply_change(part)
                 self.assertEqual(other.raw, self.list.raw)
 
-    def test_servers_that_leave_are_told_though_the_rest_is_too_much(self) -> None:
+    def test_departures_are_sent_though_the_whole_change_is_too_large(self) -> None:
         new = [make_server(number) for number in range(5_000, 5_400)]
         listed = [*self.leave(False, "hall-3"), *new]
-        parts = told(self.list, listed, 2)
-        self.assertLessEqual(max(map(size_of, parts)), MAX_PACKET_BYTES)
+        parts = changes_for(self.list, listed, 2)
+        self.assertLessEqual(max(map(encoded_size, parts)), MAX_PACKET_BYTES)
         other = ServerList()
-        other.update_from_store(self.servers, at(1))
+        other.update_from_store(self.servers, era_version(1))
         heard = [other.apply_change(part) for part in parts]
         self.assertTrue(heard[-1].needs_fetch)
         left = {server.id for server in listed if server.leaving}
@@ -111,27 +111,29 @@
     def setUp(self) -> None:
         self.servers = {each.id: each for each in map(make_server, range(8))}
         self.reader = ServerList()
-        self.reader.update_from_store(self.servers.values(), at(1))
+        self.reader.update_from_store(self.servers.values(), era_version(1))
         self.other = ServerList()
-        self.other.update_from_store(self.servers.values(), at(1))
+        self.other.update_from_store(self.servers.values(), era_version(1))
 
     def leave(self, number: int) -> None:
         server = make_server(number)
         self.servers[server.id] = msgspec.structs.replace(server, leaving=True, leaves_s=3.0)
 
-    def test_time_left_stays_as_it_was_first_told(self) -> None:
+    def test_time_left_stays_as_first_reported(self) -> None:
         self.leave(1)
-        self.reader.update_from_store(self.servers.values(), at(2))
+        self.reader.update_from_store(self.servers.values(), era_version(2))
         before = self.reader.digest
         name = make_server(1).id
         self.servers[name] = msgspec.structs.replace(self.servers[name], leaves_s=1.0)
-        self.assertIsNone(self.reader.update_from_store(self.servers.values(), at(3)))
+        self.assertIsNone(self.reader.update_from_store(self.servers.values(), era_version(3)))
         self.assertEqual((self.reader.digest, self.reader.version), (before, 3))
 
-    def test_marked_server_counts_as_leaving_until_a_list_as_new_comes(self) -> None:
-        lost = told(self.reader, list(self.servers.values())[1:], 2)
+    def test_marked_server_counts_as_leaving_until_a_list_at_least_as_new(self) -> None:
+        lost = changes_for(self.reader, list(self.servers.values())[1:], 2)
         self.leave(2)
-        heard = self.other.apply_change(told(self.reader, list(self.servers.values())[1:], 3)[0])
+        heard = self.other.apply_change(
+            changes_for(self.reader, list(self.servers.values())[1:], 3)[0]
+        )
         self.assertTrue(heard.servers_differ and heard.needs_fetch)
         self.assertIn(make_server(0).id, {server.id for server in self.other.usable()})
         self.assertTrue(
@@ -142,16 +144,16 @@
         self.assertTrue(self.other.update_from_peer(self.reader.raw, self.reader.era_version))
         self.assertEqual(self.other.usable(), self.reader.usable())
 
-    def test_older_list_is_not_taken(self) -> None:
+    def test_older_list_is_not_adopted(self) -> None:
         raw, version = self.reader.raw, self.reader.era_version
         self.leave(1)
-        self.reader.update_from_store(self.servers.values(), at(5))
+        self.reader.update_from_store(self.servers.values(), era_version(5))
         self.assertFalse(self.reader.update_from_peer(raw, version))
         self.assertTrue(any(server.leaving for server in self.reader.usable()))
 
     def test_unreadable_list_is_refused(self) -> None:
         with self.assertRaises(ValueError):
-            self.other.update_from_peer(b"\x91\x01", at(9))
+            self.other.update_from_peer(b"\x91\x01", era_version(9))
 
     # `tools.without` runs a test several times in one process, each time in a new TestCase.
     @settings(
@@ -161,13 +163,11 @@
         suppress_health_check=[HealthCheck.differing_executors],
     )
     @given(st.data())
-    def test_news_that_are_lost_doubled_or_late_never_take_a_list_back(
-        self, data: st.DataObject
-    ) -> None:
+    def test_lost_duplicated_or_late_changes_never_revert_a_list(self, data: st.DataObject) -> None:
         servers = {each.id: each for each in map(make_server, range(12))}
         reader, other = ServerList(), ServerList()
-        reader.update_from_store(servers.values(), at(1))
-        other.update_from_store(servers.values(), at(1))
+        reader.update_from_store(servers.values(), era_version(1))
+        other.update_from_store(servers.values(), era_version(1))
         waiting: list[ServerChange] = []
         left: dict[str, int] = {}
         for version in range(2, 12):
@@ -177,7 +177,7 @@
                 elif name in servers:
                     servers[name] = msgspec.structs.replace(servers[name], leaving=True)
                     left[name] = version
-            waiting += told(reader, list(servers.values()), version)
+            waiting += changes_for(reader, list(servers.values()), version)
             order = data.draw(st.permutations(range(len(waiting))))
             for index in order[: data.draw(st.integers(0, len(waiting)))]:
                 before = other.version
@@ -198,7 +198,7 @@
     def setUp(self) -> None:
         self.servers = {each.id: each for each in map(make_server, range(4))}
         self.list = ServerList()
-        self.list.update_from_store(self.servers.values(), at(100))
+        self.list.update_from_store(self.servers.values(), era_version(100))
 
     def leave(self, number: int) -> Server:
         return msgspec.structs.replace(make_server(number), leaving=True, leaves_s=3.0)
@@ -206,48 +206,52 @@
     def usable(self) -> dict[str, bool]:
         return {server.id: server.leaving for server in self.list.usable()}
 
-    def test_list_of_the_new_era_is_taken_though_its_version_is_lower(self) -> None:
-        difference = self.list.update_from_store([make_server(0), self.leave(1)], at(60, era=2))
+    def test_list_of_the_new_era_is_adopted_though_its_version_is_lower(self) -> None:
+        difference = self.list.update_from_store(
+            [make_server(0), self.leave(1)], era_version(60, era=2)
+        )
         assert difference is not None
         self.assertEqual([each.id for each in difference.leaving], [make_server(1).id])
-        self.assertEqual(self.list.era_version, at(60, era=2))
+        self.assertEqual(self.list.era_version, era_version(60, era=2))
 
     def test_list_of_the_former_era_is_dropped_though_its_version_is_higher(self) -> None:
         former = ServerList()
-        former.update_from_store([self.leave(0)], at(200))
-        self.list.update_from_store(self.servers.values(), at(60, era=2))
+        former.update_from_store([self.leave(0)], era_version(200))
+        self.list.update_from_store(self.servers.values(), era_version(60, era=2))
         self.assertFalse(self.list.update_from_peer(former.raw, former.era_version))
-        change = told(former, [], 201)[0]
+        change = changes_for(former, [], 201)[0]
         self.assertEqual(self.list.apply_change(change), ChangeResult())
         self.assertFalse(self.list.confirm_head(ListHead(99, self.list.digest, 0.0, era=1)))
         self.assertEqual(set(self.usable()), set(self.servers))
 
-    def test_server_that_had_left_is_not_believed_to_be_back_until_entries_lapsed(self) -> None:
-        self.list.update_from_store([self.leave(1), make_server(2), make_server(3)], at(101))
-        self.list.update_from_store(self.servers.values(), at(60, era=2))
+    def test_departed_server_stays_departed_until_entries_lapse(self) -> None:
+        self.list.update_from_store(
+            [self.leave(1), make_server(2), make_server(3)], era_version(101)
+        )
+        self.list.update_from_store(self.servers.values(), era_version(60, era=2))
         gone, leaving = make_server(0).id, make_server(1).id
         self.assertNotIn(gone, self.usable())
         self.assertTrue(self.usable()[leaving])
         self.assertTrue(self.list.trust_entries())
         self.assertEqual(self.usable(), dict.fromkeys(self.servers, False))
 
-    def test_server_marked_as_leaving_stays_so_over_the_stores_return(self) -> None:
+    def test_marked_departures_outlast_a_store_restore(self) -> None:
         head = ListHead(101, 1, 0.0, era=1)
         marked = [Leaving(make_server(1).id, 2.0)]
         self.list.apply_change(
             ServerChange(head, 0, "n2:3", gone=[make_server(0).id], leaving=marked)
         )
-        self.list.update_from_store(self.servers.values(), at(60, era=2))
+        self.list.update_from_store(self.servers.values(), era_version(60, era=2))
         self.assertNotIn(make_server(0).id, self.usable())
         self.assertTrue(self.usable()[make_server(1).id])
 
-    def test_server_that_was_back_before_the_stores_return_is_used(self) -> None:
-        self.list.update_from_store([make_server(0)], at(101))
-        self.list.update_from_store(self.servers.values(), at(102))
-        self.list.update_from_store(self.servers.values(), at(60, era=2))
+    def test_server_that_was_back_before_a_store_restore_is_used(self) -> None:
+        self.list.update_from_store([make_server(0)], era_version(101))
+        self.list.update_from_store(self.servers.values(), era_version(102))
+        self.list.update_from_store(self.servers.values(), era_version(60, era=2))
         self.assertEqual(set(self.usable()), set(self.servers))
 
-    def test_changes_that_tell_no_era_count_but_take_no_version_over(self) -> None:
+    def test_changes_without_an_era_apply_but_set_no_version(self) -> None:
         former = ServerList()
         former.update_from_store(self.servers.values(), EraVersion(0, 100))
         head_of = ListHead(101, 0, 0.0)
@@ -259,9 +263,9 @@
         heard = self.list.apply_change(split_into_packets(head_of, base, "n2:3", difference)[0])
         self.assertTrue(heard.confirmed)
         self.assertEqual(set(self.usable()), {each.id for each in listed})
-        self.assertEqual(self.list.era_version, at(100))
+        self.assertEqual(self.list.era_version, era_version(100))
 
-    def test_list_that_tells_no_era_is_not_fetched_in_place_of_one_that_does(self) -> None:
+    def test_list_without_an_era_does_not_replace_one_with_an_era(self) -> None:
         heard = self.list.apply_change(ServerChange(ListHead(900, 5, 0.0), 4, "n2:3"))
         self.assertFalse(heard.needs_fetch)
         former = ServerList()
@@ -277,7 +281,7 @@
         world.run(1.0)
         return world
 
-    def test_leaving_server_is_known_everywhere_within_a_second_of_its_reading(self) -> None:
+    def test_leaving_server_is_known_everywhere_within_a_second_of_the_read(self) -> None:
         for nodes in (9, 77, 195, TARGET_NODES):
             with self.subTest(nodes=nodes):
                 world = self.world(0.05, nodes)
@@ -285,9 +289,9 @@
                 name = make_server(5).id
                 world.store.mark_leaving(name, 4.0)
                 reads = world.store.reads
-                world.run(1.0 + READ_S + SEEN_S)
+                world.run(1.0 + MAX_READ_DELAY_S + MAX_PROPAGATION_S)
                 first = min(node.leaving_learned_at[name] for node in world.nodes)
-                self.assertLess(world.last_learned_at(name) - first, SEEN_S)
+                self.assertLess(world.last_learned_at(name) - first, MAX_PROPAGATION_S)
                 sent = [
                     node.sent_bytes - told for node, told in zip(world.nodes, before, strict=True)
                 ]
@@ -299,12 +303,12 @@
         names = [server.id for server in world.store.servers.values() if server.hall == "hall-2"]
         for name in names:
             world.store.mark_leaving(name, 4.0)
-        world.run(1.0 + READ_S + SEEN_S)
+        world.run(1.0 + MAX_READ_DELAY_S + MAX_PROPAGATION_S)
         first = min(node.leaving_learned_at[names[0]] for node in world.nodes)
         for name in names:
-            self.assertLess(world.last_learned_at(name) - first, SEEN_S)
+            self.assertLess(world.last_learned_at(name) - first, MAX_PROPAGATION_S)
 
-    def test_reader_that_dies_while_it_tells_is_made_up_for(self) -> None:
+    def test_crash_of_the_reader_while_it_broadcasts_delays_nobody(self) -> None:
         world = self.world()
         reader = world.nodes[0]
         only = {"n11", "n12"}
@@ -316,9 +320,9 @@
         world.run(4.0)
         alive = [node for node in world.nodes if node.alive]
         first = min(node.leaving_learned_at[name] for node in alive)
-        self.assertLess(world.last_learned_at(name, alive) - first, SEEN_S)
+        self.assertLess(world.last_learned_at(name, alive) - first, MAX_PROPAGATION_S)
 
-    def test_node_cut_from_the_store_and_from_all_that_serve_hears_of_it(self) -> None:
+    def test_node_partitioned_from_store_and_serving_nodes_learns_of_departures(self) -> None:
         world = self.world()
         lone = world.nodes[200]
         serving = {node.name for node in world.nodes if node.neighbours.serving}
@@ -327,11 +331,11 @@
         world.run(2.0)
         name = make_server(5).id
         world.store.mark_leaving(name, 4.0)
-        world.run(2.0 + READ_S + SEEN_S)
+        world.run(2.0 + MAX_READ_DELAY_S + MAX_PROPAGATION_S)
         first = min(node.leaving_learned_at[name] for node in world.nodes)
-        self.assertLess(lone.leaving_learned_at[name] - first, PASSED_ON_S)
+        self.assertLess(lone.leaving_learned_at[name] - first, MAX_RELAY_S)
 
-    def test_two_that_read_at_once_agree_with_all(self) -> None:
+    def test_lists_converge_after_concurrent_reads(self) -> None:
         world = self.world(0.05)
         world.duplicate_rate = 0.3
         one, two = make_server(5).id, make_server(6).id
@@ -340,12 +344,14 @@
         world.store.mark_leaving(two, 4.0)
         run_to_completion(world.nodes[1].watch._read())
         run_to_completion(world.nodes[0].watch._read())
-        world.run(1.0 + SEEN_S)
-        self.assertLess(max(world.last_learned_at(one), world.last_learned_at(two)), 1.0 + SEEN_S)
-        world.run(1.0 + READ_S + SEEN_S)
+        world.run(1.0 + MAX_PROPAGATION_S)
+        self.assertLess(
+            max(world.last_learned_at(one), world.last_learned_at(two)), 1.0 + MAX_PROPAGATION_S
+        )
+        world.run(1.0 + MAX_READ_DELAY_S + MAX_PROPAGATION_S)
         self.assertEqual(len({node.watch.list.digest for node in world.nodes}), 1)
 
-    def test_reader_that_froze_goes_on_with_the_newest_list(self) -> None:
+    def test_frozen_reader_resumes_with_the_newest_list(self) -> None:
         world = self.world(nodes=77)
         reader = world.nodes[0]
         reader.frozen = True
@@ -353,7 +359,7 @@
         world.store.mark_leaving(name, 4.0)
         world.run(5.0)
         others = [node for node in world.nodes if node is not reader]
-        self.assertLess(world.last_learned_at(name, others), 1.0 + 2 * READ_S)
+        self.assertLess(world.last_learned_at(name, others), 1.0 + 2 * MAX_READ_DELAY_S)
         versions = []
         unfreeze(reader)
         for step in range(20):
@@ -363,15 +369,15 @@
         self.assertIn(name, reader.leaving_learned_at)
         self.assertEqual(len({node.watch.list.digest for node in world.nodes}), 1)
 
-    def test_reader_cut_from_the_store_is_made_up_for(self) -> None:
+    def test_another_node_reads_for_one_without_the_store(self) -> None:
         world = self.world()
         world.nodes_without_store = {"n0"}
         name = make_server(5).id
         world.store.mark_leaving(name, 4.0)
-        world.run(1.0 + 2 * READ_S + SEEN_S)
-        self.assertLess(world.last_learned_at(name), 1.0 + 2 * READ_S + SEEN_S)
+        world.run(1.0 + 2 * MAX_READ_DELAY_S + MAX_PROPAGATION_S)
+        self.assertLess(world.last_learned_at(name), 1.0 + 2 * MAX_READ_DELAY_S + MAX_PROPAGATION_S)
 
-    def test_list_that_nobody_reads_does_not_pass_for_new_over_slow_links(self) -> None:
+    def test_unread_list_does_not_seem_fresh_over_slow_links(self) -> None:
         world = self.world(nodes=9)
         world.store.is_down = True
         world.extra_latency_s = 0.25
@@ -379,7 +385,7 @@
         ages = [world.now - node.watch._fresh_at for node in world.nodes]
         self.assertGreater(min(ages), 4.9)
 
-    def test_all_that_serve_end_and_the_others_do_not_come_to_the_store_at_once(self) -> None:
+    def test_nodes_in_reserve_do_not_read_at_once_after_all_serving_nodes_crash(self) -> None:
         world = self.world()
         for node in world.nodes[:HALLS]:
             node.alive = False
@@ -396,7 +402,7 @@
 class SpreadAfterRestoreTest(unittest.TestCase):
     """The store comes back from a copy that is 50 versions older, at nodes in number."""
 
-    def restored(self, nodes: int) -> ListWorld:
+    def make_restored_world(self, nodes: int) -> ListWorld:
         world = ListWorld(nodes, 100, 0.05)
         copy = dict(world.store.servers)
         world.store.version = 500
@@ -407,27 +413,29 @@
         world.store.restore(copy, 450)
         return world
 
-    def test_leaving_server_is_known_everywhere_within_the_time_it_serves_on(self) -> None:
+    def test_leaving_server_is_known_everywhere_before_it_stops(self) -> None:
         for nodes in (9, 77, TARGET_NODES):
             with self.subTest(nodes=nodes):
-                world = self.restored(nodes)
+                world = self.make_restored_world(nodes)
                 world.run(4.0)
                 name = make_server(5).id
                 world.store.mark_leaving(name, 4.0)
-                world.run(4.0 + READ_S + SEEN_S)
-                self.assertLess(world.last_learned_at(name), 4.0 + READ_S + SEEN_S)
+                world.run(4.0 + MAX_READ_DELAY_S + MAX_PROPAGATION_S)
+                self.assertLess(
+                    world.last_learned_at(name), 4.0 + MAX_READ_DELAY_S + MAX_PROPAGATION_S
+                )
 
-    def test_nodes_do_not_come_to_the_store_at_once(self) -> None:
+    def test_nodes_do_not_read_a_restored_store_at_once(self) -> None:
         for nodes in (9, 77, TARGET_NODES):
             with self.subTest(nodes=nodes):
-                world = self.restored(nodes)
+                world = self.make_restored_world(nodes)
                 reads = world.store.reads
                 world.run(4.6)
                 self.assertLess(world.store.reads - reads, 30)
                 self.assertEqual(len({node.watch.list.digest for node in world.nodes}), 1)
 
 
-class StoreOnDemand:
+class FakeStore:
     """A store whose list is read when a test says so."""
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -435,14 +443,14 @@
         self.is_down = False
         self.reads = 0
         self.version = 1
-        self.step = 1
+        self.version_step = 1
 
     async def servers(self, _: float, _before: object = None) -> object:
         self.reads += 1
         if self.is_down:
             await asyncio.sleep(0.01)
             return Err(Failure("away"))
-        self.version += self.step
+        self.version += self.version_step
         return Ok(StoredList((make_server(1),), self.version, self.now(), era=1))
 
 
@@ -451,14 +459,14 @@
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.store = StoreOnDemand(lambda: self.now)
-        self.taken: list[list[Server]] = []
+        self.store = FakeStore(lambda: self.now)
+        self.applied_lists: list[list[Server]] = []
         self.true_time = TrueTime()
         self.watch = FleetWatch(
             self.store,  # type: ignore[arg-type]
             self.true_time,
             lambda: 0,
-            self.taken.append,
+            self.applied_lists.append,
             lambda *_: None,
             lambda _: None,
             lambda: 12.0,
@@ -475,7 +483,7 @@
         quietly(ask())
         return result[0]
 
-    def test_node_in_reserve_that_missed_the_news_reads_before_it_sends(self) -> None:
+    def test_node_in_reserve_with_an_old_list_reads_before_it_sends(self) -> None:
         self.assertTrue(self.current())
         self.now += MAX_LIST_AGE_SHARE * LEAVE_S - 0.1
         self.assertTrue(self.current())
@@ -485,20 +493,20 @@
         self.assertEqual(self.store.reads, 2)
         self.assertLess(MAX_LIST_AGE_SHARE * LEAVE_S + REFRESH_WAIT_S, LEAVE_S - 1.0)
 
-    def test_first_list_that_a_peer_passes_on_is_as_old_as_the_peer_told(self) -> None:
+    def test_first_list_from_a_peer_has_the_age_that_the_peer_reported(self) -> None:
         self.true_time.record_store_clock(self.now, self.now, self.now)
         self.store.version = 5
         peer = ServerList()
-        peer.update_from_store([make_server(1)], at(5))
+        peer.update_from_store([make_server(1)], era_version(5))
         self.watch.on_head(ListHead(5, peer.digest, self.now - 0.3, era=1), "n2:3", 1.0)
-        self.watch._fetched(at(5), peer.raw)
+        self.watch._fetched(era_version(5), peer.raw)
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 0)
         self.now += MAX_LIST_AGE_SHARE * LEAVE_S - 0.2
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 1)
 
-    def test_last_list_counts_while_the_store_is_away_for_all(self) -> None:
+    def test_last_list_is_used_while_the_store_is_down_for_all(self) -> None:
         self.assertTrue(self.current())
         self.store.is_down = True
         self.now += 60.0
@@ -507,17 +515,17 @@
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, reads, "an outage holds up one request, not each")
 
-    def test_node_that_knows_of_a_newer_list_which_it_can_not_get_sends_nothing(self) -> None:
+    def test_node_that_cannot_get_a_newer_list_sends_nothing(self) -> None:
         self.assertTrue(self.current())
         self.store.is_down = True
         self.now += 60.0
         self.watch.on_head(ListHead(9, 9, self.now, era=1), "n2:3", 1.0)
         self.assertFalse(self.current())
 
-    def test_list_that_is_read_in_vain_is_not_read_again_for_each_request(self) -> None:
+    def test_reads_of_an_older_list_are_not_repeated_for_each_request(self) -> None:
         self.store.version = 90
         self.assertTrue(self.current())
-        self.store.version, self.store.step = 50, 0
+        self.store.version, self.store.version_step = 50, 0
         self.now += 60.0
         reads = self.store.reads
         for _ in range(20):
@@ -525,11 +533,11 @@
             self.current()
         self.assertEqual(self.store.reads - reads, 1)
 
-    def test_nodes_that_read_in_vain_pause_before_they_read_again(self) -> None:
+    def test_node_pauses_after_it_read_an_older_list(self) -> None:
         async def watch() -> None:
             self.store.version = 90
             await self.watch.ensure_current()
-            self.store.version, self.store.step = 50, 0
+            self.store.version, self.store.version_step = 50, 0
             self.now += 60.0
             reads = self.store.reads
             task = asyncio.create_task(self.watch.watch())
@@ -539,14 +547,14 @@
 
         quietly(watch())
 
-    def test_requests_that_come_together_share_one_reading(self) -> None:
+    def test_concurrent_requests_share_one_read(self) -> None:
         async def ask() -> None:
             await asyncio.gather(*(self.watch.ensure_current() for _ in range(20)))
 
         quietly(ask())
         self.assertEqual(self.store.reads, 1)
 
-    def test_nodes_in_reserve_read_for_themselves_late_and_spread(self) -> None:
+    def test_nodes_in_reserve_read_late_and_with_jitter(self) -> None:
         due = []
         for _ in range(40):
             self.now += 0.8
