--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -37,7 +37,7 @@
 from tests.test_server_notices import make_rejection_head
 
 
-def grant_only(server: str, ask: PermitAsk) -> PermitAnswer:
+def grant_for_server_only(server: str, ask: PermitAsk) -> PermitAnswer:
     """Grant permits for one server only."""
     return PermitAnswer(ask.serial, int(ask.server == server), 0.0 if ask.server == server else 9.0)
 
@@ -61,12 +61,14 @@
     second, at all nodes together as often as those of servers without a limit.
     """
 
-    def test_requests_of_all_nodes_keep_a_limit(self) -> None:
+    def test_requests_of_all_nodes_stay_within_a_limit(self) -> None:
         for limit_per_s in (1.0, 0.4):
             with self.subTest(limit_per_s=limit_per_s):
-                on_cluster(lambda cluster, limit=limit_per_s: self._ask(cluster, limit))
+                on_cluster(
+                    lambda cluster, limit=limit_per_s: self._check_total_limit(cluster, limit)
+                )
 
-    async def _ask(self, cluster: Cluster, limit_per_s: float) -> None:
+    async def _check_total_limit(self, cluster: Cluster, limit_per_s: float) -> None:
         limited = make_limited_server("s1", limit_per_s)
         cluster.backend = limited
         await limited.start()
@@ -84,11 +86,11 @@
             callers.max_arrivals_in_window(limited), max_expected_arrivals(limit_per_s)
         )
 
-    def test_limits_are_used_where_no_other_server_is_free(self) -> None:
+    def test_limited_servers_are_used_when_no_other_is_free(self) -> None:
         """Of a limit at most half stays unused; what can't be served is told at once."""
-        on_cluster(self._ask_limited_ones)
+        on_cluster(self._check_limited_servers_are_used)
 
-    async def _ask_limited_ones(self, cluster: Cluster) -> None:
+    async def _check_limited_servers_are_used(self, cluster: Cluster) -> None:
         servers = [make_limited_server("s1", 4.0), make_limited_server("s2", 2.0)]
         cluster.backend = servers[0]
         for server in servers:
@@ -117,10 +119,10 @@
 class TurnTest(unittest.TestCase):
     """Where the only server names a limit, requests wait for their turn while that is in time."""
 
-    def test_requests_that_can_wait_are_served_one_after_the_other(self) -> None:
-        quietly(self._ask_at_once())
+    def test_waiting_requests_are_served_one_after_the_other(self) -> None:
+        quietly(self._check_queued_requests())
 
-    async def _ask_at_once(self) -> None:
+    async def _check_queued_requests(self) -> None:
         routes = (
             Route("now", HOST, "/now/", Kind.SAFE, (Share("plain"),), 1.0, 2.0, priority=0),
             Route("later", HOST, "/later/", Kind.SAFE, (Share("plain"),), 1.0, 2.0, priority=4),
@@ -145,7 +147,7 @@
             self.assertEqual(len(set(times)), len(times))
             self.assertIn(b"at their limits", refused[0].body)
 
-    def test_safe_request_leaves_no_slow_server_for_one_without_a_place(self) -> None:
+    def test_safe_request_is_not_retried_at_a_server_without_permits(self) -> None:
         """A caller got 502: its request had left the server that would have answered it."""
 
         async def work() -> None:
@@ -161,7 +163,7 @@
 
         quietly(work())
 
-    def test_limit_heard_while_a_connection_is_made_counts(self) -> None:
+    def test_limit_received_during_a_connect_counts(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 first = await world.server("s1", "plain", fine)
@@ -181,7 +183,7 @@
 
         quietly(work())
 
-    def test_patience_follows_rank_and_target_and_begins_anew_with_a_stream(self) -> None:
+    def test_queue_wait_depends_on_rank_and_target_and_restarts_with_each_event(self) -> None:
         route = Route("r", HOST, "/r/", Kind.STREAM, (Share("model"),), 9.0, 2.0)
         head = RequestHead(b"POST", b"/r/", [])
         request = InboundRequest(head, b"", 100.0)
@@ -204,7 +206,7 @@
         job.caller.priority = 4
         self.assertAlmostEqual(max_queue_wait_s(job, 105.1), 0.1)
 
-    def test_place_is_found_where_most_servers_have_none(self) -> None:
+    def test_permit_is_found_where_most_servers_have_none(self) -> None:
         """All servers name limits; only one of six has a place, and nobody knows which."""
 
         async def work() -> None:
@@ -214,7 +216,7 @@
             balancer.notices.merge_peer_limits(limits, "n2", monotonic())
             permits = standalone_permit_client(balancer, monotonic)
             with mock.patch.object(
-                permits, "grant", side_effect=lambda ask: grant_only("s3", ask)
+                permits, "grant", side_effect=lambda ask: grant_for_server_only("s3", ask)
             ) as asked:
                 placer = Placer(balancer, permits, monotonic)
                 placement = await placer.place(PlacementRequest("plain", RequestFacts(), None))
@@ -224,7 +226,7 @@
 
         quietly(work())
 
-    def test_streams_are_moved_to_no_server_that_has_no_place(self) -> None:
+    def test_streams_are_not_moved_to_a_server_without_permits(self) -> None:
         async def work() -> None:
             balancer = LoadBalancer("a")
             balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(3)])
@@ -244,7 +246,7 @@
 class RentingTest(unittest.TestCase):
     """A server that takes hardly anything for longer than a new one takes to start is missing."""
 
-    def test_part_that_limits_take_away_is_made_up_for(self) -> None:
+    def test_capacity_lost_to_limits_is_counted_as_lost_servers(self) -> None:
         balancer = LoadBalancer("a")
         balancer.apply([Server(f"s{each}", "model", f"h:{each}", "a", 64) for each in range(6)])
         group = balancer.group("model")
@@ -258,7 +260,7 @@
         balancer.notices.record_leaving("s3")
         self.assertEqual(group.limited.lost_servers(15.0, usual_per_s, boot_s), 1)
 
-    def test_requests_of_all_nodes_tell_what_is_usual(self) -> None:
+    def test_request_rate_includes_all_nodes(self) -> None:
         members = Membership("n0", 1)
         sharing = Sharing(members, Bounds(), now=lambda: 1.0)
         for _ in range(20):
@@ -270,7 +272,7 @@
 class HeaderValuesTest(unittest.TestCase):
     """Each value that a limit may have is read in one way."""
 
-    def test_numbers_with_and_without_parts(self) -> None:
+    def test_whole_and_fractional_limits(self) -> None:
         for text, limit in (("1", 1.0), ("0.4", 0.4), (" 50 ", 50.0), ("0", 0.0), ("1e9", 1e9)):
             stated = (
                 PlatformHeaders().read_answer(make_rejection_head(("Server-Limit", text))).statement
@@ -278,7 +280,7 @@
             self.assertEqual(stated.limit_per_s, limit, text)
             self.assertFalse(stated.limit_unreadable, text)
 
-    def test_what_is_no_limit_is_unreadable_and_logged(self) -> None:
+    def test_invalid_limit_is_unreadable_and_logged(self) -> None:
         for text in ("-1", "nan", "inf", "few", ""):
             with logbook.TestHandler().applicationbound() as handler:
                 stated = (
@@ -290,14 +292,14 @@
             self.assertTrue(stated.limit_unreadable, text)
             self.assertEqual([record.message[:4] for record in handler.records], ["E423"], text)
 
-    def test_lower_of_two_counts(self) -> None:
+    def test_lower_of_two_limits_counts(self) -> None:
         for texts, limit in ((("3", "2"), 2.0), (("x", "2"), 2.0)):
             named = make_rejection_head(*(("Server-Limit", text) for text in texts))
             stated = PlatformHeaders().read_answer(named).statement
             self.assertEqual(stated.limit_per_s, limit)
             self.assertFalse(stated.limit_unreadable)
 
-    def test_answer_without_it_names_none(self) -> None:
+    def test_answer_without_the_header_states_no_limit(self) -> None:
         stated = PlatformHeaders().read_answer(make_rejection_head()).statement
         self.assertIsNone(stated.limit_per_s)
         self.assertFalse(stated.limit_unreadable)
