--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -14,9 +14,9 @@
 
 SERVICE = "plain"
 NAMES = st.sampled_from(["s0", "s1", "s2"])
-MOST_TOLD_S = 5.0
+MAX_STATED_WAIT_S = 5.0
 LIMITS = st.sampled_from([None, 0.0, 0.4, 1.0, 50.0])
-WAITS = st.one_of(st.none(), st.floats(0.0, MOST_TOLD_S))
+WAITS = st.one_of(st.none(), st.floats(0.0, MAX_STATED_WAIT_S))
 
 
 class Beliefs(RuleBasedStateMachine):
@@ -26,17 +26,17 @@
         super().__init__()
         self.balancer = LoadBalancer("hall-a")
         self.now = 100.0
-        self.lives = dict.fromkeys(("s0", "s1", "s2"), 0)
+        self.incarnations = dict.fromkeys(("s0", "s1", "s2"), 0)
         self.listed_as_leaving: set[str] = set()
         self.listed = {"s0", "s1", "s2"}
-        self.said_leaving: set[str] = set()
+        self.stated_leaving: set[str] = set()
         self.retry_at: dict[str, float] = {}
         self.limits: dict[str, tuple[float | None, float]] = {}
         self.held_until: dict[str, float] = {}
         self.apply()
 
     def id_of(self, name: str) -> str:
-        return f"{name}#{self.lives[name]}"
+        return f"{name}#{self.incarnations[name]}"
 
     def apply(self) -> None:
         """Take over the list as it is."""
@@ -47,7 +47,7 @@
         )
 
     @rule(name=NAMES, leaving=st.booleans())
-    def list_says(self, name: str, leaving: bool) -> None:
+    def update_list(self, name: str, leaving: bool) -> None:
         self.listed.add(name)
         if leaving:
             self.listed_as_leaving.add(name)
@@ -56,16 +56,16 @@
         self.apply()
 
     @rule(name=NAMES)
-    def entry_lapses(self, name: str) -> None:
+    def lapse_entry(self, name: str) -> None:
         self.listed.discard(name)
         self.held_until.pop(self.id_of(name), None)
         self.apply()
 
     @rule(name=NAMES)
-    def server_starts_anew(self, name: str) -> None:
+    def restart_server(self, name: str) -> None:
         old = self.id_of(name)
-        self.lives[name] += 1
-        self.said_leaving.discard(old)
+        self.incarnations[name] += 1
+        self.stated_leaving.discard(old)
         self.retry_at.pop(old, None)
         self.limits.pop(old, None)
         self.held_until.pop(old, None)
@@ -74,13 +74,13 @@
         self.apply()
 
     @rule(name=NAMES, by_peer=st.booleans())
-    def says_that_it_leaves(self, name: str, by_peer: bool) -> None:
+    def state_leaving(self, name: str, by_peer: bool) -> None:
         if name in self.listed:
             self.balancer.notices.record_leaving(self.id_of(name))
-            self.said_leaving.add(self.id_of(name))
+            self.stated_leaving.add(self.id_of(name))
 
     @rule(name=NAMES, wait_s=WAITS)
-    def turns_a_request_away(self, name: str, wait_s: float | None) -> None:
+    def decline_request(self, name: str, wait_s: float | None) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is not None:
             view.record_decline(self.now, wait_s)
@@ -88,25 +88,23 @@
             self.retry_at[view.server.id] = max(until, self.retry_at.get(view.server.id, 0.0))
 
     @rule(name=NAMES, sent_ago_s=st.floats(0.0, 3.0))
-    def takes_a_request(self, name: str, sent_ago_s: float) -> None:
+    def accept_request(self, name: str, sent_ago_s: float) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is not None:
             view.record_accepted(self.now - sent_ago_s)
 
     @rule(name=NAMES)
-    def breaks_off(self, name: str) -> None:
+    def break_connection(self, name: str) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is not None:
             record_silence(view, self.now)
 
-    @rule(name=NAMES, wait_s=st.floats(0.0, MOST_TOLD_S))
-    def other_nodes_were_turned_away(self, name: str, wait_s: float) -> None:
+    @rule(name=NAMES, wait_s=st.floats(0.0, MAX_STATED_WAIT_S))
+    def report_peer_decline(self, name: str, wait_s: float) -> None:
         self.balancer.notices.merge_peer_declines({self.id_of(name): wait_s}, self.now)
 
     @rule(name=NAMES, limit=LIMITS, sent_ago_s=st.floats(0.0, 3.0))
-    def answers_with_a_limit_or_none(
-        self, name: str, limit: float | None, sent_ago_s: float
-    ) -> None:
+    def answer_with_limit(self, name: str, limit: float | None, sent_ago_s: float) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is None:
             return
@@ -114,55 +112,55 @@
         self.balancer.notices.handle_answer(
             view, 200, False, ServerStatement(limit_per_s=limit), sent_at, self.now
         )
-        known, heard_at = self.limits.get(view.server.id, (None, -1e9))
+        known, observed_at = self.limits.get(view.server.id, (None, -1e9))
         loosens = known is not None and (limit is None or limit > known)
-        if (known, limit) == (None, None) or (loosens and sent_at < heard_at):
+        if (known, limit) == (None, None) or (loosens and sent_at < observed_at):
             return
-        self.believe(view.server.id, limit, self.now)
+        self.expect_limit(view.server.id, limit, self.now)
 
     @rule(name=NAMES, limit=LIMITS, age_s=st.floats(0.0, 3.0))
-    def other_node_tells_a_limit(self, name: str, limit: float | None, age_s: float) -> None:
+    def report_peer_limit(self, name: str, limit: float | None, age_s: float) -> None:
         server = self.id_of(name)
         self.balancer.notices.merge_peer_limits({server: LimitNews(limit, age_s)}, "n2", self.now)
-        heard_at = self.now - age_s
-        if server in self.balancer.views and heard_at > self.limits.get(server, (None, -1e9))[1]:
-            self.believe(server, limit, heard_at)
+        observed_at = self.now - age_s
+        if server in self.balancer.views and observed_at > self.limits.get(server, (None, -1e9))[1]:
+            self.expect_limit(server, limit, observed_at)
 
-    def believe(self, server: str, limit: float | None, heard_at: float) -> None:
+    def expect_limit(self, server: str, limit: float | None, observed_at: float) -> None:
         """Note a limit; another one than before ends what was told for that one."""
         if limit != self.limits.get(server, (None, 0.0))[0]:
             self.held_until.pop(server, None)
-        self.limits[server] = (limit, heard_at)
+        self.limits[server] = (limit, observed_at)
 
-    @rule(name=NAMES, wait_s=st.floats(0.0, MOST_TOLD_S))
-    def permit_is_refused(self, name: str, wait_s: float) -> None:
+    @rule(name=NAMES, wait_s=st.floats(0.0, MAX_STATED_WAIT_S))
+    def refuse_permit(self, name: str, wait_s: float) -> None:
         view = self.balancer.views.get(self.id_of(name))
         if view is not None and view.limit_per_s is not None:
             view.hold_until(self.now + wait_s)
             self.held_until[view.server.id] = self.now + wait_s
 
     @rule(seconds=st.floats(0.01, 3.0))
-    def time_passes(self, seconds: float) -> None:
+    def pass_time(self, seconds: float) -> None:
         self.now += seconds
         self.balancer.tick(self.now)
 
-    def open_servers(self) -> set[str]:
+    def expected_candidates(self) -> set[str]:
         """Return the servers that may get a request by what was said."""
         ids = {self.id_of(name) for name in self.listed - self.listed_as_leaving}
         waits = {name for name, at in self.retry_at.items() if at > self.now}
         waits |= {name for name, at in self.held_until.items() if at > self.now}
-        return ids - self.said_leaving - waits
+        return ids - self.stated_leaving - waits
 
     @invariant()
-    def choice_keeps_what_was_said(self) -> None:
+    def candidates_respect_statements(self) -> None:
         chosen = self.balancer.group(SERVICE).candidates(self.now, frozenset())
         names = {view.server.id for view in chosen}
-        allowed = self.open_servers()
+        allowed = self.expected_candidates()
         assert names <= allowed, f"{names - allowed} may be chosen"
         assert bool(names) == bool(allowed), f"nothing to choose from though {allowed} are there"
 
     @invariant()
-    def limits_are_those_that_were_heard_last(self) -> None:
+    def limits_are_the_last_observed(self) -> None:
         group = self.balancer.group(SERVICE)
         limits = {name: view.limit_per_s for name, view in self.balancer.views.items()}
         heard = {name: self.limits.get(name, (None, 0.0))[0] for name in limits}
@@ -172,17 +170,17 @@
         assert abs(group.limited.total_per_s() - sum(limited.values())) < 1e-6
 
     @invariant()
-    def none_is_lost_for_good(self) -> None:
+    def no_server_stays_closed(self) -> None:
         """What servers asked for ends: later each that stays is as good as any other."""
-        later = self.now + 3 * MOST_TOLD_S + DECLINE_PAUSE_MAX_S + FAILURE_PAUSE_MAX_S
+        later = self.now + 3 * MAX_STATED_WAIT_S + DECLINE_PAUSE_MAX_S + FAILURE_PAUSE_MAX_S
         for view in self.balancer.views.values():
-            if view.server.id not in self.said_leaving and not view.server.leaving:
+            if view.server.id not in self.stated_leaving and not view.server.leaving:
                 assert not view.is_closed(later) and not view.is_deprioritized(later)
 
     @invariant()
-    def told_time_is_the_first(self) -> None:
+    def retry_time_agrees_with_candidates(self) -> None:
         wait_s = self.balancer.group(SERVICE).retry_in_s(self.now)
-        if self.open_servers():
+        if self.expected_candidates():
             assert wait_s == 0.0
         elif wait_s is not None:
             assert wait_s > 0.0
