--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -25,7 +25,7 @@
 
 ENGINE = Engine(64, 500_000, 327_680, 270_000.0, moves=True)
 HALLS = 4
-MOST_WEIGHED = (
+MAX_CANDIDATES = (
     MAX_PREFIX_HOLDERS
     + 1
     + MAX_CONNECTED_CANDIDATES
@@ -34,75 +34,75 @@
 )
 
 
-def servers(number: int, service: str = "model", slots: int = 64) -> list[Server]:
+def make_servers(number: int, service: str = "model", slots: int = 64) -> list[Server]:
     return [
         Server(f"{service}{each}", service, f"h:{each}", f"hall-{each % HALLS}", slots)
         for each in range(number)
     ]
 
 
-def prompt(subject: int, own: int) -> RequestFacts:
+def make_facts(subject: int, own: int) -> RequestFacts:
     parts = (PromptPart(f"s{subject}", 10_000), PromptPart(f"o{own}", 3_000))
     return RequestFacts(prompt_tokens=13_000, answer_tokens=100, parts=parts)
 
 
-def a_book(number: int) -> LoadBalancer:
+def make_balancer(number: int) -> LoadBalancer:
     balancer = LoadBalancer("hall-0")
-    balancer.apply(servers(number))
+    balancer.apply(make_servers(number))
     return balancer
 
 
-class CountingViews:
+class CandidateCounter:
     """Counts the servers that candidates are weighed from."""
 
     def __init__(self, balancer: LoadBalancer) -> None:
         group = balancer.group("model")
-        self.most = 0
+        self.max_candidates = 0
         candidates = group.candidates
 
         def counted(*args: object, **more: object) -> list[ServerView]:
             found = candidates(*args, **more)  # type: ignore[arg-type]
-            self.most = max(self.most, len(found))
+            self.max_candidates = max(self.max_candidates, len(found))
             return found
 
         group.candidates = counted  # type: ignore[method-assign]
 
 
-def traffic(
+def simulate_traffic(
     balancer: LoadBalancer, number: int, seed: int = 1
 ) -> Iterable[tuple[RequestFacts, float]]:
     """Place requests on a book, some of which go on running."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     live: list[Placement] = []
     now = 1.0
     for each in range(number):
         now += 0.001
-        facts = prompt(chance.randrange(40), each)
+        facts = make_facts(rng.randrange(40), each)
         yield facts, now
         placed = balancer.place("model", facts, ENGINE, now)
         assert placed is not None
         live.append(placed)
         if len(live) > 60:
-            ended = live.pop(chance.randrange(len(live)))
+            ended = live.pop(rng.randrange(len(live)))
             ended.on_first_token()
             ended.end()
 
 
 class WeighedServersTest(unittest.TestCase):
-    def test_number_weighed_does_not_grow_with_the_servers(self) -> None:
+    def test_number_of_candidates_does_not_grow_with_the_servers(self) -> None:
         for number in (64, 300, 3_000):
             with self.subTest(servers=number):
-                balancer = a_book(number)
-                counting = CountingViews(balancer)
-                for _ in traffic(balancer, 300):
+                balancer = make_balancer(number)
+                counting = CandidateCounter(balancer)
+                for _ in simulate_traffic(balancer, 300):
                     pass
-                self.assertLessEqual(counting.most, MOST_WEIGHED)
-                self.assertGreater(counting.most, HALLS)
+                self.assertLessEqual(counting.max_candidates, MAX_CANDIDATES)
+                self.assertGreater(counting.max_candidates, HALLS)
 
     def test_choice_is_as_good_as_out_of_all_servers(self) -> None:
-        balancer = a_book(64)
+        balancer = make_balancer(64)
         lost = []
-        for facts, now in traffic(balancer, 600):
+        for facts, now in simulate_traffic(balancer, 600):
             group = balancer.group("model")
             views = [view for view in group.views.values() if not view.server.leaving]
             home = group.home(affinity_key(facts.parts))
@@ -124,8 +124,8 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_lightest_servers_of_each_hall_are_candidates(self) -> None:
-        balancer = a_book(40)
+    def test_least_loaded_servers_of_each_hall_are_candidates(self) -> None:
+        balancer = make_balancer(40)
         for view in balancer.views.values():
             view.add_peer_load(20, 200_000)
         for name in ("model4", "model9", "model38"):
@@ -133,9 +133,9 @@
         found = {view.server.id for view in balancer.group("model").candidates(1.0, frozenset())}
         self.assertLessEqual({"model4", "model9", "model38"}, found)
 
-    def test_server_that_leaves_or_is_gone_is_no_candidate(self) -> None:
-        balancer = a_book(6)
-        listed = servers(6)
+    def test_leaving_or_removed_server_is_no_candidate(self) -> None:
+        balancer = make_balancer(6)
+        listed = make_servers(6)
         leaving = Server("model0", "model", "h:0", "hall-0", 64, leaving=True)
         balancer.apply([leaving, *listed[2:]])
         for _ in range(20):
@@ -145,15 +145,15 @@
             self.assertEqual(found, {"model2", "model3", "model4", "model5"})
 
     def test_paused_server_is_a_candidate_again_after_its_pause(self) -> None:
-        balancer = a_book(4)
+        balancer = make_balancer(4)
         record_silence(balancer.views["model1"], 1.0)
         group = balancer.group("model")
         self.assertNotIn(balancer.views["model1"], group.candidates(1.1, frozenset()))
         balancer.tick(3.0)
         self.assertIn(balancer.views["model1"], group.candidates(3.0, frozenset()))
 
-    def test_slow_server_comes_back_as_its_slowness_fades(self) -> None:
-        balancer = a_book(80)
+    def test_slow_server_is_a_candidate_again_as_its_slowness_decays(self) -> None:
+        balancer = make_balancer(80)
         view = balancer.views["model0"]
         for _ in range(20):
             view.slowness.observe(2.0, 0.1, 1.0)
@@ -166,8 +166,8 @@
         balancer.tick(40.0)
         self.assertIn(view, group.candidates(40.0, frozenset()))
 
-    def test_connection_at_rest_makes_a_server_a_candidate(self) -> None:
-        balancer = a_book(400)
+    def test_idle_connection_makes_a_server_a_candidate(self) -> None:
+        balancer = make_balancer(400)
         balancer.idle_servers = lambda: ["gone", "model333"]
         balancer.has_connection = lambda name: name == "model333"
         placed = balancer.place("model", RequestFacts(id="r", prompt_tokens=50), ENGINE, 1.0)
@@ -190,15 +190,15 @@
         )
     )
     def test_sums_after_any_order_of_changes(self, changes: list[tuple[str, int, int]]) -> None:
-        listed = servers(6)
-        balancer = a_book(6)
+        listed = make_servers(6)
+        balancer = make_balancer(6)
         live: list[Placement] = []
         told: dict[str, dict[str, tuple[int, int]]] = {}
         for number, (what, server, node) in enumerate(changes):
             now = float(number)
             name, peer = f"model{server}", f"n{node}"
             if what == "place":
-                placed = balancer.place("model", prompt(server, number), ENGINE, now)
+                placed = balancer.place("model", make_facts(server, number), ENGINE, now)
                 live += [placed] if placed is not None else []
             elif what == "end" and live:
                 live.pop(server % len(live)).end()
@@ -244,7 +244,7 @@
         keys = [f"k{number}" for number in range(500)]
         self.assertEqual([one.home(key) for key in keys], [two.home(key) for key in keys])
 
-    def test_server_that_goes_changes_its_own_homes_only(self) -> None:
+    def test_removed_server_changes_its_own_homes_only(self) -> None:
         ring = HashRing()
         ring.add_all(f"s{number}" for number in range(50))
         keys = [f"k{number}" for number in range(2_000)]
@@ -261,7 +261,7 @@
 
 
 class StepsTest(unittest.TestCase):
-    def test_little_differences_do_not_count(self) -> None:
+    def test_costs_within_one_step_are_equal(self) -> None:
         self.assertEqual(quantize(0.1001), quantize(0.1003))
         self.assertNotEqual(quantize(0.1), quantize(0.104))
         self.assertNotEqual(weight("a", "b"), weight("a", "c"))
