--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -89,7 +89,7 @@
         if node.name not in self.silent:
             node.sharing.on_message(message)
 
-    def limit(self, per_s: float, server: str = "s0") -> None:
+    def set_limit(self, per_s: float, server: str = "s0") -> None:
         """Let all nodes hear of a limit from an answer."""
         for node in self.nodes.values():
             node.balancer.notices.merge_peer_limits({server: LimitNews(per_s, 0.0)}, "x", self.now)
