--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -1,4 +1,4 @@
-"""Callers that ask many nodes, and a count of what a server got that names a limit."""
+"""Callers of several nodes, and the number of requests that reach a rate-limited server."""
 
 import asyncio
 import random
@@ -10,20 +10,20 @@
 from tests.test_gateway_nodes import Cluster, ask, config, ready, until
 
 WINDOW_S = 4.0
-"""Span in which what a server got is counted."""
+"""Length of the sliding window in which arrivals at a server are counted."""
 
 LIMIT_EFFECTIVE_AFTER_S = 0.5
-"""A request counts if any node had passed on an answer that named the limit this long before."""
+"""Requests count from this long after a node first forwarded an answer that stated the limit."""
 
 
 def max_expected_arrivals(limit_per_s: float) -> float:
-    """Return the most requests that a server may get in a window."""
+    """Return the maximum number of requests that a server may get in a window."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
 @dataclass(slots=True)
 class LimitedServer(ScriptedServer):
-    """A server that names a limit in its answers while it has one."""
+    """A server that states a limit in its answers while it has one."""
 
     limit_per_s: float | None = None
     answer_s: float = 0.01
@@ -31,18 +31,18 @@
     async def serve_one(
         self, arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer a request."""
+        """Answer a request, with the limit if there is one."""
         limit = self.limit_per_s
         await asyncio.sleep(self.answer_s)
-        named = b"" if limit is None else b"Server-Limit: %.3f\r\n" % limit
-        writer.write(answer(arrival, more=STAMP + named))
+        limit_header = b"" if limit is None else b"Server-Limit: %.3f\r\n" % limit
+        writer.write(answer(arrival, more=STAMP + limit_header))
 
 
 def make_limited_server(name: str, limit_per_s: float | None) -> LimitedServer:
-    """Return a server that is not started yet."""
+    """Return a limited server that is not started yet."""
 
     async def unset(_: Arrival, __: asyncio.StreamReader, ___: asyncio.StreamWriter) -> None:
-        """Stand in for the script until the server is made."""
+        """Stand in for the script, which is a method of the server itself."""
 
     server = LimitedServer(name, unset, limit_per_s=limit_per_s)
     server.script = server.serve_one
@@ -51,10 +51,9 @@
 
 @dataclass(slots=True)
 class Callers:
-    """Callers that ask nodes by chance, and what they saw.
+    """Sends requests to random nodes and records the answers.
 
-    `request_count` counts the requests, `limit_forwarded_at` tells when each node first passed on an answer that named
-    a limit.
+    `limit_forwarded_at` is when each node first forwarded an answer that stated a limit.
     """
 
     cluster: Cluster
@@ -67,7 +66,7 @@
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     async def send_requests(self, seconds: float, per_s: float) -> None:
-        """Ask at a steady rate, and wait for the answers."""
+        """Send requests at a steady rate, then wait for all answers."""
         ends = monotonic() + seconds
         while monotonic() < ends:
             self._tasks.append(asyncio.create_task(self._send_request()))
@@ -89,9 +88,9 @@
             self.rejection_latencies_s.append(monotonic() - began)
 
     def max_arrivals_in_window(self, server: ScriptedServer) -> int:
-        """Return the most requests that a server got in a window once its limit was heard.
+        """Return the maximum number of requests in a window once the limit was in effect.
 
-        Requests of all nodes count, also of those that only heard of the limit from others.
+        Requests of all nodes count, also of those that know the limit from other nodes only.
         """
         counted_from = min(self.limit_forwarded_at.values()) + LIMIT_EFFECTIVE_AFTER_S
         counted = [each.at for each in server.arrivals if each.at >= counted_from]
@@ -101,14 +100,14 @@
 
 
 def set_long_timeouts(cluster: Cluster) -> None:
-    """Give requests so much time that no pause of the machine itself ends them."""
+    """Set timeouts so long that a stall of the test machine does not end requests."""
     plan = config(2)
     plan["routes"][0].update(timeoutMs=10_000, sloMs=2_000)  # type: ignore[index]
     cluster.platform.put("op", "config", plan)
 
 
 async def start_nodes(cluster: Cluster, number: int) -> list[GatewayNode]:
-    """Start nodes and wait until all know each other."""
+    """Start nodes and wait until all of them know each other."""
     nodes = [await cluster.start("n0")]
     seed = (nodes[0].settings.node.control,)
     nodes += [await cluster.start(f"n{each}", seed) for each in range(1, number)]
