--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -1,7 +1,7 @@
-"""Many nodes that keep the list of servers, on a virtual clock and network.
+"""Simulation of many nodes that keep the server list, on a virtual clock and network.
 
-The product's own code decides what is read, told, passed on and believed; only sockets, the store
-and transfers between nodes are made up.
+The code under test decides what is read, broadcast, relayed and adopted. Only the sockets, the
+store and transfers between nodes are fakes.
 """
 
 import heapq
@@ -28,26 +28,27 @@
 
 HALLS = 7
 LINK_BYTES_PER_S = 10 * 125_000
-"""The thinnest link of the users' large site, 10 Mbit/s."""
+"""The slowest link of the largest known site, 10 Mbit/s."""
 
 LATENCY_RANGE_S = (0.001, 0.004)
 FETCH_DURATION_S = 0.08
 STORE_CLOCK_START_S = 5_000.0
-"""What the store's clock shows when the world begins."""
+"""Time of the store's clock when the simulation starts."""
+
 SEED = 3
 
 
 def run_to_completion(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine that waits for nothing."""
+    """Run a coroutine that never suspends; return its result."""
     try:
         work.send(None)
     except StopIteration as done:
         return done.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine suspended")
 
 
 def make_server(number: int, halls: int = HALLS) -> Server:
-    """Return a server as the platform lists it."""
+    """Return a server with an id and address as the platform lists them."""
     hall = f"hall-{number % halls}"
     return Server(
         f"i-{number:08x}", "model-abcdef", f"10.{number % 250}.1.7:8000", hall, 64, spot=True
@@ -56,7 +57,7 @@
 
 @dataclass
 class VirtualStore:
-    """The store's list; nodes in `is_partitioned` get no answer."""
+    """The store's server list."""
 
     servers: dict[str, Server] = field(default_factory=dict)
     version: int = 1
@@ -66,19 +67,19 @@
     clock: Callable[[], float] = lambda: 0.0
 
     def mark_leaving(self, name: str, leaves_s: float | None = None) -> None:
-        """Have a server say that it leaves."""
+        """Mark a server as leaving."""
         self.version += 1
         self.servers[name] = msgspec.structs.replace(
             self.servers[name], leaving=True, leaves_s=leaves_s
         )
 
     def restore(self, servers: dict[str, Server], version: int) -> None:
-        """Come back from an older copy."""
+        """Replace the list by an older copy, in a new era."""
         self.era += 1
         self.servers, self.version = dict(servers), version
 
     def read_list(self) -> StoredList:
-        """Return the list as of now; heartbeats change its version all the time."""
+        """Return the current list; each read has a new version, as heartbeats change it."""
         self.reads += 1
         self.version += 1
         return StoredList(tuple(self.servers.values()), self.version, self.clock(), era=self.era)
@@ -86,7 +87,7 @@
 
 @dataclass
 class StoreClient:
-    """The store as one node reaches it."""
+    """One node's access to the store."""
 
     world: "ListWorld"
     node: str
@@ -94,14 +95,14 @@
     async def servers(
         self, _: float, before: StoredList | None = None
     ) -> Result[StoredList, Failure]:
-        """Return the list, or nothing for a node that is cut off."""
+        """Return the list, or an error while the store is unreachable for this node."""
         if self.world.store.is_down or self.node in self.world.nodes_without_store:
             return Err(Failure("away"))
         return Ok(self.world.store.read_list())
 
 
 class VirtualFetch:
-    """Copies a list from the node that is said to have it, after the time of a small transfer."""
+    """Fetches a list from the node that announced it, within the time of a small transfer."""
 
     def __init__(self, node: "ListNode") -> None:
         self.node = node
@@ -109,7 +110,7 @@
         self.fetch_count = 0
 
     def add_source(self, control: str, version: EraVersion, _power: float, _now: float) -> None:
-        """Fetch a newer list soon."""
+        """Start fetching a list that is newer than any pending one."""
         if version <= self.pending_version:
             return
         self.pending_version = version
@@ -125,12 +126,15 @@
         self.node.watch._fetched(source.watch.list.era_version, source.watch.list.raw)
 
     def is_behind(self, _now: float) -> bool:
-        """Say whether a newer list is on its way."""
+        """Return whether a newer list is being fetched."""
         return self.pending_version > EraVersion()
 
 
 class ListNode:
-    """One node's list, membership and news."""
+    """One node's server list, membership and gossip.
+
+    `deferred` are messages that arrive while the node is frozen.
+    """
 
     def __init__(self, world: "ListWorld", number: int) -> None:
         self.world = world
@@ -164,7 +168,7 @@
         self.watch.fetch = self.fetch  # type: ignore[assignment]
 
     def state(self) -> NodeState:
-        """Return what this node tells of itself."""
+        """Return the next state that this node broadcasts."""
         self.sequence += 1
         return state(
             self.name,
@@ -195,7 +199,7 @@
             self.world.deliver(self, address, message, self.link_free_at - self.world.now)
 
     def gossip_round(self) -> None:
-        """Tell this node's state, and read the list if it is its turn."""
+        """Broadcast this node's state, and schedule the next round."""
         if not self.alive:
             return
         if self.frozen:
@@ -211,7 +215,7 @@
         self.world.schedule(GOSSIP_INTERVAL_S, self.gossip_round)
 
     def poll_store(self) -> None:
-        """Read the list once it is this node's turn."""
+        """Read the list if a read is due at this node."""
         if not self.alive:
             return
         if not self.frozen and self.watch.due_at() <= self.world.now:
@@ -219,7 +223,7 @@
         self.world.schedule(0.05, self.poll_store)
 
     def on_message(self, message: StateNews | ServerChange) -> None:
-        """Take over what another node told; a frozen node does so once it thaws."""
+        """Handle a message of another node; a frozen node defers it."""
         if not self.alive:
             return
         if self.frozen:
@@ -228,16 +232,16 @@
         if isinstance(message, ServerChange):
             self.watch.on_change(message)
             return
-        told = message.state
-        if self.members.merge(told, self.world.now) is None:
+        peer_state = message.state
+        if self.members.merge(peer_state, self.world.now) is None:
             return
-        self.neighbours.addresses.add(told.peer, self.world.now)
-        if told.servers is not None:
-            self.watch.on_head(told.servers, told.control, told.power)
+        self.neighbours.addresses.add(peer_state.peer, self.world.now)
+        if peer_state.servers is not None:
+            self.watch.on_head(peer_state.servers, peer_state.control, peer_state.power)
 
 
 def unfreeze(node: ListNode) -> None:
-    """Let a frozen node go on with what came meanwhile."""
+    """Resume a frozen node, and handle the messages that arrived meanwhile."""
     node.frozen = False
     deferred, node.deferred = node.deferred, []
     for message in deferred:
@@ -245,7 +249,11 @@
 
 
 class ListWorld:
-    """All nodes, the store and the network between them."""
+    """All nodes, the store and the network between them, driven by an event queue.
+
+    `duplicate_rate` and `loss_rate` are probabilities per datagram. `is_partitioned` returns
+    whether the network drops everything from one node to another.
+    """
 
     def __init__(self, nodes: int, servers: int, loss_rate: float = 0.0) -> None:
         self.now = 0.0
@@ -268,7 +276,7 @@
             self.schedule(self.rng.uniform(0, 0.05), node.poll_store)
 
     def _bootstrap(self) -> None:
-        """Let all nodes have the list, and know of each other what they would have heard."""
+        """Give all nodes the list and the states that gossip would have brought them."""
         run_to_completion(self.nodes[0].watch._read())
         raw, version = self.nodes[0].watch.list.raw, self.nodes[0].watch.list.era_version
         for node in self.nodes:
@@ -280,13 +288,13 @@
                     node.members.merge(other.state(), 0.0)
 
     def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Do something after a time."""
+        """Run an action after a delay."""
         heapq.heappush(self._events, (self.now + delay_s, next(self._order), action))
 
     def deliver(
         self, sender: ListNode, address: str, message: StateNews | ServerChange, delay_s: float
     ) -> None:
-        """Carry a datagram, if nothing stands in its way."""
+        """Deliver a datagram, unless it is lost or the nodes are partitioned."""
         target = self.by_peer[address]
         if self.is_partitioned(sender.name, target.name):
             return
@@ -296,12 +304,15 @@
                 self.schedule(delay_s + latency_s, lambda: target.on_message(message))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run all events up to a time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
         self.now = until
 
     def last_learned_at(self, server: str, nodes: list[ListNode] | None = None) -> float:
-        """Return when the last node knew that a server leaves; never is an error."""
+        """Return when the last live node learned that a server is leaving.
+
+        KeyError if any of them did not.
+        """
         return max(node.leaving_learned_at[server] for node in nodes or self.nodes if node.alive)
