--- a/tests/plan_world.py
+++ b/tests/plan_world.py
@@ -1,4 +1,4 @@
-"""Nodes that fetch plans from each other over loopback, with links as thin as a test wants."""
+"""Nodes that fetch plans from each other over loopback, over links of limited bandwidth."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 def config_bytes(version: int, routes: int, timeout_ms: int = 10_000) -> bytes:
-    """Return a configuration with many routes, as the operator writes it."""
+    """Return an encoded configuration with many routes, as the operator writes it."""
     rng = random.Random(SEED)
     listed = [
         {
@@ -48,10 +48,11 @@
 
 @dataclass(slots=True)
 class PlanNode:
-    """One node's plan, served to others and fetched from them.
+    """A node that fetches its plan from other nodes and serves it to them.
 
-    `rejects_plans` can't read newer plans, `unresponsive` swallows questions; `abort_after` breaks off after that
-    many pieces; `reply_delay_s` holds each. Plans are not decoded here: one process carries all nodes.
+    With `rejects_plans` the node adopts no newer plan, with `unresponsive` it answers no requests.
+    It aborts the connection of each request after the first `abort_after`, and delays each reply by
+    `reply_delay_s`. Plans are not decoded here, since one process runs all nodes.
     """
 
     world: "PlanWorld"
@@ -81,7 +82,7 @@
         )
 
     async def start(self) -> None:
-        """Listen and begin to fetch."""
+        """Listen, and start fetching."""
         listener = Listener(self._answer, Limits, monotonic)
         self._server = await listen("127.0.0.1:0", listener)
         host, port = self._server.sockets[0].getsockname()
@@ -89,7 +90,7 @@
         self._task = asyncio.create_task(self.fetch.run())
 
     def stop(self) -> None:
-        """End the node."""
+        """Stop listening and fetching."""
         assert self._server is not None and self._task is not None
         self._server.close()
         self._task.cancel()
@@ -110,13 +111,13 @@
         if not self.world.store_answers:
             await asyncio.sleep(0.05)
             return False
-        # The store spells bytes as base64, over the node's own link.
+        # The store encodes the plan as base64; it is transferred over the node's own link.
         await asyncio.sleep(len(self.world.raw) * 4 / 3 / (self.link_mbps * BYTES_PER_MBIT))
         self.adopt_plan(EraVersion(number=read_config(self.world.raw).version), self.world.raw)
         return True
 
     def adopt_plan(self, at: EraVersion, raw: bytes) -> None:
-        """Adopt a newer plan and tell a few others."""
+        """Adopt a newer plan and announce it to a few other nodes."""
         version = at.number
         if version <= self.version or self.rejects_plans:
             return
@@ -128,7 +129,7 @@
             each.on_announcement(self)
 
     def on_announcement(self, other: "PlanNode") -> None:
-        """Hear which version another node has."""
+        """Handle the announcement of another node's version; a newer one is fetched."""
         if other.version > self.version:
             power = min(20.0, other.link_mbps / 5)
             version = EraVersion(number=other.version)
@@ -136,7 +137,7 @@
 
 
 class PlanWorld:
-    """Nodes that all hear of each other, and a store that has the newest plan."""
+    """Nodes that announce plans to each other, and a store that has the newest plan."""
 
     def __init__(self) -> None:
         self.nodes: list[PlanNode] = []
@@ -152,7 +153,7 @@
             node.stop()
 
     async def add(self, link_mbps: float = 100.0, raw: bytes = b"") -> PlanNode:
-        """Start a node that has a plan, or none."""
+        """Start a node, with a plan if `raw` is given."""
         node = PlanNode(self, link_mbps)
         await node.start()
         self.nodes.append(node)
@@ -162,7 +163,7 @@
         return node
 
     def publish(self, raw: bytes, watchers: list[PlanNode]) -> None:
-        """Have the store take a plan, and its watchers hear of it and tell all."""
+        """Write a plan to the store; its watchers adopt it and announce it to all nodes."""
         self.raw = raw
         version = read_config(raw).version
         for watcher in watchers:
@@ -171,17 +172,19 @@
                 node.on_announcement(watcher)
 
     async def wait_for_version(self, version: int, within_s: float) -> float:
-        """Wait until all nodes have a version; return how long the last one took."""
+        """Wait until all nodes have a version or a newer one; return the seconds this took."""
         began = monotonic()
         while any(node.version < version for node in self.nodes):
             if monotonic() - began > within_s:
                 late = [node.version for node in self.nodes if node.version < version]
-                raise AssertionError(f"{len(late)} of {len(self.nodes)} nodes have {set(late)}")
+                raise AssertionError(
+                    f"{len(late)} of {len(self.nodes)} nodes still have {set(late)}"
+                )
             await asyncio.sleep(0.01)
         return monotonic() - began
 
 
 async def request_piece(address: str, query: str = "") -> int:
-    """Ask a node for a piece with any query; return the status."""
+    """Request a piece of the plan with the given query; return the status."""
     outcome = await HttpCaller(address).call("GET", PLAN_PATH + query)
     return outcome.unwrap().status
