--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""One node grants permits for a server that names a limit; what others do when it can't."""
+"""Permits for servers with a rate limit: the grantor, the nodes that ask it, and its failures."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 
 class Node:
-    """A node's part in limits, beside the messages that it sent."""
+    """One node's servers, membership and limit sharing, connected to a `World`."""
 
     def __init__(self, world: "World", name: str) -> None:
         self.name = name
@@ -42,19 +42,23 @@
         self.sharing.permits._sleep = world.sleep
 
     def view(self, server: str = "s0") -> ServerView:
-        """Return what the node believes of a server."""
+        """Return the node's view of a server."""
         return self.balancer.views[server]
 
     def receive_states(self, *names: str, now: float = 0.0, **more: object) -> None:
-        """Let the node hear of others that serve."""
+        """Let the node receive states of serving peers."""
         for name in names:
-            told = state(name, serving=True, **{"limits": {}, **more})
-            self.members.merge(told, now)
+            peer_state = state(name, serving=True, **{"limits": {}, **more})
+            self.members.merge(peer_state, now)
         self.sharing.refresh(serving=True)
 
 
 class World:
-    """Nodes whose messages arrive at once, unless their target is silent."""
+    """Nodes whose messages arrive at once, unless the receiver is in `silent`.
+
+    Members that were heard from before `reachable_since` are partitioned off: `pass_time` does not
+    renew them.
+    """
 
     def __init__(self, *names: str) -> None:
         self.now = 0.0
@@ -66,7 +70,7 @@
             node.receive_states(*(other for other in names if other != name))
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass while all nodes that hear each other go on to do so."""
+        """Advance the clock; nodes that reach each other are heard from again."""
         self.now += seconds
         for node in self.nodes.values():
             for member in node.members.members.values():
@@ -75,43 +79,45 @@
             node.sharing.refresh(serving=True)
 
     def clock(self) -> float:
-        """Return the time."""
+        """Return the simulated time."""
         return self.now
 
     async def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock instead of waiting."""
         self.now += seconds
 
     def deliver(self, message: PermitAsk | PermitAnswer, address: str) -> None:
-        """Hand a message to the node that has an address."""
+        """Deliver a message to the node at an address."""
         self.sent.append(message)
         node = self.nodes[address.partition(":")[0]]
         if node.name not in self.silent:
             node.sharing.on_message(message)
 
     def set_limit(self, per_s: float, server: str = "s0") -> None:
-        """Let all nodes hear of a limit from an answer."""
+        """Let all nodes receive a limit that another node observed."""
         for node in self.nodes.values():
             node.balancer.notices.merge_peer_limits({server: LimitNews(per_s, 0.0)}, "x", self.now)
 
     def grantor(self, server: str = "s0") -> Node:
-        """Return the node that grants for a server."""
-        asked = {node.sharing._grantors.address(node.view(server)) for node in self.nodes.values()}
-        return next(node for node in self.nodes.values() if f"{node.name}:2" in asked)
+        """Return the node that grants permits for a server."""
+        addresses = {
+            node.sharing._grantors.address(node.view(server)) for node in self.nodes.values()
+        }
+        return next(node for node in self.nodes.values() if f"{node.name}:2" in addresses)
 
     def asking_nodes(self, server: str = "s0") -> list[Node]:
-        """Return the nodes that have to ask."""
+        """Return the nodes that ask the grantor of a server."""
         grantor = self.grantor(server)
         return [node for node in self.nodes.values() if node is not grantor]
 
 
 def run_async(work: Callable[[], Awaitable[None]]) -> None:
-    """Run a test's coroutine."""
+    """Run the coroutine of a test."""
     quietly(work())
 
 
 class SumTest(unittest.TestCase):
-    """What nodes are granted together keeps the limit."""
+    """The permits of all nodes together stay within the limit."""
 
     def test_permits_of_all_nodes_add_up_to_the_limit(self) -> None:
         async def work() -> None:
@@ -150,10 +156,10 @@
             self.assertFalse(await node.sharing.permits.take(node.view()))
             world.now += 0.5
             self.assertTrue(await node.sharing.permits.take(node.view()))
-            asked = len(world.sent)
+            sent_before = len(world.sent)
             world.now += 0.4
             self.assertTrue(await node.sharing.permits.take(node.view()))
-            self.assertGreater(len(world.sent), asked)
+            self.assertGreater(len(world.sent), sent_before)
 
         run_async(work)
 
@@ -188,26 +194,28 @@
         async def work() -> None:
             world = World("n0", "n1")
             world.set_limit(1.0)
-            grantor, asker = world.grantor(), world.asking_nodes()[0]
+            grantor, asking_node = world.grantor(), world.asking_nodes()[0]
             grantor.balancer.apply(SERVERS[1:])
             granted = 0
             for _ in range(100):
                 world.pass_time(0.1)
-                asker.view().hold_until(0.0)
-                granted += await asker.sharing.permits.take(asker.view())
+                asking_node.view().hold_until(0.0)
+                granted += await asking_node.sharing.permits.take(asking_node.view())
             self.assertIn(granted, range(8, 13))
 
         run_async(work)
 
     def test_grantor_adopts_the_limit_of_the_asking_node(self) -> None:
-        """Only the node that asks has heard the limit yet."""
+        """The asking node may know a limit before the grantor receives it."""
 
         async def work() -> None:
             world = World("n0", "n1", "n2")
-            asker = world.asking_nodes()[0]
-            asker.balancer.notices.merge_peer_limits({"s0": LimitNews(1.0, 0.0)}, "x", world.now)
+            asking_node = world.asking_nodes()[0]
+            asking_node.balancer.notices.merge_peer_limits(
+                {"s0": LimitNews(1.0, 0.0)}, "x", world.now
+            )
             world.now += 0.1
-            self.assertFalse(await asker.sharing.permits.take(asker.view()))
+            self.assertFalse(await asking_node.sharing.permits.take(asking_node.view()))
             self.assertEqual(world.grantor().view().limit_per_s, 1.0)
 
         run_async(work)
@@ -242,8 +250,8 @@
                 for name in half:
                     others = [each for each in half if each != name]
                     for other in others:
-                        told = state(other, sequence=9, serving=True, limits={})
-                        world.nodes[name].members.merge(told, 2.0)
+                        peer_state = state(other, sequence=9, serving=True, limits={})
+                        world.nodes[name].members.merge(peer_state, 2.0)
                     world.nodes[name].sharing.refresh(serving=True)
             granted = 0
             world.reachable_since = 2.0
@@ -259,7 +267,7 @@
 
 
 class SilenceTest(unittest.TestCase):
-    """A granting node that says nothing costs a moment, and no server."""
+    """A silent grantor pauses its server for a moment and blocks no other server."""
 
     def test_silent_grantor_pauses_the_server_for_a_moment(self) -> None:
         async def work() -> None:
@@ -295,14 +303,14 @@
         for node in world.asking_nodes():
             for name in world.nodes:
                 if name not in (before.name, node.name):
-                    told = state(name, sequence=9, serving=True, limits={})
-                    node.members.merge(told, 5.0)
+                    peer_state = state(name, sequence=9, serving=True, limits={})
+                    node.members.merge(peer_state, 5.0)
             node.sharing.refresh(serving=True)
         view = before.view()
         left = [node for node in world.nodes.values() if node is not before]
-        asked = {node.sharing._grantors.address(view) for node in left}
-        self.assertNotIn(f"{before.name}:2", asked)
-        self.assertEqual(len(asked), 2, "one of two grants itself, the other asks it")
+        addresses = {node.sharing._grantors.address(view) for node in left}
+        self.assertNotIn(f"{before.name}:2", addresses)
+        self.assertEqual(len(addresses), 2, "one of the two grants itself, the other asks it")
 
     def test_only_one_ask_is_in_flight(self) -> None:
         async def work() -> None:
@@ -323,7 +331,7 @@
 
 
 class GrantorsTest(unittest.TestCase):
-    """Who grants is drawn among nodes that serve and know of limits."""
+    """The grantor is selected among the serving nodes whose build knows limits."""
 
     def test_builds_without_limits_and_nodes_in_reserve_do_not_grant(self) -> None:
         grantors = GrantorSelector("n0")
@@ -366,7 +374,7 @@
         self.assertEqual(members.reachable_share(5.0), 0.5)
 
     def test_nodes_in_reserve_do_not_count_as_partitioned(self) -> None:
-        """Where nodes are many, those of other halls are heard now and then only."""
+        """With many nodes, those in reserve in other halls send their states rarely."""
         members = Membership("n0", 1)
         for number in range(300):
             members.merge(state(f"r{number}"), 0.0)
@@ -390,7 +398,7 @@
 
 
 class StatedLimitTest(unittest.TestCase):
-    """What was heard last counts, and no answer that was overtaken raises a limit."""
+    """The last observation counts, and an answer that arrives out of order never raises a limit."""
 
     def test_lower_limit_applies_at_once_and_higher_from_later_requests_only(self) -> None:
         limit = StatedLimit()
@@ -441,12 +449,12 @@
         group = balancer.group("plain")
         with mock.patch.object(
             ServerStanding, "is_held", autospec=True, side_effect=ServerStanding.is_held
-        ) as asked:
+        ) as is_held:
             self.assertEqual(group.candidates(10.5, frozenset()), [])
             self.assertEqual(group.retry_in_s(10.5), 0.5)
             self.assertEqual(group.limited.total_per_s(), 3_000.0)
             self.assertEqual(len(group.candidates(11.1, frozenset())), 1)
-        self.assertLess(asked.call_count, 20)
+        self.assertLess(is_held.call_count, 20)
 
     def test_removal_of_a_limit_releases_a_held_server(self) -> None:
         balancer = LoadBalancer("a")
