--- a/tests/test_server_beliefs.py
+++ b/tests/test_server_beliefs.py
@@ -1,4 +1,4 @@
-"""Whatever servers, lists and other nodes say in any order, choices keep what servers asked for."""
+"""Whatever servers, lists and peers state in any order, choices respect what servers asked for."""
 
 import unittest
 
@@ -20,7 +20,11 @@
 
 
 class Beliefs(RuleBasedStateMachine):
-    """One node's book, beside a plain account of what was said and has to be kept."""
+    """One node's servers, compared with a simple model of the statements that are in force.
+
+    The attributes apart from `balancer` are the model. Keys are server ids, except for
+    `incarnations`, `listed` and `listed_as_leaving`, which have names without the incarnation.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,7 +43,7 @@
         return f"{name}#{self.incarnations[name]}"
 
     def apply(self) -> None:
-        """Take over the list as it is."""
+        """Apply the current list."""
         self.balancer.apply(
             Server(self.id_of(name), SERVICE, f"{name}:1", "hall-a", 4, name in leaving)
             for leaving in [self.listed_as_leaving]
@@ -127,7 +131,7 @@
             self.expect_limit(server, limit, observed_at)
 
     def expect_limit(self, server: str, limit: float | None, observed_at: float) -> None:
-        """Note a limit; another one than before ends what was told for that one."""
+        """Record the expected limit; a change of it ends a hold that belongs to the former one."""
         if limit != self.limits.get(server, (None, 0.0))[0]:
             self.held_until.pop(server, None)
         self.limits[server] = (limit, observed_at)
@@ -145,7 +149,7 @@
         self.balancer.tick(self.now)
 
     def expected_candidates(self) -> set[str]:
-        """Return the servers that may get a request by what was said."""
+        """Return the servers that may get a request by the statements in force."""
         ids = {self.id_of(name) for name in self.listed - self.listed_as_leaving}
         waits = {name for name, at in self.retry_at.items() if at > self.now}
         waits |= {name for name, at in self.held_until.items() if at > self.now}
@@ -171,7 +175,7 @@
 
     @invariant()
     def no_server_stays_closed(self) -> None:
-        """What servers asked for ends: later each that stays is as good as any other."""
+        """Each pause ends: some time later every server that is not leaving is open again."""
         later = self.now + 3 * MAX_STATED_WAIT_S + DECLINE_PAUSE_MAX_S + FAILURE_PAUSE_MAX_S
         for view in self.balancer.views.values():
             if view.server.id not in self.stated_leaving and not view.server.leaving:
@@ -192,4 +196,4 @@
 
 
 class BeliefsTest(Beliefs.TestCase, unittest.TestCase):  # type: ignore[misc, name-defined]
-    """Runs what the machine draws."""
+    """Runs the state machine."""
