--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -1,4 +1,4 @@
-"""Few servers are weighed for a request, and these are the ones that matter."""
+"""Requests are weighed against few candidates, and these include the best servers."""
 
 import random
 import unittest
@@ -53,25 +53,25 @@
 
 
 class CandidateCounter:
-    """Counts the servers that candidates are weighed from."""
+    """Records the maximum number of candidates that a group returned."""
 
     def __init__(self, balancer: LoadBalancer) -> None:
         group = balancer.group("model")
         self.max_candidates = 0
         candidates = group.candidates
 
-        def counted(*args: object, **more: object) -> list[ServerView]:
+        def counting_candidates(*args: object, **more: object) -> list[ServerView]:
             found = candidates(*args, **more)  # type: ignore[arg-type]
             self.max_candidates = max(self.max_candidates, len(found))
             return found
 
-        group.candidates = counted  # type: ignore[method-assign]
+        group.candidates = counting_candidates  # type: ignore[method-assign]
 
 
 def simulate_traffic(
     balancer: LoadBalancer, number: int, seed: int = 1
 ) -> Iterable[tuple[RequestFacts, float]]:
-    """Place requests on a book, some of which go on running."""
+    """Yield requests with their time, then place each; up to 60 of them are in flight."""
     rng = random.Random(seed)
     live: list[Placement] = []
     now = 1.0
@@ -93,21 +93,23 @@
         for number in (64, 300, 3_000):
             with self.subTest(servers=number):
                 balancer = make_balancer(number)
-                counting = CandidateCounter(balancer)
+                counter = CandidateCounter(balancer)
                 for _ in simulate_traffic(balancer, 300):
                     pass
-                self.assertLessEqual(counting.max_candidates, MAX_CANDIDATES)
-                self.assertGreater(counting.max_candidates, HALLS)
+                self.assertLessEqual(counter.max_candidates, MAX_CANDIDATES)
+                self.assertGreater(counter.max_candidates, HALLS)
 
     def test_choice_is_as_good_as_out_of_all_servers(self) -> None:
         balancer = make_balancer(64)
-        lost = []
+        excess_costs = []
         for facts, now in simulate_traffic(balancer, 600):
             group = balancer.group("model")
             views = [view for view in group.views.values() if not view.server.leaving]
             home = group.home(affinity_key(facts.parts))
-            front = longest_cached_prefix(views, facts, now)
-            costs = EngineCosts(facts, front, ENGINE, balancer.estimator("model").speed(now))
+            cached_prefix = longest_cached_prefix(views, facts, now)
+            costs = EngineCosts(
+                facts, cached_prefix, ENGINE, balancer.estimator("model").speed(now)
+            )
 
             def cost(
                 view: ServerView,
@@ -119,8 +121,8 @@
 
             best = min(map(cost, views))
             candidates = group.candidates(now, frozenset(), group.holders(facts.parts), home)
-            lost.append(min(map(cost, candidates)) - best)
-        self.assertLess(sum(lost) / len(lost), 0.002)
+            excess_costs.append(min(map(cost, candidates)) - best)
+        self.assertLess(sum(excess_costs) / len(excess_costs), 0.002)
 
 
 class OrderTest(unittest.TestCase):
@@ -176,7 +178,7 @@
 
 
 class CountsTest(unittest.TestCase):
-    """Sums that are kept up to date are the same as sums over all servers."""
+    """Totals that are updated with each change equal the totals over all servers."""
 
     @settings(max_examples=60, derandomize=True, deadline=None)
     @given(
@@ -193,7 +195,7 @@
         listed = make_servers(6)
         balancer = make_balancer(6)
         live: list[Placement] = []
-        told: dict[str, dict[str, tuple[int, int]]] = {}
+        peer_loads: dict[str, dict[str, tuple[int, int]]] = {}
         for number, (what, server, node) in enumerate(changes):
             now = float(number)
             name, peer = f"model{server}", f"n{node}"
@@ -203,17 +205,17 @@
             elif what == "end" and live:
                 live.pop(server % len(live)).end()
             elif what == "state":
-                told[peer] = {name: (server, server * 100)}
+                peer_loads[peer] = {name: (server, server * 100)}
                 balancer.apply_peer_states(
-                    [state(each, loads=loads) for each, loads in told.items()]
+                    [state(each, loads=loads) for each, loads in peer_loads.items()]
                 )
             elif what == "silent":
-                told.pop(peer, None)
+                peer_loads.pop(peer, None)
                 balancer.apply_peer_states(
-                    [state(each, loads=loads) for each, loads in told.items()]
+                    [state(each, loads=loads) for each, loads in peer_loads.items()]
                 )
-            elif what == "news" and peer in told:
-                loads = told[peer]
+            elif what == "news" and peer in peer_loads:
+                loads = peer_loads[peer]
                 running, prefill = loads.get(name, (0, 0))
                 balancer.apply_peer_loads(peer, loads)
                 loads[name] = (running + 1, prefill + 50)
@@ -228,8 +230,8 @@
                 balancer.queued_tokens("model"), sum(view.total_prefill for view in views)
             )
             for view in views:
-                others = [loads.get(view.server.id, (0, 0)) for loads in told.values()]
-                self.assertEqual(view.peers_running, sum(each[0] for each in others))
+                reported = [loads.get(view.server.id, (0, 0)) for loads in peer_loads.values()]
+                self.assertEqual(view.peers_running, sum(each[0] for each in reported))
             busy = {view.server.id for view in views if view.running}
             self.assertEqual(set(balancer.loads()), busy)
 
