--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -1,4 +1,4 @@
-"""A server that names a limit gets no more than that from all nodes together."""
+"""A server that states a rate limit gets no more requests than that from all nodes together."""
 
 import asyncio
 import random
@@ -38,27 +38,16 @@
 
 
 def grant_for_server_only(server: str, ask: PermitAsk) -> PermitAnswer:
-    """Grant permits for one server only."""
+    """Grant permits for the given server only."""
     return PermitAnswer(ask.serial, int(ask.server == server), 0.0 if ask.server == server else 9.0)
 
 
 class SumOfAllNodesTest(unittest.TestCase):
-    """What all nodes send to a server that names a limit keeps it together.
+    """Guards against nodes that together exceed the limit of a server.
 
-    Callers saw nothing of it; servers did. One in need named in its answers how many requests a
-    second it takes from all nodes together, and got as many as any other server: 13 in some 4 s
-    from nodes that had passed such an answer on, where 1 a second was named.
-
-    Order of events: the server names its limit in an answer; four nodes pass such answers on
-    within 0.3 s; for as long as the logs go on, each of them goes on to choose the server by load,
-    and a server that holds back looks idle.
-
-    Cause: the header was read by nobody, and nothing that nodes believe of a server says how many
-    requests it may get, nor do they share a count of them.
-
-    Evidence: lines of requests that were served tell the limit that their answer named
-    (`server_limit`). Such lines of one node follow each other at that server within hundredths of a
-    second, at all nodes together as often as those of servers without a limit.
+    A server stated a limit of 1 request a second for all nodes and got 13 in 4 s from four nodes
+    that had all forwarded such answers within 0.3 s. The nodes ignored the limit and chose servers
+    by load only, by which a server that gets few requests looks idle.
     """
 
     def test_requests_of_all_nodes_stay_within_a_limit(self) -> None:
@@ -87,7 +76,7 @@
         )
 
     def test_limited_servers_are_used_when_no_other_is_free(self) -> None:
-        """Of a limit at most half stays unused; what can't be served is told at once."""
+        """At least half of each limit is used, and what can't be served is rejected at once."""
         on_cluster(self._check_limited_servers_are_used)
 
     async def _check_limited_servers_are_used(self, cluster: Cluster) -> None:
@@ -110,14 +99,14 @@
             )
             self.assertGreaterEqual(len(server.arrivals) - number, limit_per_s * seconds / 2)
         self.assertEqual(set(callers.statuses), {200, 503})
-        # A request of its rank waits for its turn for a quarter of its target.
+        # A request of this rank waits for a permit for at most a quarter of its target.
         self.assertLess(median(callers.rejection_latencies_s), 0.5)
         self.assertGreater(len(set(callers.retry_after_s)), len(callers.retry_after_s) / 2)
         servers[1].stop()
 
 
 class TurnTest(unittest.TestCase):
-    """Where the only server names a limit, requests wait for their turn while that is in time."""
+    """Requests wait for a permit of the only server as long as their target allows."""
 
     def test_waiting_requests_are_served_one_after_the_other(self) -> None:
         quietly(self._check_queued_requests())
@@ -130,7 +119,7 @@
         async with GatewayWorld(a_plan(routes=routes)) as world:
             server = make_limited_server("s1", 5.0)
             await world.add(server, "plain")
-            # The limit is heard with the first answer, and kept from the second request on.
+            # The first answer states the limit, which applies from the second request on.
             for _ in range(2):
                 await world.ask("/now/")
             await asyncio.sleep(0.5)
@@ -139,16 +128,16 @@
             now = [asyncio.create_task(world.ask("/now/")) for _ in range(3)]
             answers = [await each for each in now]
             self.assertEqual([each.status for each in answers], [200, 200, 200])
-            waited = [await each for each in later]
-            # What was saved, and a turn within a fifth of half of their target.
-            self.assertIn([each.status for each in waited].count(200), (2, 3))
-            refused = [each for each in waited if each.status == 503]
-            times = [float(each.headers["retry-after"]) for each in refused]
-            self.assertEqual(len(set(times)), len(times))
-            self.assertIn(b"at their limits", refused[0].body)
+            later_answers = [await each for each in later]
+            # The permits saved while idle, and one within their wait: a fifth of half the target.
+            self.assertIn([each.status for each in later_answers].count(200), (2, 3))
+            rejected = [each for each in later_answers if each.status == 503]
+            retry_times = [float(each.headers["retry-after"]) for each in rejected]
+            self.assertEqual(len(set(retry_times)), len(retry_times))
+            self.assertIn(b"at their limits", rejected[0].body)
 
     def test_safe_request_is_not_retried_at_a_server_without_permits(self) -> None:
-        """A caller got 502: its request had left the server that would have answered it."""
+        """A retry there would end in a 502, though the slow server answers."""
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
@@ -168,10 +157,10 @@
             async with GatewayWorld(a_plan()) as world:
                 first = await world.server("s1", "plain", fine)
                 await world.server("s2", "plain", fine)
-                take = world.pool.acquire
+                acquire = world.pool.acquire
 
                 async def acquire_slowly(server: str, address: str) -> UpstreamConnection:
-                    connection = await take(server, address)
+                    connection = await acquire(server, address)
                     if server == "s1":
                         limit = {"s1": LimitNews(0.1, 0.0)}
                         world.balancer.notices.merge_peer_limits(limit, "n2", monotonic())
@@ -207,7 +196,7 @@
         self.assertAlmostEqual(max_queue_wait_s(job, 105.1), 0.1)
 
     def test_permit_is_found_where_most_servers_have_none(self) -> None:
-        """All servers name limits; only one of six has a place, and nobody knows which."""
+        """All six servers have limits; one has a free permit, and the node can't know which."""
 
         async def work() -> None:
             balancer = LoadBalancer("a")
@@ -217,12 +206,12 @@
             permits = standalone_permit_client(balancer, monotonic)
             with mock.patch.object(
                 permits, "grant", side_effect=lambda ask: grant_for_server_only("s3", ask)
-            ) as asked:
+            ) as grant:
                 placer = Placer(balancer, permits, monotonic)
                 placement = await placer.place(PlacementRequest("plain", RequestFacts(), None))
                 assert placement is not None
                 self.assertEqual(placement.view.server.id, "s3")
-                self.assertLessEqual(asked.call_count, 6)
+                self.assertLessEqual(grant.call_count, 6)
 
         quietly(work())
 
@@ -235,8 +224,8 @@
             engine = Engine(4, 100_000, 1, 1000.0, moves=True, event_tokens=3)
             for number in range(6):
                 facts = RequestFacts(id=f"r{number}", prompt_tokens=50)
-                wanted = PlacementRequest("model", facts, engine, frozenset({"s0"}), moved=True)
-                placement = await placer.place(wanted)
+                request = PlacementRequest("model", facts, engine, frozenset({"s0"}), moved=True)
+                placement = await placer.place(request)
                 assert placement is not None
                 self.assertEqual(placement.view.server.id, "s2")
 
@@ -244,7 +233,7 @@
 
 
 class RentingTest(unittest.TestCase):
-    """A server that takes hardly anything for longer than a new one takes to start is missing."""
+    """Servers with low limits for longer than a new server takes to boot are replaced."""
 
     def test_capacity_lost_to_limits_is_counted_as_lost_servers(self) -> None:
         balancer = LoadBalancer("a")
@@ -254,7 +243,7 @@
             balancer.notices.merge_peer_limits({name: LimitNews(limit, 0.0)}, "n1", 10.0)
         usual_per_s, boot_s = 5.0, 4.0
         self.assertEqual(group.limited.lost_servers(13.0, usual_per_s, boot_s), 0)
-        # 0.9, 0.8, none and 1 of them are missing.
+        # The lost shares of s0 to s3 are 0.9, 0.8, 0 and 1.
         self.assertEqual(group.limited.lost_servers(15.0, usual_per_s, boot_s), 2)
         self.assertEqual(group.limited.lost_servers(15.0, 0.0, boot_s), 1)
         balancer.notices.record_leaving("s3")
@@ -270,7 +259,7 @@
 
 
 class HeaderValuesTest(unittest.TestCase):
-    """Each value that a limit may have is read in one way."""
+    """Valid and invalid values of the Server-Limit header field."""
 
     def test_whole_and_fractional_limits(self) -> None:
         for text, limit in (("1", 1.0), ("0.4", 0.4), (" 50 ", 50.0), ("0", 0.0), ("1e9", 1e9)):
