--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -1,4 +1,4 @@
-"""The list of servers follows the store's at every node, whatever is lost on the way."""
+"""The server list of every node follows the store's, whichever messages are lost."""
 
 import asyncio
 import unittest
@@ -39,15 +39,15 @@
 DATAGRAM_BYTES = 65_507
 MAX_PROPAGATION_S = 1.0
 MAX_READ_DELAY_S = 1.0
-"""The store is read once in 0.8 s; a turn of another node and a round more."""
+"""Reads are 0.8 s apart; a read by another node takes its turn and a gossip round more."""
 
 LEAVE_S = 4.0
 MAX_RELAY_S = 0.1
-"""Time of a few hops; by the next state of some node it takes a second."""
+"""Time of a few relays. By the next state of another node it would take a second."""
 
 
 def era_version(number: int, era: int = 1) -> EraVersion:
-    """Return a version of the store."""
+    """Return a version of the store's list."""
     return EraVersion(era, number)
 
 
@@ -56,7 +56,7 @@
 
 
 def changes_for(before: ServerList, servers: list[Server], version: int) -> list[ServerChange]:
-    """Let a node read a list and return what it tells."""
+    """Update a node's list from the store; return the changes that it broadcasts."""
     base = before.digest
     difference = before.update_from_store(servers, era_version(version))
     head = ListHead(before.version, before.digest, 0.0, era=before.era_version.era)
@@ -69,7 +69,7 @@
         self.list = ServerList()
         self.list.update_from_store(self.servers, era_version(1))
 
-    def leave(self, gone: bool, hall: str) -> list[Server]:
+    def list_after_departure(self, gone: bool, hall: str) -> list[Server]:
         result = []
         for server in self.servers:
             if server.hall != hall:
@@ -85,7 +85,7 @@
         for gone in (False, True):
             with self.subTest(gone=gone):
                 self.setUp()
-                parts = changes_for(self.list, self.leave(gone, "hall-3"), 2)
+                parts = changes_for(self.list, self.list_after_departure(gone, "hall-3"), 2)
                 self.assertLessEqual(len(parts), MAX_PACKETS)
                 self.assertLessEqual(max(map(encoded_size, parts)), MAX_PACKET_BYTES)
                 other = ServerList()
@@ -96,13 +96,13 @@
 
     def test_departures_are_sent_though_the_whole_change_is_too_large(self) -> None:
         new = [make_server(number) for number in range(5_000, 5_400)]
-        listed = [*self.leave(False, "hall-3"), *new]
+        listed = [*self.list_after_departure(False, "hall-3"), *new]
         parts = changes_for(self.list, listed, 2)
         self.assertLessEqual(max(map(encoded_size, parts)), MAX_PACKET_BYTES)
         other = ServerList()
         other.update_from_store(self.servers, era_version(1))
-        heard = [other.apply_change(part) for part in parts]
-        self.assertTrue(heard[-1].needs_fetch)
+        results = [other.apply_change(part) for part in parts]
+        self.assertTrue(results[-1].needs_fetch)
         left = {server.id for server in listed if server.leaving}
         self.assertEqual({server.id for server in other.usable() if server.leaving}, left)
 
@@ -115,12 +115,12 @@
         self.other = ServerList()
         self.other.update_from_store(self.servers.values(), era_version(1))
 
-    def leave(self, number: int) -> None:
+    def mark_leaving(self, number: int) -> None:
         server = make_server(number)
         self.servers[server.id] = msgspec.structs.replace(server, leaving=True, leaves_s=3.0)
 
     def test_time_left_stays_as_first_reported(self) -> None:
-        self.leave(1)
+        self.mark_leaving(1)
         self.reader.update_from_store(self.servers.values(), era_version(2))
         before = self.reader.digest
         name = make_server(1).id
@@ -130,14 +130,14 @@
 
     def test_marked_server_counts_as_leaving_until_a_list_at_least_as_new(self) -> None:
         lost = changes_for(self.reader, list(self.servers.values())[1:], 2)
-        self.leave(2)
-        heard = self.other.apply_change(
+        self.mark_leaving(2)
+        result = self.other.apply_change(
             changes_for(self.reader, list(self.servers.values())[1:], 3)[0]
         )
-        self.assertTrue(heard.servers_differ and heard.needs_fetch)
+        self.assertTrue(result.servers_differ and result.needs_fetch)
         self.assertIn(make_server(0).id, {server.id for server in self.other.usable()})
         self.assertTrue(
-            self.other.apply_change(lost[0]).is_new is False, "an older change counts no more"
+            self.other.apply_change(lost[0]).is_new is False, "an older change has no effect"
         )
         leaving = [server.id for server in self.other.usable() if server.leaving]
         self.assertEqual(leaving, [make_server(2).id])
@@ -146,7 +146,7 @@
 
     def test_older_list_is_not_adopted(self) -> None:
         raw, version = self.reader.raw, self.reader.era_version
-        self.leave(1)
+        self.mark_leaving(1)
         self.reader.update_from_store(self.servers.values(), era_version(5))
         self.assertFalse(self.reader.update_from_peer(raw, version))
         self.assertTrue(any(server.leaving for server in self.reader.usable()))
@@ -168,7 +168,7 @@
         reader, other = ServerList(), ServerList()
         reader.update_from_store(servers.values(), era_version(1))
         other.update_from_store(servers.values(), era_version(1))
-        waiting: list[ServerChange] = []
+        pending: list[ServerChange] = []
         left: dict[str, int] = {}
         for version in range(2, 12):
             for name in data.draw(st.lists(st.sampled_from(sorted(servers)), max_size=3)):
@@ -177,11 +177,11 @@
                 elif name in servers:
                     servers[name] = msgspec.structs.replace(servers[name], leaving=True)
                     left[name] = version
-            waiting += changes_for(reader, list(servers.values()), version)
-            order = data.draw(st.permutations(range(len(waiting))))
-            for index in order[: data.draw(st.integers(0, len(waiting)))]:
+            pending += changes_for(reader, list(servers.values()), version)
+            order = data.draw(st.permutations(range(len(pending))))
+            for index in order[: data.draw(st.integers(0, len(pending)))]:
                 before = other.version
-                change = waiting[index]
+                change = pending[index]
                 other.apply_change(change)
                 self.assertGreaterEqual(other.version, before)
                 for server in other.usable():
@@ -193,14 +193,14 @@
 
 
 class RestoredStoreTest(unittest.TestCase):
-    """The store came back from an older copy, so versions start again in a new era."""
+    """The store was restored from an older copy, so versions restart in a new era."""
 
     def setUp(self) -> None:
         self.servers = {each.id: each for each in map(make_server, range(4))}
         self.list = ServerList()
         self.list.update_from_store(self.servers.values(), era_version(100))
 
-    def leave(self, number: int) -> Server:
+    def make_leaving_server(self, number: int) -> Server:
         return msgspec.structs.replace(make_server(number), leaving=True, leaves_s=3.0)
 
     def usable(self) -> dict[str, bool]:
@@ -208,7 +208,7 @@
 
     def test_list_of_the_new_era_is_adopted_though_its_version_is_lower(self) -> None:
         difference = self.list.update_from_store(
-            [make_server(0), self.leave(1)], era_version(60, era=2)
+            [make_server(0), self.make_leaving_server(1)], era_version(60, era=2)
         )
         assert difference is not None
         self.assertEqual([each.id for each in difference.leaving], [make_server(1).id])
@@ -216,7 +216,7 @@
 
     def test_list_of_the_former_era_is_dropped_though_its_version_is_higher(self) -> None:
         former = ServerList()
-        former.update_from_store([self.leave(0)], era_version(200))
+        former.update_from_store([self.make_leaving_server(0)], era_version(200))
         self.list.update_from_store(self.servers.values(), era_version(60, era=2))
         self.assertFalse(self.list.update_from_peer(former.raw, former.era_version))
         change = changes_for(former, [], 201)[0]
@@ -226,7 +226,7 @@
 
     def test_departed_server_stays_departed_until_entries_lapse(self) -> None:
         self.list.update_from_store(
-            [self.leave(1), make_server(2), make_server(3)], era_version(101)
+            [self.make_leaving_server(1), make_server(2), make_server(3)], era_version(101)
         )
         self.list.update_from_store(self.servers.values(), era_version(60, era=2))
         gone, leaving = make_server(0).id, make_server(1).id
@@ -254,27 +254,27 @@
     def test_changes_without_an_era_apply_but_set_no_version(self) -> None:
         former = ServerList()
         former.update_from_store(self.servers.values(), EraVersion(0, 100))
-        head_of = ListHead(101, 0, 0.0)
+        head = ListHead(101, 0, 0.0)
         listed = [make_server(0), make_server(2), make_server(3)]
         difference = former.update_from_store(listed, EraVersion(0, 101))
         assert difference is not None
-        head_of = ListHead(101, former.digest, 0.0)
+        head = ListHead(101, former.digest, 0.0)
         base = self.list.digest
-        heard = self.list.apply_change(split_into_packets(head_of, base, "n2:3", difference)[0])
-        self.assertTrue(heard.confirmed)
+        result = self.list.apply_change(split_into_packets(head, base, "n2:3", difference)[0])
+        self.assertTrue(result.confirmed)
         self.assertEqual(set(self.usable()), {each.id for each in listed})
         self.assertEqual(self.list.era_version, era_version(100))
 
     def test_list_without_an_era_does_not_replace_one_with_an_era(self) -> None:
-        heard = self.list.apply_change(ServerChange(ListHead(900, 5, 0.0), 4, "n2:3"))
-        self.assertFalse(heard.needs_fetch)
+        result = self.list.apply_change(ServerChange(ListHead(900, 5, 0.0), 4, "n2:3"))
+        self.assertFalse(result.needs_fetch)
         former = ServerList()
         former.update_from_store([make_server(9)], EraVersion(0, 900))
         self.assertFalse(self.list.update_from_peer(former.raw, former.era_version))
 
 
 class SpreadTest(unittest.TestCase):
-    """At the letter's size, on links of 10 Mbit/s."""
+    """Propagation at the target size, over links of 10 Mbit/s."""
 
     def world(self, loss_rate: float = 0.0, nodes: int = TARGET_NODES) -> ListWorld:
         world = ListWorld(nodes, TARGET_SERVERS, loss_rate)
@@ -293,9 +293,10 @@
                 first = min(node.leaving_learned_at[name] for node in world.nodes)
                 self.assertLess(world.last_learned_at(name) - first, MAX_PROPAGATION_S)
                 sent = [
-                    node.sent_bytes - told for node, told in zip(world.nodes, before, strict=True)
+                    node.sent_bytes - sent_before
+                    for node, sent_before in zip(world.nodes, before, strict=True)
                 ]
-                self.assertLess(max(sent) / 2.0, 125_000, "a tenth of the thinnest link")
+                self.assertLess(max(sent) / 2.0, 125_000, "a tenth of the slowest link")
                 self.assertLess(world.store.reads - reads, 6)
 
     def test_whole_hall_that_leaves_is_known_everywhere_within_a_second(self) -> None:
@@ -390,17 +391,17 @@
         for node in world.nodes[:HALLS]:
             node.alive = False
         reads = world.store.reads
-        busiest = 0
+        max_reads = 0
         for step in range(60):
             before = world.store.reads
             world.run(1.0 + (step + 1) * 0.1)
-            busiest = max(busiest, world.store.reads - before)
+            max_reads = max(max_reads, world.store.reads - before)
         self.assertGreater(world.store.reads, reads)
-        self.assertLess(busiest, 15)
+        self.assertLess(max_reads, 15)
 
 
 class SpreadAfterRestoreTest(unittest.TestCase):
-    """The store comes back from a copy that is 50 versions older, at nodes in number."""
+    """The store is restored from a copy that is 50 versions older, with up to 390 nodes."""
 
     def make_restored_world(self, nodes: int) -> ListWorld:
         world = ListWorld(nodes, 100, 0.05)
@@ -436,7 +437,7 @@
 
 
 class FakeStore:
-    """A store whose list is read when a test says so."""
+    """A store with one server; its version grows by `version_step` with each read."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
@@ -455,7 +456,7 @@
 
 
 class CurrentTest(unittest.TestCase):
-    """No request is sent by a list that is too old while a newer one can be had."""
+    """No request is sent by a list that is too old while a newer one is available."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -513,7 +514,7 @@
         self.assertTrue(self.current())
         reads = self.store.reads
         self.assertTrue(self.current())
-        self.assertEqual(self.store.reads, reads, "an outage holds up one request, not each")
+        self.assertEqual(self.store.reads, reads, "an outage delays one request, not each")
 
     def test_node_that_cannot_get_a_newer_list_sends_nothing(self) -> None:
         self.assertTrue(self.current())
@@ -561,7 +562,7 @@
             self.watch._record_read(self.now, 0.0)
             due.append(self.watch.due_at() - self.now)
             self.watch._record_read(self.now, 0.0)
-            self.assertEqual(self.watch.due_at() - self.now, due[-1], "known already")
+            self.assertEqual(self.watch.due_at() - self.now, due[-1], "the read is known already")
         self.assertGreaterEqual(min(due), RESERVE_READ_DELAY_S)
         self.assertGreater(max(due) - min(due), 2.0)
 
