--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves in their answers decides where later requests go."""
+"""What servers state about themselves in answers affects the choice for later requests."""
 
 import asyncio
 import unittest
@@ -35,22 +35,23 @@
 
 LEAVES = b"Server-Leaving: 1\r\n"
 RETRY_AFTER_S = 1.2
-"""A server asks for a retry after so long, several times the half second in which requests
-that were under way may still come."""
+"""Retry time that a declining server states: several times the half second in which requests in
+flight may still arrive."""
+
 RETRY_LATER = b"Not-Executed: 1\r\nRetry-After: %.1f\r\n" % RETRY_AFTER_S
 
 
 async def answer_leaving(
     arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """A script that answers whole and says that the server leaves."""
+    """Answer completely and state that the server is leaving."""
     writer.write(answer(arrival, more=STAMP + LEAVES))
 
 
 async def answer_slowly(
     arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """A script that answers after a time that makes the other server look better."""
+    """Answer so late that the other server looks better."""
     await asyncio.sleep(0.05)
     writer.write(answer(arrival))
 
@@ -58,21 +59,21 @@
 async def decline_with_retry_time(
     arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """A script that turns a request away and states when to retry."""
+    """Reject the request and state when to retry."""
     writer.write(answer(arrival, b"", 503, RETRY_LATER))
 
 
 async def decline_without_retry_time(
     arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """A script that turns a request away and names no time."""
+    """Reject the request without a time to retry."""
     writer.write(answer(arrival, b"", 503, b"Not-Executed: 1\r\n"))
 
 
 async def answer_misdirected(
     arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """A script of a server that is not the one that was meant, and leaves."""
+    """Answer as another server at the same address, which is leaving."""
     writer.write(answer(arrival, b"", 421, b"Not-Executed: 1\r\n" + LEAVES))
 
 
@@ -82,7 +83,7 @@
 
 
 async def start_two_nodes(cluster: Cluster) -> tuple[GatewayNode, GatewayNode]:
-    """Start two nodes that know of each other."""
+    """Start two nodes and wait until they know each other."""
     first = await cluster.start("n1")
     second = await cluster.start("n2", (first.settings.node.control,))
     for node in (first, second):
@@ -92,22 +93,12 @@
 
 
 class NextChoiceTest(unittest.TestCase):
-    """What a server's answer says of it counts for all requests that come after.
-
-    Callers saw two things on the same days. A server said in its answers that it leaves, while the
-    platform's store was away and the list still named it as ready: nodes that had passed such an
-    answer on sent it more requests for seconds (one 6.8 s later), until the store was back. And
-    servers that turned requests away with a time to come back got five and more requests from the
-    same node within that time, each one another caller's, refused although others were free.
-
-    Cause: an answer was read for the one request that it answers. Its head was decoded, its time
-    to come back was kept with the attempt, its word of leaving not at all; nothing of it reached
-    what the node believes of the server, which only the list and broken connections changed.
-
-    Evidence: the log of each send tells what its answer said of the server. Before a send to a
-    server that leaves, the same node's line of an earlier answer has `leaving` true; before one to
-    a server that stated when to retry, it has that time, which had not come. The
-    server was named as ready, had no cached front and was not the last one left.
+    """Guards against choices that ignore what a server stated in an earlier answer.
+
+    While the store was down, nodes kept sending requests to servers that had stated that they are
+    leaving (one 6.8 s later). Servers that rejected requests with a retry time got five and more
+    requests from the same node within that time, although others were free. The cause was that an
+    answer only affected the request that it belongs to.
     """
 
     def test_later_requests_follow_what_an_answer_stated(self) -> None:
@@ -124,20 +115,20 @@
             other = await world.server("s2", "plain", answer_slowly)
             await world.ask("/check/")
             for number in range(4):
-                asked = await world.ask("/order/", request_id=f"r{number}")
-                self.assertEqual(asked.status, 200)
+                got = await world.ask("/order/", request_id=f"r{number}")
+                self.assertEqual(got.status, 200)
             self.assertEqual(len(first.arrivals), 1)
             self.assertGreaterEqual(len(other.arrivals), 4)
 
 
 def make_rejection_head(*values: tuple[str, str]) -> AnswerHead:
-    """Return the head of an answer that turns a request away."""
+    """Return the head of an answer that rejects a request."""
     named = [(name.encode(), value.encode()) for name, value in values]
     return AnswerHead(503, [(b"Not-Executed", b"1"), *named])
 
 
 class HeaderValuesTest(unittest.TestCase):
-    """Each value that a time to come back may have is read in one way."""
+    """Valid and invalid values of the Retry-After and Server-Leaving header fields."""
 
     def seconds(self, *values: tuple[str, str]) -> float | None:
         return PlatformHeaders().read_answer(make_rejection_head(*values)).statement.retry_after_s
@@ -173,7 +164,7 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """A server's word that it leaves holds until another life of it is there."""
+    """A server's statement that it is leaving holds until another incarnation of it is listed."""
 
     def test_list_does_not_override_a_leaving_statement(self) -> None:
         async def work() -> None:
@@ -192,7 +183,7 @@
         quietly(work())
 
     async def relist_as_ready(self, world: GatewayWorld, server: ScriptedServer) -> None:
-        """List a server as ready whose entry had lapsed."""
+        """List a server as ready again after its entry lapsed."""
         world._listed.append(Server(server.id, "plain", server.address, "hall-a", 4))
         world.balancer.apply(world._listed)
 
@@ -218,14 +209,14 @@
             if same_id:
                 first.stop()
                 await first.start()
-                life = Server("s1", "plain", first.address, "hall-a", 4)
+                incarnation = Server("s1", "plain", first.address, "hall-a", 4)
             else:
-                life = Server("s1#2", "plain", first.address, "hall-a", 4)
-            world.balancer.apply([life])
+                incarnation = Server("s1#2", "plain", first.address, "hall-a", 4)
+            world.balancer.apply([incarnation])
             self.assertEqual((await world.ask("/order/")).status, 200)
 
     def test_leaving_statement_of_another_server_at_the_address_is_ignored(self) -> None:
-        """It gets no requests for a while, but it is not the one that leaves."""
+        """The server gets no requests for a while, but does not count as leaving."""
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
@@ -256,10 +247,10 @@
             async with GatewayWorld(a_plan()) as world:
                 first = await world.server("s1", "plain", fine)
                 await world.server("s2", "plain", answer_slowly)
-                take = world.pool.acquire
+                acquire = world.pool.acquire
 
                 async def acquire_slowly(server: str, address: str) -> UpstreamConnection:
-                    connection = await take(server, address)
+                    connection = await acquire(server, address)
                     if server == "s1":
                         world.forwarder.handle_leaving_server("s1")
                     return connection
@@ -271,7 +262,7 @@
         quietly(work())
 
     def test_streams_of_a_leaving_server_are_moved(self) -> None:
-        """A short answer says it; the stream that runs there beside it goes on elsewhere."""
+        """An answer states it while a stream is in flight there; the stream continues elsewhere."""
 
         async def work() -> None:
             pair = EnginePair()
@@ -305,7 +296,7 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """A time to come back holds for all requests of a node, and is told to callers."""
+    """A stated retry time holds for all requests of a node; callers get it if no server is free."""
 
     def test_requests_are_rejected_at_once_while_all_servers_back_off(self) -> None:
         async def work() -> None:
@@ -316,9 +307,9 @@
                 got = await world.ask("/check/")
                 self.assertEqual(got.status, 503)
                 self.assertLess(monotonic() - began, 0.1)
-                again_s = float(got.headers["retry-after"])
-                self.assertGreater(again_s, RETRY_AFTER_S - 0.2)
-                self.assertLess(again_s, RETRY_AFTER_S * 1.5 + 0.01)
+                retry_after_s = float(got.headers["retry-after"])
+                self.assertGreater(retry_after_s, RETRY_AFTER_S - 0.2)
+                self.assertLess(retry_after_s, RETRY_AFTER_S * 1.5 + 0.01)
                 self.assertEqual(len(first.arrivals), 1)
                 first.script = fine
                 await asyncio.sleep(RETRY_AFTER_S)
@@ -400,7 +391,7 @@
         self.assertEqual(view.standing.paused_until, 4_999.0 + 3.0)
 
     def test_node_without_requests_counts_declines_of_peers(self) -> None:
-        """The holder of the duties is a node in reserve, so it hears of it from others only."""
+        """A node in reserve may rent servers, and knows declines from peers only."""
         balancer = LoadBalancer("a")
         balancer.apply([Server("s1", "model", "h:1", "a", 64)])
         for step in range(20):
@@ -428,7 +419,7 @@
 
 
 class ToldTest(unittest.TestCase):
-    """Other nodes hear what servers said, also while the store is away."""
+    """Other nodes learn what servers stated, also while the store is down."""
 
     def test_other_nodes_send_nothing_to_a_server_that_leaves(self) -> None:
         async def work(cluster: Cluster) -> None:
@@ -454,7 +445,7 @@
             self.assertGreater(view.standing.peers_declined_until, now + RETRY_AFTER_S)
             latest = monotonic() + RETRY_AFTER_S + PEER_RETRY_DELAY_S
             self.assertLessEqual(view.standing.peers_declined_until, latest)
-            # It is the only server, and has asked this node for nothing.
+            # It is the only server, and this node got no retry time from it.
             cluster.backend.script = fine
             self.assertEqual((await ask_node(second)).status, 200)
 
