--- a/src/moledale/gateway/lease_keeper.py
+++ b/src/moledale/gateway/lease_keeper.py
@@ -101,7 +101,7 @@
         self._rng = random.Random()
         self._was_held = False
         self._renew_at_once = False
-        self._interval_factor = 1.0
+        self._backoff_scale = 1.0
 
     def grant(self) -> Grant | None:
         """Return proof of the lease if this node holds it now."""
@@ -163,15 +163,15 @@
         self._direct_renewal_at = -1e9
         self._next_read_at = -1e9
 
-    async def step(self, rank: int, interval_factor: float = 1.0) -> None:
+    async def step(self, rank: int, backoff_scale: float = 1.0) -> None:
         """Perform the lease action that is due; `rank` staggers the attempts of the candidates.
 
-        While a candidate can't read the row, it multiplies its read interval by `interval_factor`,
+        While a candidate can't read the row, it multiplies its read interval by `backoff_scale`,
         which is 1 for a node alone. If the factor is above 1, a candidate that just started assumes
         that the lease is held until it should have received a renewal.
         """
         now = monotonic()
-        self._interval_factor = interval_factor
+        self._backoff_scale = backoff_scale
         self._enter_era(self._store.era.number, now)
         action = self.lease.decide(now)
         self._log_change(now)
@@ -182,7 +182,7 @@
             return
         last_renewal_at = (
             max(self._last_renewal_at, self._started_at)
-            if interval_factor > 1.0
+            if backoff_scale > 1.0
             else self._last_renewal_at
         )
         if now - last_renewal_at < self._ttl_s + rank * RANK_DELAY_S:
@@ -190,9 +190,7 @@
         if action is LeaseAction.ACQUIRE and self.lease.row is not None:
             await self._write(now)
         elif now >= self._next_read_at:
-            self._next_read_at = now + READ_INTERVAL_S * interval_factor * (
-                0.5 + self._rng.random()
-            )
+            self._next_read_at = now + READ_INTERVAL_S * backoff_scale * (0.5 + self._rng.random())
             await self._read()
 
     async def release(self) -> None:
@@ -246,7 +244,7 @@
         self._version_era = self._era
         self.holder = NO_HOLDER
         self._last_renewal_at = max(self._last_renewal_at, now - self._ttl_s + RESTORE_GRACE_S)
-        self._next_read_at = now + RESTORE_GRACE_S * self._interval_factor * self._rng.random()
+        self._next_read_at = now + RESTORE_GRACE_S * self._backoff_scale * self._rng.random()
 
     def _observe_row(self, stored: StateRow, store_s: float, now: float) -> None:
         """Apply a row as it is stored in this era.
--- a/src/moledale/gateway/quarantine_store.py
+++ b/src/moledale/gateway/quarantine_store.py
@@ -46,7 +46,7 @@
     """Writes the blocks that this node decided, and reads all blocks if no peer sends them.
 
     Blocks are written again when the store came back from an older copy and may have lost them.
-    `is_serving` says whether this node serves callers, and `interval_factor` stretches the pauses
+    `is_serving` says whether this node serves callers, and `backoff_scale` stretches the pauses
     between retries (see `Backoff`).
     """
 
--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -36,7 +36,7 @@
     """Writes this node's address to the store and reads those of all nodes, once in each era.
 
     A restore of the store, which starts a new era, may have lost the row. The read also returns the
-    store's clock, from which `true_time` derives the age of server lists. `interval_factor`
+    store's clock, from which `true_time` derives the age of server lists. `backoff_scale`
     stretches pauses as the number of nodes grows (see `Backoff`).
     """
 
@@ -54,7 +54,7 @@
         self._own_address = own_address
         self._addresses = addresses
         self._true_time = true_time
-        self._interval_factor = backoff_scale
+        self._backoff_scale = backoff_scale
         self._rng = random.Random()
         self._backoff = Backoff(RETRY_INITIAL_S, RETRY_MAX_S, backoff_scale)
         self._restored = asyncio.Event()
@@ -66,7 +66,7 @@
             self._restored.clear()
             await self._register()
             await self._restored.wait()
-            await asyncio.sleep(JITTER_S * self._interval_factor() * self._rng.random())
+            await asyncio.sleep(JITTER_S * self._backoff_scale() * self._rng.random())
 
     async def _register(self) -> None:
         """Write this node's row and read all rows, retrying what fails."""
