--- a/standins/demo.py
+++ b/standins/demo.py
@@ -9,8 +9,8 @@
 
 ENGINES = {"engine-a": "hall-a", "engine-b": "hall-b"}
 NODES = {"entry-1": "hall-a", "entry-2": "hall-a", "entry-3": "hall-b"}
-KEY = {"Authorization": "Bearer brokers-key"}
-JOB_S = 20.0
+AUTH_HEADERS = {"Authorization": "Bearer brokers-key"}
+JOB_TIMEOUT_S = 20.0
 
 
 def call(
@@ -18,7 +18,7 @@
 ) -> tuple[dict[str, str], str]:
     """Make one call as a caller would and return headers and text."""
     data = None if body is None else json.dumps(body).encode()
-    request = Request(url, data=data, method=method, headers={**KEY, **(headers or {})})
+    request = Request(url, data=data, method=method, headers={**AUTH_HEADERS, **(headers or {})})
     with urlopen(request, timeout=CALL_S) as response:
         found = {name.lower(): value for name, value in response.headers.items()}
         return found, response.read().decode()
@@ -28,22 +28,22 @@
     """Run the demo and return 0 if every step went well."""
     fleet = LocalFleet()
     try:
-        _start(fleet)
-        _roll(fleet)
-        first = _addresses(fleet)
-        _stream(first)
-        _passed_through(fleet, first, "the stream")
-        _job(first)
-        _passed_through(fleet, first, "stream and job")
-        _once(first)
-        print("  passed through", _name(fleet, first), "and", fleet.procs["eligibility"].address)
-        _look(fleet)
-        return _stop(fleet)
+        _start_fleet(fleet)
+        _roll_bundle(fleet)
+        first = _resolve_address(fleet)
+        _stream_completion(first)
+        _print_route(fleet, first, "the stream")
+        _run_job(first)
+        _print_route(fleet, first, "stream and job")
+        _call_idempotent_service(first)
+        print("  passed through", _node_at(fleet, first), "and", fleet.procs["eligibility"].address)
+        _show_reports(fleet)
+        return _stop_nodes(fleet)
     finally:
         fleet.close()
 
 
-def _start(fleet: LocalFleet) -> None:
+def _start_fleet(fleet: LocalFleet) -> None:
     for name, hall in ENGINES.items():
         fleet.start_engine(name, hall, "--checks-fence")
     fleet.start_standin("eligibility", "standins.service")
@@ -52,7 +52,7 @@
     print("started:", ", ".join(f"{p.name} at {p.address}" for p in fleet.procs.values()))
 
 
-def _roll(fleet: LocalFleet) -> None:
+def _roll_bundle(fleet: LocalFleet) -> None:
     bundle = fleet.write_bundle(service=fleet.procs["eligibility"].address)
     print("\n$ moledale bundle check bundle.toml")
     print(fleet.cli("bundle", "check", str(bundle)).stdout)
@@ -64,14 +64,14 @@
     print(f"in force on all nodes, models loaded, {took:.2f} s later")
 
 
-def _addresses(fleet: LocalFleet) -> str:
+def _resolve_address(fleet: LocalFleet) -> str:
     url = f"http://{fleet.procs['entry-3'].address}/v1/addresses?session=anna-1"
     found = json.loads(call("GET", url)[1])
     print("\naddresses for session anna-1:", found)
     return str(found["addresses"][0]["address"])
 
 
-def _stream(address: str) -> None:
+def _stream_completion(address: str) -> None:
     body = {"model": "claims", "prompt": "Is hail covered?", "max_tokens": 12, "stream": True}
     headers = {"Moledale-Session": "anna-1", "Moledale-Priority": "immediate"}
     answer_headers, text = call("POST", f"http://{address}/v1/completions", body, headers)
@@ -83,11 +83,11 @@
     print("  usage:", usage, "end:", events[-1])
 
 
-def _job(address: str) -> None:
+def _run_job(address: str) -> None:
     body = {"model": "cover-7b", "prompt": "Summarise the claims of 2025.", "max_tokens": 30}
     headers, _ = call("POST", f"http://{address}/v1/completions", body, {"Prefer": "respond-async"})
     url = f"http://{address}{headers['location']}"
-    until = time.monotonic() + JOB_S
+    until = time.monotonic() + JOB_TIMEOUT_S
     state = ""
     while state != "done" and time.monotonic() < until:
         status = json.loads(call("GET", url)[1])
@@ -98,7 +98,7 @@
     print("  text:", json.loads(call("GET", f"{url}/result")[1])["choices"][0]["text"][:60], "…")
 
 
-def _once(address: str) -> None:
+def _call_idempotent_service(address: str) -> None:
     url = f"http://{address}/v1/services/eligibility/check"
     key = {"Idempotency-Key": "file-4711"}
     print("\nnot-repeatable call, sent twice with one key:")
@@ -106,29 +106,29 @@
         print("  answer:", call("POST", url, {"traveller": "Anna"}, key)[1])
 
 
-def _name(fleet: LocalFleet, address: str) -> str:
+def _node_at(fleet: LocalFleet, address: str) -> str:
     """Return the node at an address."""
     return next(name for name in NODES if fleet.procs[name].address == address)
 
 
-def _passed_through(fleet: LocalFleet, address: str, what: str) -> None:
+def _print_route(fleet: LocalFleet, address: str, what: str) -> None:
     """Tell the node that a request went to, and which engines have run something so far."""
     ran = []
     for name in ENGINES:
         counts = json.loads(call("GET", f"http://{fleet.procs[name].address}/control/counts")[1])
         if counts["attempts"]:
             ran.append(f"{name} ({counts['attempts']} attempts)")
-    print(f"  {what} passed through {_name(fleet, address)} and", ", ".join(ran))
+    print(f"  {what} passed through {_node_at(fleet, address)} and", ", ".join(ran))
 
 
-def _look(fleet: LocalFleet) -> None:
+def _show_reports(fleet: LocalFleet) -> None:
     print("\n$ moledale fleet show")
     print(fleet.cli("fleet", "show", node="entry-1").stdout)
     print("$ moledale report burn")
     print(fleet.cli("report", "burn", node="entry-1").stdout)
 
 
-def _stop(fleet: LocalFleet) -> int:
+def _stop_nodes(fleet: LocalFleet) -> int:
     codes = {name: fleet.stop(name) for name in NODES}
     print("planned stop, exit codes:", codes)
     return 0 if set(codes.values()) == {0} else 1
