--- a/standins/demo.py
+++ b/standins/demo.py
@@ -5,7 +5,7 @@
 import time
 from urllib.request import Request, urlopen
 
-from standins.local_fleet import CALL_S, LocalFleet
+from standins.local_fleet import CALL_TIMEOUT_S, LocalFleet
 
 ENGINES = {"engine-a": "hall-a", "engine-b": "hall-b"}
 NODES = {"entry-1": "hall-a", "entry-2": "hall-a", "entry-3": "hall-b"}
@@ -19,7 +19,7 @@
     """Make one call as a caller would and return headers and text."""
     data = None if body is None else json.dumps(body).encode()
     request = Request(url, data=data, method=method, headers={**AUTH_HEADERS, **(headers or {})})
-    with urlopen(request, timeout=CALL_S) as response:
+    with urlopen(request, timeout=CALL_TIMEOUT_S) as response:
         found = {name.lower(): value for name, value in response.headers.items()}
         return found, response.read().decode()
 
--- a/standins/local_fleet.py
+++ b/standins/local_fleet.py
@@ -19,16 +19,16 @@
 from moledale.backing.types import Instance, InstanceKind, InstanceState
 from moledale.bundle import signing
 from moledale.edge.operators import NodeStatus
-from standins.serve import LISTENING
+from standins.serve import LISTENING_PREFIX
 from standins.settings_text import settings_text
 
 ROOT = Path(__file__).resolve().parent.parent
-START_S = 20.0
-STOP_S = 30.0
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 30.0
 LISTENING_EVENT = " E101 listening "
 OPERATOR_TOKEN = "operators-token-for-tests"
 PEER_SECRET = "peer-secret-for-tests-0123456789abcdef"
-CALL_S = 10.0
+CALL_TIMEOUT_S = 10.0
 
 
 @dataclass(slots=True)
@@ -40,35 +40,35 @@
     address: str = ""
     peer_address: str = ""
     lines: list[str] = field(default_factory=list)
-    _found: "Queue[dict[str, object]]" = field(default_factory=Queue)
+    _announcements: "Queue[dict[str, object]]" = field(default_factory=Queue)
 
-    def read(self, stream: object) -> None:
+    def read_output(self, stream: object) -> None:
         """Keep the lines of a stream, and the first that tells an address."""
         for line in stream:  # type: ignore[attr-defined]
             self.lines.append(line.rstrip())
-            if line.startswith(LISTENING):
-                self._found.put(json.loads(line.removeprefix(LISTENING)))
+            if line.startswith(LISTENING_PREFIX):
+                self._announcements.put(json.loads(line.removeprefix(LISTENING_PREFIX)))
             elif LISTENING_EVENT in line:
-                self._found.put(json.loads(line.split(LISTENING_EVENT)[1]))
+                self._announcements.put(json.loads(line.split(LISTENING_EVENT)[1]))
 
     def wait_listening(self) -> dict[str, object]:
         """Wait until the process has told where it listens."""
-        until = time.monotonic() + START_S
+        until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
             try:
-                return self._found.get(timeout=0.1)
+                return self._announcements.get(timeout=0.1)
             except Empty:
                 if self.process.poll() is not None:
                     break
         raise RuntimeError(f"{self.name} did not start:\n" + "\n".join(self.lines))
 
 
-def http(
+def http_call(
     method: str, url: str, body: bytes | None = None, headers: dict[str, str] | None = None
 ) -> bytes:
     """Make one call and return the body; raises on anything but success."""
     request = Request(url, data=body, method=method, headers=headers or {})
-    with urlopen(request, timeout=CALL_S) as response:
+    with urlopen(request, timeout=CALL_TIMEOUT_S) as response:
         return bytes(response.read())
 
 
@@ -79,7 +79,7 @@
         self.folder = Path(tempfile.mkdtemp(prefix="moledale-"))
         self.procs: dict[str, Proc] = {}
         self.instances: dict[str, Instance] = {}
-        self._public: dict[str, str] = {}
+        self._public_keys: dict[str, str] = {}
         for operator in operators:
             self._make_key(operator)
         self.platform = self.start_standin("platform", "standins.platform")
@@ -111,7 +111,9 @@
 
     def control(self, what: str, value: object) -> None:
         """Set something on the platform."""
-        http("POST", f"http://{self.platform.address}/control/{what}", msgspec.json.encode(value))
+        http_call(
+            "POST", f"http://{self.platform.address}/control/{what}", msgspec.json.encode(value)
+        )
 
     def set_state(self, name: str, state: InstanceState) -> None:
         """Change an instance's state in the list."""
@@ -123,7 +125,7 @@
     def start_node(self, name: str, hall: str, extra: str = "", listed: bool = True) -> Proc:
         """Start a node and list it."""
         proc = self.launch_node(name, hall, extra)
-        return self.finish_node(proc, hall, listed)
+        return self.register_node(proc, hall, listed)
 
     def launch_node(self, name: str, hall: str, extra: str = "") -> Proc:
         """Start a node without waiting for it."""
@@ -135,7 +137,7 @@
         }
         return self._spawn(name, command, secrets)
 
-    def finish_node(self, proc: Proc, hall: str, listed: bool = True) -> Proc:
+    def register_node(self, proc: Proc, hall: str, listed: bool = True) -> Proc:
         """Wait until a launched node listens, and list it."""
         ports = proc.wait_listening()
         proc.address = f"127.0.0.1:{ports['port']}"
@@ -157,7 +159,7 @@
     def write_settings(self, name: str, hall: str, extra: str = "") -> Path:
         """Write a node's settings file."""
         base = f"http://{self.platform.address}"
-        text = settings_text(name, hall, base, self._public, extra)
+        text = settings_text(name, hall, base, self._public_keys, extra)
         path = self.folder / f"{name}.toml"
         path.write_text(text, "utf-8")
         return path
@@ -172,7 +174,7 @@
                 serves = status.verdict == "serve"
                 if serves and status.bundle_version >= version and len(ready) >= servers:
                     break
-                if time.monotonic() - began > START_S:
+                if time.monotonic() - began > START_TIMEOUT_S:
                     raise RuntimeError(f"{name} is not ready: {status}")
                 time.sleep(0.02)
         return time.monotonic() - began
@@ -181,7 +183,7 @@
         """Return a node's status."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         url = f"http://{self.procs[name].address}/admin/v1/status"
-        return msgspec.json.decode(http("GET", url, headers=headers), type=NodeStatus)
+        return msgspec.json.decode(http_call("GET", url, headers=headers), type=NodeStatus)
 
     # The operators' command
 
@@ -238,14 +240,14 @@
         """Kill a process at once."""
         proc = self.procs[name].process
         proc.kill()
-        proc.wait(STOP_S)
+        proc.wait(STOP_TIMEOUT_S)
 
     def stop(self, name: str) -> int:
         """Stop a process as planned and return its exit code."""
         proc = self.procs[name].process
         if proc.poll() is None:
             proc.send_signal(signal.SIGTERM)
-        return proc.wait(STOP_S)
+        return proc.wait(STOP_TIMEOUT_S)
 
     def close(self) -> None:
         """End every process that is left."""
@@ -254,7 +256,7 @@
                 proc.process.send_signal(signal.SIGCONT)
                 proc.process.kill()
         for proc in self.procs.values():
-            proc.process.wait(STOP_S)
+            proc.process.wait(STOP_TIMEOUT_S)
             for stream in (proc.process.stdout, proc.process.stderr):
                 if stream is not None:
                     stream.close()
@@ -270,7 +272,7 @@
         )
         proc = Proc(name, process)
         for stream in (process.stdout, process.stderr):
-            threading.Thread(target=proc.read, args=(stream,), daemon=True).start()
+            threading.Thread(target=proc.read_output, args=(stream,), daemon=True).start()
         self.procs[name] = proc
         return proc
 
@@ -279,4 +281,4 @@
         self.key_file(operator).write_bytes(pem)
         key = signing.load_private_key(pem)
         assert key is not None, "it was just made"
-        self._public[operator] = signing.encode_public_key(key)
+        self._public_keys[operator] = signing.encode_public_key(key)
--- a/standins/serve.py
+++ b/standins/serve.py
@@ -10,7 +10,7 @@
 import uvloop
 from starlette.applications import Starlette
 
-LISTENING = "listening "
+LISTENING_PREFIX = "listening "
 
 
 def free_socket() -> socket.socket:
@@ -35,7 +35,7 @@
 
 def announce(**fields: object) -> None:
     """Print where this process listens, for whoever started it."""
-    print(LISTENING + json.dumps(fields), flush=True)
+    print(LISTENING_PREFIX + json.dumps(fields), flush=True)
 
 
 def run(app: Starlette) -> None:
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -18,7 +18,7 @@
 from moledale.peers.pb import peers_pb2, peers_pb2_grpc
 from standins.engine import token_text
 from standins.local_fleet import ROOT, LocalFleet
-from standins.local_fleet import http as call_url
+from standins.local_fleet import http_call as call_url
 from standins.platform import Faults
 
 TIMEOUT_S = 40.0
