--- a/standins/engine.py
+++ b/standins/engine.py
@@ -31,9 +31,9 @@
 from standins.engine_model import BLOCK_TOKENS, EngineModel, EngineSpec, Load, Sequence
 from standins.serve import run
 
-SNAPSHOT_S = 0.05
-KEPT_EVENTS = 200
-EVENT_LAG = 2
+SNAPSHOT_INTERVAL_S = 0.05
+MAX_CACHE_EVENTS = 200
+UNPUBLISHED_EVENTS = 2
 KV_BYTES_PER_TOKEN = 100_000
 VOCABULARY = ("a", "cover", "note", "for", "the", "claim", "order", "file", "price", "desk")
 
@@ -106,14 +106,14 @@
         self._sequence = 0
         self._listeners: dict[str, _Listener] = {}
         self._epochs: dict[str, int] = {}
-        self._events: deque[CacheEvent] = deque(maxlen=KEPT_EVENTS)
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_CACHE_EVENTS)
         self._event_number = 0
         self._tickets: dict[str, tuple[tuple[int, ...], str]] = {}
         self._leaving_since: float | None = None
         self._leaves_at: float | None = None
         self._work = asyncio.Event()
 
-    async def step_for_ever(self) -> None:
+    async def run_steps(self) -> None:
         """Step the model in real time and hand out its tokens."""
         while True:
             if not self.model.busy:
@@ -126,7 +126,7 @@
                 self._emit_token(attempt, index)
             for sequence in step.finished:
                 self._emit_done(sequence)
-            self._note_cache()
+            self._record_cache_events()
             self._snapshot()
 
     def generate(self, call: GenerateCall) -> AsyncIterator[bytes]:
@@ -236,7 +236,7 @@
 
     def events_after(self, number: int) -> list[CacheEvent]:
         """Return cache events after a number, all but the newest few: they come late."""
-        published = list(self._events)[: max(0, len(self._events) - EVENT_LAG)]
+        published = list(self._events)[: max(0, len(self._events) - UNPUBLISHED_EVENTS)]
         return [event for event in published if event.sequence > number]
 
     def set(self, control: EngineControl) -> None:
@@ -287,7 +287,7 @@
     def _send(self, listener: _Listener, event: Token | Done | Refused) -> None:
         listener.queue.put_nowait(b"data: %s\n\n" % msgspec.json.encode(event))
 
-    def _note_cache(self) -> None:
+    def _record_cache_events(self) -> None:
         for note in self.model.cache.notes:
             self._event_number += 1
             event = CacheEvent(self._event_number, note.kind, note.session, note.tokens)
@@ -296,7 +296,7 @@
 
     def _snapshot(self) -> None:
         now = time.monotonic()
-        if self._snapshots and now - self._snapshots[-1][0] < SNAPSHOT_S:
+        if self._snapshots and now - self._snapshots[-1][0] < SNAPSHOT_INTERVAL_S:
             return
         self._sequence += 1
         self._snapshots.append((now, self._sequence, self.model.load()))
@@ -360,7 +360,7 @@
 
     @contextlib.asynccontextmanager
     async def lifespan(_: Starlette) -> AsyncIterator[None]:
-        stepping = asyncio.create_task(engine.step_for_ever())
+        stepping = asyncio.create_task(engine.run_steps())
         yield
         stepping.cancel()
 
