--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CacheNote:
+class CacheChange:
     """A session's prefix was stored in the cache or evicted from it."""
 
     kind: str
@@ -81,7 +81,7 @@
 
     capacity_tokens: int
     blocks: OrderedDict[int, str] = field(default_factory=OrderedDict)
-    notes: list[CacheNote] = field(default_factory=list)
+    changes: list[CacheChange] = field(default_factory=list)
     contexts: dict[str, tuple[int, ...]] = field(default_factory=dict)
 
     def match(self, blocks: tuple[int, ...]) -> int:
@@ -100,13 +100,13 @@
         for block in reversed(blocks):
             self.blocks[block] = session
             self.blocks.move_to_end(block)
-        self.notes.append(CacheNote("stored", session, len(blocks) * BLOCK_TOKENS))
+        self.changes.append(CacheChange("stored", session, len(blocks) * BLOCK_TOKENS))
         evicted: set[str] = set()
         while len(self.blocks) * BLOCK_TOKENS > self.capacity_tokens:
             _, owner = self.blocks.popitem(last=False)
             evicted.add(owner)
             self.contexts.pop(owner, None)
-        self.notes.extend(CacheNote("evicted", owner, 0) for owner in sorted(evicted))
+        self.changes.extend(CacheChange("evicted", owner, 0) for owner in sorted(evicted))
 
 
 class EngineModel:
