--- a/bench/replay.py
+++ b/bench/replay.py
@@ -260,7 +260,7 @@
         self._seen[session] = max(self._seen[session], sequence.context_tokens)
 
     def _evictions(self, engine: _Engine) -> None:
-        notes, engine.model.cache.notes = engine.model.cache.notes, []
+        notes, engine.model.cache.changes = engine.model.cache.changes, []
         gone = [note.session for note in notes if note.kind == "evicted"]
         if not gone:
             return
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -71,7 +71,7 @@
     queue: "asyncio.Queue[bytes | None]" = field(default_factory=asyncio.Queue)
 
 
-def context_blocks(text: str) -> tuple[tuple[int, ...], int]:
+def hash_blocks(text: str) -> tuple[tuple[int, ...], int]:
     """Return chained hashes of a text's whole blocks, and its number of tokens."""
     words = text.split()
     chained = 0
@@ -111,15 +111,15 @@
         self._tickets: dict[str, tuple[tuple[int, ...], str]] = {}
         self._leaving_since: float | None = None
         self._leaves_at: float | None = None
-        self._work = asyncio.Event()
+        self._work_available = asyncio.Event()
 
     async def run_steps(self) -> None:
         """Step the model in real time and hand out its tokens."""
         while True:
             if not self.model.busy:
-                self._work.clear()
+                self._work_available.clear()
                 self._snapshot()
-                await self._work.wait()
+                await self._work_available.wait()
             step = self.model.step()
             await asyncio.sleep(step.seconds)
             for attempt, index in step.tokens:
@@ -136,14 +136,14 @@
         if self.control.refuse or call.model not in self.models:
             self._send(listener, Refused(f"{call.model} is not served here"))
             listener.queue.put_nowait(None)
-            return self._follow(listener)
+            return self._stream_events(listener)
         self.counts.attempts += 1
         if self._leaving_since is not None:
             self.counts.started_while_leaving += 1
             late = time.monotonic() - self._leaving_since
             self.counts.latest_start_after_leaving_s = late
         text = f"{call.prompt} {''.join(call.resume)}"
-        blocks, length = context_blocks(text)
+        blocks, length = hash_blocks(text)
         self.model.submit(
             Sequence(
                 call.attempt,
@@ -155,8 +155,8 @@
                 call.priority,
             )
         )
-        self._work.set()
-        return self._follow(listener)
+        self._work_available.set()
+        return self._stream_events(listener)
 
     def cancel(self, attempt: str) -> None:
         """Stop an attempt."""
@@ -222,10 +222,10 @@
             if listener is not None and session in (sequence.session, attempt):
                 call = listener.call
                 produced = (token_text(call.prompt, i) for i in range(sequence.produced))
-                return context_blocks(f"{call.prompt} {''.join(produced)}")[0]
+                return hash_blocks(f"{call.prompt} {''.join(produced)}")[0]
         return None
 
-    def ticket(self, name: str) -> tuple[tuple[int, ...], str] | None:
+    def exported_context(self, name: str) -> tuple[tuple[int, ...], str] | None:
         """Return what a ticket holds."""
         return self._tickets.get(name)
 
@@ -239,7 +239,7 @@
         published = list(self._events)[: max(0, len(self._events) - UNPUBLISHED_EVENTS)]
         return [event for event in published if event.sequence > number]
 
-    def set(self, control: EngineControl) -> None:
+    def apply_control(self, control: EngineControl) -> None:
         """Set faults and states."""
         for name in ("refuse", "break_after_tokens", "repeat_tokens", "refuse_kv"):
             value = getattr(control, name)
@@ -251,7 +251,7 @@
         if control.stay:
             self._leaving_since = self._leaves_at = None
 
-    async def _follow(self, listener: _Listener) -> AsyncIterator[bytes]:
+    async def _stream_events(self, listener: _Listener) -> AsyncIterator[bytes]:
         try:
             while True:
                 data = await listener.queue.get()
@@ -288,11 +288,11 @@
         listener.queue.put_nowait(b"data: %s\n\n" % msgspec.json.encode(event))
 
     def _record_cache_events(self) -> None:
-        for note in self.model.cache.notes:
+        for note in self.model.cache.changes:
             self._event_number += 1
             event = CacheEvent(self._event_number, note.kind, note.session, note.tokens)
             self._events.append(event)
-        self.model.cache.notes.clear()
+        self.model.cache.changes.clear()
 
     def _snapshot(self) -> None:
         now = time.monotonic()
@@ -304,7 +304,7 @@
             self._snapshots.popleft()
 
 
-def _json(value: object, status: int = 200) -> Response:
+def _json_response(value: object, status: int = 200) -> Response:
     return Response(msgspec.json.encode(value), status, media_type="application/json")
 
 
@@ -317,28 +317,28 @@
 
     async def cancel(request: Request) -> Response:
         engine.cancel(msgspec.json.decode(await request.body())["attempt"])
-        return _json({})
+        return _json_response({})
 
     async def load(_: Request) -> Response:
-        return _json(engine.load())
+        return _json_response(engine.load())
 
     async def events(request: Request) -> Response:
         after = int(request.query_params.get("after", "0"))
-        return _json(CacheEventPage(engine.events_after(after)))
+        return _json_response(CacheEventPage(engine.events_after(after)))
 
     async def order(request: Request) -> Response:
-        return _json(engine.order(msgspec.json.decode(await request.body(), type=Order)))
+        return _json_response(engine.order(msgspec.json.decode(await request.body(), type=Order)))
 
     async def export_kv(request: Request) -> Response:
         ticket = engine.export_kv(msgspec.json.decode(await request.body())["session"])
         if ticket is None:
-            return _json({"error": "nothing to export"}, 409)
+            return _json_response({"error": "nothing to export"}, 409)
         own = request.headers["host"]
-        return _json(msgspec.structs.replace(ticket, source=own))
+        return _json_response(msgspec.structs.replace(ticket, source=own))
 
     async def ticket(request: Request) -> Response:
-        found = engine.ticket(str(request.path_params["ticket"]))
-        return _json(found) if found is not None else _json({}, 404)
+        found = engine.exported_context(str(request.path_params["ticket"]))
+        return _json_response(found) if found is not None else _json_response({}, 404)
 
     async def import_kv(request: Request) -> Response:
         taken = msgspec.json.decode(await request.body(), type=KvTicket)
@@ -346,17 +346,17 @@
             answer = await client.get(f"http://{taken.source}/v1/kv/tickets/{taken.ticket}")
             body = await answer.content()
         if answer.status_code != 200:
-            return _json({"error": "no such ticket"}, 409)
+            return _json_response({"error": "no such ticket"}, 409)
         blocks, session = msgspec.json.decode(body, type=tuple[tuple[int, ...], str])
         engine.import_kv(blocks, session)
-        return _json({})
+        return _json_response({})
 
     async def control(request: Request) -> Response:
-        engine.set(msgspec.json.decode(await request.body(), type=EngineControl))
-        return _json({})
+        engine.apply_control(msgspec.json.decode(await request.body(), type=EngineControl))
+        return _json_response({})
 
     async def counts(_: Request) -> Response:
-        return _json(engine.counts)
+        return _json_response(engine.counts)
 
     @contextlib.asynccontextmanager
     async def lifespan(_: Starlette) -> AsyncIterator[None]:
