--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 
 BLOCK_TOKENS = 16
-PREFILL_CHUNK = 512
+PREFILL_CHUNK_TOKENS = 512
 """Prompt tokens that one step computes beside the decoding sequences."""
 
-FIXED_SHARE = 0.6
+FIXED_STEP_SHARE = 0.6
 """Part of a full batch's step that even a batch of one takes."""
 
-CONTEXT_TOKENS_PER_S = 20e6
+KV_READ_TOKENS_PER_S = 20e6
 """Speed at which a step reads the contexts of its decoding sequences."""
 
 PRIORITY_ORDER = {"immediate": 0, "normal": 1, "can-wait": 2}
@@ -37,11 +37,11 @@
     session: str
     blocks: tuple[int, ...]
     context_tokens: int
-    produced: int
+    produced_tokens: int
     max_tokens: int
     priority: str
     arrived: int = 0
-    prefill_left: int = 0
+    prefill_left_tokens: int = 0
     cached_tokens: int = 0
     computed_tokens: int = 0
     running: bool = False
@@ -118,8 +118,8 @@
         self.sequences: dict[str, Sequence] = {}
         self._arrivals = 0
         full_step = spec.slots / spec.decode_tokens_per_s
-        self._fixed_s = FIXED_SHARE * full_step
-        self._each_s = (1 - FIXED_SHARE) * full_step / spec.slots
+        self._fixed_step_s = FIXED_STEP_SHARE * full_step
+        self._per_sequence_s = (1 - FIXED_STEP_SHARE) * full_step / spec.slots
 
     @property
     def busy(self) -> bool:
@@ -130,7 +130,7 @@
         """Take an attempt."""
         self._arrivals += 1
         sequence.arrived = self._arrivals
-        sequence.prefill_left = sequence.context_tokens
+        sequence.prefill_left_tokens = sequence.context_tokens
         self.sequences[sequence.attempt] = sequence
 
     def cancel(self, attempt: str) -> None:
@@ -145,29 +145,29 @@
         """Return the load now."""
         running = [sequence for sequence in self.sequences.values() if sequence.running]
         waiting = len(self.sequences) - len(running)
-        prefill = sum(sequence.prefill_left for sequence in self.sequences.values())
-        decode = sum(s.context_tokens for s in running if s.prefill_left == 0)
+        prefill = sum(sequence.prefill_left_tokens for sequence in self.sequences.values())
+        decode = sum(s.context_tokens for s in running if s.prefill_left_tokens == 0)
         return Load(len(running), waiting, prefill, decode)
 
     def step(self) -> Step:
         """Run one iteration of the batch."""
         self._admit()
         prefilled = self._prefill()
-        decoding = [s for s in self.sequences.values() if s.running and s.prefill_left == 0]
+        decoding = [s for s in self.sequences.values() if s.running and s.prefill_left_tokens == 0]
         context = sum(sequence.context_tokens for sequence in decoding)
         seconds = (
-            self._fixed_s
-            + self._each_s * len(decoding)
+            self._fixed_step_s
+            + self._per_sequence_s * len(decoding)
             + prefilled / self.spec.prefill_tokens_per_s
-            + context / CONTEXT_TOKENS_PER_S
+            + context / KV_READ_TOKENS_PER_S
         )
         tokens = []
         finished = []
         for sequence in decoding:
-            tokens.append((sequence.attempt, sequence.produced))
-            sequence.produced += 1
+            tokens.append((sequence.attempt, sequence.produced_tokens))
+            sequence.produced_tokens += 1
             sequence.context_tokens += 1
-            if sequence.produced >= sequence.max_tokens:
+            if sequence.produced_tokens >= sequence.max_tokens:
                 finished.append(sequence)
                 del self.sequences[sequence.attempt]
         return Step(seconds, tokens, finished)
@@ -185,19 +185,19 @@
             sequence.running = True
             sequence.cached_tokens = cached
             sequence.computed_tokens = sequence.context_tokens - cached
-            sequence.prefill_left = sequence.computed_tokens
+            sequence.prefill_left_tokens = sequence.computed_tokens
 
     def _prefill(self) -> int:
         """Compute a chunk of prompt, the most urgent first; return its tokens."""
-        budget = PREFILL_CHUNK
-        pending = [s for s in self.sequences.values() if s.running and s.prefill_left > 0]
+        budget = PREFILL_CHUNK_TOKENS
+        pending = [s for s in self.sequences.values() if s.running and s.prefill_left_tokens > 0]
         pending.sort(key=lambda s: (PRIORITY_ORDER.get(s.priority, 1), s.arrived))
         for sequence in pending:
-            done = min(budget, sequence.prefill_left)
-            sequence.prefill_left -= done
+            done = min(budget, sequence.prefill_left_tokens)
+            sequence.prefill_left_tokens -= done
             budget -= done
-            if sequence.prefill_left == 0:
+            if sequence.prefill_left_tokens == 0:
                 self.cache.store(sequence.blocks, sequence.session)
             if budget == 0:
                 break
-        return PREFILL_CHUNK - budget
+        return PREFILL_CHUNK_TOKENS - budget
