--- a/standins/engine.py
+++ b/standins/engine.py
@@ -221,7 +221,7 @@
             listener = self._listeners.get(attempt)
             if listener is not None and session in (sequence.session, attempt):
                 call = listener.call
-                produced = (token_text(call.prompt, i) for i in range(sequence.produced))
+                produced = (token_text(call.prompt, i) for i in range(sequence.produced_tokens))
                 return hash_blocks(f"{call.prompt} {''.join(produced)}")[0]
         return None
 
