--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -40,7 +40,7 @@
     produced_tokens: int
     max_tokens: int
     priority: str
-    arrived: int = 0
+    arrival_number: int = 0
     prefill_left_tokens: int = 0
     cached_tokens: int = 0
     computed_tokens: int = 0
@@ -51,7 +51,7 @@
 class Step:
     """What one step did: its duration, the attempts that got a token, and those that ended."""
 
-    seconds: float
+    duration_s: float
     tokens: list[tuple[str, int]]
     finished: list[Sequence]
 
@@ -129,7 +129,7 @@
     def submit(self, sequence: Sequence) -> None:
         """Take an attempt."""
         self._arrivals += 1
-        sequence.arrived = self._arrivals
+        sequence.arrival_number = self._arrivals
         sequence.prefill_left_tokens = sequence.context_tokens
         self.sequences[sequence.attempt] = sequence
 
@@ -155,7 +155,7 @@
         prefilled = self._prefill()
         decoding = [s for s in self.sequences.values() if s.running and s.prefill_left_tokens == 0]
         context = sum(sequence.context_tokens for sequence in decoding)
-        seconds = (
+        duration_s = (
             self._fixed_step_s
             + self._per_sequence_s * len(decoding)
             + prefilled / self.spec.prefill_tokens_per_s
@@ -170,14 +170,14 @@
             if sequence.produced_tokens >= sequence.max_tokens:
                 finished.append(sequence)
                 del self.sequences[sequence.attempt]
-        return Step(seconds, tokens, finished)
+        return Step(duration_s, tokens, finished)
 
     def _admit(self) -> None:
         free = self.spec.slots - sum(1 for s in self.sequences.values() if s.running)
         if free <= 0:
             return
         waiting = [sequence for sequence in self.sequences.values() if not sequence.running]
-        waiting.sort(key=lambda s: (PRIORITY_ORDER.get(s.priority, 1), s.arrived))
+        waiting.sort(key=lambda s: (PRIORITY_ORDER.get(s.priority, 1), s.arrival_number))
         for sequence in waiting[:free]:
             cached = min(
                 self.cache.match(sequence.blocks) * BLOCK_TOKENS, sequence.context_tokens - 1
@@ -191,7 +191,7 @@
         """Compute a chunk of prompt, the most urgent first; return its tokens."""
         budget = PREFILL_CHUNK_TOKENS
         pending = [s for s in self.sequences.values() if s.running and s.prefill_left_tokens > 0]
-        pending.sort(key=lambda s: (PRIORITY_ORDER.get(s.priority, 1), s.arrived))
+        pending.sort(key=lambda s: (PRIORITY_ORDER.get(s.priority, 1), s.arrival_number))
         for sequence in pending:
             done = min(budget, sequence.prefill_left_tokens)
             sequence.prefill_left_tokens -= done
