--- a/bench/replay.py
+++ b/bench/replay.py
@@ -223,7 +223,7 @@
             self._evictions(engine)
             self._step_soon(engine)
 
-        self._after(step.seconds, done)
+        self._after(step.duration_s, done)
 
     def _token(self, engine: _Engine, attempt: str) -> None:
         request = engine.requests.get(attempt)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -121,7 +121,7 @@
                 self._snapshot()
                 await self._work_available.wait()
             step = self.model.step()
-            await asyncio.sleep(step.seconds)
+            await asyncio.sleep(step.duration_s)
             for attempt, index in step.tokens:
                 self._emit_token(attempt, index)
             for sequence in step.finished:
--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -49,7 +49,7 @@
         seconds = 0.0
         while True:
             step = engine.step()
-            seconds += step.seconds
+            seconds += step.duration_s
             if any(attempt == "p" for attempt, _ in step.tokens):
                 break
         took.append(seconds)
@@ -146,7 +146,7 @@
                 continue
             step = engines[first].step()
             times = self.change_x if clocks[first] >= self.change_at else 1.0
-            clocks[first] += step.seconds * times * (self.slow_x if first == 0 else 1.0)
+            clocks[first] += step.duration_s * times * (self.slow_x if first == 0 else 1.0)
             for attempt, produced in step.tokens:
                 if produced == 0:
                     views[first].change(clocks[first], -sent[attempt].prompt, 0)
