--- a/bench/replay.py
+++ b/bench/replay.py
@@ -485,7 +485,7 @@
         chosen = self._policy.choose(list(node.load_tracker.views.values()), need)
         if chosen is not None:
             blocks = blocks_of(session, tokens)
-            self._engines[chosen.server].model.adopt_cache(blocks, session)
+            self._engines[chosen.server].model.import_context(blocks, session)
             node.load_tracker.record_cache(session, chosen.server, tokens)
 
     def _move(self, index: int, source: _Engine, attempt: str) -> None:
@@ -500,7 +500,7 @@
             return
         target = self._engines[chosen.server]
         blocks = blocks_of(request.turn.session, request.context)
-        target.model.adopt_cache(blocks, request.turn.session)
+        target.model.import_context(blocks, request.turn.session)
         self._stop(source, attempt)
         self._release(request)
         self._dispatch(node, request, chosen.server, need)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -232,7 +232,7 @@
     def import_kv(self, blocks: tuple[int, ...], session: str) -> None:
         """Take a context over into the cache."""
         self.counts.imports += 1
-        self.model.adopt_cache(blocks, session)
+        self.model.import_context(blocks, session)
 
     def events_after(self, number: int) -> list[CacheEvent]:
         """Return cache events after a number, all but the newest few: they come late."""
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -137,7 +137,7 @@
         """Drop an attempt."""
         self.sequences.pop(attempt, None)
 
-    def adopt_cache(self, blocks: tuple[int, ...], session: str) -> None:
+    def import_context(self, blocks: tuple[int, ...], session: str) -> None:
         """Take over a context that another engine exported."""
         self.cache.store(blocks, session)
 
