--- a/standins/platform.py
+++ b/standins/platform.py
@@ -146,13 +146,13 @@
         return ABSENT if row is None else row.version
 
 
-class Ticker:
+class FaultInjector:
     """Hands out a part's faults."""
 
     def __init__(self) -> None:
         self.faults = {part: Faults() for part in Part}
 
-    async def before(self, part: Part) -> Response | None:
+    async def before_effect(self, part: Part) -> Response | None:
         """Apply faults that come before anything takes effect."""
         faults = self.faults[part]
         if faults.delay_s:
@@ -163,7 +163,7 @@
             return Response("down", 503)
         return None
 
-    async def after(self, part: Part) -> None:
+    async def after_effect(self, part: Part) -> None:
         """Lose an answer whose write has taken effect: the caller waits in vain."""
         faults = self.faults[part]
         if faults.lose_answers > 0:
@@ -171,7 +171,7 @@
             await asyncio.sleep(HANG_S)
 
 
-def make_app(state: PlatformState, ticker: Ticker) -> Starlette:
+def make_app(state: PlatformState, injector: FaultInjector) -> Starlette:
     """Make the application with all parts on one port."""
 
     def answer(value: object, status: int = 200) -> Response:
@@ -181,19 +181,19 @@
 
     async def transact(request: Request) -> Response:
         transaction = msgspec.json.decode(await request.body(), type=Transaction)
-        if (refused := await ticker.before(Part.TABLE)) is not None:
+        if (refused := await injector.before_effect(Part.TABLE)) is not None:
             return refused
         outcome = state.transact(transaction)
-        await ticker.after(Part.TABLE)
+        await injector.after_effect(Part.TABLE)
         return answer(outcome)
 
     async def read(request: Request) -> Response:
-        if (refused := await ticker.before(Part.TABLE)) is not None:
+        if (refused := await injector.before_effect(Part.TABLE)) is not None:
             return refused
         return answer(state.read(request.path_params["table"], request.path_params["key"]))
 
     async def scan(request: Request) -> Response:
-        if (refused := await ticker.before(Part.TABLE)) is not None:
+        if (refused := await injector.before_effect(Part.TABLE)) is not None:
             return refused
         query = request.query_params
         rows = state.scan(request.path_params["table"], query["prefix"], int(query["limit"]))
@@ -201,54 +201,54 @@
 
     async def put_object(request: Request) -> Response:
         body = await request.body()
-        if (refused := await ticker.before(Part.OBJECTS)) is not None:
+        if (refused := await injector.before_effect(Part.OBJECTS)) is not None:
             return refused
         state.stats.writes += 1
         state.objects[request.path_params["key"]] = body
-        await ticker.after(Part.OBJECTS)
+        await injector.after_effect(Part.OBJECTS)
         return answer({})
 
     async def get_object(request: Request) -> Response:
-        if (refused := await ticker.before(Part.OBJECTS)) is not None:
+        if (refused := await injector.before_effect(Part.OBJECTS)) is not None:
             return refused
         state.stats.reads += 1
         body = state.objects.get(request.path_params["key"])
         return Response(status_code=404) if body is None else Response(body)
 
     async def instances(request: Request) -> Response:
-        if (refused := await ticker.before(Part.INSTANCES)) is not None:
+        if (refused := await injector.before_effect(Part.INSTANCES)) is not None:
             return refused
         return answer(state.changes(int(request.query_params["since"])))
 
     async def rent(request: Request) -> Response:
         order = msgspec.json.decode(await request.body(), type=RentOrder)
-        if (refused := await ticker.before(Part.CLOUD)) is not None:
+        if (refused := await injector.before_effect(Part.CLOUD)) is not None:
             return refused
         outcome = state.rent(order)
-        await ticker.after(Part.CLOUD)
+        await injector.after_effect(Part.CLOUD)
         return answer(outcome)
 
     async def release(request: Request) -> Response:
-        if (refused := await ticker.before(Part.CLOUD)) is not None:
+        if (refused := await injector.before_effect(Part.CLOUD)) is not None:
             return refused
         state.release(request.path_params["id"])
         return answer({})
 
     async def notices(request: Request) -> Response:
-        if (refused := await ticker.before(Part.CLOUD)) is not None:
+        if (refused := await injector.before_effect(Part.CLOUD)) is not None:
             return refused
         state.stats.cloud_calls += 1
         hall = request.query_params["hall"]
         return answer(ReclaimNoticePage([n for n in state.notices.values() if n.hall == hall]))
 
     async def grants(_: Request) -> Response:
-        if (refused := await ticker.before(Part.WEIGHTS)) is not None:
+        if (refused := await injector.before_effect(Part.WEIGHTS)) is not None:
             return refused
         return answer(WeightGrant(True))
 
     async def set_faults(request: Request) -> Response:
         wanted = msgspec.json.decode(await request.body(), type=dict[Part, Faults])
-        ticker.faults.update(wanted)
+        injector.faults.update(wanted)
         return answer({})
 
     async def set_instance(request: Request) -> Response:
@@ -290,7 +290,7 @@
 
 def main() -> None:
     """Serve a platform until SIGTERM."""
-    run(make_app(PlatformState(), Ticker()))
+    run(make_app(PlatformState(), FaultInjector()))
 
 
 if __name__ == "__main__":
