--- a/standins/rows.py
+++ b/standins/rows.py
@@ -11,18 +11,18 @@
 from enum import StrEnum
 from urllib.parse import parse_qs, urlsplit
 
-MOST_ROWS = 500
+MAX_ROWS = 500
 
 
-class Mood(StrEnum):
+class StoreMode(StrEnum):
     """How the store answers."""
 
-    GOOD = "good"
+    HEALTHY = "good"
     BUSY = "busy"
     SILENT = "silent"
     RESET = "reset"
-    LOSES = "loses answers of changes"
-    GARBLES = "gives answers that can't be read"
+    LOSES_WRITE_ANSWERS = "loses answers of changes"
+    UNREADABLE = "gives answers that can't be read"
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreCopy:
+class StoreSnapshot:
     """What the store held at some moment."""
 
     version: int
@@ -60,14 +60,14 @@
 class RowsPlatform:
     """The store and the duties behind one address."""
 
-    mood: Mood = Mood.GOOD
+    mode: StoreMode = StoreMode.HEALTHY
     delay_s: float = 0.0
     history_from: int = 0
     version: int = 0
     era: int = 1
     rows: dict[tuple[str, str, str], Row] = field(default_factory=dict)
     duty_calls: list[DutyCall] = field(default_factory=list)
-    refused_spot: set[str] = field(default_factory=set)
+    spot_refused_zones: set[str] = field(default_factory=set)
     calls: int = 0
     reads: dict[str, int] = field(default_factory=dict)
     address: str = ""
@@ -108,15 +108,15 @@
             return None
         return json.loads(base64.b64decode(row.value))
 
-    def copy(self) -> StoreCopy:
+    def snapshot(self) -> StoreSnapshot:
         """Return a copy that the store may come back from."""
-        return StoreCopy(self.version, {name: replace(row) for name, row in self.rows.items()})
+        return StoreSnapshot(self.version, {name: replace(row) for name, row in self.rows.items()})
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, snapshot: StoreSnapshot) -> None:
         """Come back from a copy: what was written since is gone, versions are given out again."""
         self.era += 1
-        self.version = copy.version
-        self.rows = {name: replace(row) for name, row in copy.rows.items()}
+        self.version = snapshot.version
+        self.rows = {name: replace(row) for name, row in snapshot.rows.items()}
         self._changed.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -126,20 +126,20 @@
                 method, target, headers = _parse(head)
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
                 self.calls += 1
-                if self.mood is Mood.RESET:
+                if self.mode is StoreMode.RESET:
                     writer.transport.abort()
                     return
-                if self.mood is Mood.SILENT:
+                if self.mode is StoreMode.SILENT:
                     await asyncio.sleep(3600)
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
                 status: int = 503
                 answer: dict[str, object] = {}
-                if self.mood is not Mood.BUSY:
+                if self.mode is not StoreMode.BUSY:
                     status, answer = await self._answer(method, target, headers, body)
-                if self.mood is Mood.LOSES and method == "POST":
+                if self.mode is StoreMode.LOSES_WRITE_ANSWERS and method == "POST":
                     await asyncio.sleep(3600)
-                garbles = self.mood is Mood.GARBLES
+                garbles = self.mode is StoreMode.UNREADABLE
                 data = b"<html>" if garbles else json.dumps(answer).encode()
                 writer.write(
                     b"HTTP/1.1 %d X\r\nContent-Type: application/json\r\nStore-Era: %d\r\n"
@@ -169,7 +169,7 @@
     def _duty(
         self, path: str, headers: dict[str, str], body: dict[str, object]
     ) -> tuple[int, dict[str, object]]:
-        if body.get("spot") and body.get("zone") in self.refused_spot:
+        if body.get("spot") and body.get("zone") in self.spot_refused_zones:
             return 409, {}
         now = asyncio.get_running_loop().time()
         call = DutyCall(path, headers["duty-holder"], int(headers["fence-token"]), body, now)
@@ -177,7 +177,7 @@
         return 200, {}
 
     def _transact(self, body: dict[str, list[dict[str, object]]]) -> tuple[int, dict[str, object]]:
-        conditions = [(_name(each), each["ver"]) for each in body["expectedRev"]]
+        conditions = [(_row_id(each), each["ver"]) for each in body["expectedRev"]]
         standing = []
         failed = False
         for name, ver in conditions:
@@ -185,15 +185,15 @@
             there = row if row is not None and not row.gone else None
             failed = failed or (there.ver if there is not None else 0) != ver
             if there is not None:
-                standing.append(_told(there))
+                standing.append(_encode_row(there))
         if failed:
             return 412, {"rows": standing, "ver": self.version, "now_ms": self._now_ms()}
         self.version += 1
         for each in body["put"]:
-            table, part, key = name = _name(each)
+            table, part, key = name = _row_id(each)
             self.rows[name] = Row(table, part, key, str(each["value"]), self.version)
         for each in body["remove"]:
-            found = self.rows.get(_name(each))
+            found = self.rows.get(_row_id(each))
             if found is not None:
                 found.gone, found.ver = True, self.version
         self._changed.set()
@@ -207,9 +207,9 @@
             for row in sorted(self.rows.values(), key=lambda row: row.key.encode())
             if row.table == table and not row.gone and row.key >= query.get("from", "")
         ]
-        limit = int(query.get("limit", MOST_ROWS))
+        limit = int(query.get("limit", MAX_ROWS))
         return 200, {
-            "rows": [_told(row) for row in rows[:limit]],
+            "rows": [_encode_row(row) for row in rows[:limit]],
             "more": len(rows) > limit,
             "ver": self.version,
             "now_ms": self._now_ms(),
@@ -224,7 +224,7 @@
             rows = [r for r in self.rows.values() if r.table == query["table"] and r.ver > after]
             left = ends - asyncio.get_running_loop().time()
             if rows or left <= 0:
-                told = [_told(row) for row in sorted(rows, key=lambda row: row.ver)]
+                told = [_encode_row(row) for row in sorted(rows, key=lambda row: row.ver)]
                 return 200, {"rows": told, "ver": self.version, "now_ms": self._now_ms()}
             self._changed.clear()
             try:
@@ -237,11 +237,11 @@
         return int(asyncio.get_running_loop().time() * 1000)
 
 
-def _name(entry: dict[str, object]) -> tuple[str, str, str]:
+def _row_id(entry: dict[str, object]) -> tuple[str, str, str]:
     return str(entry["table"]), str(entry.get("part", "")), str(entry["key"])
 
 
-def _told(row: Row) -> dict[str, object]:
+def _encode_row(row: Row) -> dict[str, object]:
     told: dict[str, object] = {
         "table": row.table,
         "part": row.part,
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from standins.rows import Mood as StoreMood
-from standins.rows import RowsPlatform, StoreCopy
+from standins.rows import RowsPlatform, StoreSnapshot
+from standins.rows import StoreMode as StoreMood
 from tests.gateway_world import HOST
 from tests.soak.backend import Backend
 from tests.soak.callers import Account
@@ -47,7 +47,7 @@
     builds: Sequence[Path] = (ROOT,)
     returning: set[asyncio.Task[None]] = field(default_factory=set)
     listed: dict[str, dict[str, object]] = field(default_factory=dict)
-    copies: deque[tuple[float, StoreCopy]] = field(default_factory=deque)
+    copies: deque[tuple[float, StoreSnapshot]] = field(default_factory=deque)
     _config: dict[str, object] = field(default_factory=dict)
     _number: int = 0
 
@@ -92,7 +92,7 @@
     async def heal(self) -> None:
         """Make sure that all is well again."""
         await self.returned()
-        self.platform.mood = StoreMood.GOOD
+        self.platform.mode = StoreMood.HEALTHY
         self.platform.delay_s = 0.0
         for node in self.nodes:
             if not node.running:
@@ -176,7 +176,7 @@
 
     def beat(self) -> None:
         """Write the entries of all servers again, as their heartbeats do."""
-        if self.platform.mood is not StoreMood.GOOD:
+        if self.platform.mode is not StoreMood.HEALTHY:
             return
         for name, entry in self.listed.items():
             entry["seq"] = int(str(entry["seq"])) + 1
@@ -185,7 +185,7 @@
     def take_copy(self) -> None:
         """Keep a copy of the store that it may come back from."""
         now = time.monotonic()
-        self.copies.append((now, self.platform.copy()))
+        self.copies.append((now, self.platform.snapshot()))
         while now - self.copies[0][0] > OLDEST_COPY_S:
             self.copies.popleft()
 
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -20,7 +20,7 @@
 from moledale.platform.engines import PlatformEngines
 from moledale.platform.headers import PlatformEntry, PlatformHeaders
 from moledale.platform.store import PlatformStore
-from standins.rows import Mood, RowsPlatform
+from standins.rows import RowsPlatform, StoreMode
 from tests.gateway_world import (
     HOST,
     KEY,
@@ -276,7 +276,7 @@
         async def work(cluster: Cluster) -> None:
             first, second = await cluster.start("n1"), await cluster.start("n2")
             await until(lambda: ready(first)() and ready(second)())
-            silent = RowsPlatform(mood=Mood.SILENT)
+            silent = RowsPlatform(mode=StoreMode.SILENT)
             await silent.start()
             second.plans._store = PlatformStore(silent.address)
             await asyncio.sleep(WATCH_TIMEOUT_S + 0.3)
@@ -322,8 +322,8 @@
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
             await until(ready(node))
-            for mood in (Mood.BUSY, Mood.SILENT, Mood.RESET):
-                cluster.platform.mood = mood
+            for mood in (StoreMode.BUSY, StoreMode.SILENT, StoreMode.RESET):
+                cluster.platform.mode = mood
                 await asyncio.sleep(0.4)
                 self.assertEqual((await cluster.ask("n1")).status, 200)
 
@@ -422,13 +422,13 @@
             for node in nodes:
                 await until(ready(node))
             await until(lambda: any(node.keeper.grant() for node in nodes))
-            cluster.platform.mood = Mood.LOSES
+            cluster.platform.mode = StoreMode.LOSES_WRITE_ANSWERS
             ends = monotonic() + 4.0
             while monotonic() < ends:
                 held = [node for node in nodes if node.keeper.grant() is not None]
                 self.assertLessEqual(len(held), 1)
                 await asyncio.sleep(0.02)
-            cluster.platform.mood = Mood.GOOD
+            cluster.platform.mode = StoreMode.HEALTHY
             await until(lambda: any(node.keeper.grant() for node in nodes), 6.0)
 
         on_cluster(work)
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -17,7 +17,7 @@
 )
 from moledale.gateway.quarantine_store import BLOCK_TABLE
 from moledale.gateway.request_guard import ObservedCrash, RequestGuard
-from standins.rows import Mood
+from standins.rows import StoreMode
 from tests.fragile_server import GUILTY, FragileServer, fragile_server
 from tests.gateway_world import Arrival, GatewayWorld, a_plan, answer, quietly, reset
 from tests.test_gateway_nodes import Cluster, ask, on_cluster, ready, request_bytes, until
@@ -352,12 +352,12 @@
         async def work(cluster: Cluster) -> None:
             await self.a_blocked_one(cluster, "n1")
             await until(lambda: cluster.nodes["n1"].quarantine.synced)
-            cluster.platform.mood = Mood.BUSY
+            cluster.platform.mode = StoreMode.BUSY
             await self.ask_guilty(cluster, "n1")
             await until(lambda: bool(cluster.nodes["n1"].forwarder.guard.quarantine.blocks))
             await asyncio.sleep(0.3)
             self.assertEqual(self.rows(cluster), [])
-            cluster.platform.mood = Mood.GOOD
+            cluster.platform.mode = StoreMode.HEALTHY
             await until(lambda: len(self.rows(cluster)) == 1)
 
         on_cluster(work)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -33,7 +33,7 @@
 from moledale.gateway.rollouts import MIN_TRIALS_PER_ROUTE, REWRITE_WINDOW_S, Rollouts
 from moledale.gateway.server_group import UNORDERED_VERSION_DELAY_S
 from moledale.gateway.store_era import StoreEra
-from standins.rows import Mood
+from standins.rows import StoreMode
 from tests.gateway_world import quietly
 from tests.rollout_world import NEW, OLD, SERVICE, Badness, RolloutWorld
 
@@ -574,7 +574,7 @@
             await asyncio.sleep(0.3)
             await world.order(DURATION_S)
             await world.until(lambda: all(map(knows_both, nodes)), 2.0)
-            world.platform.mood = Mood.SILENT
+            world.platform.mode = StoreMode.SILENT
             await world.until(
                 lambda: all(
                     node.rollouts.services[SERVICE].phase is Phase.ROLLED_BACK for node in nodes
@@ -584,7 +584,7 @@
             stopped_at = monotonic()
             await asyncio.sleep(0.5)
             self.assertLess(world.seen.last_new_at, stopped_at + 0.3)
-            world.platform.mood = Mood.GOOD
+            world.platform.mode = StoreMode.HEALTHY
             await world.until(lambda: world.status.get("state") == "rolled_back", 6.0)
             await traffic
 
@@ -597,9 +597,9 @@
             await asyncio.sleep(0.3)
             await world.order(DURATION_S)
             await world.until(lambda: world.status.get("state") == "running", 1.5)
-            world.platform.mood = Mood.LOSES
+            world.platform.mode = StoreMode.LOSES_WRITE_ANSWERS
             await asyncio.sleep(1.5)
-            world.platform.mood = Mood.GOOD
+            world.platform.mode = StoreMode.HEALTHY
             await world.until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
--- a/tests/test_rows_of_others.py
+++ b/tests/test_rows_of_others.py
@@ -13,7 +13,7 @@
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.outside import StateRow
 from moledale.gateway.settings import Bounds
-from standins.rows import Mood, RowsPlatform
+from standins.rows import RowsPlatform, StoreMode
 from tests.gateway_world import quietly
 from tests.test_gateway_lease import OneRow, keeper
 from tests.test_gateway_nodes import Cluster, config, on_cluster, ready, until
@@ -122,10 +122,10 @@
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
             await until(lambda: node.keeper.grant() is not None)
-            cluster.platform.mood = Mood.GARBLES
+            cluster.platform.mode = StoreMode.UNREADABLE
             await asyncio.sleep(3.0)
             self.assertEqual((await cluster.ask("n1")).status, 200)
-            cluster.platform.mood = Mood.GOOD
+            cluster.platform.mode = StoreMode.HEALTHY
             cluster.platform.put("op", "config", config(3))
             await until(lambda: plan_of(node) == 3)
             await until(lambda: node.keeper.grant() is not None)
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -16,7 +16,7 @@
 from moledale.gateway.server_view import ServerView, record_silence
 from moledale.gateway.upstream import UpstreamConnection
 from moledale.platform.headers import PlatformHeaders
-from standins.rows import Mood
+from standins.rows import StoreMode
 from tests.gateway_world import (
     STAMP,
     Arrival,
@@ -425,7 +425,7 @@
         async def work(cluster: Cluster) -> None:
             first, second = await start_two_nodes(cluster)
             cluster.backend.script = answer_leaving
-            cluster.platform.mood = Mood.SILENT
+            cluster.platform.mode = StoreMode.SILENT
             self.assertEqual((await ask_node(first)).status, 200)
             arrived = len(cluster.backend.arrivals)
             await until(lambda: second.balancer.views["s1"].server.leaving)
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -20,7 +20,7 @@
     def test_return_from_an_older_copy_is_logged_once(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
             await read(store)
-            copy = platform.copy()
+            copy = platform.snapshot()
             for _ in range(2):
                 platform.restore(copy)
                 await read(store)
@@ -45,7 +45,7 @@
 
     def test_changes_after_a_position_of_the_former_era_make_no_list(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
-            copy = platform.copy()
+            copy = platform.snapshot()
             for _ in range(20):
                 platform.put("other", "row", {})
             platform.put("servers", "s1", entry())
@@ -63,7 +63,7 @@
 
     def test_plan_written_at_a_version_that_was_passed_before_is_not_overlooked(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
-            copy = platform.copy()
+            copy = platform.snapshot()
             for _ in range(20):
                 platform.put("other", "row", {})
             position = (await store.plan(1.0)).unwrap().position
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -5,7 +5,7 @@
 
 from moledale.clock import monotonic
 from moledale.core.quarantine import Block
-from standins.rows import Mood, StoreCopy
+from standins.rows import StoreMode, StoreSnapshot
 from tests.test_gateway_nodes import BOUNDS, Cluster, config, on_cluster, ready, until
 
 NODES = ("n1", "n2", "n3")
@@ -18,25 +18,25 @@
 """Three nodes that are well make some 20 calls a second, and a few more after an outage."""
 
 
-async def started(cluster: Cluster) -> StoreCopy:
+async def started(cluster: Cluster) -> StoreSnapshot:
     """Start the nodes, and let the store take changes that the returned copy lacks."""
     nodes = [await cluster.start(name) for name in NODES]
     for node in nodes:
         await until(ready(node))
     await asyncio.sleep(0.3)
-    copy = cluster.platform.copy()
+    copy = cluster.platform.snapshot()
     for _ in range(LOST_CHANGES):
         cluster.platform.put("other", "row", {})
     await asyncio.sleep(1.0)
     return copy
 
 
-async def restore(cluster: Cluster, copy: StoreCopy) -> None:
+async def restore(cluster: Cluster, copy: StoreSnapshot) -> None:
     """Let the store be away and come back from a copy; the operator and the server write again."""
-    cluster.platform.mood = Mood.RESET
+    cluster.platform.mode = StoreMode.RESET
     await asyncio.sleep(AWAY_S)
     cluster.platform.restore(copy)
-    cluster.platform.mood = Mood.GOOD
+    cluster.platform.mode = StoreMode.HEALTHY
     await asyncio.sleep(0.1)
     cluster.platform.put("op", "config", config(1))
     cluster.list_backend("ready")
@@ -74,7 +74,7 @@
 
     def test_nodes_register_again(self) -> None:
         async def work(cluster: Cluster) -> None:
-            empty = cluster.platform.copy()
+            empty = cluster.platform.snapshot()
             await started(cluster)
             await restore(cluster, empty)
             names = [("members", "", name) for name in NODES]
