--- a/standins/serve.py
+++ b/standins/serve.py
@@ -13,7 +13,7 @@
 LISTENING_PREFIX = "listening "
 
 
-def free_socket() -> socket.socket:
+def bind_free_port() -> socket.socket:
     """Return a socket bound to a free loopback port."""
     bound = socket.socket()
     bound.bind(("127.0.0.1", 0))
@@ -42,7 +42,7 @@
     """Serve until SIGTERM."""
 
     async def main() -> None:
-        bound = free_socket()
+        bound = bind_free_port()
         announce(address=f"127.0.0.1:{bound.getsockname()[1]}")
         server = make_server(app)
         await server.serve(sockets=[bound])
@@ -51,9 +51,9 @@
     uvloop.run(main())
 
 
-async def serve_here(app: Starlette) -> tuple[str, uvicorn.Server, "asyncio.Task[None]"]:
+async def serve_in_process(app: Starlette) -> tuple[str, uvicorn.Server, "asyncio.Task[None]"]:
     """Serve within this process; returns the address, the server and its task."""
-    bound = free_socket()
+    bound = bind_free_port()
     server = make_server(app)
     server.install_signal_handlers = lambda: None  # type: ignore[attr-defined]
     task = asyncio.create_task(server.serve(sockets=[bound]))
