--- a/standins/service.py
+++ b/standins/service.py
@@ -20,7 +20,7 @@
     delay_s: float = 0.0
 
 
-async def _broken() -> AsyncIterator[bytes]:
+async def _broken_body() -> AsyncIterator[bytes]:
     """Begin an answer and break it off."""
     yield b"{"
     raise ConnectionAbortedError("fault set by a test")
@@ -39,7 +39,7 @@
             await asyncio.sleep(faults.delay_s)
         if faults.break_after > 0:
             faults.break_after -= 1
-            return StreamingResponse(_broken())
+            return StreamingResponse(_broken_body())
         answer = {"path": request.url.path, "echo": body.decode(), "run": runs[name]}
         return Response(msgspec.json.encode(answer), media_type="application/json")
 
