--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-GATEWAY = Path("src/moledale/gateway")
+GATEWAY_DIR = Path("src/moledale/gateway")
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     old: str
     new: str
 
-    def taken_out(self, text: str) -> str:
+    def remove_from(self, text: str) -> str:
         """Return a file's text without the mechanism; ValueError unless the old text stands
         once."""
         if text.count(self.old) != 1:
@@ -128,10 +128,10 @@
 )
 
 
-def take_out(ablation: Ablation, root: Path) -> None:
+def apply_ablation(ablation: Ablation, root: Path) -> None:
     """Take a mechanism out of a checkout."""
-    file = root / GATEWAY / ablation.file
-    file.write_text(ablation.taken_out(file.read_text("utf-8")), "utf-8")
+    file = root / GATEWAY_DIR / ablation.file
+    file.write_text(ablation.remove_from(file.read_text("utf-8")), "utf-8")
 
 
 def main() -> int:
@@ -149,7 +149,7 @@
         parser.error("name one of the mechanisms and a folder")
     if options.folder.resolve() == ROOT:
         parser.error("this is the checkout that the tool runs from; name a copy")
-    take_out(found[0], options.folder)
+    apply_ablation(found[0], options.folder)
     return 0
 
 
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -21,7 +21,7 @@
 import msgspec
 import numpy as np
 
-from tools.ablation import ABLATIONS, ROOT, take_out
+from tools.ablation import ABLATIONS, ROOT, apply_ablation
 
 RESULTS = "results.jsonl"
 RESAMPLES = 4_000
@@ -160,7 +160,7 @@
         subprocess.run(["git", "checkout", "--quiet", variant.ref], cwd=folder, check=True)
         for ablation in ABLATIONS:
             if ablation.name == variant.without:
-                take_out(ablation, folder)
+                apply_ablation(ablation, folder)
 
     def run(
         self, variants: Sequence[Variant], jobs: Iterable[tuple[Path, str, int]], at_once: int
