--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from tools.compare import Play, Runner, Variant, difference, parse_variant, table
+from tools.compare import Play, Runner, Variant, paired_difference, parse_variant, table
 
 PROGRAM = """#!/usr/bin/env python3
 import json, pathlib, sys, uuid
@@ -28,7 +28,7 @@
         chance = random.Random(1)
         base = [chance.uniform(0.3, 0.8) for _ in range(20)]
         better = [worth + 0.02 + chance.gauss(0.0, 0.005) for worth in base]
-        found = difference([*plays("x", base), *plays("y", better)], "x", "y")
+        found = paired_difference([*plays("x", base), *plays("y", better)], "x", "y")
         assert found is not None
         self.assertAlmostEqual(found.mean, 0.02, delta=0.005)
         self.assertGreater(found.low, 0.0)
@@ -38,16 +38,16 @@
         chance = random.Random(1)
         one = [chance.gauss(0.6, 0.05) for _ in range(12)]
         two = [chance.gauss(0.6, 0.05) for _ in range(12)]
-        found = difference([*plays("x", one), *plays("y", two)], "x", "y")
+        found = paired_difference([*plays("x", one), *plays("y", two)], "x", "y")
         assert found is not None
         self.assertTrue(found.low < 0.0 < found.high)
         self.assertGreater(found.plays_needed, 50)
 
     def test_only_pairs_count(self) -> None:
-        found = difference([*plays("x", [0.5]), *plays("y", [0.6, 0.9])], "x", "y")
+        found = paired_difference([*plays("x", [0.5]), *plays("y", [0.6, 0.9])], "x", "y")
         assert found is not None
         self.assertEqual((found.pairs, round(found.mean, 6)), (1, 0.1))
-        self.assertIsNone(difference(plays("x", [0.5]), "x", "y"))
+        self.assertIsNone(paired_difference(plays("x", [0.5]), "x", "y"))
 
     def test_table_has_all_sites_and_each(self) -> None:
         both = [*plays("x", [0.5, 0.6]), *plays("y", [0.6, 0.7])]
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -23,9 +23,9 @@
 
 from tools.ablation import ABLATIONS, ROOT, apply_ablation
 
-RESULTS = "results.jsonl"
+RESULTS_FILE = "results.jsonl"
 RESAMPLES = 4_000
-SHOWN = 0.01
+DETECTABLE_DIFFERENCE = 0.01
 """Difference in worth that the number of plays is worked out for."""
 
 Z95 = 1.96
@@ -92,7 +92,7 @@
     return Variant(name, rest)
 
 
-def difference(plays: Iterable[Play], base: str, variant: str) -> Difference | None:
+def paired_difference(plays: Iterable[Play], base: str, variant: str) -> Difference | None:
     """Return how a variant differs from the base where both were played."""
     by_pair: dict[str, dict[tuple[str, str, int], float]] = {base: {}, variant: {}}
     for play in plays:
@@ -102,16 +102,16 @@
     if not both:
         return None
     gaps = np.array([by_pair[variant][pair] - by_pair[base][pair] for pair in sorted(both)])
-    return _summary(gaps)
+    return _summarize(gaps)
 
 
-def _summary(gaps: "np.typing.NDArray[np.float64]") -> Difference:
+def _summarize(gaps: "np.typing.NDArray[np.float64]") -> Difference:
     """Return the mean of differences with its bootstrap interval (percentiles, 95 in 100)."""
     chance = np.random.default_rng(0)
     means = chance.choice(gaps, (RESAMPLES, len(gaps))).mean(axis=1)
     low, high = np.percentile(means, (2.5, 97.5))
     spread = float(gaps.std(ddof=1)) if len(gaps) > 1 else 0.0
-    needed = ceil((Z95 * spread / SHOWN) ** 2)
+    needed = ceil((Z95 * spread / DETECTABLE_DIFFERENCE) ** 2)
     return Difference(len(gaps), float(gaps.mean()), float(low), float(high), needed)
 
 
@@ -125,7 +125,7 @@
     sites = sorted({play.site for play in plays})
     for variant, site in product(variants[1:], ["all", *sites]):
         here = [play for play in plays if site in ("all", play.site)]
-        found = difference(here, base, variant.name)
+        found = paired_difference(here, base, variant.name)
         if found is None:
             continue
         broken = sum(play.broken for play in here if play.variant == variant.name)
@@ -146,7 +146,7 @@
         self.plays = self._read()
 
     def _read(self) -> list[Play]:
-        file = self._folder / RESULTS
+        file = self._folder / RESULTS_FILE
         if not file.exists():
             return []
         return [msgspec.json.decode(line, type=Play) for line in file.read_bytes().splitlines()]
@@ -173,17 +173,17 @@
             if (variant.name, site.stem, day, seed) not in done
         ]
         with ThreadPoolExecutor(at_once) as pool:
-            for play in pool.map(lambda job: self._play(*job), todo):
+            for play in pool.map(lambda job: self._play_day(*job), todo):
                 if play is not None:
-                    self._keep(play)
+                    self._save(play)
 
-    def _keep(self, play: Play) -> None:
+    def _save(self, play: Play) -> None:
         self.plays.append(play)
-        with (self._folder / RESULTS).open("ab") as file:
+        with (self._folder / RESULTS_FILE).open("ab") as file:
             file.write(msgspec.json.encode(play) + b"\n")
         print(f"{play.variant} {play.site} {play.day} {play.seed}: {play.worth:.3f}", flush=True)
 
-    def _play(self, variant: Variant, site: Path, day: str, seed: int) -> Play | None:
+    def _play_day(self, variant: Variant, site: Path, day: str, seed: int) -> Play | None:
         """Play one day; None if it left no entry."""
         folder = self._folder / variant.name
         # Paths are not kept in entries, by which plays are told apart.
@@ -194,13 +194,13 @@
         outcome = subprocess.run(
             command, cwd=folder, capture_output=True, timeout=PLAY_TIMEOUT_S, check=False
         )
-        entry = self._entry_of(folder, before, why)
+        entry = self._find_entry(folder, before, why)
         if entry is None or not entry.days:
             print(f"{why}: no entry, exit code {outcome.returncode}", file=sys.stderr)
             return None
         return Play(variant.name, site.stem, day, seed, entry.days[0].worth, not entry.ok)
 
-    def _entry_of(self, folder: Path, before: set[Path], why: str) -> EntryRecord | None:
+    def _find_entry(self, folder: Path, before: set[Path], why: str) -> EntryRecord | None:
         """Return the entry that a play left, told from those of others by its reason."""
         for path in sorted(set((folder / "journal").glob("*.json")) - before):
             raw = path.read_bytes()
