--- a/tests/test_mixed_builds.py
+++ b/tests/test_mixed_builds.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from moledale.platform.start import SETTINGS_VARIABLE
-from tools.mixed_builds import ROOT, mixed_launcher, runs_former
+from tools.mixed_builds import ROOT, mixed_launcher, runs_earlier_build
 
 NAMES = [f"front-hall-{hall}-{number}" for hall in "abcd" for number in range(25)]
 
@@ -23,7 +23,7 @@
                 return Path(scope["sources"]())  # type: ignore[operator]
 
     def test_each_build_runs_on_about_half_of_the_nodes(self) -> None:
-        former = sum(runs_former(name) for name in NAMES)
+        former = sum(runs_earlier_build(name) for name in NAMES)
         self.assertGreater(former, 30)
         self.assertLess(former, 70)
 
@@ -31,7 +31,7 @@
         text = mixed_launcher((ROOT / "deploy" / "launch.py").read_text("utf-8"))
         compile(text, "launch.py", "exec")
         for name in NAMES[:8]:
-            wanted = ROOT / "former" / "src" if runs_former(name) else ROOT / "src"
+            wanted = ROOT / "former" / "src" if runs_earlier_build(name) else ROOT / "src"
             self.assertEqual(self.chosen(text, name), wanted)
 
     def test_launcher_that_changed_is_noticed(self) -> None:
--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -12,13 +12,13 @@
 from moledale.platform.start import SETTINGS_VARIABLE
 
 ROOT = Path(__file__).resolve().parent.parent
-FORMER = "former"
+FORMER_DIR = "former"
 """Folder of the earlier commit's sources in the clone."""
 
-SOURCES = 'str(Path(__file__).resolve().parent.parent / "src")'
+SOURCES_EXPRESSION = 'str(Path(__file__).resolve().parent.parent / "src")'
 """What the launcher has for the sources that it runs."""
 
-CHOICE = '''
+BUILD_CHOICE_CODE = '''
 import os
 import re
 import zlib
@@ -35,28 +35,28 @@
 '''
 
 
-def runs_former(name: str) -> bool:
+def runs_earlier_build(name: str) -> bool:
     """Say whether a node of this name runs the earlier commit."""
     return zlib.crc32(name.encode()) % 2 == 0
 
 
 def mixed_launcher(launcher: str) -> str:
     """Return a launcher that chooses a build; ValueError if this one is not as expected."""
-    line = f"sys.path.insert(0, {SOURCES})"
+    line = f"sys.path.insert(0, {SOURCES_EXPRESSION})"
     if launcher.count(line) != 1:
         raise ValueError("the launcher names its sources in another way")
-    choice = CHOICE.replace("VARIABLE", SETTINGS_VARIABLE)
+    choice = BUILD_CHOICE_CODE.replace("VARIABLE", SETTINGS_VARIABLE)
     return launcher.replace(line, f"{choice}sys.path.insert(0, sources())")
 
 
-def make(folder: Path, commit: str) -> None:
+def make_clone(folder: Path, commit: str) -> None:
     """Clone the last commit into a folder, and put the earlier one's sources beside it."""
     subprocess.run(["git", "clone", "--quiet", str(ROOT), str(folder)], check=True)
-    (folder / FORMER).mkdir()
+    (folder / FORMER_DIR).mkdir()
     archive = subprocess.run(
         ["git", "archive", commit, "src"], cwd=ROOT, capture_output=True, check=True
     )
-    subprocess.run(["tar", "-x", "-C", str(folder / FORMER)], input=archive.stdout, check=True)
+    subprocess.run(["tar", "-x", "-C", str(folder / FORMER_DIR)], input=archive.stdout, check=True)
     launcher = folder / "deploy" / "launch.py"
     launcher.write_text(mixed_launcher(launcher.read_text("utf-8")), "utf-8")
     subprocess.run(["git", "add", "--all"], cwd=folder, check=True)
@@ -68,7 +68,7 @@
     parser.add_argument("folder", type=Path, help="where the clone goes; it must not be there")
     parser.add_argument("commit", help="the earlier commit")
     asked = parser.parse_args()
-    make(asked.folder, asked.commit)
+    make_clone(asked.folder, asked.commit)
 
 
 if __name__ == "__main__":
