--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -11,7 +11,14 @@
 
 import msgspec
 
-from tools.record_formats import MESSAGES, ROWS, FormatRecord, StructRecord, record, type_named
+from tools.record_formats import (
+    MESSAGE_TYPES,
+    ROW_TYPES,
+    FormatRecord,
+    StructRecord,
+    make_record,
+    resolve_type,
+)
 
 FOLDER = Path(__file__).resolve().parent / "formats"
 
@@ -42,13 +49,13 @@
 
 class FormatsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.today = record("today")
+        self.today = make_record("today")
 
     def test_there_is_a_record(self) -> None:
         self.assertTrue(records())
         for each in records():
             unknown = UNKNOWN_TO.get(each.build, set())
-            self.assertEqual({*each.examples, *unknown}, {*MESSAGES, *ROWS})
+            self.assertEqual({*each.examples, *unknown}, {*MESSAGE_TYPES, *ROW_TYPES})
             self.assertFalse(unknown & set(each.examples))
 
     def test_fields_stay_and_new_ones_come_last_with_a_default(self) -> None:
@@ -76,8 +83,8 @@
         for each in records():
             for name, example in each.examples.items():
                 with self.subTest(build=each.build, name=name):
-                    codec = msgspec.json if name in ROWS else msgspec.msgpack
-                    read = codec.decode(example.encoded, type=type_named(name))
+                    codec = msgspec.json if name in ROW_TYPES else msgspec.msgpack
+                    read = codec.decode(example.encoded, type=resolve_type(name))
                     self.assert_holds(example.value, msgspec.to_builtins(read, str_keys=True))
 
     def assert_holds(self, earlier: Any, later: Any) -> None:
@@ -98,7 +105,7 @@
                 if name in UNKNOWN_TO.get(each.build, ()):
                     continue
                 with self.subTest(build=each.build, name=name):
-                    codec = msgspec.json if name in ROWS else msgspec.msgpack
+                    codec = msgspec.json if name in ROW_TYPES else msgspec.msgpack
                     read = codec.decode(example.encoded, type=older_reader(each.structs[name]))
                     self.assert_holds(
                         each.examples[name].value, msgspec.to_builtins(read, str_keys=True)
--- a/tools/record_formats.py
+++ b/tools/record_formats.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-MESSAGES = (
+MESSAGE_TYPES = (
     "moledale.gateway.gossip:StateNews",
     "moledale.gateway.gossip:PackedState",
     "moledale.gateway.gossip:PlacementNews",
@@ -28,7 +28,7 @@
 )
 """What nodes send each other, as msgpack."""
 
-ROWS = (
+ROW_TYPES = (
     "moledale.core.leases:LeaseRow",
     "moledale.core.rollouts:RolloutNews",
     "moledale.gateway.duties:WindowRow",
@@ -36,7 +36,7 @@
 )
 """What lies in the store, as JSON."""
 
-MOST_DEEP = 6
+MAX_STRUCT_DEPTH = 6
 """Structs nest less deeply than this."""
 
 
@@ -71,39 +71,39 @@
     examples: dict[str, ExampleRecord]
 
 
-def type_named(name: str) -> type[msgspec.Struct]:
-    """Return the type of a name as in `MESSAGES`."""
+def resolve_type(name: str) -> type[msgspec.Struct]:
+    """Return the type of a name as in `MESSAGE_TYPES`."""
     module, _, attribute = name.partition(":")
     found: type[msgspec.Struct] = getattr(importlib.import_module(module), attribute)
     return found
 
 
-def name_of(kind: type) -> str:
-    """Return the name of a type as in `MESSAGES`."""
+def type_name(kind: type) -> str:
+    """Return the name of a type as in `MESSAGE_TYPES`."""
     return f"{kind.__module__}:{kind.__qualname__}"
 
 
-def example_of(kind: Any, depth: int = 0) -> Any:
+def make_example(kind: Any, depth: int = 0) -> Any:
     """Return a value of a type, with something in every field."""
     info = kind if isinstance(kind, msgspec.inspect.Type) else msgspec.inspect.type_info(kind)
     match info:
         case msgspec.inspect.StructType(cls=cls, fields=fields):
-            if depth > MOST_DEEP:
+            if depth > MAX_STRUCT_DEPTH:
                 raise ValueError(f"{cls} nests too deeply")
-            return cls(**{field.name: example_of(field.type, depth + 1) for field in fields})
+            return cls(**{field.name: make_example(field.type, depth + 1) for field in fields})
         case msgspec.inspect.UnionType(types=types):
-            return example_of(
+            return make_example(
                 next(each for each in types if not isinstance(each, msgspec.inspect.NoneType)),
                 depth,
             )
         case msgspec.inspect.DictType(key_type=key, value_type=value):
-            return {example_of(key, depth): example_of(value, depth)}
+            return {make_example(key, depth): make_example(value, depth)}
         case msgspec.inspect.TupleType(item_types=items):
-            return tuple(example_of(item, depth) for item in items)
+            return tuple(make_example(item, depth) for item in items)
         case msgspec.inspect.VarTupleType(item_type=item):
-            return (example_of(item, depth),)
+            return (make_example(item, depth),)
         case msgspec.inspect.ListType(item_type=item):
-            return [example_of(item, depth)]
+            return [make_example(item, depth)]
         case msgspec.inspect.EnumType(cls=cls):
             return next(iter(cls))
     plain = {
@@ -116,30 +116,30 @@
     return plain[type(info)]
 
 
-def structs_in(kind: Any, found: dict[str, StructRecord]) -> None:
+def collect_structs(kind: Any, found: dict[str, StructRecord]) -> None:
     """Add a type's struct, and those of its fields."""
     info = kind if isinstance(kind, msgspec.inspect.Type) else msgspec.inspect.type_info(kind)
     if isinstance(info, msgspec.inspect.StructType):
-        if name_of(info.cls) in found:
+        if type_name(info.cls) in found:
             return
         tag = None if info.tag is None else str(info.tag)
         fields = [
-            FieldRecord(field.encode_name, words_of(field.type), field.required)
+            FieldRecord(field.encode_name, describe_type(field.type), field.required)
             for field in info.fields
         ]
-        found[name_of(info.cls)] = StructRecord(info.array_like, tag, fields)
+        found[type_name(info.cls)] = StructRecord(info.array_like, tag, fields)
         for field in info.fields:
-            structs_in(field.type, found)
+            collect_structs(field.type, found)
         return
     for name in ("types", "item_types"):
         for part in getattr(info, name, ()):
-            structs_in(part, found)
+            collect_structs(part, found)
     for name in ("item_type", "key_type", "value_type"):
         if hasattr(info, name):
-            structs_in(getattr(info, name), found)
+            collect_structs(getattr(info, name), found)
 
 
-def words_of(info: msgspec.inspect.Type) -> str:
+def describe_type(info: msgspec.inspect.Type) -> str:
     """Return a type in words that are the same in each build; those of structs by name only."""
     if isinstance(info, msgspec.inspect.StructType):
         return info.cls.__qualname__
@@ -152,20 +152,23 @@
         for name in ("key_type", "value_type", "item_type")
         if hasattr(info, name)
     ]
-    inside = ", ".join(words_of(part) for part in parts)
+    inside = ", ".join(describe_type(part) for part in parts)
     name = type(info).__name__.removesuffix("Type").lower()
     return f"{name}[{inside}]" if inside else name
 
 
-def record(build: str) -> FormatRecord:
+def make_record(build: str) -> FormatRecord:
     """Return the record of the build that runs."""
     structs: dict[str, StructRecord] = {}
     examples = {}
-    for names, encode in ((MESSAGES, msgspec.msgpack.encode), (ROWS, msgspec.json.encode)):
+    for names, encode in (
+        (MESSAGE_TYPES, msgspec.msgpack.encode),
+        (ROW_TYPES, msgspec.json.encode),
+    ):
         for name in names:
-            kind = type_named(name)
-            structs_in(kind, structs)
-            example = example_of(kind)
+            kind = resolve_type(name)
+            collect_structs(kind, structs)
+            example = make_example(kind)
             examples[name] = ExampleRecord(encode(example), msgspec.to_builtins(example))
     return FormatRecord(build, structs, examples)
 
@@ -174,7 +177,7 @@
     """Print the record."""
     parser = argparse.ArgumentParser(prog="python -m tools.record_formats", description=__doc__)
     parser.add_argument("build", help="the commit whose sources run")
-    encoded = msgspec.json.encode(record(parser.parse_args().build))
+    encoded = msgspec.json.encode(make_record(parser.parse_args().build))
     sys.stdout.buffer.write(msgspec.json.format(encoded, indent=1) + b"\n")
 
 
