--- a/tests/test_where_lost.py
+++ b/tests/test_where_lost.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from tools.where_lost import Cause, account_of, plot, read_lines, tables
+from tools.where_lost import Cause, plot, read_lines, summarize_losses, tables
 
 LOG = [
     'noise before any event',
@@ -24,18 +24,18 @@
 
 class WhereLostTest(unittest.TestCase):
     def test_causes_are_counted_when_requests_came(self) -> None:
-        account = account_of(read_lines(LOG), 2.0)
+        account = summarize_losses(read_lines(LOG), 2.0)
         self.assertEqual(account.slices[0].served, 1)
         self.assertEqual(account.slices[1].lost, {Cause.LATE: 1})
         self.assertEqual(
             account.slices[2].lost,
             {Cause.PAUSED: 1, Cause.FAILED: 1, Cause.REFUSED: 1, Cause.CUT: 1},
         )
-        self.assertEqual(account.slices[0].used, {"s1"})
-        self.assertEqual(account.slices[1].used, {"s2"})
+        self.assertEqual(account.slices[0].servers_in_use, {"s1"})
+        self.assertEqual(account.slices[1].servers_in_use, {"s2"})
 
     def test_tables_and_plot_show_each_step(self) -> None:
-        account = account_of(read_lines(LOG), 2.0)
+        account = summarize_losses(read_lines(LOG), 2.0)
         self.assertIn("r1 | 1 | 0 | 0 | 1 | 1 | 0 | 0", tables(account))
         self.assertIn("4 | 0 | 0 | 1 | 0 | 1 | 1 | 1 | 2 | 3", tables(account))
         with tempfile.TemporaryDirectory() as folder:
--- a/tools/where_lost.py
+++ b/tools/where_lost.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-LINE = re.compile(r"(\d{9,}\.\d+) E(\d+) (\w+) (\{.*\})\s*$")
-STEP_S = 2.0
+LINE_PATTERN = re.compile(r"(\d{9,}\.\d+) E(\d+) (\w+) (\{.*\})\s*$")
+DEFAULT_STEP_S = 2.0
 
 
 class Cause(StrEnum):
@@ -56,35 +56,35 @@
 
 
 @dataclass(slots=True)
-class Slice:
+class TimeSlice:
     """What happened in one step of time."""
 
     served: int = 0
     lost: Counter[Cause] = field(default_factory=Counter)
-    used: set[str] = field(default_factory=set)
-    paid: int | None = None
+    servers_in_use: set[str] = field(default_factory=set)
+    servers_listed: int | None = None
 
 
 @dataclass(slots=True)
-class Account:
+class LossReport:
     """All slices of a day, and what each route lost."""
 
     step_s: float
-    began_at: float = 0.0
-    slices: defaultdict[int, Slice] = field(default_factory=lambda: defaultdict(Slice))
+    started_at: float = 0.0
+    slices: defaultdict[int, TimeSlice] = field(default_factory=lambda: defaultdict(TimeSlice))
     routes: defaultdict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
 
-    def slice_at(self, at: float) -> Slice:
+    def slice_at(self, at: float) -> TimeSlice:
         """Return the slice of a moment."""
-        return self.slices[int((at - self.began_at) // self.step_s)]
+        return self.slices[int((at - self.started_at) // self.step_s)]
 
-    def note(self, line: LogLine) -> None:
+    def record(self, line: LogLine) -> None:
         """Count an event."""
         here = self.slice_at(line.at)
         if line.event == "servers_changed" and line.fields.there is not None:
-            here.paid = line.fields.there
+            here.servers_listed = line.fields.there
         if line.event == "served":
-            self._note_served(line)
+            self._record_served(line)
             return
         cause = {
             "limited": Cause.LIMITED,
@@ -95,15 +95,15 @@
             here.lost[cause] += 1
             self.routes["(own answers)"][cause] += 1
 
-    def _note_served(self, line: LogLine) -> None:
+    def _record_served(self, line: LogLine) -> None:
         fields = line.fields
-        began_at = line.at - fields.ms / 1000
-        here = self.slice_at(max(self.began_at, began_at))
-        moment = max(self.began_at, began_at)
+        started_at = line.at - fields.ms / 1000
+        here = self.slice_at(max(self.started_at, started_at))
+        moment = max(self.started_at, started_at)
         while moment <= line.at:
-            self.slice_at(moment).used.add(fields.server)
+            self.slice_at(moment).servers_in_use.add(fields.server)
             moment += self.step_s
-        cause = cause_of(fields)
+        cause = loss_cause(fields)
         if cause is None:
             here.served += 1
         else:
@@ -111,7 +111,7 @@
         self.routes[fields.route][cause or "in time"] += 1
 
 
-def cause_of(fields: LogFields) -> Cause | None:
+def loss_cause(fields: LogFields) -> Cause | None:
     """Return why an answer that a server gave was not in time, or None."""
     if fields.status >= 500:
         return Cause.FAILED
@@ -125,7 +125,7 @@
 def read_lines(lines: Iterable[str]) -> Iterator[LogLine]:
     """Yield the events of a log; other lines are passed over."""
     for line in lines:
-        found = LINE.search(line)
+        found = LINE_PATTERN.search(line)
         if found is None:
             continue
         try:
@@ -135,32 +135,37 @@
         yield LogLine(float(found[1]), found[3], fields)
 
 
-def account_of(lines: Iterable[LogLine], step_s: float) -> Account:
+def summarize_losses(lines: Iterable[LogLine], step_s: float) -> LossReport:
     """Count all events, in the order of their times."""
     ordered = sorted(lines, key=lambda line: line.at)
-    account = Account(step_s, ordered[0].at if ordered else 0.0)
+    account = LossReport(step_s, ordered[0].at if ordered else 0.0)
     for line in ordered:
-        account.note(line)
+        account.record(line)
     return account
 
 
-def tables(account: Account) -> str:
+def tables(account: LossReport) -> str:
     """Return the tables as text."""
     names = [cause.value for cause in Cause]
     rows = [" | ".join(["route", "in time", *names])]
     for route, ends in sorted(account.routes.items()):
         rows.append(" | ".join([route, *(str(ends[each]) for each in ("in time", *Cause))]))
     rows += ["", " | ".join(["second", "in time", *names, "servers in use", "listed"])]
-    paid = 0
+    servers_listed = 0
     for number in sorted(account.slices):
         here = account.slices[number]
-        paid = here.paid if here.paid is not None else paid
-        counts = [here.served, *(here.lost[cause] for cause in Cause), len(here.used), paid]
+        servers_listed = here.servers_listed if here.servers_listed is not None else servers_listed
+        counts = [
+            here.served,
+            *(here.lost[cause] for cause in Cause),
+            len(here.servers_in_use),
+            servers_listed,
+        ]
         rows.append(" | ".join([f"{number * account.step_s:g}", *map(str, counts)]))
     return "\n".join(rows)
 
 
-def plot(account: Account, file: Path) -> None:
+def plot(account: LossReport, file: Path) -> None:
     """Draw what was lost by cause over time, and servers listed and in use."""
     import matplotlib
 
@@ -177,13 +182,15 @@
     )
     lost.set_ylabel(f"requests in {account.step_s:g} s")
     lost.legend(fontsize=7)
-    paid: list[int] = []
+    servers_listed: list[int] = []
     for number in numbers:
-        told = account.slices[number].paid
-        paid.append(told if told is not None else (paid[-1] if paid else 0))
-    used = [len(account.slices[number].used) for number in numbers]
-    servers.step(times, paid, where="post", label="listed")
-    servers.step(times, used, where="post", label="in use")
+        told = account.slices[number].servers_listed
+        servers_listed.append(
+            told if told is not None else (servers_listed[-1] if servers_listed else 0)
+        )
+    servers_in_use = [len(account.slices[number].servers_in_use) for number in numbers]
+    servers.step(times, servers_listed, where="post", label="listed")
+    servers.step(times, servers_in_use, where="post", label="in use")
     servers.set_ylabel("servers")
     servers.set_xlabel("seconds")
     servers.legend(fontsize=7)
@@ -195,10 +202,10 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("log", type=Path)
     parser.add_argument("--plot", type=Path)
-    parser.add_argument("--step", type=float, default=STEP_S)
+    parser.add_argument("--step", type=float, default=DEFAULT_STEP_S)
     options = parser.parse_args()
     with options.log.open(encoding="utf-8", errors="replace") as lines:
-        account = account_of(read_lines(lines), options.step)
+        account = summarize_losses(read_lines(lines), options.step)
     if not account.slices:
         print("no events of moledale in this file", file=sys.stderr)
         return 1
