--- a/tools/without.py
+++ b/tools/without.py
@@ -30,20 +30,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Without:
+class Removal:
     """A mechanism, how to take it away, and the tests that must notice."""
 
-    point: str
+    group: str
     mechanism: str
     patch: Callable[[], Any]
     tests: str
 
 
-def _attribute(owner: Any, name: str, value: Any) -> Callable[[], Any]:
+def _patch_attribute(owner: Any, name: str, value: Any) -> Callable[[], Any]:
     return lambda: mock.patch.object(owner, name, value)
 
 
-def _add_anything(
+def _add_unchecked(
     self: streams.StreamRecord, attempt: str, index: int, token: str, now: float
 ) -> bool:
     """Add whatever comes, from whichever attempt."""
@@ -53,12 +53,12 @@
     return True
 
 
-async def _no_hold(self: dispatcher.Dispatcher, record: streams.StreamRecord) -> None:
+async def _hold_nothing(self: dispatcher.Dispatcher, record: streams.StreamRecord) -> None:
     """Let a stream go on while it is sent to a peer."""
     self._suspended.add(record.request.id)
 
 
-async def _never_settle(self: journal.Journal, entry: journal.Entry) -> journal.Outcome:
+async def _report_conflict(self: journal.Journal, entry: journal.Entry) -> journal.Outcome:
     return journal.Outcome.CONFLICT
 
 
@@ -67,7 +67,7 @@
     return await self._dispatch_once(call, self._track(call))
 
 
-async def _accept_first(
+async def _accept_before_durable(
     self: jobs.Jobs, request: streams.GenerationRequest, job_id: str, keyed: bool = False
 ) -> Any:
     """Accept a job before it is durable."""
@@ -80,7 +80,7 @@
     return 0
 
 
-async def _adopt_any_head(self: bundle_watch.BundleWatch) -> None:
+async def _adopt_head_unchecked(self: bundle_watch.BundleWatch) -> None:
     """Adopt whatever the head says, without a floor."""
     from moledale.bundle import store
 
@@ -95,135 +95,135 @@
             self._confirmed_at = self._clock.monotonic()
 
 
-async def _cut_off(self: node.Node) -> None:
+async def _stop_without_drain(self: node.Node) -> None:
     """Stop without waiting for anything."""
     self.to_drain()  # type: ignore[attr-defined]
     for record in self.streams.live():
         self.dispatcher.cancel(record.request.id)
 
 
-TABLE: list[Without] = [
-    Without(
+REMOVALS: list[Removal] = [
+    Removal(
         "1 survives a reclaim",
         "streams resume at another server",
-        _attribute(limits.RetryBudget, "try_spend", lambda self: False),
+        _patch_attribute(limits.RetryBudget, "try_spend", lambda self: False),
         f"{PROMISES}.StreamSurvivesTest",
     ),
-    Without(
+    Removal(
         "1 survives a reclaim",
         "KV cache moves within the notice",
-        _attribute(
+        _patch_attribute(
             reclaim,
             "plan",
             lambda streams, view: {s.id: reclaim.ReclaimAction.PREFILL for s in streams},
         ),
         f"{PROMISES}.StreamSurvivesTest",
     ),
-    Without(
+    Removal(
         "1 survives a reclaim",
         "a job is durable before it is accepted",
-        _attribute(jobs.Jobs, "accept", _accept_first),
+        _patch_attribute(jobs.Jobs, "accept", _accept_before_durable),
         f"{PROMISES}.JobTest",
     ),
-    Without(
+    Removal(
         "1 survives a reclaim",
         "jobs of dead nodes are adopted",
-        _attribute(jobs.Jobs, "adopt_orphans", _adopt_nothing),
+        _patch_attribute(jobs.Jobs, "adopt_orphans", _adopt_nothing),
         f"{PROMISES}.JobTest",
     ),
-    Without(
+    Removal(
         "2 whole answer",
         "answers are fenced by attempt and index",
-        _attribute(streams.StreamRecord, "add", _add_anything),
+        _patch_attribute(streams.StreamRecord, "add", _add_unchecked),
         f"{PROMISES}.StreamSurvivesTest",
     ),
-    Without(
+    Removal(
         "2 whole answer",
         "a stream stands still while it is handed over",
-        _attribute(dispatcher.Dispatcher, "suspend", _no_hold),
+        _patch_attribute(dispatcher.Dispatcher, "suspend", _hold_nothing),
         f"{PROMISES}.PlannedStopTest",
     ),
-    Without(
+    Removal(
         "3 did not run",
         "a refusal after dispatch says unknown",
-        _attribute(dispatcher, "_with_unknown_outcome", lambda problem, record: problem),
+        _patch_attribute(dispatcher, "_with_unknown_outcome", lambda problem, record: problem),
         f"{PROMISES}.RefusalTest",
     ),
-    Without(
+    Removal(
         "4 at most once",
         "a key is claimed before dispatch",
-        _attribute(once.OnceRunner, "_run_claimed", _claim_nothing),
+        _patch_attribute(once.OnceRunner, "_run_claimed", _claim_nothing),
         f"{PROMISES}.OnceTest",
     ),
-    Without(
+    Removal(
         "4 at most once",
         "lost answers are read back",
-        _attribute(journal.Journal, "_read_back", _never_settle),
+        _patch_attribute(journal.Journal, "_read_back", _report_conflict),
         f"{PROMISES}.JobTest",
     ),
-    Without(
+    Removal(
         "5 no new work when leaving",
         "leaving servers are not eligible",
-        _attribute(dispatcher.Dispatcher, "_on_leaving", lambda self, message: None),
+        _patch_attribute(dispatcher.Dispatcher, "_on_leaving", lambda self, message: None),
         f"{PROMISES}.LeavingServerTest",
     ),
-    Without(
+    Removal(
         "6 planned stop",
         "drain waits and hands over",
-        _attribute(node.Node, "drain", _cut_off),
+        _patch_attribute(node.Node, "drain", _stop_without_drain),
         f"{PROMISES}.PlannedStopTest",
     ),
-    Without(
+    Removal(
         "7 bundles",
         "the floor never falls",
-        _attribute(bundle_watch.BundleWatch, "poll", _adopt_any_head),
+        _patch_attribute(bundle_watch.BundleWatch, "poll", _adopt_head_unchecked),
         f"{PROMISES}.BundleTest",
     ),
-    Without(
+    Removal(
         "7 bundles",
         "an unconfirmed or cut-off node serves nothing",
-        _attribute(node, "decide_verdict", lambda view, grace: Verdict.SERVE),
+        _patch_attribute(node, "decide_verdict", lambda view, grace: Verdict.SERVE),
         f"{PROMISES}.BundleTest",
     ),
-    Without(
+    Removal(
         "leases",
         "a holder gives up before a candidate may begin",
-        _attribute(leases, "MARGIN_SHARE", -2.0),
+        _patch_attribute(leases, "MARGIN_SHARE", -2.0),
         f"{PROMISES}.LeaseDutyTest tests.test_core.LeaseTest",
     ),
-    Without(
+    Removal(
         "leases",
         "orders are given only inside the lease",
-        _attribute(leases.Grant, "valid", lambda self, now: True),
+        _patch_attribute(leases.Grant, "valid", lambda self, now: True),
         "tests.test_core.LeaseTest",
     ),
-    Without(
+    Removal(
         "recovery",
         "polls and returns are spread by chance",
-        _attribute(random.Random, "uniform", lambda self, low, high: high),
+        _patch_attribute(random.Random, "uniform", lambda self, low, high: high),
         f"{PROMISES}.RecoveryTest",
     ),
-    Without(
+    Removal(
         "routing",
         "pick and reserve in one step",
-        _attribute(routing, "_apply_reservation", lambda view, made, sign: None),
+        _patch_attribute(routing, "_apply_reservation", lambda view, made, sign: None),
         "tests.test_core.RoutingTest",
     ),
 ]
 
 
-TABLE.extend(
-    Without(GATEWAY, mechanism, _attribute(owner, name, value), tests)
+REMOVALS.extend(
+    Removal(GATEWAY, mechanism, _patch_attribute(owner, name, value), tests)
     for mechanism, owner, name, value, tests in MECHANISMS
 )
 
 
-def run(index: int) -> tuple[int, list[str]]:
+def run_entry(index: int) -> tuple[int, list[str]]:
     """Run one entry and return the tests that failed."""
     logbook.NullHandler().push_application()
     # What a test leaves behind when it fails is no news here.
     logging.disable(logging.CRITICAL)
-    entry = TABLE[index]
+    entry = REMOVALS[index]
     # Tests are loaded first: one that imports a constant by name must not get the patched one.
     suite = unittest.defaultTestLoader.loadTestsFromNames(entry.tests.split())
     with entry.patch():
@@ -241,18 +241,18 @@
     asked = parser.parse_args()
     chosen = [
         index
-        for index, entry in enumerate(TABLE)
-        if asked.named in entry.mechanism and (entry.point == GATEWAY or not asked.gateway)
+        for index, entry in enumerate(REMOVALS)
+        if asked.named in entry.mechanism and (entry.group == GATEWAY or not asked.gateway)
     ]
     if not chosen:
         parser.error(f"no mechanism has {asked.named!r} in its name")
     missed = 0
     with ProcessPoolExecutor(asked.processes) as pool:
-        for index, failed in pool.map(run, chosen):
-            entry = TABLE[index]
+        for index, failed in pool.map(run_entry, chosen):
+            entry = REMOVALS[index]
             verdict = f"{len(failed)} fail" if failed else "NOT NOTICED"
             missed += not failed
-            print(f"{entry.point:28} without: {entry.mechanism:52} {verdict}")
+            print(f"{entry.group:28} without: {entry.mechanism:52} {verdict}")
             for name in failed:
                 print(f"{'':30}{name}")
     return 1 if missed else 0
