--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -67,8 +67,8 @@
     parser = argparse.ArgumentParser(prog="python -m tools.mixed_builds", description=__doc__)
     parser.add_argument("folder", type=Path, help="where the clone goes; it must not be there")
     parser.add_argument("commit", help="the earlier commit")
-    asked = parser.parse_args()
-    make_clone(asked.folder, asked.commit)
+    options = parser.parse_args()
+    make_clone(options.folder, options.commit)
 
 
 if __name__ == "__main__":
--- a/tools/without.py
+++ b/tools/without.py
@@ -238,16 +238,16 @@
     parser.add_argument("--gateway", action="store_true", help="the gateway's mechanisms only")
     parser.add_argument("--named", metavar="TEXT", default="", help="mechanisms with TEXT in them")
     parser.add_argument("--processes", type=int, default=PROCESSES)
-    asked = parser.parse_args()
+    options = parser.parse_args()
     chosen = [
         index
         for index, entry in enumerate(REMOVALS)
-        if asked.named in entry.mechanism and (entry.group == GATEWAY or not asked.gateway)
+        if options.named in entry.mechanism and (entry.group == GATEWAY or not options.gateway)
     ]
     if not chosen:
-        parser.error(f"no mechanism has {asked.named!r} in its name")
+        parser.error(f"no mechanism has {options.named!r} in its name")
     missed = 0
-    with ProcessPoolExecutor(asked.processes) as pool:
+    with ProcessPoolExecutor(options.processes) as pool:
         for index, failed in pool.map(run_entry, chosen):
             entry = REMOVALS[index]
             verdict = f"{len(failed)} fail" if failed else "NOT NOTICED"
