--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -20,7 +20,7 @@
     file."""
 
     name: str
-    description: str
+    summary: str
     file: str
     old: str
     new: str
@@ -142,7 +142,7 @@
     options = parser.parse_args()
     if options.name is None:
         for each in ABLATIONS:
-            print(f"{each.name:18} {each.description}")
+            print(f"{each.name:18} {each.summary}")
         return 0
     found = [each for each in ABLATIONS if each.name == options.name]
     if not found or options.folder is None:
