--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -183,7 +183,7 @@
     return msgspec.json.decode(row.value, type=kind)
 
 
-async def _keep_earlier_counts(*_: object) -> None:
+async def _keep_window_counts(*_: object) -> None:
     """Leave counts in the store that were kept in another era."""
 
 
@@ -336,7 +336,7 @@
     ("what is known of a row ends with its era", LeaseKeeper, "_enter_era", lambda *_: None, LEASE),
     ("windows whose counts may be lost aren't counted anew", Duties, "_is_first_to_report",
      lambda *_: True, "tests.test_usage_reports"),
-    ("counts kept in a later era are taken back", Duties, "_void", _keep_earlier_counts,
+    ("counts kept in a later era are taken back", Duties, "_void", _keep_window_counts,
      "tests.test_usage_reports"),
     ("an order that is written again is no new one", RolloutOrder, "is_equivalent",
      lambda *_: False, "tests.test_rollouts.RestoredOrderTest"),
