--- a/tools/events_page.py
+++ b/tools/events_page.py
@@ -4,7 +4,7 @@
 
 from moledale.log import Event
 
-HEAD = """# Log events
+PAGE_HEADER = """# Log events
 
 Every line that `moledaled` logs has a number from this catalogue, the event's name, and its fields
 as JSON. Numbers are never reused. A test holds this page against the code; make it anew with
@@ -16,7 +16,7 @@
 
 def main() -> None:
     """Print the page."""
-    print(HEAD)
+    print(PAGE_HEADER)
     for event in Event:
         spec = event.value
         level = logbook.get_level_name(spec.level).lower()
