--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the backend servers, for tests and the demo."""
+"""Stand-ins for the platform and the backend servers, for tests, benchmarks and the demo."""
