--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: stand-ins and three nodes on loopback, and the main kinds of request."""
+"""Demo: starts stand-ins and three nodes on loopback and sends the main kinds of request."""
 
 import json
 import sys
@@ -16,27 +16,29 @@
 def call(
     method: str, url: str, body: object = None, headers: dict[str, str] | None = None
 ) -> tuple[dict[str, str], str]:
-    """Make one call as a caller would and return headers and text."""
+    """Send an authenticated request; return the headers, names in lower case, and the body."""
     data = None if body is None else json.dumps(body).encode()
     request = Request(url, data=data, method=method, headers={**AUTH_HEADERS, **(headers or {})})
     with urlopen(request, timeout=CALL_TIMEOUT_S) as response:
-        found = {name.lower(): value for name, value in response.headers.items()}
-        return found, response.read().decode()
+        response_headers = {name.lower(): value for name, value in response.headers.items()}
+        return response_headers, response.read().decode()
 
 
 def main() -> int:
-    """Run the demo and return 0 if every step went well."""
+    """Run the demo; return 0 if all nodes stopped with exit code 0."""
     fleet = LocalFleet()
     try:
         _start_fleet(fleet)
         _roll_bundle(fleet)
-        first = _resolve_address(fleet)
-        _stream_completion(first)
-        _print_route(fleet, first, "the stream")
-        _run_job(first)
-        _print_route(fleet, first, "stream and job")
-        _call_idempotent_service(first)
-        print("  passed through", _node_at(fleet, first), "and", fleet.procs["eligibility"].address)
+        endpoint = _resolve_address(fleet)
+        _stream_completion(endpoint)
+        _print_route(fleet, endpoint, "the stream")
+        _run_job(endpoint)
+        _print_route(fleet, endpoint, "stream and job")
+        _call_idempotent_service(endpoint)
+        print(
+            "  passed through", _node_at(fleet, endpoint), "and", fleet.procs["eligibility"].address
+        )
         _show_reports(fleet)
         return _stop_nodes(fleet)
     finally:
@@ -57,11 +59,11 @@
     print("\n$ moledale bundle check bundle.toml")
     print(fleet.cli("bundle", "check", str(bundle)).stdout)
     fleet.sign(bundle)
-    done = fleet.cli("bundle", "roll", str(bundle), node="entry-1")
+    result = fleet.cli("bundle", "roll", str(bundle), node="entry-1")
     print("$ moledale bundle roll bundle.toml")
-    print(done.stdout or done.stderr)
-    took = fleet.wait_ready(list(NODES), servers=2)
-    print(f"in force on all nodes, models loaded, {took:.2f} s later")
+    print(result.stdout or result.stderr)
+    took_s = fleet.wait_ready(list(NODES), servers=2)
+    print(f"in force on all nodes, models loaded, {took_s:.2f} s later")
 
 
 def _resolve_address(fleet: LocalFleet) -> str:
@@ -87,9 +89,9 @@
     body = {"model": "cover-7b", "prompt": "Summarise the claims of 2025.", "max_tokens": 30}
     headers, _ = call("POST", f"http://{address}/v1/completions", body, {"Prefer": "respond-async"})
     url = f"http://{address}{headers['location']}"
-    until = time.monotonic() + JOB_TIMEOUT_S
+    deadline = time.monotonic() + JOB_TIMEOUT_S
     state = ""
-    while state != "done" and time.monotonic() < until:
+    while state != "done" and time.monotonic() < deadline:
         status = json.loads(call("GET", url)[1])
         if status["state"] != state:
             state = status["state"]
@@ -107,18 +109,18 @@
 
 
 def _node_at(fleet: LocalFleet, address: str) -> str:
-    """Return the node at an address."""
+    """Return the name of the node that listens at an address."""
     return next(name for name in NODES if fleet.procs[name].address == address)
 
 
-def _print_route(fleet: LocalFleet, address: str, what: str) -> None:
-    """Tell the node that a request went to, and which engines have run something so far."""
-    ran = []
+def _print_route(fleet: LocalFleet, address: str, label: str) -> None:
+    """Print the node that a request was sent to and the engines that have run attempts so far."""
+    engines = []
     for name in ENGINES:
         counts = json.loads(call("GET", f"http://{fleet.procs[name].address}/control/counts")[1])
         if counts["attempts"]:
-            ran.append(f"{name} ({counts['attempts']} attempts)")
-    print(f"  {what} passed through {_node_at(fleet, address)} and", ", ".join(ran))
+            engines.append(f"{name} ({counts['attempts']} attempts)")
+    print(f"  {label} passed through {_node_at(fleet, address)} and", ", ".join(engines))
 
 
 def _show_reports(fleet: LocalFleet) -> None:
