--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine, over the same protocol that the system speaks."""
+"""Stand-in for a model engine; it speaks the protocol of the real backend servers."""
 
 import argparse
 import asyncio
@@ -33,13 +33,16 @@
 
 SNAPSHOT_INTERVAL_S = 0.05
 MAX_CACHE_EVENTS = 200
-UNPUBLISHED_EVENTS = 2
+UNPUBLISHED_EVENTS = 2  # the newest cache events are published late
 KV_BYTES_PER_TOKEN = 100_000
 VOCABULARY = ("a", "cover", "note", "for", "the", "claim", "order", "file", "price", "desk")
 
 
 class EngineControl(msgspec.Struct):
-    """Faults and states that a test sets; a field left out stays as it is."""
+    """Faults and states that a test sets; a field that is None changes nothing.
+
+    `leaving_s` announces that the engine leaves in that time, `stay` withdraws the announcement.
+    """
 
     leaving_s: float | None = None
     stay: bool = False
@@ -50,7 +53,7 @@
 
 
 class EngineCounts(msgspec.Struct):
-    """What the engine did, for tests to look at."""
+    """Counters of the engine's work, for tests."""
 
     attempts: int = 0
     started_while_leaving: int = 0
@@ -65,14 +68,14 @@
 
 @dataclass(slots=True)
 class _Listener:
-    """Where an attempt's events go."""
+    """The call of an attempt and the queue of its encoded events; None ends the stream."""
 
     call: GenerateCall
     queue: "asyncio.Queue[bytes | None]" = field(default_factory=asyncio.Queue)
 
 
 def hash_blocks(text: str) -> tuple[tuple[int, ...], int]:
-    """Return chained hashes of a text's whole blocks, and its number of tokens."""
+    """Return the chained hashes of a text's whole blocks, and its length in tokens, at least 1."""
     words = text.split()
     chained = 0
     blocks = []
@@ -84,13 +87,13 @@
 
 
 def token_text(prompt: str, index: int) -> str:
-    """Return token `index` of the answer to a prompt; every engine gives the same one."""
+    """Return token `index` of the answer to a prompt; it is the same on every engine."""
     word = VOCABULARY[xxhash.xxh3_64_intdigest(f"{index} {prompt}".encode()) % len(VOCABULARY)]
     return f"{word}{index} "
 
 
 class Engine:
-    """One engine: its model, its listeners, and the faults set on it."""
+    """Runs an `EngineModel` in real time and streams its tokens, with the faults that are set."""
 
     def __init__(
         self, name: str, spec: EngineSpec, models: list[str], checks_fence: bool, load_lag_s: float
@@ -114,7 +117,7 @@
         self._work_available = asyncio.Event()
 
     async def run_steps(self) -> None:
-        """Step the model in real time and hand out its tokens."""
+        """Run the model in real time and send its tokens to the streams, until cancelled."""
         while True:
             if not self.model.busy:
                 self._work_available.clear()
@@ -130,7 +133,7 @@
             self._snapshot()
 
     def generate(self, call: GenerateCall) -> AsyncIterator[bytes]:
-        """Start an attempt and return its events."""
+        """Start an attempt and return its encoded events."""
         listener = _Listener(call)
         self._listeners[call.attempt] = listener
         if self.control.refuse or call.model not in self.models:
@@ -159,7 +162,7 @@
         return self._stream_events(listener)
 
     def cancel(self, attempt: str) -> None:
-        """Stop an attempt."""
+        """Cancel an attempt and end its stream."""
         if attempt in self.model.sequences:
             self.counts.cancelled += 1
         self.model.cancel(attempt)
@@ -168,12 +171,12 @@
             listener.queue.put_nowait(None)
 
     def load(self) -> LoadReport:
-        """Return the load as it was a while ago."""
+        """Return the load as it was about `load_lag_s` ago, to simulate late reports."""
         self._snapshot()
-        wanted = time.monotonic() - self._load_lag_s
+        as_of = time.monotonic() - self._load_lag_s
         _, sequence, load = self._snapshots[0]
         for at, number, snapshot in self._snapshots:
-            if at > wanted:
+            if at > as_of:
                 break
             sequence, load = number, snapshot
         left = None if self._leaves_at is None else max(0.0, self._leaves_at - time.monotonic())
@@ -190,7 +193,7 @@
         )
 
     def order(self, order: Order) -> OrderReply:
-        """Take a fenced order."""
+        """Accept a fenced order, or reject it if its epoch is older than the lease's latest."""
         if self.checks_fence:
             seen = self._epochs.get(order.lease, 0)
             if order.epoch < seen:
@@ -204,7 +207,10 @@
         return OrderReply(True, epoch=self._epochs.get(order.lease))
 
     def export_kv(self, session: str) -> KvTicket | None:
-        """Hold a session's context, with what runs of it, ready for another engine."""
+        """Return a ticket by which another engine imports a session's KV cache, or None.
+
+        A running attempt of the session counts with the tokens that it has produced.
+        """
         if self.control.refuse_kv:
             return None
         blocks = self._running_blocks(session) or self.model.cache.contexts.get(session)
@@ -216,7 +222,7 @@
         return KvTicket(ticket, self.name, length, length * KV_BYTES_PER_TOKEN)
 
     def _running_blocks(self, session: str) -> tuple[int, ...] | None:
-        """Return the context of a session's running attempt as far as it has come."""
+        """Return the block hashes of a session's running attempt and its tokens so far, or None."""
         for attempt, sequence in self.model.sequences.items():
             listener = self._listeners.get(attempt)
             if listener is not None and session in (sequence.session, attempt):
@@ -226,21 +232,21 @@
         return None
 
     def exported_context(self, name: str) -> tuple[tuple[int, ...], str] | None:
-        """Return what a ticket holds."""
+        """Return the block hashes and the session of a ticket, or None."""
         return self._tickets.get(name)
 
     def import_kv(self, blocks: tuple[int, ...], session: str) -> None:
-        """Take a context over into the cache."""
+        """Store a context that another engine exported in the cache."""
         self.counts.imports += 1
         self.model.import_context(blocks, session)
 
     def events_after(self, number: int) -> list[CacheEvent]:
-        """Return cache events after a number, all but the newest few: they come late."""
+        """Return the cache events after a number, except the newest, which are published late."""
         published = list(self._events)[: max(0, len(self._events) - UNPUBLISHED_EVENTS)]
         return [event for event in published if event.sequence > number]
 
     def apply_control(self, control: EngineControl) -> None:
-        """Set faults and states."""
+        """Set or clear faults and states."""
         for name in ("refuse", "break_after_tokens", "repeat_tokens", "refuse_kv"):
             value = getattr(control, name)
             if value is not None:
@@ -288,9 +294,9 @@
         listener.queue.put_nowait(b"data: %s\n\n" % msgspec.json.encode(event))
 
     def _record_cache_events(self) -> None:
-        for note in self.model.cache.changes:
+        for change in self.model.cache.changes:
             self._event_number += 1
-            event = CacheEvent(self._event_number, note.kind, note.session, note.tokens)
+            event = CacheEvent(self._event_number, change.kind, change.session, change.tokens)
             self._events.append(event)
         self.model.cache.changes.clear()
 
@@ -309,7 +315,7 @@
 
 
 def make_app(engine: Engine) -> Starlette:
-    """Make the application of an engine."""
+    """Return the ASGI application of an engine."""
 
     async def generate(request: Request) -> Response:
         call = msgspec.json.decode(await request.body(), type=GenerateCall)
@@ -333,17 +339,17 @@
         ticket = engine.export_kv(msgspec.json.decode(await request.body())["session"])
         if ticket is None:
             return _json_response({"error": "nothing to export"}, 409)
-        own = request.headers["host"]
-        return _json_response(msgspec.structs.replace(ticket, source=own))
+        host = request.headers["host"]
+        return _json_response(msgspec.structs.replace(ticket, source=host))
 
     async def ticket(request: Request) -> Response:
-        found = engine.exported_context(str(request.path_params["ticket"]))
-        return _json_response(found) if found is not None else _json_response({}, 404)
+        context = engine.exported_context(str(request.path_params["ticket"]))
+        return _json_response(context) if context is not None else _json_response({}, 404)
 
     async def import_kv(request: Request) -> Response:
-        taken = msgspec.json.decode(await request.body(), type=KvTicket)
+        kv_ticket = msgspec.json.decode(await request.body(), type=KvTicket)
         async with aiosonic.HTTPClient() as client:
-            answer = await client.get(f"http://{taken.source}/v1/kv/tickets/{taken.ticket}")
+            answer = await client.get(f"http://{kv_ticket.source}/v1/kv/tickets/{kv_ticket.ticket}")
             body = await answer.content()
         if answer.status_code != 200:
             return _json_response({"error": "no such ticket"}, 409)
