--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -1,6 +1,6 @@
-"""A model of an engine that batches continuously; the stand-in server and the bench step it.
+"""Model of an engine with continuous batching; the stand-in engine and the benchmarks run it.
 
-Time is whatever the caller takes it for: `step` says how long a step takes, in seconds.
+The model has no clock: `step` returns the duration of a step, and the caller advances its own time.
 """
 
 from collections import OrderedDict
@@ -8,13 +8,13 @@
 
 BLOCK_TOKENS = 16
 PREFILL_CHUNK_TOKENS = 512
-"""Prompt tokens that one step computes beside the decoding sequences."""
+"""Prompt tokens that one step prefills in addition to decoding."""
 
 FIXED_STEP_SHARE = 0.6
-"""Part of a full batch's step that even a batch of one takes."""
+"""Share of a full batch's step time that does not depend on the batch size."""
 
 KV_READ_TOKENS_PER_S = 20e6
-"""Speed at which a step reads the contexts of its decoding sequences."""
+"""Rate at which a step reads the KV cache of its decoding sequences."""
 
 PRIORITY_ORDER = {"immediate": 0, "normal": 1, "can-wait": 2}
 
@@ -31,7 +31,10 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """One attempt; `blocks` are chained hashes of its context, one for each whole block."""
+    """One attempt; `blocks` are chained hashes of its context, one per whole block.
+
+    `produced_tokens` includes the tokens of the earlier attempts that this one resumes.
+    """
 
     attempt: str
     session: str
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What one step did: its duration, the attempts that got a token, and those that ended."""
+    """Outcome of one step: its duration, (attempt, token index) pairs, and finished sequences."""
 
     duration_s: float
     tokens: list[tuple[str, int]]
@@ -58,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """An engine's load at one moment."""
+    """Load of an engine; `decode_tokens` is the length of all contexts that are decoding."""
 
     running: int
     waiting: int
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheChange:
-    """A session's prefix was stored in the cache or evicted from it."""
+    """A change of the cache: a session's prefix was stored or evicted."""
 
     kind: str
     session: str
@@ -77,7 +80,7 @@
 
 @dataclass(slots=True)
 class PrefixCache:
-    """Blocks in order of last use, up to a number of tokens."""
+    """LRU cache of blocks, limited to a number of tokens; `contexts` has each session's blocks."""
 
     capacity_tokens: int
     blocks: OrderedDict[int, str] = field(default_factory=OrderedDict)
@@ -85,7 +88,7 @@
     contexts: dict[str, tuple[int, ...]] = field(default_factory=dict)
 
     def match(self, blocks: tuple[int, ...]) -> int:
-        """Return how many leading blocks are cached, and count them as used."""
+        """Return how many leading blocks are cached, and mark them as recently used."""
         found = 0
         for block in blocks:
             if block not in self.blocks:
@@ -95,7 +98,7 @@
         return found
 
     def store(self, blocks: tuple[int, ...], session: str) -> None:
-        """Cache a context; the least lately used blocks make room."""
+        """Cache a context, evicting the least recently used blocks if there is no room."""
         self.contexts[session] = blocks
         for block in reversed(blocks):
             self.blocks[block] = session
@@ -110,7 +113,7 @@
 
 
 class EngineModel:
-    """Waiting and running sequences, and the prefix cache."""
+    """Schedules waiting and running sequences with a prefix cache."""
 
     def __init__(self, spec: EngineSpec) -> None:
         self.spec = spec
@@ -123,26 +126,26 @@
 
     @property
     def busy(self) -> bool:
-        """Whether there is anything to step for."""
+        """Whether any sequence is waiting or running."""
         return bool(self.sequences)
 
     def submit(self, sequence: Sequence) -> None:
-        """Take an attempt."""
+        """Queue an attempt."""
         self._arrivals += 1
         sequence.arrival_number = self._arrivals
         sequence.prefill_left_tokens = sequence.context_tokens
         self.sequences[sequence.attempt] = sequence
 
     def cancel(self, attempt: str) -> None:
-        """Drop an attempt."""
+        """Remove an attempt."""
         self.sequences.pop(attempt, None)
 
     def import_context(self, blocks: tuple[int, ...], session: str) -> None:
-        """Take over a context that another engine exported."""
+        """Cache a context that another engine exported."""
         self.cache.store(blocks, session)
 
     def load(self) -> Load:
-        """Return the load now."""
+        """Return the current load."""
         running = [sequence for sequence in self.sequences.values() if sequence.running]
         waiting = len(self.sequences) - len(running)
         prefill = sum(sequence.prefill_left_tokens for sequence in self.sequences.values())
@@ -150,7 +153,7 @@
         return Load(len(running), waiting, prefill, decode)
 
     def step(self) -> Step:
-        """Run one iteration of the batch."""
+        """Run one step: admit sequences, prefill a chunk, and decode one token per sequence."""
         self._admit()
         prefilled = self._prefill()
         decoding = [s for s in self.sequences.values() if s.running and s.prefill_left_tokens == 0]
@@ -188,7 +191,7 @@
             sequence.prefill_left_tokens = sequence.computed_tokens
 
     def _prefill(self) -> int:
-        """Compute a chunk of prompt, the most urgent first; return its tokens."""
+        """Prefill up to a chunk of tokens in order of priority; return how many."""
         budget = PREFILL_CHUNK_TOKENS
         pending = [s for s in self.sequences.values() if s.running and s.prefill_left_tokens > 0]
         pending.sort(key=lambda s: (PRIORITY_ORDER.get(s.priority, 1), s.arrival_number))
