--- a/standins/firehose.py
+++ b/standins/firehose.py
@@ -1,4 +1,4 @@
-"""A stand-in engine that sends tokens at a set pace and does nothing else, for measuring relays."""
+"""Stand-in engine that streams tokens at a fixed interval, to measure the cost of relaying them."""
 
 import argparse
 import asyncio
@@ -15,7 +15,7 @@
 
 
 def make_app(name: str, pause_s: float) -> Starlette:
-    """Make the application; every stream gets a token each `pause_s`."""
+    """Return the ASGI application; each stream gets a token every `pause_s`."""
     running = 0
     sequence = 0
 
@@ -45,7 +45,7 @@
     async def events(_: Request) -> Response:
         return Response(msgspec.json.encode(CacheEventPage([])))
 
-    async def nothing(_: Request) -> Response:
+    async def acknowledge(_: Request) -> Response:
         return Response(b"{}")
 
     return Starlette(
@@ -53,7 +53,7 @@
             Route("/v1/generate", generate, methods=["POST"]),
             Route("/v1/load", load),
             Route("/v1/cache-events", events),
-            Route("/v1/cancel", nothing, methods=["POST"]),
+            Route("/v1/cancel", acknowledge, methods=["POST"]),
         ]
     )
 
