--- a/standins/local_fleet.py
+++ b/standins/local_fleet.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and nodes as real processes on loopback, for the demo, tests and tools."""
+"""Starts stand-ins and nodes as processes on loopback, for the demo, tests and tools."""
 
 import json
 import os
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Proc:
-    """A started process: where it listens, and the lines it has printed."""
+    """A started process, its addresses, and the lines it has printed."""
 
     name: str
     process: "subprocess.Popen[str]"
@@ -43,7 +43,7 @@
     _announcements: "Queue[dict[str, object]]" = field(default_factory=Queue)
 
     def read_output(self, stream: object) -> None:
-        """Keep the lines of a stream, and the first that tells an address."""
+        """Collect the lines of an output stream and queue the addresses announced in them."""
         for line in stream:  # type: ignore[attr-defined]
             self.lines.append(line.rstrip())
             if line.startswith(LISTENING_PREFIX):
@@ -52,9 +52,9 @@
                 self._announcements.put(json.loads(line.split(LISTENING_EVENT)[1]))
 
     def wait_listening(self) -> dict[str, object]:
-        """Wait until the process has told where it listens."""
-        until = time.monotonic() + START_TIMEOUT_S
-        while time.monotonic() < until:
+        """Wait until the process announces where it listens; return the announced fields."""
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
                 return self._announcements.get(timeout=0.1)
             except Empty:
@@ -66,14 +66,14 @@
 def http_call(
     method: str, url: str, body: bytes | None = None, headers: dict[str, str] | None = None
 ) -> bytes:
-    """Make one call and return the body; raises on anything but success."""
+    """Send a request and return the response body; raises an error unless the call succeeds."""
     request = Request(url, data=body, method=method, headers=headers or {})
     with urlopen(request, timeout=CALL_TIMEOUT_S) as response:
         return bytes(response.read())
 
 
 class LocalFleet:
-    """A platform, engines, services and nodes as processes; ends only what it started."""
+    """Runs a platform, engines, services and nodes as processes; stops only those it started."""
 
     def __init__(self, operators: Sequence[str] = ("anna",)) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="moledale-"))
@@ -93,7 +93,7 @@
         return proc
 
     def start_engine(self, name: str, hall: str, *arguments: str, listed: bool = True) -> Proc:
-        """Start an engine and list it."""
+        """Start an engine and add it to the platform's list, unless `listed` is False."""
         proc = self.start_standin(name, "standins.engine", "--name", name, *arguments)
         instance = Instance(
             name,
@@ -109,26 +109,26 @@
             self.control("instances", instance)
         return proc
 
-    def control(self, what: str, value: object) -> None:
-        """Set something on the platform."""
+    def control(self, endpoint: str, value: object) -> None:
+        """Post a value to a control endpoint of the platform."""
         http_call(
-            "POST", f"http://{self.platform.address}/control/{what}", msgspec.json.encode(value)
+            "POST", f"http://{self.platform.address}/control/{endpoint}", msgspec.json.encode(value)
         )
 
     def set_state(self, name: str, state: InstanceState) -> None:
-        """Change an instance's state in the list."""
+        """Change an instance's state in the platform's list."""
         self.instances[name] = msgspec.structs.replace(self.instances[name], state=state)
         self.control("instances", self.instances[name])
 
     # Nodes
 
     def start_node(self, name: str, hall: str, extra: str = "", listed: bool = True) -> Proc:
-        """Start a node and list it."""
+        """Start a node and add it to the platform's list, unless `listed` is False."""
         proc = self.launch_node(name, hall, extra)
         return self.register_node(proc, hall, listed)
 
     def launch_node(self, name: str, hall: str, extra: str = "") -> Proc:
-        """Start a node without waiting for it."""
+        """Start a node without waiting until it listens."""
         settings = self.write_settings(name, hall, extra)
         command = [sys.executable, "-m", "moledale.ui.daemon", "--settings", str(settings)]
         secrets = {
@@ -138,7 +138,7 @@
         return self._spawn(name, command, secrets)
 
     def register_node(self, proc: Proc, hall: str, listed: bool = True) -> Proc:
-        """Wait until a launched node listens, and list it."""
+        """Wait until a launched node listens, and add it to the platform's list."""
         ports = proc.wait_listening()
         proc.address = f"127.0.0.1:{ports['port']}"
         proc.peer_address = f"127.0.0.1:{ports['peer_port']}"
@@ -157,7 +157,7 @@
         return proc
 
     def write_settings(self, name: str, hall: str, extra: str = "") -> Path:
-        """Write a node's settings file."""
+        """Write a node's settings file and return its path."""
         base = f"http://{self.platform.address}"
         text = settings_text(name, hall, base, self._public_keys, extra)
         path = self.folder / f"{name}.toml"
@@ -165,8 +165,11 @@
         return path
 
     def wait_ready(self, names: Sequence[str], version: int = 1, servers: int = 0) -> float:
-        """Wait until nodes have a version in force and see enough servers with models."""
-        began = time.monotonic()
+        """Wait until nodes serve a bundle version and see enough servers with models.
+
+        Returns the seconds that it took.
+        """
+        started_at = time.monotonic()
         for name in names:
             while True:
                 status = self.status(name)
@@ -174,10 +177,10 @@
                 serves = status.verdict == "serve"
                 if serves and status.bundle_version >= version and len(ready) >= servers:
                     break
-                if time.monotonic() - began > START_TIMEOUT_S:
+                if time.monotonic() - started_at > START_TIMEOUT_S:
                     raise RuntimeError(f"{name} is not ready: {status}")
                 time.sleep(0.02)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     def status(self, name: str) -> NodeStatus:
         """Return a node's status."""
@@ -185,14 +188,14 @@
         url = f"http://{self.procs[name].address}/admin/v1/status"
         return msgspec.json.decode(http_call("GET", url, headers=headers), type=NodeStatus)
 
-    # The operators' command
+    # Operator commands
 
     def key_file(self, operator: str) -> Path:
-        """Return where an operator's private key is."""
+        """Return the path of an operator's private key."""
         return self.folder / f"{operator}.pem"
 
     def cli(self, *arguments: str, node: str | None = None) -> "subprocess.CompletedProcess[str]":
-        """Run `moledale` and return what it printed."""
+        """Run `moledale` and return the completed process with its output."""
         environment = {**os.environ, "MOLEDALE_OPERATOR_TOKEN": OPERATOR_TOKEN}
         if node is not None:
             environment["MOLEDALE_NODES"] = self.procs[node].address
@@ -207,7 +210,7 @@
         )
 
     def write_bundle(self, version: int = 1, service: str | None = None, name: str = "") -> Path:
-        """Write the example bundle with a version and the service's address."""
+        """Write the example bundle with a version and a service address; return its path."""
         text = (ROOT / "examples" / "bundle.toml").read_text("utf-8")
         text = text.replace("version = 1", f"version = {version}", 1)
         if service is not None:
@@ -217,40 +220,40 @@
         return path
 
     def sign(self, path: Path, operator: str = "anna") -> None:
-        """Sign a bundle off."""
+        """Sign a bundle as an operator."""
         key = str(self.key_file(operator))
-        done = self.cli("bundle", "sign", str(path), "--key", key, "--operator", operator)
-        if done.returncode != 0:
-            raise RuntimeError(done.stderr)
+        result = self.cli("bundle", "sign", str(path), "--key", key, "--operator", operator)
+        if result.returncode != 0:
+            raise RuntimeError(result.stderr)
 
     def roll(self, path: Path, node: str) -> None:
-        """Sign a bundle off and roll it."""
+        """Sign a bundle and roll it through a node."""
         self.sign(path)
-        done = self.cli("bundle", "roll", str(path), node=node)
-        if done.returncode != 0:
-            raise RuntimeError(done.stderr)
+        result = self.cli("bundle", "roll", str(path), node=node)
+        if result.returncode != 0:
+            raise RuntimeError(result.stderr)
 
-    # Ends
+    # Stopping processes
 
     def signal(self, name: str, number: int) -> None:
         """Send a signal to a process."""
         self.procs[name].process.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process and wait for its end."""
         proc = self.procs[name].process
         proc.kill()
         proc.wait(STOP_TIMEOUT_S)
 
     def stop(self, name: str) -> int:
-        """Stop a process as planned and return its exit code."""
+        """Stop a process with SIGTERM and return its exit code."""
         proc = self.procs[name].process
         if proc.poll() is None:
             proc.send_signal(signal.SIGTERM)
         return proc.wait(STOP_TIMEOUT_S)
 
     def close(self) -> None:
-        """End every process that is left."""
+        """Kill all processes that still run, suspended ones included."""
         for proc in self.procs.values():
             if proc.process.poll() is None:
                 proc.process.send_signal(signal.SIGCONT)
@@ -280,5 +283,5 @@
         pem = signing.generate_private_key()
         self.key_file(operator).write_bytes(pem)
         key = signing.load_private_key(pem)
-        assert key is not None, "it was just made"
+        assert key is not None, "a generated key must load"
         self._public_keys[operator] = signing.encode_public_key(key)
