--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the whole platform, with faults that tests can set on each part."""
+"""Stand-in for the whole platform; tests can set faults on each of its parts."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -31,7 +31,7 @@
 
 
 class Faults(msgspec.Struct):
-    """Faults of one part: refuse everything, hang, be slow, or lose answers after a write."""
+    """Faults of one part: refuse all calls, hang, delay, or lose the next answers to writes."""
 
     down: bool = False
     hang: bool = False
@@ -40,7 +40,7 @@
 
 
 class Stats(msgspec.Struct):
-    """Calls that were made."""
+    """Counters of the calls received and the bytes sent."""
 
     reads: int = 0
     writes: int = 0
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class PlatformState:
-    """Everything the platform holds; the fakes of the unit tests use it too."""
+    """Holds the platform's state; the in-process fakes of the unit tests use it too."""
 
     rows: dict[tuple[str, str], Row] = field(default_factory=dict)
     objects: dict[str, bytes] = field(default_factory=dict)
@@ -66,7 +66,7 @@
     stats: Stats = field(default_factory=Stats)
 
     def transact(self, transaction: Transaction) -> TransactionOutcome:
-        """Commit all writes or none."""
+        """Commit all writes if all conditions hold, else none."""
         self.stats.writes += 1
         failed = [
             index
@@ -78,38 +78,38 @@
         versions = []
         for write in transaction.writes:
             self.stats.rows_written += 1
-            place = (write.table, write.key)
+            row_key = (write.table, write.key)
             if write.value is None:
-                self.rows.pop(place, None)
+                self.rows.pop(row_key, None)
                 versions.append(ABSENT)
                 continue
             self.next_version += 1
-            self.rows[place] = Row(write.key, self.next_version, write.value)
+            self.rows[row_key] = Row(write.key, self.next_version, write.value)
             versions.append(self.next_version)
         return TransactionOutcome(True, [], versions)
 
     def read(self, table: str, key: str) -> Row | None:
-        """Return a row."""
+        """Return a row, or None."""
         self.stats.reads += 1
         return self.rows.get((table, key))
 
     def scan(self, table: str, prefix: str, limit: int) -> list[Row]:
-        """Return rows in order of their keys."""
+        """Return the first `limit` rows whose keys have a prefix, in order of their keys."""
         self.stats.reads += 1
         found = [
             row
-            for (where, key), row in self.rows.items()
-            if where == table and key.startswith(prefix)
+            for (row_table, key), row in self.rows.items()
+            if row_table == table and key.startswith(prefix)
         ]
         return sorted(found, key=lambda row: row.key)[:limit]
 
     def put_instance(self, instance: Instance) -> None:
-        """List an instance, or change its entry."""
+        """Add an instance to the list, or replace its entry."""
         self.revision += 1
         self.instances[instance.id] = (self.revision, instance)
 
     def changes(self, since: int) -> InstancePage:
-        """Return the entries that changed."""
+        """Return the entries changed after a revision; all but those gone after revision 0."""
         self.stats.list_polls += 1
         full = since == 0
         found = [
@@ -120,7 +120,7 @@
         return InstancePage(max(1, self.revision), full, found)
 
     def rent(self, order: RentOrder) -> RentResult:
-        """Rent a spare instance of the hall and class, or refuse."""
+        """Rent a spare instance of the hall and class, or refuse; idempotent per order token."""
         self.stats.cloud_calls += 1
         if order.token in self.rented:
             return RentResult(self.rented[order.token])
@@ -133,7 +133,7 @@
         return RentResult(None, "no capacity")
 
     def release(self, instance_id: str) -> None:
-        """Take an instance back."""
+        """Take an instance back: record it, and mark it as leaving if it is listed."""
         self.stats.cloud_calls += 1
         self.released.append(instance_id)
         if instance_id in self.instances:
@@ -147,13 +147,13 @@
 
 
 class FaultInjector:
-    """Hands out a part's faults."""
+    """Applies the faults that are set on each part."""
 
     def __init__(self) -> None:
         self.faults = {part: Faults() for part in Part}
 
     async def before_effect(self, part: Part) -> Response | None:
-        """Apply faults that come before anything takes effect."""
+        """Apply the faults that precede a call's effect; return the error response, if any."""
         faults = self.faults[part]
         if faults.delay_s:
             await asyncio.sleep(faults.delay_s)
@@ -164,7 +164,7 @@
         return None
 
     async def after_effect(self, part: Part) -> None:
-        """Lose an answer whose write has taken effect: the caller waits in vain."""
+        """Delay the answer to a write that took effect, until the caller has timed out."""
         faults = self.faults[part]
         if faults.lose_answers > 0:
             faults.lose_answers -= 1
@@ -172,7 +172,7 @@
 
 
 def make_app(state: PlatformState, injector: FaultInjector) -> Starlette:
-    """Make the application with all parts on one port."""
+    """Return the ASGI application, which serves all parts on one port."""
 
     def answer(value: object, status: int = 200) -> Response:
         body = msgspec.json.encode(value)
