--- a/standins/rows.py
+++ b/standins/rows.py
@@ -1,7 +1,7 @@
-"""Stand-in for the users' platform: the store with rows and its duties, as their pages tell them.
+"""Stand-in for the users' platform: the row store and the duties, as the platform documents them.
 
-It can be silent, slow or busy, lose answers after their effect, do a change late, forget history,
-and come back from an older copy; what it took is kept for tests to look at.
+It can be silent, slow or busy, lose the answers to writes that took effect, apply writes late,
+discard its history, and be restored from an older snapshot. Tests can inspect what it accepted.
 """
 
 import asyncio
@@ -11,11 +11,11 @@
 from enum import StrEnum
 from urllib.parse import parse_qs, urlsplit
 
-MAX_ROWS = 500
+MAX_ROWS = 500  # default limit of a page
 
 
 class StoreMode(StrEnum):
-    """How the store answers."""
+    """How the store responds to calls."""
 
     HEALTHY = "good"
     BUSY = "busy"
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """A row of the store."""
+    """A row of the store; a removed row is kept as `gone`, so that the feed reports it."""
 
     table: str
     part: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """What the store held at some moment."""
+    """Version and rows of the store at one moment."""
 
     version: int
     rows: dict[tuple[str, str, str], Row]
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyCall:
-    """A call of a duty that was accepted."""
+    """An accepted duty call; `at` is in seconds of the event loop's clock."""
 
     path: str
     holder: str
@@ -58,7 +58,10 @@
 
 @dataclass(slots=True)
 class RowsPlatform:
-    """The store and the duties behind one address."""
+    """Serves the store and the duties at one address.
+
+    A feed that starts before version `history_from` gets status 410.
+    """
 
     mode: StoreMode = StoreMode.HEALTHY
     delay_s: float = 0.0
@@ -86,7 +89,7 @@
             self._server.close()
 
     def put(self, table: str, key: str, body: object) -> int:
-        """Write a row as the operator or a server does."""
+        """Write a row as the operator or a server does; return its version."""
         value = base64.b64encode(json.dumps(body).encode()).decode()
         self.version += 1
         self.rows[(table, "", key)] = Row(table, "", key, value, self.version)
@@ -94,7 +97,7 @@
         return self.version
 
     def drop(self, table: str, key: str) -> None:
-        """Remove a row."""
+        """Mark a row as removed."""
         self.version += 1
         row = self.rows.get((table, "", key))
         if row is not None:
@@ -102,18 +105,18 @@
         self._changed.set()
 
     def body(self, table: str, key: str) -> object:
-        """Return what a row holds, or None."""
+        """Return the decoded value of a row, or None."""
         row = self.rows.get((table, "", key))
         if row is None or row.gone:
             return None
         return json.loads(base64.b64decode(row.value))
 
     def snapshot(self) -> StoreSnapshot:
-        """Return a copy that the store may come back from."""
+        """Return a snapshot that the store can be restored from."""
         return StoreSnapshot(self.version, {name: replace(row) for name, row in self.rows.items()})
 
     def restore(self, snapshot: StoreSnapshot) -> None:
-        """Come back from a copy: what was written since is gone, versions are given out again."""
+        """Restore a snapshot in a new era: later writes are lost, and their versions are reused."""
         self.era += 1
         self.version = snapshot.version
         self.rows = {name: replace(row) for name, row in snapshot.rows.items()}
@@ -139,8 +142,8 @@
                     status, answer = await self._answer(method, target, headers, body)
                 if self.mode is StoreMode.LOSES_WRITE_ANSWERS and method == "POST":
                     await asyncio.sleep(3600)
-                garbles = self.mode is StoreMode.UNREADABLE
-                data = b"<html>" if garbles else json.dumps(answer).encode()
+                unreadable = self.mode is StoreMode.UNREADABLE
+                data = b"<html>" if unreadable else json.dumps(answer).encode()
                 writer.write(
                     b"HTTP/1.1 %d X\r\nContent-Type: application/json\r\nStore-Era: %d\r\n"
                     b"Content-Length: %d\r\n\r\n%b" % (status, self.era, len(data), data)
@@ -178,16 +181,16 @@
 
     def _transact(self, body: dict[str, list[dict[str, object]]]) -> tuple[int, dict[str, object]]:
         conditions = [(_row_id(each), each["ver"]) for each in body["expectedRev"]]
-        standing = []
+        existing = []
         failed = False
         for name, ver in conditions:
             row = self.rows.get(name)
-            there = row if row is not None and not row.gone else None
-            failed = failed or (there.ver if there is not None else 0) != ver
-            if there is not None:
-                standing.append(_encode_row(there))
+            current = row if row is not None and not row.gone else None
+            failed = failed or (current.ver if current is not None else 0) != ver
+            if current is not None:
+                existing.append(_encode_row(current))
         if failed:
-            return 412, {"rows": standing, "ver": self.version, "now_ms": self._now_ms()}
+            return 412, {"rows": existing, "ver": self.version, "now_ms": self._now_ms()}
         self.version += 1
         for each in body["put"]:
             table, part, key = name = _row_id(each)
@@ -217,18 +220,18 @@
 
     async def _feed(self, query: dict[str, str]) -> tuple[int, dict[str, object]]:
         after = int(query["startAfter"])
-        ends = asyncio.get_running_loop().time() + int(query["waitMs"]) / 1000
+        deadline = asyncio.get_running_loop().time() + int(query["waitMs"]) / 1000
         while True:
             if not self.history_from <= after <= self.version:
                 return 410, {}
             rows = [r for r in self.rows.values() if r.table == query["table"] and r.ver > after]
-            left = ends - asyncio.get_running_loop().time()
-            if rows or left <= 0:
-                told = [_encode_row(row) for row in sorted(rows, key=lambda row: row.ver)]
-                return 200, {"rows": told, "ver": self.version, "now_ms": self._now_ms()}
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            if rows or remaining_s <= 0:
+                encoded = [_encode_row(row) for row in sorted(rows, key=lambda row: row.ver)]
+                return 200, {"rows": encoded, "ver": self.version, "now_ms": self._now_ms()}
             self._changed.clear()
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
             except TimeoutError:
                 continue
@@ -242,18 +245,18 @@
 
 
 def _encode_row(row: Row) -> dict[str, object]:
-    told: dict[str, object] = {
+    encoded: dict[str, object] = {
         "table": row.table,
         "part": row.part,
         "key": row.key,
         "ver": row.ver,
     }
-    told.update({"gone": True} if row.gone else {"value": row.value})
-    return told
+    encoded.update({"gone": True} if row.gone else {"value": row.value})
+    return encoded
 
 
 def _parse(head: bytes) -> tuple[str, str, dict[str, str]]:
-    first, *lines = head.decode("latin-1").rstrip("\r\n").split("\r\n")
-    method, target, _ = first.split(" ")
+    request_line, *lines = head.decode("latin-1").rstrip("\r\n").split("\r\n")
+    method, target, _ = request_line.split(" ")
     pairs = (line.split(":", 1) for line in lines)
     return method, target, {name.strip().lower(): value.strip() for name, value in pairs}
