--- a/standins/serve.py
+++ b/standins/serve.py
@@ -1,4 +1,4 @@
-"""Serves an ASGI application on a free port and tells which one it is."""
+"""Serves an ASGI application on a free port and announces its address."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 def make_server(app: Starlette) -> uvicorn.Server:
-    """Make a quiet server."""
+    """Return a server that logs nothing and does not wait for open connections at shutdown."""
     config = uvicorn.Config(
         app,
         http="httptools",
@@ -34,7 +34,7 @@
 
 
 def announce(**fields: object) -> None:
-    """Print where this process listens, for whoever started it."""
+    """Print where this process listens, for the process that started it."""
     print(LISTENING_PREFIX + json.dumps(fields), flush=True)
 
 
@@ -52,7 +52,7 @@
 
 
 async def serve_in_process(app: Starlette) -> tuple[str, uvicorn.Server, "asyncio.Task[None]"]:
-    """Serve within this process; returns the address, the server and its task."""
+    """Serve within this process; return the address, the server and its task."""
     bound = bind_free_port()
     server = make_server(app)
     server.install_signal_handlers = lambda: None  # type: ignore[attr-defined]
