--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service that counts what it ran."""
+"""Stand-in for a plain service; it counts its runs per idempotency key."""
 
 import asyncio
 from collections import Counter
@@ -14,20 +14,20 @@
 
 
 class ServiceFaults(msgspec.Struct):
-    """Faults: break the connection after running, or take long."""
+    """Faults: `break_after` next calls run but their answers are cut; all answers are delayed."""
 
     break_after: int = 0
     delay_s: float = 0.0
 
 
 async def _broken_body() -> AsyncIterator[bytes]:
-    """Begin an answer and break it off."""
+    """Yield the start of an answer, then abort the connection."""
     yield b"{"
     raise ConnectionAbortedError("fault set by a test")
 
 
 def make_app() -> Starlette:
-    """Make the application."""
+    """Return the ASGI application of the service."""
     runs: Counter[str] = Counter()
     faults = ServiceFaults()
 
