--- a/standins/settings_text.py
+++ b/standins/settings_text.py
@@ -1,4 +1,4 @@
-"""The text of a node's settings file, for local fleets and tests."""
+"""Generates the settings file of a node, for local fleets and tests."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,10 @@
 def settings_text(
     name: str, hall: str, platform: str, keys: Mapping[str, str], extra: str = ""
 ) -> str:
-    """Return settings of a node; `platform` is the base address of all parts."""
+    """Return the settings of a node.
+
+    `platform` is the base URL of all its parts; `keys` maps operators to their public keys.
+    """
     parts = "\n".join(f'{part.value} = "{platform}"' for part in Part)
     operators = "\n".join(f'{operator} = "{key}"' for operator, key in keys.items())
     return f"""
