--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Measurement tools."""
+"""Tools for measurements, ablations and generated records."""
