--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,8 +1,7 @@
-"""Takes one mechanism out of a copy of the sources, so that its worth can be played.
+"""Removes one mechanism from a copy of the sources, so that its effect can be measured.
 
-`python -m tools.ablation` lists the mechanisms; `python -m tools.ablation NAME FOLDER` takes one
-out of the checkout in FOLDER, which must not be this one. docs/DECISIONS.md has what they were
-worth.
+`python -m tools.ablation` lists the mechanisms; `python -m tools.ablation NAME FOLDER` removes one
+from the checkout in FOLDER, which must not be this one. docs/DECISIONS.md has the measured effects.
 """
 
 import argparse
@@ -16,8 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ablation:
-    """A mechanism, and the text whose replacement takes it out; the text stands once in its
-    file."""
+    """A mechanism, and the text replacement that removes it; `old` occurs once in the file."""
 
     name: str
     summary: str
@@ -26,8 +24,7 @@
     new: str
 
     def remove_from(self, text: str) -> str:
-        """Return a file's text without the mechanism; ValueError unless the old text stands
-        once."""
+        """Return a file's text without the mechanism; raise ValueError unless `old` occurs once."""
         if text.count(self.old) != 1:
             raise ValueError(f"{self.name}: {self.file} has the text {text.count(self.old)} times")
         return text.replace(self.old, self.new)
@@ -36,56 +33,56 @@
 ABLATIONS = (
     Ablation(
         "fetch",
-        "fronts of prompts are fetched from other servers",
+        "cached prefixes are fetched from other servers",
         "engine_costs.py",
         "if not self.engine.moves or self.prefix.tokens <= cached:",
         "if self.prefix.tokens >= 0:",
     ),
     Ablation(
         "learn",
-        "servers' speed is learnt; without, the prior counts",
+        "the speed of servers is estimated; without, the prior is used",
         "server_model.py",
         "self._speed = combine_speeds(self._local_speed, self._peer_speeds)",
         "self._speed = PRIOR",
     ),
     Ablation(
         "learn-from-others",
-        "nodes take over what others learnt",
+        "nodes merge the speed estimates of their peers",
         "server_model.py",
         "self._speed = combine_speeds(self._local_speed, self._peer_speeds)",
         "self._speed = self._local_speed",
     ),
     Ablation(
         "slowness",
-        "a server that turned slow is told from the others",
+        "a server that has become slow is recognized",
         "server_model.py",
         "return 1.0 + (self._factor - 1.0) * exp(-(now - self._observed_at) / SLOWDOWN_DECAY_S)",
         "return 1.0",
     ),
     Ablation(
         "home",
-        "prompts with the same front meet at a home",
+        "prompts with the same prefix are routed to a home server",
         "engine_costs.py",
         "if is_home and not cached:",
         "if is_home and cached < 0:",
     ),
     Ablation(
         "slots",
-        "the wait for a slot counts in the choice",
+        "the wait for a slot is part of a server's cost",
         "engine_costs.py",
         "return took_s * view.slowness.factor(now) + slots_s",
         "return took_s * view.slowness.factor(now)",
     ),
     Ablation(
         "placements",
-        "placements are told to other nodes at once",
+        "placements are sent to other nodes at once",
         "node.py",
         "if self._gossip is None or not placed:",
         "if self._gossip is not None or not placed:",
     ),
     Ablation(
         "evacuation",
-        "streams move away from servers that leave",
+        "streams are moved off servers that leave",
         "evacuation.py",
         "if engine is None or not engine.moves or name in self._ends:",
         "if engine is None or engine.slots > 0:",
@@ -99,28 +96,28 @@
     ),
     Ablation(
         "slow-repeat",
-        "safe requests that take long are tried elsewhere",
+        "safe requests that take long are retried on another server",
         "answers.py",
         "may_retry = job.route.kind is Kind.SAFE and",
         "may_retry = job.route.kind is None and",
     ),
     Ablation(
         "reserve",
-        "servers are there for the loss of one more hall",
+        "the capacity covers the loss of one more hall",
         "renting.py",
         "RESERVE_SHARE = 0.75",
         "RESERVE_SHARE = 0.0",
     ),
     Ablation(
         "spot-surplus",
-        "more spot servers than the need",
+        "more spot servers are rented than are needed",
         "renting.py",
         "SPOT_FACTOR = 1.5",
         "SPOT_FACTOR = 1.0",
     ),
     Ablation(
         "on-demand-peak",
-        "servers on demand follow a peak for a shorter time",
+        "on-demand servers are kept for a shorter time after a peak",
         "renting.py",
         "retention_s = ON_DEMAND_PEAK_BOOTS * boot_s",
         "retention_s = PEAK_RETENTION_S",
@@ -129,7 +126,7 @@
 
 
 def apply_ablation(ablation: Ablation, root: Path) -> None:
-    """Take a mechanism out of a checkout."""
+    """Remove a mechanism from a checkout."""
     file = root / GATEWAY_DIR / ablation.file
     file.write_text(ablation.remove_from(file.read_text("utf-8")), "utf-8")
 
@@ -144,12 +141,12 @@
         for each in ABLATIONS:
             print(f"{each.name:18} {each.summary}")
         return 0
-    found = [each for each in ABLATIONS if each.name == options.name]
-    if not found or options.folder is None:
+    matching = [each for each in ABLATIONS if each.name == options.name]
+    if not matching or options.folder is None:
         parser.error("name one of the mechanisms and a folder")
     if options.folder.resolve() == ROOT:
         parser.error("this is the checkout that the tool runs from; name a copy")
-    apply_ablation(found[0], options.folder)
+    apply_ablation(matching[0], options.folder)
     return 0
 
 
