--- a/tools/events_page.py
+++ b/tools/events_page.py
@@ -1,4 +1,4 @@
-"""Prints docs/EVENTS.md from the events in the code."""
+"""Generates docs/EVENTS.md from the members of `Event`."""
 
 import logbook
 
