--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -1,7 +1,8 @@
-"""Makes a clone in which half of the nodes run an earlier commit: builds side by side.
+"""Makes a clone in which half of the nodes run an earlier commit, to test mixed builds.
 
 `python -m tools.mixed_builds FOLDER COMMIT`, then play days in FOLDER and compare them with plays
-of one build alone. Which nodes run which build follows from their names, so each play has the same.
+of a single build. The name of a node determines its build, so the nodes that run it are the same in
+each play.
 """
 
 import argparse
@@ -13,10 +14,10 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 FORMER_DIR = "former"
-"""Folder of the earlier commit's sources in the clone."""
+"""Folder in the clone for the sources of the earlier commit."""
 
 SOURCES_EXPRESSION = 'str(Path(__file__).resolve().parent.parent / "src")'
-"""What the launcher has for the sources that it runs."""
+"""The launcher's expression for the folder of the sources that it runs."""
 
 BUILD_CHOICE_CODE = '''
 import os
@@ -36,21 +37,21 @@
 
 
 def runs_earlier_build(name: str) -> bool:
-    """Say whether a node of this name runs the earlier commit."""
+    """Return whether the node of this name runs the earlier commit."""
     return zlib.crc32(name.encode()) % 2 == 0
 
 
 def mixed_launcher(launcher: str) -> str:
-    """Return a launcher that chooses a build; ValueError if this one is not as expected."""
+    """Return a launcher that selects the build; raise ValueError if it has no line to replace."""
     line = f"sys.path.insert(0, {SOURCES_EXPRESSION})"
     if launcher.count(line) != 1:
-        raise ValueError("the launcher names its sources in another way")
+        raise ValueError("the launcher lacks the expected line that adds its sources to sys.path")
     choice = BUILD_CHOICE_CODE.replace("VARIABLE", SETTINGS_VARIABLE)
     return launcher.replace(line, f"{choice}sys.path.insert(0, sources())")
 
 
 def make_clone(folder: Path, commit: str) -> None:
-    """Clone the last commit into a folder, and put the earlier one's sources beside it."""
+    """Clone the last commit into a folder, and add the earlier one's sources and the launcher."""
     subprocess.run(["git", "clone", "--quiet", str(ROOT), str(folder)], check=True)
     (folder / FORMER_DIR).mkdir()
     archive = subprocess.run(
@@ -63,9 +64,9 @@
 
 
 def main() -> None:
-    """Make the clone that was asked for."""
+    """Run the tool."""
     parser = argparse.ArgumentParser(prog="python -m tools.mixed_builds", description=__doc__)
-    parser.add_argument("folder", type=Path, help="where the clone goes; it must not be there")
+    parser.add_argument("folder", type=Path, help="folder for the clone; it must not exist")
     parser.add_argument("commit", help="the earlier commit")
     options = parser.parse_args()
     make_clone(options.folder, options.commit)
