--- a/tools/record_formats.py
+++ b/tools/record_formats.py
@@ -1,8 +1,8 @@
 """Records the formats that builds share: `python -m tools.record_formats BUILD > FILE`.
 
-Nodes of two builds run side by side while machines are replaced, and what one wrote to the store
-outlives it. The record holds the fields of each message and row, and an example as this build
-encodes it. A file of a build that landed is never edited; a test reads it with later code.
+Nodes of two builds run side by side while machines are replaced, and rows in the store outlive the
+build that wrote them. The record has the fields of each message and row, and an example that this
+build encoded. The record of a merged build is never edited; a test decodes it with later code.
 """
 
 import argparse
@@ -26,7 +26,7 @@
     "moledale.gateway.document_archive:DocumentPiece",
     "moledale.gateway.messages:Server",
 )
-"""What nodes send each other, as msgpack."""
+"""Types of the messages between nodes, encoded as msgpack."""
 
 ROW_TYPES = (
     "moledale.core.leases:LeaseRow",
@@ -34,14 +34,14 @@
     "moledale.gateway.duties:WindowRow",
     "moledale.gateway.quarantine_store:StoredBlock",
 )
-"""What lies in the store, as JSON."""
+"""Types of the rows in the store, encoded as JSON."""
 
 MAX_STRUCT_DEPTH = 6
-"""Structs nest less deeply than this."""
+"""Deepest nesting of structs that `make_example` accepts."""
 
 
 class FieldRecord(msgspec.Struct, frozen=True):
-    """A field: its name on the wire, its type in words, and whether it has no default."""
+    """A field: its encoded name, a description of its type, and whether it has no default."""
 
     name: str
     type: str
@@ -49,7 +49,7 @@
 
 
 class StructRecord(msgspec.Struct, frozen=True):
-    """A message, row or part of one."""
+    """The layout of a message, a row, or a struct nested in one."""
 
     array_like: bool
     tag: str | None
@@ -57,14 +57,14 @@
 
 
 class ExampleRecord(msgspec.Struct, frozen=True):
-    """An encoded example, and what it says in plain values."""
+    """An encoded example, and the same value as builtin types."""
 
     encoded: bytes
     value: Any
 
 
 class FormatRecord(msgspec.Struct, frozen=True):
-    """All that a build shares with others."""
+    """All formats that a build shares with other builds."""
 
     build: str
     structs: dict[str, StructRecord]
@@ -72,19 +72,19 @@
 
 
 def resolve_type(name: str) -> type[msgspec.Struct]:
-    """Return the type of a name as in `MESSAGE_TYPES`."""
+    """Import the type that a name like those in `MESSAGE_TYPES` refers to."""
     module, _, attribute = name.partition(":")
-    found: type[msgspec.Struct] = getattr(importlib.import_module(module), attribute)
-    return found
+    resolved: type[msgspec.Struct] = getattr(importlib.import_module(module), attribute)
+    return resolved
 
 
 def type_name(kind: type) -> str:
-    """Return the name of a type as in `MESSAGE_TYPES`."""
+    """Return the name of a type, in the form used in `MESSAGE_TYPES`."""
     return f"{kind.__module__}:{kind.__qualname__}"
 
 
 def make_example(kind: Any, depth: int = 0) -> Any:
-    """Return a value of a type, with something in every field."""
+    """Return an example value of a type, with a value in every field."""
     info = kind if isinstance(kind, msgspec.inspect.Type) else msgspec.inspect.type_info(kind)
     match info:
         case msgspec.inspect.StructType(cls=cls, fields=fields):
@@ -117,7 +117,7 @@
 
 
 def collect_structs(kind: Any, found: dict[str, StructRecord]) -> None:
-    """Add a type's struct, and those of its fields."""
+    """Add the struct of a type, and those nested in its fields, to `found`."""
     info = kind if isinstance(kind, msgspec.inspect.Type) else msgspec.inspect.type_info(kind)
     if isinstance(info, msgspec.inspect.StructType):
         if type_name(info.cls) in found:
@@ -140,7 +140,7 @@
 
 
 def describe_type(info: msgspec.inspect.Type) -> str:
-    """Return a type in words that are the same in each build; those of structs by name only."""
+    """Return a description of a type that is the same in each build; structs only by name."""
     if isinstance(info, msgspec.inspect.StructType):
         return info.cls.__qualname__
     if isinstance(info, msgspec.inspect.EnumType):
@@ -152,13 +152,13 @@
         for name in ("key_type", "value_type", "item_type")
         if hasattr(info, name)
     ]
-    inside = ", ".join(describe_type(part) for part in parts)
+    inner = ", ".join(describe_type(part) for part in parts)
     name = type(info).__name__.removesuffix("Type").lower()
-    return f"{name}[{inside}]" if inside else name
+    return f"{name}[{inner}]" if inner else name
 
 
 def make_record(build: str) -> FormatRecord:
-    """Return the record of the build that runs."""
+    """Return the record of the running build."""
     structs: dict[str, StructRecord] = {}
     examples = {}
     for names, encode in (
