--- a/tools/where_lost.py
+++ b/tools/where_lost.py
@@ -1,9 +1,9 @@
-"""Where requests of a played day or a real one were lost, from the nodes' logs, by cause and time.
+"""Reports from nodes' logs, of played or real days, where requests were lost, by cause and time.
 
 `python -m tools.where_lost LOG [--plot FILE] [--step SECONDS]` reads logs of any number of nodes in
-one file, prints a table a route and one over time, and draws the latter. Times are those of the
-lines, from the first one on. Servers in use are those that hold a request; paid are those that the
-list has.
+one file, prints a table by route and one by time, and plots the latter. Times are those of the log
+lines, relative to the first one. Servers in use are those that hold a request; servers listed
+are those in the nodes' list.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 
 
 class Cause(StrEnum):
-    """Why a request did not earn its full worth."""
+    """Why a request was lost or not answered in time."""
 
     LIMITED = "limited"
     REFUSED = "refused"
@@ -33,7 +33,7 @@
 
 
 class LogFields(msgspec.Struct):
-    """The fields that are read of any event."""
+    """Fields of log lines that the report needs; an event has only some of them."""
 
     route: str = ""
     status: int = 0
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One event of a log; `at` in seconds since the epoch."""
+    """One logged event; `at` is in seconds since the epoch."""
 
     at: float
     event: str
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class TimeSlice:
-    """What happened in one step of time."""
+    """Requests and servers of one time step."""
 
     served: int = 0
     lost: Counter[Cause] = field(default_factory=Counter)
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class LossReport:
-    """All slices of a day, and what each route lost."""
+    """Counts per time step and per route."""
 
     step_s: float
     started_at: float = 0.0
@@ -75,14 +75,14 @@
     routes: defaultdict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
 
     def slice_at(self, at: float) -> TimeSlice:
-        """Return the slice of a moment."""
+        """Return the slice that contains a time."""
         return self.slices[int((at - self.started_at) // self.step_s)]
 
     def record(self, line: LogLine) -> None:
-        """Count an event."""
-        here = self.slice_at(line.at)
+        """Count an event in its time step and route."""
+        current = self.slice_at(line.at)
         if line.event == "servers_changed" and line.fields.there is not None:
-            here.servers_listed = line.fields.there
+            current.servers_listed = line.fields.there
         if line.event == "served":
             self._record_served(line)
             return
@@ -92,27 +92,27 @@
             "stream_broken": Cause.CUT,
         }.get(line.event)
         if cause is not None:
-            here.lost[cause] += 1
+            current.lost[cause] += 1
             self.routes["(own answers)"][cause] += 1
 
     def _record_served(self, line: LogLine) -> None:
         fields = line.fields
         started_at = line.at - fields.ms / 1000
-        here = self.slice_at(max(self.started_at, started_at))
+        first = self.slice_at(max(self.started_at, started_at))
         moment = max(self.started_at, started_at)
         while moment <= line.at:
             self.slice_at(moment).servers_in_use.add(fields.server)
             moment += self.step_s
         cause = loss_cause(fields)
         if cause is None:
-            here.served += 1
+            first.served += 1
         else:
-            here.lost[cause] += 1
+            first.lost[cause] += 1
         self.routes[fields.route][cause or "in time"] += 1
 
 
 def loss_cause(fields: LogFields) -> Cause | None:
-    """Return why an answer that a server gave was not in time, or None."""
+    """Return why a server's answer failed or was not in time, None if it was."""
     if fields.status >= 500:
         return Cause.FAILED
     if fields.target_ms and fields.first_ms > fields.target_ms:
@@ -123,74 +123,72 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the events of a log; other lines are passed over."""
+    """Yield the events of a log; other lines are skipped."""
     for line in lines:
-        found = LINE_PATTERN.search(line)
-        if found is None:
+        match = LINE_PATTERN.search(line)
+        if match is None:
             continue
         try:
-            fields = msgspec.json.decode(found[4], type=LogFields)
+            fields = msgspec.json.decode(match[4], type=LogFields)
         except (msgspec.DecodeError, msgspec.ValidationError):
             continue
-        yield LogLine(float(found[1]), found[3], fields)
+        yield LogLine(float(match[1]), match[3], fields)
 
 
 def summarize_losses(lines: Iterable[LogLine], step_s: float) -> LossReport:
-    """Count all events, in the order of their times."""
+    """Return the report of all events, which are counted in the order of their times."""
     ordered = sorted(lines, key=lambda line: line.at)
-    account = LossReport(step_s, ordered[0].at if ordered else 0.0)
+    report = LossReport(step_s, ordered[0].at if ordered else 0.0)
     for line in ordered:
-        account.record(line)
-    return account
+        report.record(line)
+    return report
 
 
-def tables(account: LossReport) -> str:
-    """Return the tables as text."""
+def tables(report: LossReport) -> str:
+    """Return the tables by route and by time as text."""
     names = [cause.value for cause in Cause]
     rows = [" | ".join(["route", "in time", *names])]
-    for route, ends in sorted(account.routes.items()):
+    for route, ends in sorted(report.routes.items()):
         rows.append(" | ".join([route, *(str(ends[each]) for each in ("in time", *Cause))]))
     rows += ["", " | ".join(["second", "in time", *names, "servers in use", "listed"])]
-    servers_listed = 0
-    for number in sorted(account.slices):
-        here = account.slices[number]
-        servers_listed = here.servers_listed if here.servers_listed is not None else servers_listed
+    listed = 0
+    for number in sorted(report.slices):
+        current = report.slices[number]
+        listed = current.servers_listed if current.servers_listed is not None else listed
         counts = [
-            here.served,
-            *(here.lost[cause] for cause in Cause),
-            len(here.servers_in_use),
-            servers_listed,
+            current.served,
+            *(current.lost[cause] for cause in Cause),
+            len(current.servers_in_use),
+            listed,
         ]
-        rows.append(" | ".join([f"{number * account.step_s:g}", *map(str, counts)]))
+        rows.append(" | ".join([f"{number * report.step_s:g}", *map(str, counts)]))
     return "\n".join(rows)
 
 
-def plot(account: LossReport, file: Path) -> None:
-    """Draw what was lost by cause over time, and servers listed and in use."""
+def plot(report: LossReport, file: Path) -> None:
+    """Plot losses by cause over time, and servers listed and in use."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    numbers = sorted(account.slices)
-    times = [number * account.step_s for number in numbers]
+    numbers = sorted(report.slices)
+    times = [number * report.step_s for number in numbers]
     figure, (lost, servers) = pyplot.subplots(2, 1, sharex=True, figsize=(10, 6))
     lost.stackplot(
         times,
-        *([account.slices[each].lost[cause] for each in numbers] for cause in Cause),
+        *([report.slices[each].lost[cause] for each in numbers] for cause in Cause),
         labels=[cause.value for cause in Cause],
     )
-    lost.set_ylabel(f"requests in {account.step_s:g} s")
+    lost.set_ylabel(f"requests in {report.step_s:g} s")
     lost.legend(fontsize=7)
-    servers_listed: list[int] = []
+    listed: list[int] = []
     for number in numbers:
-        told = account.slices[number].servers_listed
-        servers_listed.append(
-            told if told is not None else (servers_listed[-1] if servers_listed else 0)
-        )
-    servers_in_use = [len(account.slices[number].servers_in_use) for number in numbers]
-    servers.step(times, servers_listed, where="post", label="listed")
-    servers.step(times, servers_in_use, where="post", label="in use")
+        known = report.slices[number].servers_listed
+        listed.append(known if known is not None else (listed[-1] if listed else 0))
+    in_use = [len(report.slices[number].servers_in_use) for number in numbers]
+    servers.step(times, listed, where="post", label="listed")
+    servers.step(times, in_use, where="post", label="in use")
     servers.set_ylabel("servers")
     servers.set_xlabel("seconds")
     servers.legend(fontsize=7)
@@ -205,13 +203,13 @@
     parser.add_argument("--step", type=float, default=DEFAULT_STEP_S)
     options = parser.parse_args()
     with options.log.open(encoding="utf-8", errors="replace") as lines:
-        account = summarize_losses(read_lines(lines), options.step)
-    if not account.slices:
-        print("no events of moledale in this file", file=sys.stderr)
+        report = summarize_losses(read_lines(lines), options.step)
+    if not report.slices:
+        print("no moledale events in this file", file=sys.stderr)
         return 1
-    print(tables(account))
+    print(tables(report))
     if options.plot is not None:
-        plot(account, options.plot)
+        plot(report, options.plot)
     return 0
 
 
