--- a/tools/without.py
+++ b/tools/without.py
@@ -1,7 +1,7 @@
-"""Takes one mechanism away at a time and shows which tests then fail: `make without`.
+"""Removes one mechanism at a time and shows which tests then fail: `make without`.
 
-A proof that never failed proves nothing. Each entry patches the product in memory, runs the
-tests that should notice, and tells what failed. An entry that no test notices is reported as
+A test that never fails proves nothing. Each entry patches the product in memory, runs the tests
+that should detect it, and prints those that failed. An entry that no test detects is reported as
 NOT NOTICED and makes the exit code 1.
 """
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """A mechanism, how to take it away, and the tests that must notice."""
+    """A mechanism, the patch that removes it, and the tests that must then fail."""
 
     group: str
     mechanism: str
@@ -46,7 +46,7 @@
 def _add_unchecked(
     self: streams.StreamRecord, attempt: str, index: int, token: str, now: float
 ) -> bool:
-    """Add whatever comes, from whichever attempt."""
+    """Append any token, whatever its attempt and index."""
     self.tokens.append(token)
     self._record_token_time(now)
     self._wake_readers()
@@ -54,7 +54,7 @@
 
 
 async def _hold_nothing(self: dispatcher.Dispatcher, record: streams.StreamRecord) -> None:
-    """Let a stream go on while it is sent to a peer."""
+    """Let a stream continue while it is handed over to a peer."""
     self._suspended.add(record.request.id)
 
 
@@ -63,14 +63,14 @@
 
 
 async def _claim_nothing(self: once.OnceRunner, call: once.OnceCall) -> Any:
-    """Dispatch a caller's key without a claim."""
+    """Dispatch a call with an idempotency key without claiming the key."""
     return await self._dispatch_once(call, self._track(call))
 
 
 async def _accept_before_durable(
     self: jobs.Jobs, request: streams.GenerationRequest, job_id: str, keyed: bool = False
 ) -> Any:
-    """Accept a job before it is durable."""
+    """Accept a job before it is stored durably."""
     from result import Ok
 
     return Ok(job_id)
@@ -81,7 +81,7 @@
 
 
 async def _adopt_head_unchecked(self: bundle_watch.BundleWatch) -> None:
-    """Adopt whatever the head says, without a floor."""
+    """Adopt the bundle of any head, without a minimum version."""
     from moledale.bundle import store
 
     outcome = await store.read_head(self._platform)
@@ -96,7 +96,7 @@
 
 
 async def _stop_without_drain(self: node.Node) -> None:
-    """Stop without waiting for anything."""
+    """Cancel all streams instead of draining or handing them over."""
     self.to_drain()  # type: ignore[attr-defined]
     for record in self.streams.live():
         self.dispatcher.cancel(record.request.id)
@@ -219,23 +219,23 @@
 
 
 def run_entry(index: int) -> tuple[int, list[str]]:
-    """Run one entry and return the tests that failed."""
+    """Run one entry; return its index and the names of the tests that failed."""
     logbook.NullHandler().push_application()
-    # What a test leaves behind when it fails is no news here.
+    # Errors logged by tasks that a failing test leaves behind are irrelevant here.
     logging.disable(logging.CRITICAL)
     entry = REMOVALS[index]
-    # Tests are loaded first: one that imports a constant by name must not get the patched one.
+    # Load the tests before patching, or those that import a constant by name get the patched one.
     suite = unittest.defaultTestLoader.loadTestsFromNames(entry.tests.split())
     with entry.patch():
         outcome = unittest.TextTestRunner(stream=io.StringIO()).run(suite)
-    bad = [*outcome.failures, *outcome.errors]
-    return index, sorted({test.id().split(".", 2)[-1] for test, _ in bad})
+    unsuccessful = [*outcome.failures, *outcome.errors]
+    return index, sorted({test.id().split(".", 2)[-1] for test, _ in unsuccessful})
 
 
 def main() -> int:
-    """Run the table, or the entries that were asked for."""
+    """Run all entries, or those that the options select."""
     parser = argparse.ArgumentParser(prog="python -m tools.without", description=__doc__)
-    parser.add_argument("--gateway", action="store_true", help="the gateway's mechanisms only")
+    parser.add_argument("--gateway", action="store_true", help="only the mechanisms of the gateway")
     parser.add_argument("--named", metavar="TEXT", default="", help="mechanisms with TEXT in them")
     parser.add_argument("--processes", type=int, default=PROCESSES)
     options = parser.parse_args()
