--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's mechanisms, each with a way to take it away and the tests that must notice."""
+"""The gateway's mechanisms, each with a patch that removes it and the tests that must then fail."""
 
 import asyncio
 from collections.abc import Callable
@@ -99,33 +99,33 @@
 
 
 async def _grant_always(*_: object) -> bool:
-    """Send to a server whatever limit it names."""
+    """Grant every request a permit, whatever limit the server states."""
     return True
 
 
 async def _skip_permit_wait(*_: object) -> None:
-    """Wait for no turn."""
+    """Send without waiting for a permit."""
 
 
 def _always_reusable(self: UpstreamConnection, now: float) -> bool:
-    """Use a connection again whatever it brought."""
+    """Mark a connection as reusable, whatever was received on it."""
     self.usable = True
     return _finish_answer(self, now)
 
 
 async def _accept_any_list(_: FleetWatch) -> bool:
-    """Send by any list."""
+    """Treat a list of servers of any age as current."""
     return True
 
 
 def _ignore_surplus(self: UpstreamConnection, data: bytes) -> None:
-    """Take bytes that nobody asked for without closing."""
+    """Ignore unexpected bytes instead of closing the connection."""
     if self._request_sent and not self._complete:
         _data_received(self, data)
 
 
 def _drop_request_id(self: PlatformHeaders, head: AnswerHead) -> AnswerFacts:
-    """Read an answer as if it told no id."""
+    """Read an answer as if it had no request id."""
     return msgspec.structs.replace(_read_answer(self, head), request_id=None)
 
 
@@ -135,18 +135,18 @@
 
 
 def _pass_partial_events(self: EventSplitter, data: bytes) -> bytes:
-    """Pass torn events on."""
+    """Forward incomplete events."""
     self._record_events(data)
     return data
 
 
 def _finish_as_complete(self: Reply) -> None:
-    """End a cut answer as if it were whole."""
+    """End a truncated answer as if it were complete."""
     self.finish()
 
 
 def _ignore_disconnect(self: InboundConnection, exc: Exception | None) -> None:
-    """Work on for a caller that is gone."""
+    """Continue the work for a caller that has disconnected."""
     self._listener.connections.discard(self)
 
 
@@ -167,50 +167,50 @@
 
 
 def _restart_transfer(self: Transfer, piece: DocumentPiece) -> None:
-    """Take no piece that is not the first one."""
+    """Restart the transfer with each piece, so that only a first piece is kept."""
     self.base, self.frame, self.data = piece.base, piece.frame, bytearray()
     if piece.offset == 0:
         self.data += piece.data
 
 
 def _read_unguarded(_table: str, _key: str, read: Callable[[], object]) -> object:
-    """Let the error of a row that can't be read pass."""
+    """Raise the error of an unreadable row instead of logging it."""
     return read()
 
 
 def _read_row_unguarded(_table: str, row: StateRow, kind: type) -> object:
-    """Let the error of a row that can't be read pass."""
+    """Raise the error of an unreadable row instead of logging it."""
     return msgspec.json.decode(row.value, type=kind)
 
 
 async def _keep_window_counts(*_: object) -> None:
-    """Leave counts in the store that were kept in another era."""
+    """Keep the counts that were stored for a window in another era."""
 
 
 def _adopt_era_silently(self: StoreEra, era: int, _age_s: float = 0.0) -> None:
-    """Follow the era, and tell nobody of it."""
+    """Adopt the era without calling `on_restored`."""
     self.number = max(self.number, era)
 
 
 def _accept_relayed_renewal(
     self: LeaseKeeper, holder: str, news: LeaseNews, now: float, relayed: bool = False
 ) -> None:
-    """Take what was passed on for the holder's own word."""
+    """Treat a relayed renewal as one that came from the holder itself."""
     _on_renewal(self, holder, news, now)
 
 
 async def _skip_peer_wait(_: ColdStart, _known: object, _coming: object) -> None:
-    """Wait for nobody's word."""
+    """Start without waiting for the answers of peers."""
 
 
-def _count_from_start(self: WorkMeter, life: int, work: dict[str, int]) -> None:
-    """Count a life from its beginning, whenever it is first heard."""
-    self._counted.setdefault(life, {})
-    _record_work(self, life, work)
+def _count_from_start(self: WorkMeter, incarnation: int, work: dict[str, int]) -> None:
+    """Count the whole work of an incarnation, also what it did before it was first observed."""
+    self._counted.setdefault(incarnation, {})
+    _record_work(self, incarnation, work)
 
 
 async def _always_crashed(*_: object) -> bool:
-    """Take each server for ended whose answer broke off."""
+    """Treat each server whose answer broke off as crashed."""
     return True
 
 
@@ -220,22 +220,29 @@
 
 
 def _count_each_failure(self: RequestGuard, broken: BrokenRequests, ended: bool) -> None:
-    """Hold each answer that broke off against the version."""
+    """Count each answer that broke off as a failure of the version."""
     for placement in broken.placements:
         self._record_failure(placement)
 
 
 MECHANISMS: list[tuple[str, Any, str, Any, str]] = [
-    ("surplus bytes end a connection", UpstreamConnection, "data_received", _ignore_surplus, FORWARDING),
-    ("spoiled connections are not kept", UpstreamConnection, "finish", _always_reusable, FORWARDING),
-    ("the id of an answer is compared", PlatformHeaders, "read_answer", _drop_request_id, FORWARDING),
-    ("only whole events pass", EventSplitter, "feed", _pass_partial_events, f"{FORWARDING} {STATE}"),
+    ("surplus bytes end a connection", UpstreamConnection, "data_received", _ignore_surplus,
+     FORWARDING),
+    ("spoiled connections are not kept", UpstreamConnection, "finish", _always_reusable,
+     FORWARDING),
+    ("the id of an answer is compared", PlatformHeaders, "read_answer", _drop_request_id,
+     FORWARDING),
+    ("only whole events pass", EventSplitter, "feed", _pass_partial_events,
+     f"{FORWARDING} {STATE}"),
     ("a cut answer ends visibly", Reply, "abort", _finish_as_complete, FORWARDING),
-    ("a caller that leaves is heeded", InboundConnection, "connection_lost", _ignore_disconnect, FORWARDING),
+    ("a caller that leaves is heeded", InboundConnection, "connection_lost", _ignore_disconnect,
+     FORWARDING),
     ("what may have run is not repeated", Forwarder, "_may_retry", lambda *_: True, FORWARDING),
     ("repeats draw on a budget", RetryBudget, "allows", lambda *_: True, f"{FORWARDING} {LIMITS}"),
-    ("leaving servers get no work", ServerGroup, "candidates", _all_candidates, f"{FORWARDING} {STATE}"),
-    ("older plans are not adopted", Admission, "adopt", _adopt_any_plan, f"{FORWARDING}.AdmissionTest"),
+    ("leaving servers get no work", ServerGroup, "candidates", _all_candidates,
+     f"{FORWARDING} {STATE}"),
+    ("older plans are not adopted", Admission, "adopt", _adopt_any_plan,
+     f"{FORWARDING}.AdmissionTest"),
     ("others' spending counts", AccountLimits, "record_peer_spending", lambda *_: None, LIMITS),
     ("streams move off leaving servers", Evacuation, "servers_changed", lambda *_: None,
      "tests.test_gateway_evacuation"),
@@ -261,7 +268,8 @@
     ("counts of former lives are kept", Membership, "all_states",
      lambda self: [each.state for each in self.members.values()], f"{STATE} {MEMBERSHIP}"),
     ("a candidate waits for the time to live", lease_keeper, "TTL_FACTOR", 0.0, LEASE),
-    ("what was passed on is not passed on again", LeaseKeeper, "on_renewal", _accept_relayed_renewal, LEASE),
+    ("what was passed on is not passed on again", LeaseKeeper, "on_renewal",
+     _accept_relayed_renewal, LEASE),
     ("others hear of placements at once", LoadBalancer, "drain_placements", lambda _: [],
      "tests.test_gateway_placements"),
     ("servers that lapsed are kept", fleet_watch, "LAPSED_ENTRY_GRACE_S", 0.0, STATE),
@@ -278,14 +286,17 @@
      lambda *_: False, VERSIONS),
     ("a request is known when it comes again", RequestGuard, "wait_s", lambda *_: 0.0, BLOCKS),
     ("only servers that ended count", CrashDetector, "_has_crashed", _always_crashed, BLOCKS),
-    ("ends at the same moment are shared out", Quarantine, "_strike_share", lambda *_: 1.0, QUARANTINE_CORE),
-    ("an answer clears its request", Quarantine, "record_served", lambda *_: False, QUARANTINE_CORE),
+    ("ends at the same moment are shared out", Quarantine, "_strike_share", lambda *_: 1.0,
+     QUARANTINE_CORE),
+    ("an answer clears its request", Quarantine, "record_served", lambda *_: False,
+     QUARANTINE_CORE),
     ("ends are told between nodes", QuarantineSharing, "_send_crash", lambda *_: None, BLOCKS),
     ("ends are told once more", quarantine_sharing, "RESEND_DELAY_S", 1e6, BLOCKS),
     ("a node that lacks blocks is told", QuarantineSharing, "on_peer_digest", lambda *_: None,
      BLOCKS),
     ("blocks are kept in the store", QuarantineStore, "_write", _write_nothing, BLOCKS),
-    ("an end is one failure of a version", RequestGuard, "_on_probe_result", _count_each_failure, BLOCKS),
+    ("an end is one failure of a version", RequestGuard, "_on_probe_result", _count_each_failure,
+     BLOCKS),
     ("a server that starts again is another", entries, "INCARNATION_SEPARATOR", "",
      "tests.test_platform_store tests.test_restarted_servers"),
     ("bad entries hide no other", EntryReader, "read", lambda _, row: entries.read_server(row),
@@ -304,7 +315,8 @@
      NOTICES),
     ("callers come back when any server is free", Refusals, "wait_s", lambda *_: None, NOTICES),
     ("servers that turn away are made up for", ServerGroup, "unavailable", lambda *_: 0, NOTICES),
-    ("requests to a limited server need a permit", PermitClient, "take", _grant_always, SERVER_LIMITS),
+    ("requests to a limited server need a permit", PermitClient, "take", _grant_always,
+     SERVER_LIMITS),
     ("one node grants for a server", GrantorSelector, "address", lambda *_: None, PERMITS),
     ("halves of a cut grant a part", Membership, "reachable_share", lambda *_: 1.0, PERMITS),
     ("others hear which limits servers name", ServerNotices, "merge_peer_limits", lambda *_: None,
