--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class Badness:
+class VersionDefect:
     """How a version is bad: part of its answers fail, or come this many times as slow; on one route
     only, and from some time after the order on."""
 
@@ -76,9 +76,9 @@
 class RolloutWorld:
     """A cluster in which the operator orders a new version."""
 
-    def __init__(self, badness: Badness | None = None, seed: int = 1) -> None:
+    def __init__(self, defect: VersionDefect | None = None, seed: int = 1) -> None:
         self.cluster = Cluster(BOUNDS)
-        self.badness = badness or Badness()
+        self.defect = defect or VersionDefect()
         self.seen = Seen()
         self.servers: dict[str, tuple[ScriptedServer, str]] = {}
         self.ordered_at = 0.0
@@ -197,7 +197,7 @@
             return 200, took_s
         self.seen.new_arrivals += 1
         self.seen.last_new_at = monotonic()
-        bad = self.badness
+        bad = self.defect
         active = monotonic() - self.ordered_at >= bad.after_s
         if not active or (bad.route and not path.startswith(f"/{bad.route}/")):
             return 200, took_s
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -35,7 +35,7 @@
 from moledale.gateway.store_era import StoreEra
 from standins.rows import StoreMode
 from tests.gateway_world import quietly
-from tests.rollout_world import NEW, OLD, SERVICE, Badness, RolloutWorld
+from tests.rollout_world import NEW, OLD, SERVICE, RolloutWorld, VersionDefect
 
 EXPOSURE_SHARE = 0.1
 EXPOSURE_FREE = 50
@@ -475,10 +475,10 @@
 
 
 def on_world(
-    work: Callable[[RolloutWorld], Awaitable[None]], badness: Badness | None = None
+    work: Callable[[RolloutWorld], Awaitable[None]], defect: VersionDefect | None = None
 ) -> RolloutWorld:
     """Run a test on whole nodes."""
-    world = RolloutWorld(badness)
+    world = RolloutWorld(defect)
 
     async def run() -> None:
         async with world:
@@ -506,7 +506,7 @@
         self.assertLessEqual(world.seen.new_arrivals, most)
         self.assertLess(world.seen.bad_answers, EXPOSURE_FREE)
 
-    def rolled_back(self, badness: Badness) -> RolloutWorld:
+    def rolled_back(self, defect: VersionDefect) -> RolloutWorld:
         """Order a bad version and return the world after the order's time."""
 
         async def work(world: RolloutWorld) -> None:
@@ -520,7 +520,7 @@
             await traffic
             self.assertLess(world.seen.last_new_at, stopped_at + 0.3)
 
-        world = on_world(work, badness)
+        world = on_world(work, defect)
         self.assert_bounded(world)
         return world
 
@@ -540,17 +540,17 @@
         self.assertEqual(world.seen.served, world.seen.requests, world.seen.answers)
 
     def test_version_whose_answers_fail_is_rolled_back(self) -> None:
-        self.rolled_back(Badness(failing=0.5))
+        self.rolled_back(VersionDefect(failing=0.5))
 
     def test_version_that_is_slow_is_rolled_back(self) -> None:
-        world = self.rolled_back(Badness(slower_x=5.0))
+        world = self.rolled_back(VersionDefect(slower_x=5.0))
         self.assertEqual(world.seen.served, world.seen.requests)
 
     def test_version_that_is_bad_on_one_route_is_rolled_back(self) -> None:
-        self.rolled_back(Badness(failing=0.7, route="order"))
+        self.rolled_back(VersionDefect(failing=0.7, route="order"))
 
     def test_version_that_turns_bad_later_is_rolled_back(self) -> None:
-        self.rolled_back(Badness(failing=0.7, after_s=1.5))
+        self.rolled_back(VersionDefect(failing=0.7, after_s=1.5))
 
     def test_holder_that_ends_loses_neither_order_nor_evidence(self) -> None:
         async def work(world: RolloutWorld) -> None:
@@ -588,7 +588,7 @@
             await world.until(lambda: world.status.get("state") == "rolled_back", 6.0)
             await traffic
 
-        self.assert_bounded(on_world(work, Badness(failing=0.6)))
+        self.assert_bounded(on_world(work, VersionDefect(failing=0.6)))
 
     def test_lost_answers_of_the_store_write_no_other_verdict(self) -> None:
         async def work(world: RolloutWorld) -> None:
@@ -603,7 +603,7 @@
             await world.until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
-        self.assert_bounded(on_world(work, Badness(failing=0.6)))
+        self.assert_bounded(on_world(work, VersionDefect(failing=0.6)))
 
     def test_second_order_takes_the_place_of_the_first(self) -> None:
         async def work(world: RolloutWorld) -> None:
@@ -634,7 +634,7 @@
             await world.until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
-        self.assert_bounded(on_world(work, Badness(failing=0.7)))
+        self.assert_bounded(on_world(work, VersionDefect(failing=0.7)))
 
     def test_node_that_starts_after_the_end_knows_the_verdict(self) -> None:
         async def work(world: RolloutWorld) -> None:
@@ -648,7 +648,7 @@
             await world.until(lambda: SERVICE in node.rollouts.services, 1.0)
             self.assertIs(node.rollouts.services[SERVICE].phase, Phase.ROLLED_BACK)
 
-        on_world(work, Badness(failing=0.8))
+        on_world(work, VersionDefect(failing=0.8))
 
 
 class DutyTest(unittest.TestCase):
