--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -130,15 +130,15 @@
         self.assertLess(sorted(needed)[len(needed) // 2], 20)
 
     def test_only_failures_count_once_the_old_servers_have_less_to_do(self) -> None:
-        slow, failing = Trial(1), Trial(2)
-        for trial in (slow, failing):
+        slow, failing_trial = Trial(1), Trial(2)
+        for trial in (slow, failing_trial):
             trial.rounds(10, 0.02)
         for _ in range(60):
             slow.note(Arm.OLD, 1, 0.02)
             slow.note(Arm.NEW, 10, 0.02, slower_x=5.0)
             self.assertFalse(slow.judge.observe(slow.evidence, with_times=False))
-        failing.note(Arm.NEW, 30, 0.5)
-        self.assertTrue(failing.judge.observe(failing.evidence, with_times=False))
+        failing_trial.note(Arm.NEW, 30, 0.5)
+        self.assertTrue(failing_trial.judge.observe(failing_trial.evidence, with_times=False))
 
     def test_one_lost_answer_says_nothing_where_the_old_servers_lost_none(self) -> None:
         evidence, judge = Evidence(), Judge()
