--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -18,12 +18,12 @@
 SERVICE = "plain"
 OLD, NEW = "v1", "v2"
 TARGET_MS = 200
-ANSWER_S = 0.01
+MEDIAN_ANSWER_S = 0.01
 ROUTES = ("check", "order")
 BOUNDS = Bounds(stop_s=3.0, lease_s=0.6, usage_window_s=1.0)
 
 
-def config(version: int = 1) -> object:
+def make_config(version: int = 1) -> object:
     """Return a configuration with two routes to one service."""
     kinds = {"check": "safe", "order": "unsafe"}
     routes = [
@@ -53,24 +53,24 @@
     """How a version is bad: part of its answers fail, or come this many times as slow; on one route
     only, and from some time after the order on."""
 
-    failing: float = 0.0
-    slower_x: float = 1.0
+    failure_rate: float = 0.0
+    slow_factor: float = 1.0
     route: str = ""
-    after_s: float = 0.0
+    starts_after_s: float = 0.0
 
 
 @dataclass
-class Seen:
+class Counts:
     """What servers and callers saw."""
 
     requests: int = 0
     served: int = 0
-    new_arrivals: int = 0
+    new_version_requests: int = 0
     bad_answers: int = 0
-    last_new_at: float = 0.0
-    answers: dict[int, int] = field(default_factory=dict)
+    last_new_version_request_at: float = 0.0
+    answers_by_status: dict[int, int] = field(default_factory=dict)
     running: dict[str, int] = field(default_factory=dict)
-    running_at_end: int = 0
+    running_at_stop: int = 0
 
 
 class RolloutWorld:
@@ -79,21 +79,21 @@
     def __init__(self, defect: VersionDefect | None = None, seed: int = 1) -> None:
         self.cluster = Cluster(BOUNDS)
         self.defect = defect or VersionDefect()
-        self.seen = Seen()
+        self.counts = Counts()
         self.servers: dict[str, tuple[ScriptedServer, str]] = {}
         self.ordered_at = 0.0
         self.ended_at = 0.0
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def __aenter__(self) -> "RolloutWorld":
         await self.cluster.__aenter__()
         self.platform = self.cluster.platform
         self.platform.drop("servers", "s1")
-        self.platform.put("op", "config", config())
+        self.platform.put("op", "config", make_config())
         for number in range(4):
             await self.add_server(f"old{number}", OLD)
-        self._follow(self._carry_out())
+        self._spawn(self._apply_status())
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -103,7 +103,7 @@
         for server, _version in self.servers.values():
             server.stop()
 
-    def _follow(self, work: object) -> None:
+    def _spawn(self, work: object) -> None:
         self._tasks.add(asyncio.create_task(work))  # type: ignore[arg-type]
 
     async def start(self, *names: str) -> list[GatewayNode]:
@@ -125,14 +125,14 @@
         async def script(
             arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await self._serve(name, version, arrival, writer)
+            await self._answer_request(name, version, arrival, writer)
 
         server = ScriptedServer(name, script)
         await server.start()
         self.servers[name] = (server, version)
-        self._list(name)
+        self._write_server_row(name)
 
-    def _list(self, name: str, state: str = "ready") -> None:
+    def _write_server_row(self, name: str, state: str = "ready") -> None:
         server, version = self.servers[name]
         entry = {
             "service": SERVICE,
@@ -145,7 +145,7 @@
         }
         self.platform.put("servers", name, entry)
 
-    async def order(self, duration_s: float, target: str = NEW, servers: int = 4) -> None:
+    async def order_rollout(self, duration_s: float, target: str = NEW, servers: int = 4) -> None:
         """Order a roll-out; its servers start beside the old ones."""
         order = {"service": SERVICE, "targetVersion": target, "durationS": duration_s}
         self.platform.put("op", f"rollout/{SERVICE}", order)
@@ -159,7 +159,7 @@
         body = self.platform.body("status", f"rollout/{SERVICE}")
         return body if isinstance(body, dict) else {}
 
-    async def _carry_out(self) -> None:
+    async def _apply_status(self) -> None:
         """End or empty servers as a status says."""
         done = ("", "")
         while True:
@@ -170,65 +170,65 @@
                 continue
             done = name
             self.ended_at = monotonic()
-            self._end_servers(name[0], name[1])
+            self._apply_outcome(name[0], name[1])
 
-    def _end_servers(self, state: str, target: str) -> None:
+    def _apply_outcome(self, state: str, target: str) -> None:
         for name, (server, version) in self.servers.items():
             if state == "completed" and version != target:
-                self.seen.running_at_end += self.seen.running.get(name, 0)
+                self.counts.running_at_stop += self.counts.running.get(name, 0)
                 server.stop()
                 self.platform.drop("servers", name)
             elif state == "rolled_back" and version == target:
-                self._list(name, "draining")
+                self._write_server_row(name, "draining")
 
-    async def _serve(
+    async def _answer_request(
         self, name: str, version: str, arrival: Arrival, writer: asyncio.StreamWriter
     ) -> None:
-        self.seen.running[name] = self.seen.running.get(name, 0) + 1
-        status, took_s = self._outcome(version, arrival.line.split(" ")[1])
+        self.counts.running[name] = self.counts.running.get(name, 0) + 1
+        status, took_s = self._draw_answer(version, arrival.line.split(" ")[1])
         await asyncio.sleep(took_s)
-        self.seen.running[name] -= 1
+        self.counts.running[name] -= 1
         writer.write(answer(arrival, status=status))
 
-    def _outcome(self, version: str, path: str) -> tuple[int, float]:
+    def _draw_answer(self, version: str, path: str) -> tuple[int, float]:
         """Return status and time of an answer."""
-        took_s = ANSWER_S * self._random.lognormvariate(0.0, 0.3)
+        took_s = MEDIAN_ANSWER_S * self._rng.lognormvariate(0.0, 0.3)
         if version == OLD:
             return 200, took_s
-        self.seen.new_arrivals += 1
-        self.seen.last_new_at = monotonic()
+        self.counts.new_version_requests += 1
+        self.counts.last_new_version_request_at = monotonic()
         bad = self.defect
-        active = monotonic() - self.ordered_at >= bad.after_s
+        active = monotonic() - self.ordered_at >= bad.starts_after_s
         if not active or (bad.route and not path.startswith(f"/{bad.route}/")):
             return 200, took_s
-        failed = self._random.random() < bad.failing
-        if failed or bad.slower_x > 1.0:
-            self.seen.bad_answers += 1
-        return (500 if failed else 200), took_s * bad.slower_x
+        failed = self._rng.random() < bad.failure_rate
+        if failed or bad.slow_factor > 1.0:
+            self.counts.bad_answers += 1
+        return (500 if failed else 200), took_s * bad.slow_factor
 
     # Callers
 
-    async def traffic(self, for_s: float, per_s: float) -> None:
+    async def send_requests(self, for_s: float, per_s: float) -> None:
         """Send requests to all nodes by turns."""
         ends = monotonic() + for_s
         number = 0
         pending: set[asyncio.Task[None]] = set()
         while monotonic() < ends:
             number += 1
-            task = asyncio.create_task(self._ask(number))
+            task = asyncio.create_task(self._send_request(number))
             pending.add(task)
             task.add_done_callback(pending.discard)
             await asyncio.sleep(1.0 / per_s)
         if pending:
             await asyncio.wait(pending, timeout=3.0)
 
-    async def _ask(self, number: int) -> None:
+    async def _send_request(self, number: int) -> None:
         names = list(self.cluster._tasks)
         if not names:
             return
         node = self.cluster.nodes[names[number % len(names)]]
         route = ROUTES[number % 3 == 0]
-        self.seen.requests += 1
+        self.counts.requests += 1
         head = {"Authorization": f"Bearer {KEY}", "Request-Id": f"r{number}"}
         data = request_bytes(f"/{route}/", headers=head)
         host, port = node.settings.node.callers.split(":")
@@ -239,13 +239,17 @@
             writer.close()
         except (OSError, asyncio.IncompleteReadError):
             return
-        self.seen.answers[got.status] = self.seen.answers.get(got.status, 0) + 1
-        self.seen.served += got.status == 200
+        self.counts.answers_by_status[got.status] = (
+            self.counts.answers_by_status.get(got.status, 0) + 1
+        )
+        self.counts.served += got.status == 200
 
-    async def until(self, condition: Callable[[], bool], within_s: float) -> None:
+    async def wait_until(self, condition: Callable[[], bool], within_s: float) -> None:
         """Wait until something holds."""
         ends = monotonic() + within_s
         while not condition():
             if monotonic() > ends:
-                raise AssertionError(f"it never came true; status {self.status}, seen {self.seen}")
+                raise AssertionError(
+                    f"it never came true; status {self.status}, seen {self.counts}"
+                )
             await asyncio.sleep(0.02)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -54,40 +54,42 @@
         self.evidence = Evidence()
         self.judge = Judge()
 
-    def answers(self, arm: Arm, number: int, failing: float, slower_x: float = 1.0) -> bool:
+    def answers(self, arm: Arm, number: int, failure_rate: float, slow_factor: float = 1.0) -> bool:
         """Note answers; say whether the new version is found bad."""
-        self.note(arm, number, failing, slower_x)
+        self.note(arm, number, failure_rate, slow_factor)
         return self.judge.observe(self.evidence)
 
-    def note(self, arm: Arm, number: int, failing: float, slower_x: float = 1.0) -> None:
+    def note(self, arm: Arm, number: int, failure_rate: float, slow_factor: float = 1.0) -> None:
         """Note answers that are judged with those that come next."""
         for _ in range(number):
-            failed = self.random.random() < failing
-            took_s = 0.06 * slower_x * self.random.lognormvariate(0.0, self.spread)
+            failed = self.random.random() < failure_rate
+            took_s = 0.06 * slow_factor * self.random.lognormvariate(0.0, self.spread)
             self.evidence.observe(arm, "r", failed, took_s)
 
     def rounds(
-        self, number: int, failing: float, slower_x: float = 1.0, usual: float = 0.02
+        self, number: int, failure_rate: float, slow_factor: float = 1.0, usual: float = 0.02
     ) -> int:
         """Play rounds of ten old answers and one new one; return the round that found it bad."""
         for each in range(1, number + 1):
             self.answers(Arm.OLD, 10, usual)
-            if self.answers(Arm.NEW, 1, failing, slower_x):
+            if self.answers(Arm.NEW, 1, failure_rate, slow_factor):
                 return each
         return 0
 
 
 class JudgeTest(unittest.TestCase):
     def found(
-        self, rounds: int, failing: float, slower_x: float = 1.0, usual: float = 0.02
+        self, rounds: int, failure_rate: float, slow_factor: float = 1.0, usual: float = 0.02
     ) -> float:
         """Return the share of 200 seeds in which a version is found bad."""
-        plays = (Trial(seed).rounds(rounds, failing, slower_x, usual) for seed in range(200))
+        plays = (
+            Trial(seed).rounds(rounds, failure_rate, slow_factor, usual) for seed in range(200)
+        )
         return sum(1 for each in plays if each) / 200
 
     def test_bad_versions_are_found(self) -> None:
         self.assertGreater(self.found(30, 0.5), 0.97)
-        self.assertGreater(self.found(30, 0.02, slower_x=3.0), 0.97)
+        self.assertGreater(self.found(30, 0.02, slow_factor=3.0), 0.97)
         self.assertGreater(self.found(60, 0.3), 0.9)
 
     def test_good_versions_are_seldom_stopped(self) -> None:
@@ -103,8 +105,8 @@
             trial = Trial(seed)
             trial.rounds(10, 0.02)
             for _ in range(40):
-                trial.answers(Arm.OLD, 10, 0.02, slower_x=3.0)
-                trial.answers(Arm.NEW, 1, 0.02, slower_x=3.0)
+                trial.answers(Arm.OLD, 10, 0.02, slow_factor=3.0)
+                trial.answers(Arm.NEW, 1, 0.02, slow_factor=3.0)
             stopped += trial.judge.bad
         self.assertLess(stopped, 25)
 
@@ -114,9 +116,9 @@
             trial = Trial(seed)
             trial.rounds(10, 0.02)
             for number in range(40):
-                slower_x = 6.0 if number % 8 == 0 else 1.0
-                trial.note(Arm.OLD, 10, 0.02, slower_x)
-                trial.answers(Arm.NEW, 3, 0.02, slower_x)
+                slow_factor = 6.0 if number % 8 == 0 else 1.0
+                trial.note(Arm.OLD, 10, 0.02, slow_factor)
+                trial.answers(Arm.NEW, 3, 0.02, slow_factor)
             stopped += trial.judge.bad
         self.assertLess(stopped, 3)
 
@@ -135,7 +137,7 @@
             trial.rounds(10, 0.02)
         for _ in range(60):
             slow.note(Arm.OLD, 1, 0.02)
-            slow.note(Arm.NEW, 10, 0.02, slower_x=5.0)
+            slow.note(Arm.NEW, 10, 0.02, slow_factor=5.0)
             self.assertFalse(slow.judge.observe(slow.evidence, with_times=False))
         failing_trial.note(Arm.NEW, 30, 0.5)
         self.assertTrue(failing_trial.judge.observe(failing_trial.evidence, with_times=False))
@@ -502,23 +504,23 @@
 
     def assert_bounded(self, world: RolloutWorld) -> None:
         """Check that a bad version got no more than allowed."""
-        most = EXPOSURE_SHARE * world.seen.requests + EXPOSURE_FREE
-        self.assertLessEqual(world.seen.new_arrivals, most)
-        self.assertLess(world.seen.bad_answers, EXPOSURE_FREE)
+        most = EXPOSURE_SHARE * world.counts.requests + EXPOSURE_FREE
+        self.assertLessEqual(world.counts.new_version_requests, most)
+        self.assertLess(world.counts.bad_answers, EXPOSURE_FREE)
 
     def rolled_back(self, defect: VersionDefect) -> RolloutWorld:
         """Order a bad version and return the world after the order's time."""
 
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2", "n3")
-            traffic = asyncio.create_task(world.traffic(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
             await asyncio.sleep(0.3)
-            await world.order(DURATION_S)
-            await world.until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
+            await world.order_rollout(DURATION_S)
+            await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             self.assertEqual(world.status["targetVersion"], NEW)
             stopped_at = monotonic()
             await traffic
-            self.assertLess(world.seen.last_new_at, stopped_at + 0.3)
+            self.assertLess(world.counts.last_new_version_request_at, stopped_at + 0.3)
 
         world = on_world(work, defect)
         self.assert_bounded(world)
@@ -527,55 +529,57 @@
     def test_good_version_is_completed_in_time_and_nothing_is_lost(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2", "n3")
-            traffic = asyncio.create_task(world.traffic(DURATION_S + 1.0, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S + 1.0, RATE))
             await asyncio.sleep(0.3)
-            await world.order(DURATION_S)
-            await world.until(lambda: world.status.get("state") == "running", 1.5)
-            await world.until(lambda: world.status.get("state") == "completed", DURATION_S)
+            await world.order_rollout(DURATION_S)
+            await world.wait_until(lambda: world.status.get("state") == "running", 1.5)
+            await world.wait_until(lambda: world.status.get("state") == "completed", DURATION_S)
             await traffic
 
         world = on_world(work)
         self.assertLess(world.ended_at - world.ordered_at, DURATION_S)
-        self.assertEqual(world.seen.running_at_end, 0)
-        self.assertEqual(world.seen.served, world.seen.requests, world.seen.answers)
+        self.assertEqual(world.counts.running_at_stop, 0)
+        self.assertEqual(world.counts.served, world.counts.requests, world.counts.answers_by_status)
 
     def test_version_whose_answers_fail_is_rolled_back(self) -> None:
-        self.rolled_back(VersionDefect(failing=0.5))
+        self.rolled_back(VersionDefect(failure_rate=0.5))
 
     def test_version_that_is_slow_is_rolled_back(self) -> None:
-        world = self.rolled_back(VersionDefect(slower_x=5.0))
-        self.assertEqual(world.seen.served, world.seen.requests)
+        world = self.rolled_back(VersionDefect(slow_factor=5.0))
+        self.assertEqual(world.counts.served, world.counts.requests)
 
     def test_version_that_is_bad_on_one_route_is_rolled_back(self) -> None:
-        self.rolled_back(VersionDefect(failing=0.7, route="order"))
+        self.rolled_back(VersionDefect(failure_rate=0.7, route="order"))
 
     def test_version_that_turns_bad_later_is_rolled_back(self) -> None:
-        self.rolled_back(VersionDefect(failing=0.7, after_s=1.5))
+        self.rolled_back(VersionDefect(failure_rate=0.7, starts_after_s=1.5))
 
     def test_holder_that_ends_loses_neither_order_nor_evidence(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2", "n3")
-            traffic = asyncio.create_task(world.traffic(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
             await asyncio.sleep(0.3)
-            await world.order(DURATION_S)
-            await world.until(lambda: world.status.get("state") == "running", 1.5)
+            await world.order_rollout(DURATION_S)
+            await world.wait_until(lambda: world.status.get("state") == "running", 1.5)
             holder = next(name for name, node in world.cluster.nodes.items() if node.keeper.grant())
             world.cluster.kill(holder)
-            await world.until(lambda: world.status.get("state") == "completed", DURATION_S + 1.0)
+            await world.wait_until(
+                lambda: world.status.get("state") == "completed", DURATION_S + 1.0
+            )
             await traffic
 
         world = on_world(work)
-        self.assertEqual(world.seen.running_at_end, 0)
+        self.assertEqual(world.counts.running_at_stop, 0)
 
     def test_bad_version_gets_nothing_more_while_the_store_is_away(self) -> None:
         async def work(world: RolloutWorld) -> None:
             nodes = await world.start("n1", "n2", "n3")
-            traffic = asyncio.create_task(world.traffic(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
             await asyncio.sleep(0.3)
-            await world.order(DURATION_S)
-            await world.until(lambda: all(map(knows_both, nodes)), 2.0)
+            await world.order_rollout(DURATION_S)
+            await world.wait_until(lambda: all(map(knows_both, nodes)), 2.0)
             world.platform.mode = StoreMode.SILENT
-            await world.until(
+            await world.wait_until(
                 lambda: all(
                     node.rollouts.services[SERVICE].phase is Phase.ROLLED_BACK for node in nodes
                 ),
@@ -583,72 +587,72 @@
             )
             stopped_at = monotonic()
             await asyncio.sleep(0.5)
-            self.assertLess(world.seen.last_new_at, stopped_at + 0.3)
+            self.assertLess(world.counts.last_new_version_request_at, stopped_at + 0.3)
             world.platform.mode = StoreMode.HEALTHY
-            await world.until(lambda: world.status.get("state") == "rolled_back", 6.0)
+            await world.wait_until(lambda: world.status.get("state") == "rolled_back", 6.0)
             await traffic
 
-        self.assert_bounded(on_world(work, VersionDefect(failing=0.6)))
+        self.assert_bounded(on_world(work, VersionDefect(failure_rate=0.6)))
 
     def test_lost_answers_of_the_store_write_no_other_verdict(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2")
-            traffic = asyncio.create_task(world.traffic(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
             await asyncio.sleep(0.3)
-            await world.order(DURATION_S)
-            await world.until(lambda: world.status.get("state") == "running", 1.5)
+            await world.order_rollout(DURATION_S)
+            await world.wait_until(lambda: world.status.get("state") == "running", 1.5)
             world.platform.mode = StoreMode.LOSES_WRITE_ANSWERS
             await asyncio.sleep(1.5)
             world.platform.mode = StoreMode.HEALTHY
-            await world.until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
+            await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
-        self.assert_bounded(on_world(work, VersionDefect(failing=0.6)))
+        self.assert_bounded(on_world(work, VersionDefect(failure_rate=0.6)))
 
     def test_second_order_takes_the_place_of_the_first(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2")
-            traffic = asyncio.create_task(world.traffic(DURATION_S + 2.0, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S + 2.0, RATE))
             await asyncio.sleep(0.3)
-            await world.order(DURATION_S)
+            await world.order_rollout(DURATION_S)
             await asyncio.sleep(1.0)
-            await world.order(DURATION_S, target="v3")
-            await world.until(
+            await world.order_rollout(DURATION_S, target="v3")
+            await world.wait_until(
                 lambda: world.status == {"state": "completed", "targetVersion": "v3"},
                 DURATION_S,
             )
             await traffic
 
         world = on_world(work)
-        self.assertEqual(world.seen.served, world.seen.requests, world.seen.answers)
+        self.assertEqual(world.counts.served, world.counts.requests, world.counts.answers_by_status)
 
     def test_order_outlives_the_end_of_all_nodes(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2")
-            await world.order(DURATION_S)
-            traffic = asyncio.create_task(world.traffic(DURATION_S, RATE))
-            await world.until(lambda: world.status.get("state") == "running", 1.5)
+            await world.order_rollout(DURATION_S)
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
+            await world.wait_until(lambda: world.status.get("state") == "running", 1.5)
             for name in ("n1", "n2"):
                 world.cluster.kill(name)
             await world.start("n3", "n4")
-            await world.until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
+            await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
-        self.assert_bounded(on_world(work, VersionDefect(failing=0.7)))
+        self.assert_bounded(on_world(work, VersionDefect(failure_rate=0.7)))
 
     def test_node_that_starts_after_the_end_knows_the_verdict(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1")
-            traffic = asyncio.create_task(world.traffic(2.5, RATE))
-            await world.order(DURATION_S)
-            await world.until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
+            traffic = asyncio.create_task(world.send_requests(2.5, RATE))
+            await world.order_rollout(DURATION_S)
+            await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
             world.cluster.kill("n1")
             (node,) = await world.start("n2")
-            await world.until(lambda: SERVICE in node.rollouts.services, 1.0)
+            await world.wait_until(lambda: SERVICE in node.rollouts.services, 1.0)
             self.assertIs(node.rollouts.services[SERVICE].phase, Phase.ROLLED_BACK)
 
-        on_world(work, VersionDefect(failing=0.8))
+        on_world(work, VersionDefect(failure_rate=0.8))
 
 
 class DutyTest(unittest.TestCase):
@@ -657,14 +661,14 @@
 
         async def work(world: RolloutWorld) -> None:
             (node,) = await world.start("n1")
-            await world.order(60.0)
-            await world.until(lambda: world.status.get("state") == "running", 2.0)
+            await world.order_rollout(60.0)
+            await world.wait_until(lambda: world.status.get("state") == "running", 2.0)
             ended = {"state": "rolled_back", "targetVersion": NEW}
             world.platform.put("status", f"rollout/{SERVICE}", ended)
             duty: RolloutDuty = node.duties._rollouts
             duty.reset()
             rollout = node.rollouts.services[SERVICE]
-            await world.until(lambda: rollout.phase is Phase.ROLLED_BACK, 2.0)
+            await world.wait_until(lambda: rollout.phase is Phase.ROLLED_BACK, 2.0)
             self.assertEqual(world.status, ended)
 
         on_world(work)
