--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -41,108 +41,121 @@
 EXPOSURE_FREE = 50
 
 
-def order(revision: int = 5, target: str = NEW, ordered_s: float = 1.0) -> RolloutOrder:
+def make_order(revision: int = 5, target: str = NEW, ordered_s: float = 1.0) -> RolloutOrder:
     return RolloutOrder(SERVICE, revision, target, 12.0, ordered_s)
 
 
-class Trial:
+class SimulatedTrial:
     """Answers of an old and a new version in a model."""
 
-    def __init__(self, seed: int, spread: float = 0.47) -> None:
-        self.random = random.Random(seed)
-        self.spread = spread
+    def __init__(self, seed: int, sigma: float = 0.47) -> None:
+        self.rng = random.Random(seed)
+        self.sigma = sigma
         self.evidence = Evidence()
         self.judge = Judge()
 
-    def answers(self, arm: Arm, number: int, failure_rate: float, slow_factor: float = 1.0) -> bool:
+    def judge_answers(
+        self, arm: Arm, number: int, failure_rate: float, slow_factor: float = 1.0
+    ) -> bool:
         """Note answers; say whether the new version is found bad."""
-        self.note(arm, number, failure_rate, slow_factor)
+        self.record_answers(arm, number, failure_rate, slow_factor)
         return self.judge.observe(self.evidence)
 
-    def note(self, arm: Arm, number: int, failure_rate: float, slow_factor: float = 1.0) -> None:
+    def record_answers(
+        self, arm: Arm, number: int, failure_rate: float, slow_factor: float = 1.0
+    ) -> None:
         """Note answers that are judged with those that come next."""
         for _ in range(number):
-            failed = self.random.random() < failure_rate
-            took_s = 0.06 * slow_factor * self.random.lognormvariate(0.0, self.spread)
+            failed = self.rng.random() < failure_rate
+            took_s = 0.06 * slow_factor * self.rng.lognormvariate(0.0, self.sigma)
             self.evidence.observe(arm, "r", failed, took_s)
 
-    def rounds(
-        self, number: int, failure_rate: float, slow_factor: float = 1.0, usual: float = 0.02
+    def run_rounds(
+        self,
+        number: int,
+        failure_rate: float,
+        slow_factor: float = 1.0,
+        control_failure_rate: float = 0.02,
     ) -> int:
         """Play rounds of ten old answers and one new one; return the round that found it bad."""
         for each in range(1, number + 1):
-            self.answers(Arm.OLD, 10, usual)
-            if self.answers(Arm.NEW, 1, failure_rate, slow_factor):
+            self.judge_answers(Arm.OLD, 10, control_failure_rate)
+            if self.judge_answers(Arm.NEW, 1, failure_rate, slow_factor):
                 return each
         return 0
 
 
 class JudgeTest(unittest.TestCase):
-    def found(
-        self, rounds: int, failure_rate: float, slow_factor: float = 1.0, usual: float = 0.02
+    def detection_rate(
+        self,
+        rounds: int,
+        failure_rate: float,
+        slow_factor: float = 1.0,
+        control_failure_rate: float = 0.02,
     ) -> float:
         """Return the share of 200 seeds in which a version is found bad."""
         plays = (
-            Trial(seed).rounds(rounds, failure_rate, slow_factor, usual) for seed in range(200)
+            SimulatedTrial(seed).run_rounds(rounds, failure_rate, slow_factor, control_failure_rate)
+            for seed in range(200)
         )
         return sum(1 for each in plays if each) / 200
 
     def test_bad_versions_are_found(self) -> None:
-        self.assertGreater(self.found(30, 0.5), 0.97)
-        self.assertGreater(self.found(30, 0.02, slow_factor=3.0), 0.97)
-        self.assertGreater(self.found(60, 0.3), 0.9)
+        self.assertGreater(self.detection_rate(30, 0.5), 0.97)
+        self.assertGreater(self.detection_rate(30, 0.02, slow_factor=3.0), 0.97)
+        self.assertGreater(self.detection_rate(60, 0.3), 0.9)
 
     def test_good_versions_are_seldom_stopped(self) -> None:
-        self.assertLess(self.found(60, 0.02), 0.06)
-        self.assertLess(self.found(60, 0.14, usual=0.14), 0.08)
+        self.assertLess(self.detection_rate(60, 0.02), 0.06)
+        self.assertLess(self.detection_rate(60, 0.14, control_failure_rate=0.14), 0.08)
 
-    def test_what_always_fails_in_part_counts_for_both(self) -> None:
-        self.assertGreater(self.found(60, 0.5, usual=0.14), 0.9)
+    def test_bad_version_is_found_although_the_old_one_fails_in_part(self) -> None:
+        self.assertGreater(self.detection_rate(60, 0.5, control_failure_rate=0.14), 0.9)
 
-    def test_servers_that_are_all_slow_say_nothing_of_the_version(self) -> None:
+    def test_slowdown_of_all_servers_does_not_count_against_the_version(self) -> None:
         stopped = 0
         for seed in range(100):
-            trial = Trial(seed)
-            trial.rounds(10, 0.02)
+            trial = SimulatedTrial(seed)
+            trial.run_rounds(10, 0.02)
             for _ in range(40):
-                trial.answers(Arm.OLD, 10, 0.02, slow_factor=3.0)
-                trial.answers(Arm.NEW, 1, 0.02, slow_factor=3.0)
+                trial.judge_answers(Arm.OLD, 10, 0.02, slow_factor=3.0)
+                trial.judge_answers(Arm.NEW, 1, 0.02, slow_factor=3.0)
             stopped += trial.judge.bad
         self.assertLess(stopped, 25)
 
-    def test_moments_that_hold_up_all_answers_say_nothing_of_the_version(self) -> None:
+    def test_pause_of_all_servers_does_not_count_against_the_version(self) -> None:
         stopped = 0
         for seed in range(100):
-            trial = Trial(seed)
-            trial.rounds(10, 0.02)
+            trial = SimulatedTrial(seed)
+            trial.run_rounds(10, 0.02)
             for number in range(40):
                 slow_factor = 6.0 if number % 8 == 0 else 1.0
-                trial.note(Arm.OLD, 10, 0.02, slow_factor)
-                trial.answers(Arm.NEW, 3, 0.02, slow_factor)
+                trial.record_answers(Arm.OLD, 10, 0.02, slow_factor)
+                trial.judge_answers(Arm.NEW, 3, 0.02, slow_factor)
             stopped += trial.judge.bad
         self.assertLess(stopped, 3)
 
     def test_version_that_turns_bad_later_is_found_as_soon(self) -> None:
         needed = []
         for seed in range(100):
-            trial = Trial(seed)
-            trial.rounds(200, 0.02)
+            trial = SimulatedTrial(seed)
+            trial.run_rounds(200, 0.02)
             if not trial.judge.bad:
-                needed.append(trial.rounds(60, 0.6) or 60)
+                needed.append(trial.run_rounds(60, 0.6) or 60)
         self.assertLess(sorted(needed)[len(needed) // 2], 20)
 
     def test_only_failures_count_once_the_old_servers_have_less_to_do(self) -> None:
-        slow, failing_trial = Trial(1), Trial(2)
+        slow, failing_trial = SimulatedTrial(1), SimulatedTrial(2)
         for trial in (slow, failing_trial):
-            trial.rounds(10, 0.02)
+            trial.run_rounds(10, 0.02)
         for _ in range(60):
-            slow.note(Arm.OLD, 1, 0.02)
-            slow.note(Arm.NEW, 10, 0.02, slow_factor=5.0)
+            slow.record_answers(Arm.OLD, 1, 0.02)
+            slow.record_answers(Arm.NEW, 10, 0.02, slow_factor=5.0)
             self.assertFalse(slow.judge.observe(slow.evidence, with_times=False))
-        failing_trial.note(Arm.NEW, 30, 0.5)
+        failing_trial.record_answers(Arm.NEW, 30, 0.5)
         self.assertTrue(failing_trial.judge.observe(failing_trial.evidence, with_times=False))
 
-    def test_one_lost_answer_says_nothing_where_the_old_servers_lost_none(self) -> None:
+    def test_one_lost_answer_does_not_make_a_version_bad(self) -> None:
         evidence, judge = Evidence(), Judge()
         for number in range(60):
             for _ in range(10):
@@ -150,7 +163,7 @@
             evidence.observe(Arm.NEW, "r", number == 20, 0.06)
             self.assertFalse(judge.observe(evidence))
 
-    def test_few_milliseconds_more_are_not_slow(self) -> None:
+    def test_few_milliseconds_more_do_not_count_as_slow(self) -> None:
         evidence, judge = Evidence(), Judge()
         for _ in range(40):
             for _ in range(5):
@@ -158,10 +171,10 @@
             evidence.observe(Arm.NEW, "r", False, 0.006)
             self.assertFalse(judge.observe(evidence))
 
-    def test_found_bad_stays_bad(self) -> None:
-        trial = Trial(1)
-        self.assertTrue(trial.rounds(60, 0.9))
-        self.assertTrue(trial.answers(Arm.NEW, 500, 0.0))
+    def test_version_found_bad_stays_bad(self) -> None:
+        trial = SimulatedTrial(1)
+        self.assertTrue(trial.run_rounds(60, 0.9))
+        self.assertTrue(trial.judge_answers(Arm.NEW, 500, 0.0))
 
     def test_counts_of_many_nodes_add_up(self) -> None:
         parts = [Evidence() for _ in range(5)]
@@ -177,7 +190,7 @@
         self.assertEqual(merged(reversed(parts)).new["r"].failed, whole.new["r"].failed)
 
 
-NEWS = st.builds(
+UPDATES = st.builds(
     RolloutNews,
     st.builds(
         RolloutOrder,
@@ -194,8 +207,8 @@
 
 class NewsTest(unittest.TestCase):
     @settings(max_examples=200, derandomize=True, deadline=None)
-    @given(NEWS, NEWS)
-    def test_what_two_nodes_know_is_the_same_in_any_order(
+    @given(UPDATES, UPDATES)
+    def test_merge_of_two_updates_does_not_depend_on_their_order(
         self, one: RolloutNews, two: RolloutNews
     ) -> None:
         joined = one.merged_with(two)
@@ -204,8 +217,10 @@
         self.assertEqual(joined.merged_with(joined), joined)
 
     @settings(max_examples=200, derandomize=True, deadline=None)
-    @given(st.lists(NEWS, min_size=1, max_size=8))
-    def test_no_roll_out_goes_back(self, told: list[RolloutNews]) -> None:
+    @given(st.lists(UPDATES, min_size=1, max_size=8))
+    def test_merge_never_returns_to_an_earlier_order_or_phase(
+        self, told: list[RolloutNews]
+    ) -> None:
         known = told[0]
         for news in told[1:]:
             after = known.merged_with(news)
@@ -215,13 +230,13 @@
             known = after
 
     def test_version_that_a_newer_order_replaced_stays_out_of_use(self) -> None:
-        first = RolloutNews(order(5, "v2"))
-        second = first.superseded_by(order(6, "v3"))
+        first = RolloutNews(make_order(5, "v2"))
+        second = first.superseded_by(make_order(6, "v3"))
         rule = rule_of(second)
         self.assertEqual([rule.allows(each) for each in ("v1", "v2", "v3")], [True, False, False])
-        again = second.superseded_by(order(7, "v2"))
+        again = second.superseded_by(make_order(7, "v2"))
         self.assertEqual(again.rejected, ("v3",))
-        done = RolloutNews(order(5, "v2"), Phase.COMPLETED).superseded_by(order(6, "v3"))
+        done = RolloutNews(make_order(5, "v2"), Phase.COMPLETED).superseded_by(make_order(6, "v3"))
         self.assertTrue(rule_of(done).allows("v2"))
 
 
@@ -270,7 +285,7 @@
         known = self.rollouts.services[SERVICE]
         self.assertEqual((known.order.target, known.phase), ("v3", Phase.TRIAL))
 
-    def test_trial_goes_on_with_what_was_seen_when_its_order_is_written_again(self) -> None:
+    def test_trial_keeps_its_counts_when_its_order_is_written_again(self) -> None:
         self.rollouts.apply_order(self.order(91, era=1, target="v3"))
         self.rollouts.services[SERVICE].record_trial("r")
         self.era.observe(2)
@@ -282,7 +297,7 @@
 class TrialShareTest(unittest.TestCase):
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(st.lists(st.integers(0, 400), min_size=1, max_size=20), st.integers(1, 20))
-    def test_all_nodes_together_keep_within_the_bound(
+    def test_all_nodes_together_keep_within_the_exposure_limit(
         self, requests: list[int], serving: int
     ) -> None:
         part = Exposure(EXPOSURE_SHARE, EXPOSURE_FREE).per_node(max(serving, len(requests)))
@@ -294,14 +309,14 @@
             tried_in_all += tried
         self.assertLessEqual(tried_in_all, EXPOSURE_SHARE * sum(requests) + EXPOSURE_FREE)
 
-    def test_few_requests_bring_evidence_too(self) -> None:
+    def test_few_requests_are_enough_for_the_minimum_of_answers(self) -> None:
         tried = 0
         for each in range(1, 41):
             tried += Exposure().per_node(1).allows(each, tried)
         self.assertGreater(tried, MIN_ANSWERS)
 
 
-def seen(**changes: object) -> Progress:
+def make_progress(**changes: object) -> Progress:
     values: dict[str, object] = {
         "phase": Phase.TRIAL,
         "duration_s": 12.0,
@@ -318,27 +333,31 @@
 
 class NextPhaseTest(unittest.TestCase):
     def test_version_rises_with_evidence_and_not_before_its_time(self) -> None:
-        self.assertIs(next_phase(seen(elapsed=EARLIEST_RISE_SHARE - 0.01)), Phase.TRIAL)
-        self.assertIs(next_phase(seen()), Phase.RISING)
-        self.assertIs(next_phase(seen(untested_routes=1)), Phase.TRIAL)
-        self.assertIs(next_phase(seen(untested_routes=1, elapsed=LATEST_RISE_SHARE)), Phase.RISING)
+        self.assertIs(next_phase(make_progress(elapsed=EARLIEST_RISE_SHARE - 0.01)), Phase.TRIAL)
+        self.assertIs(next_phase(make_progress()), Phase.RISING)
+        self.assertIs(next_phase(make_progress(untested_routes=1)), Phase.TRIAL)
+        self.assertIs(
+            next_phase(make_progress(untested_routes=1, elapsed=LATEST_RISE_SHARE)), Phase.RISING
+        )
 
-    def test_version_that_nothing_speaks_for_is_not_taken_over(self) -> None:
+    def test_version_without_evidence_or_servers_is_not_adopted(self) -> None:
         for lacking in ({"tried": 2}, {"new_ready": 0}):
-            self.assertIs(next_phase(seen(elapsed=LATEST_RISE_SHARE, **lacking)), Phase.TRIAL)
-            self.assertIs(next_phase(seen(elapsed=0.99, **lacking)), Phase.ROLLED_BACK)
+            self.assertIs(
+                next_phase(make_progress(elapsed=LATEST_RISE_SHARE, **lacking)), Phase.TRIAL
+            )
+            self.assertIs(next_phase(make_progress(elapsed=0.99, **lacking)), Phase.ROLLED_BACK)
 
     def test_old_servers_end_only_with_nothing_running(self) -> None:
-        self.assertIs(next_phase(seen(phase=Phase.RISING)), Phase.RISING)
-        risen = seen(phase=Phase.RISING, rising_elapsed=RISING_DURATION_SHARE)
+        self.assertIs(next_phase(make_progress(phase=Phase.RISING)), Phase.RISING)
+        risen = make_progress(phase=Phase.RISING, rising_elapsed=RISING_DURATION_SHARE)
         self.assertIs(next_phase(risen), Phase.MOVING)
-        self.assertIs(next_phase(seen(phase=Phase.MOVING, elapsed=2.0)), Phase.MOVING)
-        self.assertIs(next_phase(seen(phase=Phase.MOVING, old_running=0)), Phase.COMPLETED)
-        soon = seen(phase=Phase.MOVING, old_running=0, moving_s=MIN_MOVING_S / 2)
+        self.assertIs(next_phase(make_progress(phase=Phase.MOVING, elapsed=2.0)), Phase.MOVING)
+        self.assertIs(next_phase(make_progress(phase=Phase.MOVING, old_running=0)), Phase.COMPLETED)
+        soon = make_progress(phase=Phase.MOVING, old_running=0, moving_s=MIN_MOVING_S / 2)
         self.assertIs(next_phase(soon), Phase.MOVING)
 
 
-def listed(old: int, new: int) -> list[Server]:
+def make_servers(old: int, new: int) -> list[Server]:
     versions = [OLD] * old + [NEW] * new
     return [
         Server(f"s{number}", SERVICE, f"h:{number}", "hall-a", 4, version=version)
@@ -349,15 +368,17 @@
 class VersionsTest(unittest.TestCase):
     """Which servers get work in each phase."""
 
-    def balancer(self, rule: VersionRule | None = None) -> LoadBalancer:
+    def make_balancer(self, rule: VersionRule | None = None) -> LoadBalancer:
         balancer = LoadBalancer("hall-a")
-        balancer.apply(listed(4, 0))
-        balancer.apply(listed(4, 4))
+        balancer.apply(make_servers(4, 0))
+        balancer.apply(make_servers(4, 4))
         if rule is not None:
             balancer.group(SERVICE).set_rule(rule)
         return balancer
 
-    def chosen(self, balancer: LoadBalancer, number: int = 40, share: float = 0.0) -> set[str]:
+    def chosen_versions(
+        self, balancer: LoadBalancer, number: int = 40, share: float = 0.0
+    ) -> set[str]:
         versions = set()
         for each in range(number):
             facts = RequestFacts(id=f"r{each}")
@@ -367,22 +388,22 @@
         return versions
 
     def test_version_without_an_order_gets_nothing(self) -> None:
-        self.assertEqual(self.chosen(self.balancer()), {OLD})
+        self.assertEqual(self.chosen_versions(self.make_balancer()), {OLD})
 
     def test_version_without_an_order_gets_work_after_a_long_while(self) -> None:
-        balancer = self.balancer()
+        balancer = self.make_balancer()
         balancer.tick(UNORDERED_VERSION_DELAY_S / 2)
-        self.assertEqual(self.chosen(balancer), {OLD})
+        self.assertEqual(self.chosen_versions(balancer), {OLD})
         balancer.tick(UNORDERED_VERSION_DELAY_S * 1.5)
-        self.assertIn(NEW, self.chosen(balancer))
+        self.assertIn(NEW, self.chosen_versions(balancer))
 
     def test_version_without_an_order_serves_once_no_other_is_left(self) -> None:
-        balancer = self.balancer()
-        balancer.apply(listed(4, 4)[4:])
-        self.assertEqual(self.chosen(balancer), {NEW})
+        balancer = self.make_balancer()
+        balancer.apply(make_servers(4, 4)[4:])
+        self.assertEqual(self.chosen_versions(balancer), {NEW})
 
-    def test_phases(self) -> None:
-        news = RolloutNews(order())
+    def test_each_phase_uses_only_its_versions(self) -> None:
+        news = RolloutNews(make_order())
         wanted = {
             Phase.TRIAL: {OLD},
             Phase.RISING: {OLD},
@@ -392,52 +413,52 @@
         }
         for phase, versions in wanted.items():
             rule = rule_of(RolloutNews(news.order, phase))
-            self.assertEqual(self.chosen(self.balancer(rule)), versions, phase)
+            self.assertEqual(self.chosen_versions(self.make_balancer(rule)), versions, phase)
 
-    def test_trial_goes_to_as_many_servers_as_bear_its_share(self) -> None:
+    def test_number_of_trial_servers_matches_the_share_of_the_trial(self) -> None:
         balancer = LoadBalancer("hall-a")
-        balancer.apply(listed(50, 0))
-        balancer.apply(listed(50, 50))
-        balancer.group(SERVICE).set_rule(rule_of(RolloutNews(order())))
+        balancer.apply(make_servers(50, 0))
+        balancer.apply(make_servers(50, 50))
+        balancer.group(SERVICE).set_rule(rule_of(RolloutNews(make_order())))
         self.assertEqual(len(balancer.group(SERVICE).trial_servers(0.08, frozenset())), 4)
-        self.assertEqual(self.chosen(balancer, share=0.08), {NEW})
+        self.assertEqual(self.chosen_versions(balancer, share=0.08), {NEW})
 
-    def test_few_new_servers_get_no_more_than_as_many_old_ones(self) -> None:
-        rollouts, balancer = self.rollouts(36, 4)
+    def test_few_new_servers_get_no_more_requests_than_as_many_old_ones(self) -> None:
+        rollouts, balancer = self.make_rollouts(36, 4)
         sent = [rollouts.trial_share(SERVICE, "check", True) > 0 for _ in range(400)]
         self.assertLess(sum(sent[:60]), 20)
         self.assertLess(sum(sent), 1.6 * 400 * 4 / 40)
         self.assertGreater(sum(sent), 15)
         self.assertAlmostEqual(balancer.group(SERVICE).new_version_share(), 0.1)
 
-    def test_routes_with_few_requests_are_tried_sooner(self) -> None:
+    def test_routes_with_few_requests_are_tried_with_priority(self) -> None:
         for new in (4, 36):
-            rollouts, _ = self.rollouts(36, new)
+            rollouts, _ = self.make_rollouts(36, new)
             for _ in range(200):
                 rollouts.trial_share(SERVICE, "check", True)
             seldom = [rollouts.trial_share(SERVICE, "seldom", True) > 0 for _ in range(10)]
             self.assertGreaterEqual(sum(seldom), MIN_TRIALS_PER_ROUTE)
 
-    def test_servers_on_trial_are_as_many_as_bear_the_share_that_is_sent(self) -> None:
+    def test_server_on_trial_gets_about_as_many_requests_as_an_old_one(self) -> None:
         for new in (1, 4, 36):
-            rollouts, balancer = self.rollouts(36, new)
+            rollouts, balancer = self.make_rollouts(36, new)
             shares = {rollouts.trial_share(SERVICE, "check", True) for _ in range(40)} - {0.0}
             for share in shares:
                 servers = len(balancer.group(SERVICE).trial_servers(share, frozenset()))
                 self.assertAlmostEqual(share / servers, (1.0 - share) / 36, delta=0.01)
 
-    def test_nodes_with_a_request_now_and_then_try_the_version_too(self) -> None:
+    def test_nodes_with_one_or_two_requests_try_the_version_too(self) -> None:
         tried = 0
         for node in range(200):
-            rollouts, _ = self.rollouts(36, 36, serving=0)
+            rollouts, _ = self.make_rollouts(36, 36, serving=0)
             rollouts._rng.seed(node)
             tried += sum(rollouts.trial_share(SERVICE, "seldom", True) > 0 for _ in range(2))
         self.assertGreater(tried, 0.04 * 400)
         self.assertLess(tried, 0.1 * 400 + 50)
 
-    def test_evidence_that_a_trial_can_bring_is_enough(self) -> None:
+    def test_required_answers_are_no_more_than_a_trial_brings(self) -> None:
         for old, wanted in ((5, 1), (36, 1), (93, 3), (500, 6)):
-            rollouts, _ = self.rollouts(36, 36)
+            rollouts, _ = self.make_rollouts(36, 36)
             seen = rollouts.services[SERVICE].evidence
             for _ in range(old):
                 seen.observe(Arm.OLD, "r", False, 0.01)
@@ -448,11 +469,11 @@
                 seen.observe(Arm.NEW, "r", False, 0.01)
             self.assertTrue(_has_enough_answers(rollouts.services[SERVICE], "r"), old)
 
-    def rollouts(self, old: int, new: int, serving: int = 1) -> tuple[Rollouts, LoadBalancer]:
+    def make_rollouts(self, old: int, new: int, serving: int = 1) -> tuple[Rollouts, LoadBalancer]:
         """Return the roll-outs of a node, one of those that serve, with an order that just came."""
         balancer = LoadBalancer("hall-a")
-        balancer.apply(listed(old, 0))
-        balancer.apply(listed(old, new))
+        balancer.apply(make_servers(old, 0))
+        balancer.apply(make_servers(old, new))
         rollouts = Rollouts(
             balancer,
             Membership("n1", 1),
@@ -463,20 +484,22 @@
             Exposure(),
         )
         rollouts._rng.seed(1)
-        rollouts.apply_order(order())
+        rollouts.apply_order(make_order())
         return rollouts, balancer
 
     def test_request_is_served_by_old_servers_where_none_is_on_trial(self) -> None:
-        rule = rule_of(RolloutNews(order(target="v9")))
-        self.assertEqual(self.chosen(self.balancer(rule), share=0.08), {OLD, NEW} - {NEW})
+        rule = rule_of(RolloutNews(make_order(target="v9")))
+        self.assertEqual(
+            self.chosen_versions(self.make_balancer(rule), share=0.08), {OLD, NEW} - {NEW}
+        )
 
     def test_version_rolled_back_gets_nothing_even_if_no_other_is_left(self) -> None:
-        balancer = self.balancer(rule_of(RolloutNews(order(), Phase.ROLLED_BACK)))
-        balancer.apply(listed(4, 4)[4:])
+        balancer = self.make_balancer(rule_of(RolloutNews(make_order(), Phase.ROLLED_BACK)))
+        balancer.apply(make_servers(4, 4)[4:])
         self.assertIsNone(balancer.place(SERVICE, RequestFacts(), None, 1.0))
 
 
-def on_world(
+def run_in_world(
     work: Callable[[RolloutWorld], Awaitable[None]], defect: VersionDefect | None = None
 ) -> RolloutWorld:
     """Run a test on whole nodes."""
@@ -490,13 +513,13 @@
     return world
 
 
-def knows_both(node: GatewayNode) -> bool:
+def knows_both_versions(node: GatewayNode) -> bool:
     """Say whether a node knows the order and the servers of both versions."""
     return SERVICE in node.rollouts.services and len(node.balancer.views) == 8
 
 
 DURATION_S = 8.0
-RATE = 60.0
+REQUESTS_PER_S = 60.0
 
 
 class EndToEndTest(unittest.TestCase):
@@ -508,12 +531,12 @@
         self.assertLessEqual(world.counts.new_version_requests, most)
         self.assertLess(world.counts.bad_answers, EXPOSURE_FREE)
 
-    def rolled_back(self, defect: VersionDefect) -> RolloutWorld:
+    def assert_rolled_back(self, defect: VersionDefect) -> RolloutWorld:
         """Order a bad version and return the world after the order's time."""
 
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2", "n3")
-            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, REQUESTS_PER_S))
             await asyncio.sleep(0.3)
             await world.order_rollout(DURATION_S)
             await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
@@ -522,42 +545,42 @@
             await traffic
             self.assertLess(world.counts.last_new_version_request_at, stopped_at + 0.3)
 
-        world = on_world(work, defect)
+        world = run_in_world(work, defect)
         self.assert_bounded(world)
         return world
 
     def test_good_version_is_completed_in_time_and_nothing_is_lost(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2", "n3")
-            traffic = asyncio.create_task(world.send_requests(DURATION_S + 1.0, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S + 1.0, REQUESTS_PER_S))
             await asyncio.sleep(0.3)
             await world.order_rollout(DURATION_S)
             await world.wait_until(lambda: world.status.get("state") == "running", 1.5)
             await world.wait_until(lambda: world.status.get("state") == "completed", DURATION_S)
             await traffic
 
-        world = on_world(work)
+        world = run_in_world(work)
         self.assertLess(world.ended_at - world.ordered_at, DURATION_S)
         self.assertEqual(world.counts.running_at_stop, 0)
         self.assertEqual(world.counts.served, world.counts.requests, world.counts.answers_by_status)
 
     def test_version_whose_answers_fail_is_rolled_back(self) -> None:
-        self.rolled_back(VersionDefect(failure_rate=0.5))
+        self.assert_rolled_back(VersionDefect(failure_rate=0.5))
 
     def test_version_that_is_slow_is_rolled_back(self) -> None:
-        world = self.rolled_back(VersionDefect(slow_factor=5.0))
+        world = self.assert_rolled_back(VersionDefect(slow_factor=5.0))
         self.assertEqual(world.counts.served, world.counts.requests)
 
     def test_version_that_is_bad_on_one_route_is_rolled_back(self) -> None:
-        self.rolled_back(VersionDefect(failure_rate=0.7, route="order"))
+        self.assert_rolled_back(VersionDefect(failure_rate=0.7, route="order"))
 
     def test_version_that_turns_bad_later_is_rolled_back(self) -> None:
-        self.rolled_back(VersionDefect(failure_rate=0.7, starts_after_s=1.5))
+        self.assert_rolled_back(VersionDefect(failure_rate=0.7, starts_after_s=1.5))
 
-    def test_holder_that_ends_loses_neither_order_nor_evidence(self) -> None:
+    def test_crash_of_the_holder_loses_neither_order_nor_evidence(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2", "n3")
-            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, REQUESTS_PER_S))
             await asyncio.sleep(0.3)
             await world.order_rollout(DURATION_S)
             await world.wait_until(lambda: world.status.get("state") == "running", 1.5)
@@ -568,16 +591,16 @@
             )
             await traffic
 
-        world = on_world(work)
+        world = run_in_world(work)
         self.assertEqual(world.counts.running_at_stop, 0)
 
-    def test_bad_version_gets_nothing_more_while_the_store_is_away(self) -> None:
+    def test_bad_version_gets_no_more_requests_while_the_store_is_down(self) -> None:
         async def work(world: RolloutWorld) -> None:
             nodes = await world.start("n1", "n2", "n3")
-            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, REQUESTS_PER_S))
             await asyncio.sleep(0.3)
             await world.order_rollout(DURATION_S)
-            await world.wait_until(lambda: all(map(knows_both, nodes)), 2.0)
+            await world.wait_until(lambda: all(map(knows_both_versions, nodes)), 2.0)
             world.platform.mode = StoreMode.SILENT
             await world.wait_until(
                 lambda: all(
@@ -592,12 +615,12 @@
             await world.wait_until(lambda: world.status.get("state") == "rolled_back", 6.0)
             await traffic
 
-        self.assert_bounded(on_world(work, VersionDefect(failure_rate=0.6)))
+        self.assert_bounded(run_in_world(work, VersionDefect(failure_rate=0.6)))
 
-    def test_lost_answers_of_the_store_write_no_other_verdict(self) -> None:
+    def test_lost_answers_of_the_store_do_not_change_the_verdict(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2")
-            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, REQUESTS_PER_S))
             await asyncio.sleep(0.3)
             await world.order_rollout(DURATION_S)
             await world.wait_until(lambda: world.status.get("state") == "running", 1.5)
@@ -607,12 +630,12 @@
             await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
-        self.assert_bounded(on_world(work, VersionDefect(failure_rate=0.6)))
+        self.assert_bounded(run_in_world(work, VersionDefect(failure_rate=0.6)))
 
     def test_second_order_takes_the_place_of_the_first(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2")
-            traffic = asyncio.create_task(world.send_requests(DURATION_S + 2.0, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S + 2.0, REQUESTS_PER_S))
             await asyncio.sleep(0.3)
             await world.order_rollout(DURATION_S)
             await asyncio.sleep(1.0)
@@ -623,14 +646,14 @@
             )
             await traffic
 
-        world = on_world(work)
+        world = run_in_world(work)
         self.assertEqual(world.counts.served, world.counts.requests, world.counts.answers_by_status)
 
-    def test_order_outlives_the_end_of_all_nodes(self) -> None:
+    def test_order_survives_a_crash_of_all_nodes(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2")
             await world.order_rollout(DURATION_S)
-            traffic = asyncio.create_task(world.send_requests(DURATION_S, RATE))
+            traffic = asyncio.create_task(world.send_requests(DURATION_S, REQUESTS_PER_S))
             await world.wait_until(lambda: world.status.get("state") == "running", 1.5)
             for name in ("n1", "n2"):
                 world.cluster.kill(name)
@@ -638,12 +661,12 @@
             await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
-        self.assert_bounded(on_world(work, VersionDefect(failure_rate=0.7)))
+        self.assert_bounded(run_in_world(work, VersionDefect(failure_rate=0.7)))
 
-    def test_node_that_starts_after_the_end_knows_the_verdict(self) -> None:
+    def test_node_that_starts_after_the_rollback_knows_the_verdict(self) -> None:
         async def work(world: RolloutWorld) -> None:
             await world.start("n1")
-            traffic = asyncio.create_task(world.send_requests(2.5, RATE))
+            traffic = asyncio.create_task(world.send_requests(2.5, REQUESTS_PER_S))
             await world.order_rollout(DURATION_S)
             await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
@@ -652,11 +675,11 @@
             await world.wait_until(lambda: SERVICE in node.rollouts.services, 1.0)
             self.assertIs(node.rollouts.services[SERVICE].phase, Phase.ROLLED_BACK)
 
-        on_world(work, VersionDefect(failure_rate=0.8))
+        run_in_world(work, VersionDefect(failure_rate=0.8))
 
 
 class DutyTest(unittest.TestCase):
-    def test_status_of_another_holder_is_taken_over(self) -> None:
+    def test_status_written_by_another_holder_is_adopted(self) -> None:
         """A holder that froze and finds the roll-out ended takes that over and writes nothing."""
 
         async def work(world: RolloutWorld) -> None:
@@ -671,4 +694,4 @@
             await world.wait_until(lambda: rollout.phase is Phase.ROLLED_BACK, 2.0)
             self.assertEqual(world.status, ended)
 
-        on_world(work)
+        run_in_world(work)
