--- a/tests/test_quarantine_core.py
+++ b/tests/test_quarantine_core.py
@@ -28,7 +28,7 @@
 class BlamedTest(unittest.TestCase):
     """What ends servers is blocked, and what merely ran there is not."""
 
-    def test_second_end_that_nothing_else_explains_blocks(self) -> None:
+    def test_second_crash_that_nothing_else_explains_blocks_a_request(self) -> None:
         quarantine = Quarantine()
         quarantine.record_crash("s1", [GUILTY, b"a", b"b"], 0.0)
         self.assertEqual(blocked(quarantine, LATER_S), [])
@@ -39,14 +39,14 @@
         self.assertGreater(quarantine.wait_s(GUILTY, 6.0), INITIAL_BLOCK_S - 2.0)
         self.assertEqual([quarantine.wait_s(each, 6.0) for each in (b"a", b"b", b"c")], [0.0] * 3)
 
-    def test_words_of_one_end_from_many_nodes_are_one_end(self) -> None:
+    def test_reports_of_one_crash_from_many_nodes_count_once(self) -> None:
         quarantine = Quarantine()
         for delay in (0.0, 0.02, 0.3, SAME_CRASH_S):
             quarantine.record_crash("s1", [GUILTY], delay)
         self.assertEqual(blocked(quarantine, 5.0), [])
         self.assertAlmostEqual(quarantine.strikes(GUILTY), 1.0)
 
-    def test_server_that_is_back_under_its_name_may_end_again(self) -> None:
+    def test_restarted_server_of_the_same_name_may_crash_again(self) -> None:
         quarantine = Quarantine()
         quarantine.record_crash("s1", [GUILTY], 0.0)
         quarantine.record_crash("s1", [GUILTY], 4.0)
@@ -60,7 +60,7 @@
         quarantine.record_crash("s2", [b"a"], 5.0)
         self.assertEqual(blocked(quarantine, 6.0), [])
 
-    def test_request_that_many_callers_send_is_not_blocked_by_ends_far_between(self) -> None:
+    def test_popular_request_is_not_blocked_by_occasional_crashes(self) -> None:
         """It runs everywhere all the time, so it ran on each server that ended; it is answered."""
         quarantine = Quarantine()
         for number in range(20):
@@ -68,7 +68,7 @@
             self.assertEqual(blocked(quarantine, 10.0 * number + LATER_S), [])
             quarantine.record_served(b"popular")
 
-    def test_halls_that_go_block_nothing(self) -> None:
+    def test_loss_of_halls_blocks_nothing(self) -> None:
         """Two halls of four servers go, and requests of the first were sent on to the second."""
         quarantine = Quarantine()
         for hall in range(2):
@@ -79,13 +79,13 @@
         self.assertEqual(blocked(quarantine, 3.0), [])
         self.assertAlmostEqual(quarantine.strikes(b"r1"), 0.5)
 
-    def test_copies_of_one_request_explain_ends_at_the_same_moment(self) -> None:
+    def test_copies_of_one_request_explain_simultaneous_crashes(self) -> None:
         quarantine = Quarantine()
         for number in range(3):
             quarantine.record_crash(f"s{number}", [GUILTY, b"r%d" % number], 0.01 * number)
         self.assertEqual(blocked(quarantine, 1.0), [GUILTY])
 
-    def test_guilty_ones_in_step_are_blocked_at_the_fourth_end(self) -> None:
+    def test_guilty_requests_sent_in_step_are_blocked_at_the_fourth_crash(self) -> None:
         quarantine = Quarantine()
         found: list[list[bytes]] = []
         for turn in range(4):
@@ -106,7 +106,7 @@
         self.assertEqual(blocked(quarantine, at), [GUILTY])
         return quarantine
 
-    def test_after_a_block_one_more_end_blocks_for_twice_as_long(self) -> None:
+    def test_one_more_crash_after_a_block_blocks_for_twice_as_long(self) -> None:
         quarantine = self.blocked_at(10.0)
         again = 10.0 + INITIAL_BLOCK_S + 1.0
         self.assertEqual(quarantine.wait_s(GUILTY, again), 0.0)
@@ -116,7 +116,7 @@
         left_s = quarantine.wait_s(GUILTY, again + LATER_S)
         self.assertAlmostEqual(left_s, 2 * INITIAL_BLOCK_S, delta=1.0)
 
-    def test_ends_that_led_to_a_block_do_not_lead_to_the_next(self) -> None:
+    def test_crashes_that_led_to_a_block_do_not_lead_to_the_next(self) -> None:
         quarantine = self.blocked_at(10.0)
         quarantine.record_crash("s2", [GUILTY], 10.5)
         for now in (11.0, 10.0 + INITIAL_BLOCK_S + 0.5):
@@ -134,14 +134,14 @@
         self.assertEqual(blocked(quarantine, 201.0), [GUILTY])
         self.assertLessEqual(quarantine.wait_s(GUILTY, 201.0), MAX_BLOCK_S)
 
-    def test_all_is_forgotten_in_time(self) -> None:
+    def test_crashes_and_blocks_expire(self) -> None:
         quarantine = self.blocked_at(10.0)
         quarantine.block_guilty(10.0 + CRASH_RETENTION_S + 1.0)
         self.assertFalse(quarantine.is_suspect(GUILTY))
         quarantine.block_guilty(10.0 + 2 * INITIAL_BLOCK_S + 1.0)
         self.assertFalse(quarantine.has_suspects)
 
-    def test_what_is_remembered_is_bounded(self) -> None:
+    def test_remembered_crashes_and_blocks_are_bounded(self) -> None:
         quarantine = Quarantine()
         for number in range(3 * MAX_CRASHES):
             name = b"r%d" % number
@@ -151,14 +151,14 @@
         self.assertLessEqual(len(quarantine.blocks), MAX_BLOCKS)
         self.assertFalse(quarantine.is_suspect(b"r0"))
 
-    def test_newer_block_of_another_node_is_taken_over_and_an_older_one_is_not(self) -> None:
+    def test_newer_block_of_a_peer_is_adopted_and_an_older_one_is_not(self) -> None:
         quarantine = Quarantine()
         self.assertTrue(quarantine.merge_block(Block(GUILTY, 100.0, times=2)))
         self.assertFalse(quarantine.merge_block(Block(GUILTY, 900.0, times=1)))
         self.assertEqual(quarantine.wait_s(GUILTY, 0.0), 100.0)
 
     @given(st.lists(st.tuples(st.binary(min_size=1, max_size=2), st.integers(1, 3)), max_size=8))
-    def test_nodes_that_took_over_the_same_in_any_order_agree(
+    def test_nodes_that_merged_the_same_blocks_in_any_order_agree(
         self, told: list[tuple[bytes, int]]
     ) -> None:
         one, other = Quarantine(), Quarantine()
