--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -38,11 +38,11 @@
 
 
 class FingerprintTest(unittest.TestCase):
-    def test_the_same_request_has_the_same_one_whenever_it_comes(self) -> None:
+    def test_fingerprint_does_not_depend_on_the_request_id(self) -> None:
         first, again = a_request(), a_request(request_id=b"r2")
         self.assertEqual(fingerprint(first, "north"), fingerprint(again, "north"))
 
-    def test_another_caller_path_host_or_body_has_another(self) -> None:
+    def test_fingerprint_depends_on_caller_path_host_and_body(self) -> None:
         others = [
             fingerprint(a_request(), "north"),
             fingerprint(a_request(), "south"),
@@ -56,7 +56,7 @@
 
 
 class SightTest(unittest.TestCase):
-    def test_log_shows_that_the_same_request_broke_off_again(self) -> None:
+    def test_log_shows_one_fingerprint_for_a_request_that_breaks_off_again(self) -> None:
         """Two arrivals with ids of their own have one fingerprint in the log."""
         lines: list[str] = []
 
@@ -102,7 +102,7 @@
     MAY_END = (2, 3)
     """Servers that may end before the request is known for what it does. One end tells nothing."""
 
-    def test_it_ends_no_more_than_three_servers(self) -> None:
+    def test_request_crashes_no_more_than_three_servers(self) -> None:
         """Whether it may be repeated, runs at most once, or is a stream."""
         for path in ("/check/", "/order/", "/draft/"):
             with self.subTest(path=path):
@@ -130,7 +130,7 @@
             servers.append(server)
         return servers
 
-    def test_it_is_known_wherever_it_comes_again(self) -> None:
+    def test_request_is_blocked_at_all_nodes(self) -> None:
         """It comes in turn at three nodes, which all know a twentieth of a second later."""
 
         async def work(cluster: Cluster) -> None:
@@ -146,7 +146,7 @@
 
         on_cluster(work)
 
-    def test_it_is_known_after_all_processes_ended(self) -> None:
+    def test_block_survives_the_crash_of_all_nodes(self) -> None:
         """A node that starts with nobody to ask finds in the store what was decided.
 
         It is there half a second after the last server ended.
