--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -29,7 +29,7 @@
 class SeenTest(unittest.TestCase):
     """Only servers that ended count, and only against what ran there."""
 
-    def test_connections_that_break_off_at_living_servers_tell_nothing(self) -> None:
+    def test_connection_reset_by_a_running_server_raises_no_suspicion(self) -> None:
         async def resets_once(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
             if arrival.body == GUILTY:
                 reset(writer)
@@ -49,7 +49,7 @@
 
         quietly(work())
 
-    def test_look_at_a_living_server_leaves_a_connection_that_the_next_request_uses(self) -> None:
+    def test_probe_of_a_running_server_leaves_a_connection_for_the_next_request(self) -> None:
         async def resets_first(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
             if arrival.connection == 1:
                 reset(writer)
@@ -66,7 +66,7 @@
 
         quietly(work())
 
-    def test_servers_that_leave_and_end_tell_nothing(self) -> None:
+    def test_termination_of_a_leaving_server_raises_no_suspicion(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 for number in range(3):
@@ -83,7 +83,7 @@
 
         quietly(work())
 
-    def test_others_in_hand_at_the_ends_are_served_when_they_come_again(self) -> None:
+    def test_other_requests_cut_off_by_a_crash_are_served_on_retry(self) -> None:
         """Three others run on each server that ends; each is broken off once and served then."""
 
         async def work() -> None:
@@ -105,7 +105,7 @@
 
         quietly(work())
 
-    def test_blocked_request_costs_nothing_of_the_limit(self) -> None:
+    def test_blocked_request_does_not_count_against_the_account_limit(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 for number in range(4):
@@ -120,7 +120,7 @@
 
         quietly(work())
 
-    def test_log_tells_the_end_and_the_block(self) -> None:
+    def test_crash_and_block_are_logged(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 for number in range(3):
@@ -164,7 +164,7 @@
         world.unlist(name)
         return failures
 
-    def test_end_of_a_server_is_one_failure_and_none_under_a_suspect(self) -> None:
+    def test_crash_is_one_failure_and_none_under_a_suspect(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 self.assertEqual(await self.failures_at_end(world, "s1", 3), 1)
@@ -172,7 +172,7 @@
 
         quietly(work())
 
-    def test_each_answer_that_a_living_server_breaks_off_is_a_failure(self) -> None:
+    def test_each_answer_that_a_running_server_breaks_off_is_a_failure(self) -> None:
         async def breaks_off(_: Arrival, __: object, writer: asyncio.StreamWriter) -> None:
             reset(writer)
 
@@ -238,7 +238,7 @@
 class ToldTest(unittest.TestCase):
     """All nodes come to know the same, whatever datagrams are lost."""
 
-    def test_ends_that_different_nodes_saw_count_together(self) -> None:
+    def test_crashes_seen_by_different_nodes_count_together(self) -> None:
         async def work(network: Network) -> None:
             network.end("n1", "s1", [GUILTY, b"a"])
             await asyncio.sleep(0.3)
@@ -248,7 +248,7 @@
 
         over_network(work)
 
-    def test_first_word_of_an_end_may_get_lost(self) -> None:
+    def test_first_message_of_a_crash_may_be_lost(self) -> None:
         async def work(network: Network) -> None:
             network.loses = lambda news: (
                 isinstance(news, BlockNews) or (isinstance(news, EndNews) and news.age_s < 0.1)
@@ -261,7 +261,7 @@
 
         over_network(work)
 
-    def test_node_that_heard_nothing_is_told_by_the_next_states(self) -> None:
+    def test_node_that_missed_all_messages_gets_the_blocks_by_gossip(self) -> None:
         async def work(network: Network) -> None:
             network.loses = lambda _: True
             network.end("n1", "s1", [GUILTY])
@@ -277,7 +277,7 @@
 
         over_network(work)
 
-    def test_node_that_starts_is_told_and_one_that_knows_nothing_tells_nothing(self) -> None:
+    def test_starting_node_receives_the_blocks_and_sends_none_before(self) -> None:
         async def work(network: Network) -> None:
             for server in ("s1", "s2"):
                 network.end("n1", server, [GUILTY])
@@ -291,7 +291,7 @@
 
         over_network(work)
 
-    def test_nodes_that_start_together_do_not_take_each_other_for_informed(self) -> None:
+    def test_nodes_that_start_together_do_not_consider_each_other_synced(self) -> None:
         async def work(network: Network) -> None:
             for sharing in network.sharing.values():
                 sharing.synced = False
@@ -300,7 +300,7 @@
 
         over_network(work)
 
-    def test_what_a_server_survived_is_cleared_everywhere(self) -> None:
+    def test_request_that_a_server_survived_is_cleared_at_all_nodes(self) -> None:
         async def work(network: Network) -> None:
             network.end("n1", "s1", [GUILTY])
             guard = network.guards["n2"]
@@ -311,7 +311,7 @@
 
         over_network(work)
 
-    def test_ends_with_many_requests_fit_datagrams(self) -> None:
+    def test_crash_with_many_requests_is_split_into_datagrams(self) -> None:
         async def work(network: Network) -> None:
             sizes: list[int] = []
 
@@ -348,7 +348,7 @@
     def rows(self, cluster: Cluster) -> list[str]:
         return [key for table, _, key in cluster.platform.rows if table == BLOCK_TABLE]
 
-    def test_block_that_the_store_did_not_take_is_written_when_it_is_back(self) -> None:
+    def test_block_that_the_store_refused_is_written_later(self) -> None:
         async def work(cluster: Cluster) -> None:
             await self.a_blocked_one(cluster, "n1")
             await until(lambda: cluster.nodes["n1"].quarantine.synced)
@@ -362,7 +362,7 @@
 
         on_cluster(work)
 
-    def test_row_that_can_not_be_read_hides_no_other(self) -> None:
+    def test_unreadable_row_hides_no_other(self) -> None:
         async def work(cluster: Cluster) -> None:
             for key, value in (("zz", {}), ("00ff", {"until_s": "soon"}), ("00fe", [1])):
                 cluster.platform.put(BLOCK_TABLE, key, value)
@@ -374,7 +374,7 @@
 
         on_cluster(work)
 
-    def test_rows_of_blocks_that_are_over_go_and_block_nothing(self) -> None:
+    def test_expired_block_blocks_nothing_and_its_row_is_deleted(self) -> None:
         async def work(cluster: Cluster) -> None:
             now_s = monotonic()
             for key, until_s in (("aa", now_s - 1_000.0), ("bb", now_s - 10.0)):
