--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -183,7 +183,7 @@
                     play.run()
                     self.assert_learnt(play)
 
-    def test_rate_is_found_though_what_waits_is_told_late(self) -> None:
+    def test_rate_is_found_although_queue_depths_arrive_late(self) -> None:
         for late_s in (0.1, 0.3, 1.0):
             with self.subTest(late_s=late_s):
                 play = Play(spec_of(157_000.0, 24), late_s=late_s)
@@ -195,7 +195,7 @@
         play.run(2 * REQUESTS)
         self.assert_learnt(play)
 
-    def test_one_slow_server_is_told_from_the_others(self) -> None:
+    def test_one_slow_server_is_distinguished_from_the_others(self) -> None:
         play = Play(spec_of(50_000.0, 24), load=0.1, slow_x=5.0)
         play.run()
         self.assert_learnt(play)
@@ -210,16 +210,16 @@
         self.assertGreater(slow.factor(10.0), 4.0)
         self.assertLess(slow.factor(10.0 + 4 * SLOWDOWN_DECAY_S), 1.2)
 
-    def test_nothing_is_known_without_requests(self) -> None:
+    def test_prior_applies_without_requests(self) -> None:
         self.assertEqual(SpeedEstimator().speed(5.0), PRIOR)
 
-    def test_prompts_of_one_length_tell_no_rate(self) -> None:
+    def test_prompts_of_one_length_give_no_rate(self) -> None:
         estimator = SpeedEstimator()
         for number in range(100):
             estimator.add_sample(PrefillSample(1_000.0, 0.0, 0.05 + number % 3 * 0.01, 1.0))
         self.assertEqual(estimator.speed(2.0).read_per_s, PRIOR_PREFILL_TOKENS_PER_S)
 
-    def test_views_below_zero_and_empty_prompts_do_no_harm(self) -> None:
+    def test_negative_queues_and_empty_prompts_keep_the_rate_positive(self) -> None:
         estimator = SpeedEstimator()
         for number in range(100):
             work = 0.0 if number % 2 else 1_000.0
@@ -238,12 +238,12 @@
             estimator.add_sample(PrefillSample(work, 0.0, work / 80_000, at))
         self.assertAlmostEqual(estimator.speed(SAMPLE_TTL_S + 4.0).read_per_s, 80_000, delta=12_000)
 
-    def test_a_node_that_starts_takes_over_what_others_learnt(self) -> None:
+    def test_node_that_starts_uses_the_estimates_of_its_peers(self) -> None:
         estimator = SpeedEstimator()
         estimator.set_peer_speeds([Speed(100_000.0, 0.02, 0.8, 6_000.0, 150)])
         self.assertEqual(estimator.speed(1.0).read_per_s, 100_000.0)
 
-    def test_one_node_with_odd_views_does_not_sway_the_others(self) -> None:
+    def test_outlier_among_peers_does_not_change_the_combined_estimate(self) -> None:
         told = [Speed(100_000.0 + number, 0.02, 0.8, 6_000.0, 100) for number in range(5)]
         odd = Speed(1.0, 9.0, 90.0, 1.0, 160)
         self.assertAlmostEqual(
@@ -266,7 +266,7 @@
     def need(self, work_per_s: float, running: float, slots: int, speed: Speed) -> int:
         return servers_needed(work_per_s, running, slots, WAIT_S, speed)
 
-    def test_need_follows_within_two_seconds(self) -> None:
+    def test_rate_follows_a_change_within_two_seconds(self) -> None:
         spec = spec_of(157_000.0, 64)
         for at in CHANGE_AT_S:
             for load in LOADS:
@@ -278,14 +278,14 @@
                         truth = reading_rate(spec) / times
                         self.assertAlmostEqual(learnt.read_per_s / truth, 1.0, delta=NEED_OFF)
 
-    def test_nothing_is_forgotten_where_nothing_changes(self) -> None:
+    def test_no_change_is_signalled_at_constant_speed(self) -> None:
         for load in (0.3, 0.6, 0.9):
             with self.subTest(load=load):
                 play = Play(spec_of(157_000.0, 64), load=load, late_s=0.1)
                 play.run(1_000)
                 self.assertEqual(play.estimator.changes, 0)
 
-    def test_a_single_odd_observation_is_no_change(self) -> None:
+    def test_single_outliers_signal_no_change(self) -> None:
         estimator = SpeedEstimator()
         for number in range(100):
             work = 1_000.0 * (1 + number % 5)
@@ -296,7 +296,7 @@
 
 
 class NeedTest(unittest.TestCase):
-    def test_wait_is_exact_for_one_place(self) -> None:
+    def test_wait_is_exact_for_one_channel(self) -> None:
         self.assertAlmostEqual(mean_wait_s(0.5, 1, 0.2), 0.2)
         self.assertAlmostEqual(mean_wait_s(0.8, 1, 0.2), 0.8)
 
@@ -304,7 +304,7 @@
         speed = Speed(1e9, 0.02, 2.0, 1_000.0, 100)
         self.assertGreaterEqual(servers_needed(1_000.0, 100, 24, 0.03, speed), 5)
 
-    def test_reading_decides_where_prompts_are_long(self) -> None:
+    def test_prefill_decides_where_prompts_are_long(self) -> None:
         speed = Speed(50_000.0, 0.02, 0.01, 10_000.0, 100)
         self.assertGreaterEqual(servers_needed(200_000.0, 10, 64, 0.03, speed), 5)
 
@@ -316,7 +316,7 @@
         st.floats(0.01, 1.0),
         st.floats(5_000, 400_000),
     )
-    def test_more_work_never_needs_fewer(
+    def test_more_work_never_needs_fewer_servers(
         self, work: float, running: float, slots: int, most_s: float, rate: float
     ) -> None:
         speed = Speed(rate, 0.02, 1.0, 5_000.0, 100)
