--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -38,7 +38,7 @@
     bounds = Bounds(limit_window_s=8.0, limit_share=0.1, limit_tokens=1_000.0)
     account = Account("north", (), None, TOKENS, 200, 1_000.0, 20_000.0)
 
-    def test_times_of_leaving_follow(self) -> None:
+    def test_leave_and_stop_times_follow(self) -> None:
         for factor in FACTORS:
             bounds = scaled(self.bounds, factor)
             sharing = Sharing(Membership("n1", 1), bounds)
@@ -48,7 +48,7 @@
             self.assertEqual(moves._default_notice_s, factor * self.bounds.leave_s)
             self.assertAlmostEqual(min_stop_s(bounds), factor * min_stop_s(self.bounds))
 
-    def test_age_of_a_list_that_may_be_used_follows(self) -> None:
+    def test_usable_age_of_a_server_list_follows(self) -> None:
         ages = []
         for factor in FACTORS:
             watch = FleetWatch(
@@ -64,7 +64,7 @@
             ages.append(watch._max_list_age_s / factor)
         self.assertEqual(len(set(ages)), 1)
 
-    def test_limits_follow(self) -> None:
+    def test_account_limits_follow(self) -> None:
         held = []
         for factor in FACTORS:
             bounds = scaled(self.bounds, factor)
@@ -77,7 +77,7 @@
             held.append(limits.level(account, 0.0) / factor)
         self.assertEqual(len(set(held)), 1)
 
-    def test_repeats_follow(self) -> None:
+    def test_retry_budget_follows(self) -> None:
         for factor in FACTORS:
             bounds = scaled(self.bounds, factor)
             budget = RetryBudget(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
@@ -89,18 +89,18 @@
                 allowed += 1
             self.assertEqual(allowed, 24 * factor)
 
-    def test_windows_of_usage_follow(self) -> None:
+    def test_usage_windows_follow(self) -> None:
         for factor in FACTORS:
             usage = UsageCounts(scaled(self.bounds, factor).usage_window_s)
             self.assertEqual(usage.window_of(1_000.0 * factor), 200)
 
-    def test_trials_of_versions_follow(self) -> None:
+    def test_free_trial_requests_follow(self) -> None:
         for factor in FACTORS:
             bounds = scaled(self.bounds, factor)
             part = Exposure(bounds.exposure_share, bounds.exposure_free).per_node(4)
             self.assertAlmostEqual(part.free, factor * 7.5)
 
-    def test_wait_that_servers_are_rented_for_follows_targets(self) -> None:
+    def test_shortest_target_for_renting_follows_the_targets(self) -> None:
         plan = a_plan()
         for factor in FACTORS:
             routes = tuple(
