--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -141,7 +141,7 @@
         told = zip(log.reported, log.counts, strict=True)
         return [counts for window, counts in told if window == 200]
 
-    def test_window_whose_counts_the_store_lost_is_not_counted_anew_by_the_next_holder(
+    def test_window_whose_counts_the_store_lost_is_not_recounted_by_the_next_holder(
         self,
     ) -> None:
         async def work() -> None:
@@ -154,7 +154,7 @@
 
         quietly(work())
 
-    def test_holder_that_goes_on_reports_what_it_had_not_yet(self) -> None:
+    def test_holder_reports_unreported_windows_after_a_restore(self) -> None:
         async def work() -> None:
             world = self.world
             await world.run(self.first, 1_005.5)
@@ -164,7 +164,7 @@
 
         quietly(work())
 
-    def test_window_whose_row_was_spoilt_is_not_counted_anew_and_the_next_ones_are(self) -> None:
+    def test_window_whose_row_is_corrupt_is_skipped_and_the_next_is_reported(self) -> None:
         async def work() -> None:
             world = self.world
             world.store.row = StateRow("8", b"spoilt", 9)
@@ -176,7 +176,7 @@
 
         quietly(work())
 
-    def test_holder_whose_row_was_spoilt_reports_what_it_kept(self) -> None:
+    def test_holder_whose_row_is_corrupt_reports_its_frozen_counts(self) -> None:
         async def work() -> None:
             world = self.world
             world.log.down = True
@@ -188,7 +188,7 @@
 
         quietly(work())
 
-    def test_window_that_ends_after_the_stores_return_is_counted_by_the_next_holder(self) -> None:
+    def test_window_that_ends_after_a_restore_is_counted_by_the_next_holder(self) -> None:
         async def work() -> None:
             world = self.world
             await world.run(self.first, 1_004.0)
@@ -198,7 +198,7 @@
 
         quietly(work())
 
-    def test_counts_that_the_copy_has_are_reported_again_as_they_were(self) -> None:
+    def test_counts_in_the_restored_copy_are_reported_again_unchanged(self) -> None:
         async def work() -> None:
             world = self.world
             await world.run(self.first, 1_008.0)
@@ -208,7 +208,7 @@
 
         quietly(work())
 
-    def test_node_that_starts_knows_from_its_peers_that_no_counts_were_lost(self) -> None:
+    def test_starting_node_learns_from_peers_that_no_counts_were_lost(self) -> None:
         async def work() -> None:
             world = self.world
             await world.run(self.first, 1_006.0)
@@ -223,7 +223,7 @@
 
         quietly(work())
 
-    def test_counts_kept_while_the_store_came_back_are_taken_back(self) -> None:
+    def test_counts_stored_during_a_restore_are_voided(self) -> None:
         async def work() -> None:
             world = self.world
             writes = world.store.write
@@ -242,7 +242,7 @@
 
 
 class NewHolderTest(unittest.TestCase):
-    def test_new_holder_reports_no_usage_before_it_can_have_heard_of_it(self) -> None:
+    def test_new_holder_reports_no_usage_before_the_counts_can_have_arrived(self) -> None:
         async def work() -> None:
             log, keeper = ReportLog(), HeldForEver()
             wall = 1_002.0
