--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -27,7 +27,7 @@
 
 
 class LateEvidenceTest(unittest.TestCase):
-    def test_version_is_taken_over_in_time_whenever_the_holder_looks(self) -> None:
+    def test_version_is_adopted_in_time_whatever_the_timing_of_the_polls(self) -> None:
         for duration_s in (8.0, 10.0, 12.0, 20.0):
             for phase_ms in range(0, 200, 20):
                 with self.subTest(duration_s=duration_s, phase_ms=phase_ms):
