--- a/tests/test_quarantine_core.py
+++ b/tests/test_quarantine_core.py
@@ -18,10 +18,10 @@
 )
 
 GUILTY = b"guilty"
-LATER_S = COINCIDENCE_S + 0.01
+DECISION_DELAY_S = COINCIDENCE_S + 0.01
 
 
-def blocked(quarantine: Quarantine, now: float) -> list[bytes]:
+def newly_blocked(quarantine: Quarantine, now: float) -> list[bytes]:
     return [block.fingerprint for block in quarantine.block_guilty(now)]
 
 
@@ -31,11 +31,11 @@
     def test_second_crash_that_nothing_else_explains_blocks_a_request(self) -> None:
         quarantine = Quarantine()
         quarantine.record_crash("s1", [GUILTY, b"a", b"b"], 0.0)
-        self.assertEqual(blocked(quarantine, LATER_S), [])
-        self.assertEqual(quarantine.wait_s(GUILTY, LATER_S), 0.0)
+        self.assertEqual(newly_blocked(quarantine, DECISION_DELAY_S), [])
+        self.assertEqual(quarantine.wait_s(GUILTY, DECISION_DELAY_S), 0.0)
         quarantine.record_crash("s2", [GUILTY, b"c"], 5.0)
         self.assertGreater(quarantine.wait_s(GUILTY, 5.0), 0.0)
-        self.assertEqual(blocked(quarantine, 5.0 + LATER_S), [GUILTY])
+        self.assertEqual(newly_blocked(quarantine, 5.0 + DECISION_DELAY_S), [GUILTY])
         self.assertGreater(quarantine.wait_s(GUILTY, 6.0), INITIAL_BLOCK_S - 2.0)
         self.assertEqual([quarantine.wait_s(each, 6.0) for each in (b"a", b"b", b"c")], [0.0] * 3)
 
@@ -43,14 +43,14 @@
         quarantine = Quarantine()
         for delay in (0.0, 0.02, 0.3, SAME_CRASH_S):
             quarantine.record_crash("s1", [GUILTY], delay)
-        self.assertEqual(blocked(quarantine, 5.0), [])
+        self.assertEqual(newly_blocked(quarantine, 5.0), [])
         self.assertAlmostEqual(quarantine.strikes(GUILTY), 1.0)
 
     def test_restarted_server_of_the_same_name_may_crash_again(self) -> None:
         quarantine = Quarantine()
         quarantine.record_crash("s1", [GUILTY], 0.0)
         quarantine.record_crash("s1", [GUILTY], 4.0)
-        self.assertEqual(blocked(quarantine, 5.0), [GUILTY])
+        self.assertEqual(newly_blocked(quarantine, 5.0), [GUILTY])
 
     def test_answer_of_a_server_clears_a_request(self) -> None:
         quarantine = Quarantine()
@@ -58,14 +58,14 @@
         self.assertTrue(quarantine.record_served(b"a"))
         self.assertFalse(quarantine.record_served(b"a"))
         quarantine.record_crash("s2", [b"a"], 5.0)
-        self.assertEqual(blocked(quarantine, 6.0), [])
+        self.assertEqual(newly_blocked(quarantine, 6.0), [])
 
     def test_popular_request_is_not_blocked_by_occasional_crashes(self) -> None:
         """It runs everywhere all the time, so it ran on each server that ended; it is answered."""
         quarantine = Quarantine()
         for number in range(20):
             quarantine.record_crash(f"s{number}", [b"popular"], 10.0 * number)
-            self.assertEqual(blocked(quarantine, 10.0 * number + LATER_S), [])
+            self.assertEqual(newly_blocked(quarantine, 10.0 * number + DECISION_DELAY_S), [])
             quarantine.record_served(b"popular")
 
     def test_loss_of_halls_blocks_nothing(self) -> None:
@@ -76,14 +76,14 @@
                 name = f"h{hall}s{server}"
                 quarantine.record_crash(name, [b"r%d" % server], hall * 2.0 + server * 0.01)
                 quarantine.block_guilty(hall * 2.0 + server * 0.01)
-        self.assertEqual(blocked(quarantine, 3.0), [])
+        self.assertEqual(newly_blocked(quarantine, 3.0), [])
         self.assertAlmostEqual(quarantine.strikes(b"r1"), 0.5)
 
     def test_copies_of_one_request_explain_simultaneous_crashes(self) -> None:
         quarantine = Quarantine()
         for number in range(3):
             quarantine.record_crash(f"s{number}", [GUILTY, b"r%d" % number], 0.01 * number)
-        self.assertEqual(blocked(quarantine, 1.0), [GUILTY])
+        self.assertEqual(newly_blocked(quarantine, 1.0), [GUILTY])
 
     def test_guilty_requests_sent_in_step_are_blocked_at_the_fourth_crash(self) -> None:
         quarantine = Quarantine()
@@ -92,7 +92,7 @@
             at = 3.0 * turn
             for name in (b"one", b"two", b"three"):
                 quarantine.record_crash(f"s{turn}{name!r}", [name], at)
-            found.append(sorted(blocked(quarantine, at + LATER_S)))
+            found.append(sorted(newly_blocked(quarantine, at + DECISION_DELAY_S)))
         self.assertEqual(found, [[], [], [], [b"one", b"three", b"two"]])
 
 
@@ -102,25 +102,25 @@
     def blocked_at(self, at: float) -> Quarantine:
         quarantine = Quarantine()
         quarantine.record_crash("s1", [GUILTY], at - 1.0)
-        quarantine.record_crash("s2", [GUILTY], at - LATER_S)
-        self.assertEqual(blocked(quarantine, at), [GUILTY])
+        quarantine.record_crash("s2", [GUILTY], at - DECISION_DELAY_S)
+        self.assertEqual(newly_blocked(quarantine, at), [GUILTY])
         return quarantine
 
     def test_one_more_crash_after_a_block_blocks_for_twice_as_long(self) -> None:
         quarantine = self.blocked_at(10.0)
         again = 10.0 + INITIAL_BLOCK_S + 1.0
         self.assertEqual(quarantine.wait_s(GUILTY, again), 0.0)
-        self.assertEqual(blocked(quarantine, again), [])
+        self.assertEqual(newly_blocked(quarantine, again), [])
         quarantine.record_crash("s3", [GUILTY], again)
-        self.assertEqual(blocked(quarantine, again + LATER_S), [GUILTY])
-        left_s = quarantine.wait_s(GUILTY, again + LATER_S)
+        self.assertEqual(newly_blocked(quarantine, again + DECISION_DELAY_S), [GUILTY])
+        left_s = quarantine.wait_s(GUILTY, again + DECISION_DELAY_S)
         self.assertAlmostEqual(left_s, 2 * INITIAL_BLOCK_S, delta=1.0)
 
     def test_crashes_that_led_to_a_block_do_not_lead_to_the_next(self) -> None:
         quarantine = self.blocked_at(10.0)
         quarantine.record_crash("s2", [GUILTY], 10.5)
         for now in (11.0, 10.0 + INITIAL_BLOCK_S + 0.5):
-            self.assertEqual(blocked(quarantine, now), [])
+            self.assertEqual(newly_blocked(quarantine, now), [])
 
     def test_request_that_is_served_after_its_block_is_forgotten(self) -> None:
         quarantine = self.blocked_at(10.0)
@@ -131,7 +131,7 @@
         quarantine = Quarantine()
         quarantine.merge_block(Block(GUILTY, 100.0, times=40))
         quarantine.record_crash("s1", [GUILTY], 200.0)
-        self.assertEqual(blocked(quarantine, 201.0), [GUILTY])
+        self.assertEqual(newly_blocked(quarantine, 201.0), [GUILTY])
         self.assertLessEqual(quarantine.wait_s(GUILTY, 201.0), MAX_BLOCK_S)
 
     def test_crashes_and_blocks_expire(self) -> None:
