--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -25,12 +25,12 @@
 Writer = asyncio.StreamWriter
 
 
-async def ends(_: Arrival, __: Reader, writer: Writer) -> None:
+async def reset_connection(_: Arrival, __: Reader, writer: Writer) -> None:
     """End every connection, as a server does that crashes."""
     reset(writer)
 
 
-def a_request(
+def make_request(
     target: bytes = b"/draft/1", body: bytes = b"why", request_id: bytes = b"r1", host: bytes = b"h"
 ) -> InboundRequest:
     head = RequestHead(b"POST", target, [(b"Host", host), (b"Request-Id", request_id)])
@@ -39,18 +39,18 @@
 
 class FingerprintTest(unittest.TestCase):
     def test_fingerprint_does_not_depend_on_the_request_id(self) -> None:
-        first, again = a_request(), a_request(request_id=b"r2")
+        first, again = make_request(), make_request(request_id=b"r2")
         self.assertEqual(fingerprint(first, "north"), fingerprint(again, "north"))
 
     def test_fingerprint_depends_on_caller_path_host_and_body(self) -> None:
         others = [
-            fingerprint(a_request(), "north"),
-            fingerprint(a_request(), "south"),
-            fingerprint(a_request(), None),
-            fingerprint(a_request(target=b"/draft/2"), "north"),
-            fingerprint(a_request(host=b"i"), "north"),
-            fingerprint(a_request(body=b"what"), "north"),
-            fingerprint(a_request(target=b"/draft/1w", body=b"hy"), "north"),
+            fingerprint(make_request(), "north"),
+            fingerprint(make_request(), "south"),
+            fingerprint(make_request(), None),
+            fingerprint(make_request(target=b"/draft/2"), "north"),
+            fingerprint(make_request(host=b"i"), "north"),
+            fingerprint(make_request(body=b"what"), "north"),
+            fingerprint(make_request(target=b"/draft/1w", body=b"hy"), "north"),
         ]
         self.assertEqual(len(set(others)), len(others))
 
@@ -62,8 +62,8 @@
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                await world.server("s1", "model", ends)
-                await world.server("s2", "model", ends)
+                await world.server("s1", "model", reset_connection)
+                await world.server("s2", "model", reset_connection)
                 await world.ask("/draft/", body=b"one", request_id="r1")
                 await world.ask("/draft/", body=b"one", request_id="r2")
                 await world.ask("/draft/", body=b"two", request_id="r3")
@@ -99,7 +99,7 @@
 
     SERVERS = 12
     ARRIVALS = 12
-    MAY_END = (2, 3)
+    CRASHED_SERVERS = (2, 3)
     """Servers that may end before the request is known for what it does. One end tells nothing."""
 
     def test_request_crashes_no_more_than_three_servers(self) -> None:
@@ -110,19 +110,19 @@
 
     async def check_one_node(self, path: str) -> None:
         async with GatewayWorld(a_plan()) as world:
-            servers = await self.listed_in(world, "model" if path == "/draft/" else "plain")
+            servers = await self.add_servers(world, "model" if path == "/draft/" else "plain")
             answers = [
                 await world.ask(path, body=GUILTY, request_id=f"r{number}")
                 for number in range(self.ARRIVALS)
             ]
-            self.assertIn(sum(server.ended for server in servers), self.MAY_END)
+            self.assertIn(sum(server.ended for server in servers), self.CRASHED_SERVERS)
             self.assertEqual([each.status for each in answers[-3:]], [503] * 3)
             self.assertGreater(float(answers[-1].headers["retry-after"]), 0.0)
             if path != "/draft/":
                 other = await world.ask(path, body=b"another", request_id="other")
                 self.assertEqual(other.status, 200)
 
-    async def listed_in(self, world: GatewayWorld, service: str) -> list[FragileServer]:
+    async def add_servers(self, world: GatewayWorld, service: str) -> list[FragileServer]:
         servers = []
         for number in range(self.SERVERS):
             server = fragile_server(f"s{number}")
@@ -134,13 +134,13 @@
         """It comes in turn at three nodes, which all know a twentieth of a second later."""
 
         async def work(cluster: Cluster) -> None:
-            servers = await self.listed_by(cluster)
+            servers = await self.start_servers(cluster)
             names = ["n1", "n2", "n3"]
             await self.start_nodes(cluster, names)
             for number in range(self.ARRIVALS):
                 await self.ask_guilty(cluster, names[number % 3])
                 await asyncio.sleep(0.05)
-            self.assertIn(sum(server.ended for server in servers), self.MAY_END)
+            self.assertIn(sum(server.ended for server in servers), self.CRASHED_SERVERS)
             statuses = [(await self.ask_guilty(cluster, name)).status for name in names]
             self.assertEqual(statuses, [503] * 3)
 
@@ -153,7 +153,7 @@
         """
 
         async def work(cluster: Cluster) -> None:
-            servers = await self.listed_by(cluster)
+            servers = await self.start_servers(cluster)
             await self.start_nodes(cluster, ["n1"])
             for _ in range(self.ARRIVALS):
                 await self.ask_guilty(cluster, "n1")
@@ -164,12 +164,12 @@
             before = sum(server.ended for server in servers)
             for _ in range(3):
                 self.assertEqual((await self.ask_guilty(cluster, "n2")).status, 503)
-            self.assertIn(before, self.MAY_END)
+            self.assertIn(before, self.CRASHED_SERVERS)
             self.assertEqual(sum(server.ended for server in servers), before)
 
         on_cluster(work)
 
-    async def listed_by(self, cluster: Cluster) -> list[FragileServer]:
+    async def start_servers(self, cluster: Cluster) -> list[FragileServer]:
         cluster.platform.drop("servers", cluster.backend.id)
         servers = []
         for number in range(self.SERVERS):
