--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -22,7 +22,7 @@
 from tests.gateway_world import Arrival, GatewayWorld, a_plan, answer, quietly, reset
 from tests.test_gateway_nodes import Cluster, ask, on_cluster, ready, request_bytes, until
 
-DECIDED_S = 0.4
+DECISION_WAIT_S = 0.4
 """What a node saw of an end is decided on by then."""
 
 
@@ -97,7 +97,7 @@
                 await world.ask("/order/", body=GUILTY)
                 answers = await asyncio.gather(*asked)
                 self.assertGreaterEqual([each.status for each in answers].count(502), 3)
-                await asyncio.sleep(DECIDED_S)
+                await asyncio.sleep(DECISION_WAIT_S)
                 self.assertEqual((await world.ask("/order/", body=GUILTY)).status, 503)
                 for body in bodies:
                     self.assertEqual((await world.ask("/order/", body=body)).status, 200)
@@ -112,7 +112,7 @@
                     await world.add(fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
                     await world.ask("/order/", body=GUILTY)
-                await asyncio.sleep(DECIDED_S)
+                await asyncio.sleep(DECISION_WAIT_S)
                 spent = dict(world.forwarder.limits.spent)
                 for _ in range(5):
                     self.assertEqual((await world.ask("/order/", body=GUILTY)).status, 503)
@@ -127,7 +127,7 @@
                     await world.add(fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
                     await world.ask("/order/", body=GUILTY)
-                    await asyncio.sleep(DECIDED_S)
+                    await asyncio.sleep(DECISION_WAIT_S)
 
         with logbook.TestHandler().applicationbound() as handler:
             asyncio.run(work())
@@ -145,7 +145,7 @@
 class BlamedVersionTest(unittest.TestCase):
     """A request that ends servers must not speak against their version as all that it broke off."""
 
-    async def failures_at_end(self, world: GatewayWorld, name: str, others: int) -> int:
+    async def failures_at_crash(self, world: GatewayWorld, name: str, others: int) -> int:
         """Let a server end under the guilty request; return what is held against its version."""
         failures = 0
 
@@ -167,8 +167,8 @@
     def test_crash_is_one_failure_and_none_under_a_suspect(self) -> None:
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                self.assertEqual(await self.failures_at_end(world, "s1", 3), 1)
-                self.assertEqual(await self.failures_at_end(world, "s2", 3), 0)
+                self.assertEqual(await self.failures_at_crash(world, "s1", 3), 1)
+                self.assertEqual(await self.failures_at_crash(world, "s2", 3), 0)
 
         quietly(work())
 
@@ -193,42 +193,42 @@
     """Guards of several nodes, whose datagrams are delivered or lost."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
-        self.loses: Callable[[QuarantineMessage], bool] = lambda _: False
+        self.is_lost: Callable[[QuarantineMessage], bool] = lambda _: False
         self.guards: dict[str, RequestGuard] = {}
         self.sharing: dict[str, QuarantineSharing] = {}
         for name in names:
             guard = self.guards[name] = RequestGuard(ConnectionPool(monotonic))
-            self.sharing[name] = QuarantineSharing(guard, self.teller(name))
+            self.sharing[name] = QuarantineSharing(guard, self.make_sender(name))
             self.sharing[name].synced = True
             guard.on_block = self.sharing[name].broadcast_block
 
-    def teller(self, own: str) -> Callable[..., None]:
+    def make_sender(self, own: str) -> Callable[..., None]:
         def tell(
             news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
         ) -> None:
             for name in [peer] if peer is not None else self.sharing:
-                if name != own and not self.loses(news):
+                if name != own and not self.is_lost(news):
                     self.sharing[name].on_message(news)
 
         return tell
 
-    def end(self, node: str, server: str, requests: list[bytes]) -> None:
+    def crash_server(self, node: str, server: str, requests: list[bytes]) -> None:
         """Let a node see the end of a server."""
         self.guards[node]._record_local_crash(server, requests, monotonic())
 
-    def tell_states(self) -> None:
+    def exchange_digests(self) -> None:
         """Let all nodes hear each other's digests."""
         for name, sharing in self.sharing.items():
             for other, theirs in self.sharing.items():
                 if other != name:
                     sharing.on_peer_digest(other, theirs.digest())
 
-    def blocked(self) -> list[str]:
+    def nodes_with_block(self) -> list[str]:
         """Return the nodes that have the guilty request blocked."""
         return [name for name, guard in self.guards.items() if GUILTY in guard.quarantine.blocks]
 
 
-def over_network(work: Callable[[Network], Awaitable[None]]) -> None:
+def run_on_network(work: Callable[[Network], Awaitable[None]]) -> None:
     async def run() -> None:
         await work(Network(("n1", "n2", "n3")))
 
@@ -240,76 +240,76 @@
 
     def test_crashes_seen_by_different_nodes_count_together(self) -> None:
         async def work(network: Network) -> None:
-            network.end("n1", "s1", [GUILTY, b"a"])
+            network.crash_server("n1", "s1", [GUILTY, b"a"])
             await asyncio.sleep(0.3)
-            network.end("n2", "s2", [GUILTY, b"b"])
-            await asyncio.sleep(DECIDED_S)
-            self.assertEqual(network.blocked(), ["n1", "n2", "n3"])
+            network.crash_server("n2", "s2", [GUILTY, b"b"])
+            await asyncio.sleep(DECISION_WAIT_S)
+            self.assertEqual(network.nodes_with_block(), ["n1", "n2", "n3"])
 
-        over_network(work)
+        run_on_network(work)
 
     def test_first_message_of_a_crash_may_be_lost(self) -> None:
         async def work(network: Network) -> None:
-            network.loses = lambda news: (
+            network.is_lost = lambda news: (
                 isinstance(news, BlockNews) or (isinstance(news, EndNews) and news.age_s < 0.1)
             )
-            network.end("n1", "s1", [GUILTY])
+            network.crash_server("n1", "s1", [GUILTY])
             await asyncio.sleep(0.5)
-            network.end("n1", "s2", [GUILTY])
+            network.crash_server("n1", "s2", [GUILTY])
             await asyncio.sleep(0.7)
-            self.assertEqual(network.blocked(), ["n1", "n2", "n3"])
+            self.assertEqual(network.nodes_with_block(), ["n1", "n2", "n3"])
 
-        over_network(work)
+        run_on_network(work)
 
     def test_node_that_missed_all_messages_gets_the_blocks_by_gossip(self) -> None:
         async def work(network: Network) -> None:
-            network.loses = lambda _: True
-            network.end("n1", "s1", [GUILTY])
+            network.is_lost = lambda _: True
+            network.crash_server("n1", "s1", [GUILTY])
             await asyncio.sleep(0.3)
-            network.end("n1", "s2", [GUILTY])
+            network.crash_server("n1", "s2", [GUILTY])
             await asyncio.sleep(0.7)
-            self.assertEqual(network.blocked(), ["n1"])
-            network.loses = lambda _: False
-            network.tell_states()
-            self.assertEqual(network.blocked(), ["n1", "n2", "n3"])
+            self.assertEqual(network.nodes_with_block(), ["n1"])
+            network.is_lost = lambda _: False
+            network.exchange_digests()
+            self.assertEqual(network.nodes_with_block(), ["n1", "n2", "n3"])
             digests = {each.digest() for each in network.sharing.values()}
             self.assertEqual(len(digests), 1)
 
-        over_network(work)
+        run_on_network(work)
 
     def test_starting_node_receives_the_blocks_and_sends_none_before(self) -> None:
         async def work(network: Network) -> None:
             for server in ("s1", "s2"):
-                network.end("n1", server, [GUILTY])
-            await asyncio.sleep(DECIDED_S)
+                network.crash_server("n1", server, [GUILTY])
+            await asyncio.sleep(DECISION_WAIT_S)
             guard = network.guards["n4"] = RequestGuard(ConnectionPool(monotonic))
-            started = network.sharing["n4"] = QuarantineSharing(guard, network.teller("n4"))
+            started = network.sharing["n4"] = QuarantineSharing(guard, network.make_sender("n4"))
             self.assertIsNone(started.digest())
-            network.tell_states()
+            network.exchange_digests()
             self.assertTrue(started.synced)
-            self.assertEqual(network.blocked(), ["n1", "n2", "n3", "n4"])
+            self.assertEqual(network.nodes_with_block(), ["n1", "n2", "n3", "n4"])
 
-        over_network(work)
+        run_on_network(work)
 
     def test_nodes_that_start_together_do_not_consider_each_other_synced(self) -> None:
         async def work(network: Network) -> None:
             for sharing in network.sharing.values():
                 sharing.synced = False
-            network.tell_states()
+            network.exchange_digests()
             self.assertEqual([each.synced for each in network.sharing.values()], [False] * 3)
 
-        over_network(work)
+        run_on_network(work)
 
     def test_request_that_a_server_survived_is_cleared_at_all_nodes(self) -> None:
         async def work(network: Network) -> None:
-            network.end("n1", "s1", [GUILTY])
+            network.crash_server("n1", "s1", [GUILTY])
             guard = network.guards["n2"]
             self.assertTrue(guard.quarantine.is_suspect(GUILTY))
             self.assertTrue(guard.quarantine.record_served(GUILTY))
             guard.on_cleared(GUILTY)
             self.assertFalse(network.guards["n1"].quarantine.is_suspect(GUILTY))
 
-        over_network(work)
+        run_on_network(work)
 
     def test_crash_with_many_requests_is_split_into_datagrams(self) -> None:
         async def work(network: Network) -> None:
@@ -324,13 +324,13 @@
             sharing._send_crash(ObservedCrash("s1", many, monotonic()))
             self.assertEqual(sizes, [64, 64, 22])
 
-        over_network(work)
+        run_on_network(work)
 
 
 class KeptTest(unittest.TestCase):
     """The store has what was decided, whatever happens to it."""
 
-    async def a_blocked_one(self, cluster: Cluster, name: str) -> list[FragileServer]:
+    async def start_node_and_servers(self, cluster: Cluster, name: str) -> list[FragileServer]:
         cluster.platform.drop("servers", cluster.backend.id)
         servers = [fragile_server(f"f{number}") for number in range(5)]
         for server in servers:
@@ -345,20 +345,20 @@
         callers = cluster.nodes[name].settings.node.callers
         return (await ask(callers, request_bytes("/check/", body=GUILTY))).status
 
-    def rows(self, cluster: Cluster) -> list[str]:
+    def block_keys(self, cluster: Cluster) -> list[str]:
         return [key for table, _, key in cluster.platform.rows if table == BLOCK_TABLE]
 
     def test_block_that_the_store_refused_is_written_later(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await self.a_blocked_one(cluster, "n1")
+            await self.start_node_and_servers(cluster, "n1")
             await until(lambda: cluster.nodes["n1"].quarantine.synced)
             cluster.platform.mode = StoreMode.BUSY
             await self.ask_guilty(cluster, "n1")
             await until(lambda: bool(cluster.nodes["n1"].forwarder.guard.quarantine.blocks))
             await asyncio.sleep(0.3)
-            self.assertEqual(self.rows(cluster), [])
+            self.assertEqual(self.block_keys(cluster), [])
             cluster.platform.mode = StoreMode.HEALTHY
-            await until(lambda: len(self.rows(cluster)) == 1)
+            await until(lambda: len(self.block_keys(cluster)) == 1)
 
         on_cluster(work)
 
@@ -391,13 +391,13 @@
 
     def test_block_is_decided_on_once_and_written_once(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await self.a_blocked_one(cluster, "n1")
+            await self.start_node_and_servers(cluster, "n1")
             other = await cluster.start("n2", (cluster.nodes["n1"].settings.node.control,))
             await until(ready(other))
             await until(lambda: other.quarantine.synced)
             for name in ("n1", "n2", "n1"):
                 await self.ask_guilty(cluster, name)
-            await until(lambda: len(self.rows(cluster)) == 1)
+            await until(lambda: len(self.block_keys(cluster)) == 1)
             row = next(
                 each
                 for (table, _, _), each in cluster.platform.rows.items()
@@ -405,7 +405,7 @@
             )
             first = row.ver
             await asyncio.sleep(0.5)
-            self.assertEqual((self.rows(cluster), row.ver), ([row.key], first))
+            self.assertEqual((self.block_keys(cluster), row.ver), ([row.key], first))
             for node in cluster.nodes.values():
                 self.assertEqual(len(node.forwarder.guard.quarantine.blocks), 1)
 
