--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -30,14 +30,14 @@
 
 SERVERS = 4
 ANSWER_TOKENS = 40
-MEAN_PROMPT = 5_000.0
+MEAN_PROMPT_TOKENS = 5_000.0
 
 
-def spec_of(read_per_s: float, slots: int) -> EngineSpec:
+def make_spec(read_per_s: float, slots: int) -> EngineSpec:
     return EngineSpec(read_per_s, slots / FULL_STEP_S, slots, cache_tokens=0)
 
 
-def reading_rate(spec: EngineSpec) -> float:
+def prefill_rate(spec: EngineSpec) -> float:
     """Return the tokens that an engine reads a second beside a tenth of a batch."""
     took = []
     for prompt in (2_000, 12_000):
@@ -57,27 +57,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentRequest:
     """A request that was placed, and what the node believed of its server then."""
 
     server: int
     at: float
     prompt: int
-    ahead: int
-    beside: int
-    through: float
+    queued_ahead: int
+    concurrent: int
+    cumulative_work: float
 
 
 @dataclass(slots=True)
-class ViewInTime:
+class ServerViewHistory:
     """What a node counts at a server: prompt tokens without a first event, and requests."""
 
     states: list[tuple[float, int, int]] = field(default_factory=lambda: [(0.0, 0, 0)])
 
-    def change(self, now: float, tokens: int, requests: int) -> None:
+    def record_change(self, now: float, tokens: int, requests: int) -> None:
         """Note a request that was placed, had its first event or ended."""
-        _, ahead, beside = self.states[-1]
-        self.states.append((now, ahead + tokens, beside + requests))
+        _, queued_ahead, concurrent = self.states[-1]
+        self.states.append((now, queued_ahead + tokens, concurrent + requests))
 
     def as_of(self, when: float) -> tuple[int, int]:
         """Return what was counted at a moment."""
@@ -86,22 +86,22 @@
 
 
 @dataclass(slots=True)
-class Play:
+class Simulation:
     """Requests at some engines, as a node that places and learns sees them.
 
     `load` is the part of the engines' time that reading takes. What the node counts as waiting
-    ahead, each prompt whole until its first event, and as running beside is `late_s` old. Server 0
-    takes `slow_x` times as long.
+    ahead, each prompt whole until its first event, and as running beside is `view_delay_s` old. Server 0
+    takes `slow_factor` times as long.
     """
 
     spec: EngineSpec
     load: float = 0.3
-    late_s: float = 0.0
-    slow_x: float = 1.0
+    view_delay_s: float = 0.0
+    slow_factor: float = 1.0
     change_at: float = 1e9
-    change_x: float = 1.0
+    change_factor: float = 1.0
     estimator: SpeedEstimator = field(default_factory=SpeedEstimator)
-    reading: list[PrefillTracker] = field(
+    trackers: list[PrefillTracker] = field(
         default_factory=lambda: [PrefillTracker() for _ in range(SERVERS)]
     )
     slowness: list[Slowness] = field(default_factory=lambda: [Slowness() for _ in range(SERVERS)])
@@ -109,20 +109,20 @@
 
     def run_until(self, end: float) -> None:
         """Play the requests of some time, and stop then."""
-        self.run(int(end * self.load * SERVERS * reading_rate(self.spec) / MEAN_PROMPT), end)
+        self.run(int(end * self.load * SERVERS * prefill_rate(self.spec) / MEAN_PROMPT_TOKENS), end)
 
     def run(self, requests: int = REQUESTS, end: float = 1e9) -> None:
         """Play so many requests."""
         chance = random.Random(3)
-        rate = reading_rate(self.spec)
+        rate = prefill_rate(self.spec)
         engines = [EngineModel(self.spec) for _ in range(SERVERS)]
         clocks = [0.0] * SERVERS
-        views = [ViewInTime() for _ in range(SERVERS)]
-        sent: dict[str, Sent] = {}
+        views = [ServerViewHistory() for _ in range(SERVERS)]
+        sent: dict[str, SentRequest] = {}
         arrivals: list[float] = []
         at = 0.0
         for _ in range(requests):
-            at += chance.expovariate(self.load * SERVERS * rate / MEAN_PROMPT)
+            at += chance.expovariate(self.load * SERVERS * rate / MEAN_PROMPT_TOKENS)
             heapq.heappush(arrivals, at)
         number = 0
         while arrivals or any(engine.busy for engine in engines):
@@ -138,40 +138,42 @@
                     clocks[chosen] = at
                 name = f"r{number}"
                 number += 1
-                ahead, beside = views[chosen].as_of(at - self.late_s)
-                through = self.reading[chosen].record_placed(prompt)
-                sent[name] = Sent(chosen, at, prompt, ahead, beside, through)
+                queued_ahead, concurrent = views[chosen].as_of(at - self.view_delay_s)
+                cumulative_work = self.trackers[chosen].record_placed(prompt)
+                sent[name] = SentRequest(
+                    chosen, at, prompt, queued_ahead, concurrent, cumulative_work
+                )
                 engines[chosen].submit(Sequence(name, "", (), prompt, 0, ANSWER_TOKENS, "normal"))
-                views[chosen].change(at, prompt, 1)
+                views[chosen].record_change(at, prompt, 1)
                 continue
             step = engines[first].step()
-            times = self.change_x if clocks[first] >= self.change_at else 1.0
-            clocks[first] += step.duration_s * times * (self.slow_x if first == 0 else 1.0)
+            times = self.change_factor if clocks[first] >= self.change_at else 1.0
+            clocks[first] += step.duration_s * times * (self.slow_factor if first == 0 else 1.0)
             for attempt, produced in step.tokens:
                 if produced == 0:
-                    views[first].change(clocks[first], -sent[attempt].prompt, 0)
-                    self._first(sent[attempt], clocks[first])
+                    views[first].record_change(clocks[first], -sent[attempt].prompt, 0)
+                    self._on_first_event(sent[attempt], clocks[first])
             for sequence in step.finished:
-                views[first].change(clocks[first], 0, -1)
+                views[first].record_change(clocks[first], 0, -1)
                 self.estimator.record_hold(clocks[first] - sent[sequence.attempt].at)
 
-    def _first(self, sent: Sent, now: float) -> None:
+    def _on_first_event(self, sent: SentRequest, now: float) -> None:
         self.now = max(self.now, now)
         took_s = now - sent.at
         self.estimator.record_placed(sent.prompt)
-        alone = PrefillSample(sent.prompt, sent.ahead, took_s, now, sent.beside)
-        seen = self.reading[sent.server].on_first_event(sent.at, sent.through, alone)
+        alone = PrefillSample(sent.prompt, sent.queued_ahead, took_s, now, sent.concurrent)
+        seen = self.trackers[sent.server].on_first_event(sent.at, sent.cumulative_work, alone)
         if seen is not None:
             self.estimator.add_sample(seen)
         speed = self.estimator.speed(now)
-        tokens = sent.prompt + speed.remaining_work(sent.ahead)
-        expected_s = speed.start_s + speed.prefill_s(tokens, sent.beside)
+        tokens = sent.prompt + speed.remaining_work(sent.queued_ahead)
+        expected_s = speed.start_s + speed.prefill_s(tokens, sent.concurrent)
         self.slowness[sent.server].observe(took_s, expected_s, now)
 
 
 class LearningTest(unittest.TestCase):
-    def assert_learnt(self, play: Play) -> None:
-        truth = reading_rate(play.spec)
+    def assert_rate_is_learnt(self, play: Simulation) -> None:
+        truth = prefill_rate(play.spec)
         learnt = play.estimator.speed(play.now + 1.0).read_per_s
         self.assertAlmostEqual(learnt / truth, 1.0, delta=TOLERANCE)
 
@@ -179,26 +181,26 @@
         for read_per_s in (10_000.0, 50_000.0, 157_000.0, 300_000.0):
             for slots in (8, 24, 128):
                 with self.subTest(read_per_s=read_per_s, slots=slots):
-                    play = Play(spec_of(read_per_s, slots))
+                    play = Simulation(make_spec(read_per_s, slots))
                     play.run()
-                    self.assert_learnt(play)
+                    self.assert_rate_is_learnt(play)
 
     def test_rate_is_found_although_queue_depths_arrive_late(self) -> None:
-        for late_s in (0.1, 0.3, 1.0):
-            with self.subTest(late_s=late_s):
-                play = Play(spec_of(157_000.0, 24), late_s=late_s)
+        for view_delay_s in (0.1, 0.3, 1.0):
+            with self.subTest(view_delay_s=view_delay_s):
+                play = Simulation(make_spec(157_000.0, 24), view_delay_s=view_delay_s)
                 play.run()
-                self.assert_learnt(play)
+                self.assert_rate_is_learnt(play)
 
     def test_rate_is_found_under_load(self) -> None:
-        play = Play(spec_of(157_000.0, 24), load=0.6)
+        play = Simulation(make_spec(157_000.0, 24), load=0.6)
         play.run(2 * REQUESTS)
-        self.assert_learnt(play)
+        self.assert_rate_is_learnt(play)
 
     def test_one_slow_server_is_distinguished_from_the_others(self) -> None:
-        play = Play(spec_of(50_000.0, 24), load=0.1, slow_x=5.0)
+        play = Simulation(make_spec(50_000.0, 24), load=0.1, slow_factor=5.0)
         play.run()
-        self.assert_learnt(play)
+        self.assert_rate_is_learnt(play)
         times = [each.factor(play.now) for each in play.slowness]
         self.assertGreater(times[0], 2.0)
         self.assertLess(max(times[1:]), 1.5)
@@ -255,33 +257,37 @@
 LOADS = (0.5, 0.9, 1.8)
 """Half of what the servers can do, close to all of it, and twice that."""
 
-FOLLOWED_S = 2.0
-NEED_OFF = 0.3
-WAIT_S = 0.1
+ADAPTATION_S = 2.0
+CHANGED_RATE_TOLERANCE = 0.3
+MAX_MEAN_WAIT_S = 0.1
 
 
 class ChangeTest(unittest.TestCase):
     """All servers of a service turn slower or faster at once."""
 
     def need(self, work_per_s: float, running: float, slots: int, speed: Speed) -> int:
-        return servers_needed(work_per_s, running, slots, WAIT_S, speed)
+        return servers_needed(work_per_s, running, slots, MAX_MEAN_WAIT_S, speed)
 
     def test_rate_follows_a_change_within_two_seconds(self) -> None:
-        spec = spec_of(157_000.0, 64)
+        spec = make_spec(157_000.0, 64)
         for at in CHANGE_AT_S:
             for load in LOADS:
                 for times in (3.0, 1 / 3):
                     with self.subTest(at=at, load=load, times=times):
-                        play = Play(spec, load=load, late_s=0.1, change_at=at, change_x=times)
-                        play.run_until(at + FOLLOWED_S)
+                        play = Simulation(
+                            spec, load=load, view_delay_s=0.1, change_at=at, change_factor=times
+                        )
+                        play.run_until(at + ADAPTATION_S)
                         learnt = play.estimator.speed(play.now)
-                        truth = reading_rate(spec) / times
-                        self.assertAlmostEqual(learnt.read_per_s / truth, 1.0, delta=NEED_OFF)
+                        truth = prefill_rate(spec) / times
+                        self.assertAlmostEqual(
+                            learnt.read_per_s / truth, 1.0, delta=CHANGED_RATE_TOLERANCE
+                        )
 
     def test_no_change_is_signalled_at_constant_speed(self) -> None:
         for load in (0.3, 0.6, 0.9):
             with self.subTest(load=load):
-                play = Play(spec_of(157_000.0, 64), load=load, late_s=0.1)
+                play = Simulation(make_spec(157_000.0, 64), load=load, view_delay_s=0.1)
                 play.run(1_000)
                 self.assertEqual(play.estimator.changes, 0)
 
