--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -19,7 +19,7 @@
 from tests.test_gateway_lease import OneRow
 
 
-class HeldForEver:
+class FakeLeaseKeeper:
     """A lease that this node holds with a fence."""
 
     epoch = 3
@@ -29,7 +29,7 @@
         return Grant(LEASE_KEY, self.epoch, 1e18, 0.0)
 
 
-class ReportLog:
+class FakeOrders:
     """The cloud, which notes what is reported."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         return None
 
 
-class NoRenting:
+class FakeRentingDuty:
     """No service rents servers."""
 
     def reset(self) -> None:
@@ -59,7 +59,7 @@
         """Order nothing."""
 
 
-class NoRollouts:
+class FakeRolloutDuty:
     """No roll-out was ordered."""
 
     def reset(self) -> None:
@@ -69,11 +69,11 @@
         """Carry nothing on."""
 
 
-def duties_of(
+def make_duties(
     node: str,
-    keeper: HeldForEver,
+    keeper: FakeLeaseKeeper,
     store: OneRow,
-    log: ReportLog,
+    orders: FakeOrders,
     sharing: Sharing,
     now: Callable[[], float] = monotonic,
 ) -> Duties:
@@ -82,10 +82,10 @@
         node,
         keeper,  # type: ignore[arg-type]
         store,  # type: ignore[arg-type]
-        log,  # type: ignore[arg-type]
+        orders,  # type: ignore[arg-type]
         sharing,
-        NoRenting(),  # type: ignore[arg-type]
-        NoRollouts(),  # type: ignore[arg-type]
+        FakeRentingDuty(),  # type: ignore[arg-type]
+        FakeRolloutDuty(),  # type: ignore[arg-type]
         now,
     )
 
@@ -95,9 +95,11 @@
 
     def __init__(self, node: str, world: "UsageWorld") -> None:
         bounds = Bounds(usage_window_s=5.0)
-        self.keeper = HeldForEver()
+        self.keeper = FakeLeaseKeeper()
         self.sharing = Sharing(Membership(node, 1), bounds, world.now, world.wall)
-        self.duties = duties_of(node, self.keeper, world.store, world.log, self.sharing, world.now)
+        self.duties = make_duties(
+            node, self.keeper, world.store, world.orders, self.sharing, world.now
+        )
 
 
 class UsageWorld:
@@ -108,7 +110,7 @@
         self.store = OneRow()
         self.store.era = StoreEra(self.now)
         self.store.era.observe(1)
-        self.log = ReportLog()
+        self.orders = FakeOrders()
 
     def now(self) -> float:
         """Return the time of the monotonic clock."""
@@ -137,8 +139,8 @@
                 holder.sharing.record_started("north")
 
     def counts_of_first_window(self) -> list[object]:
-        log = self.world.log
-        told = zip(log.reported, log.counts, strict=True)
+        orders = self.world.orders
+        told = zip(orders.reported, orders.counts, strict=True)
         return [counts for window, counts in told if window == 200]
 
     def test_window_whose_counts_the_store_lost_is_not_recounted_by_the_next_holder(
@@ -172,17 +174,17 @@
             self.assertEqual(self.counts_of_first_window(), [])
             self.second.sharing.record_started("north")
             await world.run(self.second, 1_014.0)
-            self.assertEqual(world.log.reported, [201])
+            self.assertEqual(world.orders.reported, [201])
 
         quietly(work())
 
     def test_holder_whose_row_is_corrupt_reports_its_frozen_counts(self) -> None:
         async def work() -> None:
             world = self.world
-            world.log.down = True
+            world.orders.down = True
             await world.run(self.first, 1_007.0)
             world.store.row = StateRow("8", b"spoilt", world.store.version + 1)
-            world.log.down = False
+            world.orders.down = False
             await world.run(self.first, 1_008.0)
             self.assertEqual(self.counts_of_first_window(), [{"north": 3}])
 
@@ -244,26 +246,26 @@
 class NewHolderTest(unittest.TestCase):
     def test_new_holder_reports_no_usage_before_the_counts_can_have_arrived(self) -> None:
         async def work() -> None:
-            log, keeper = ReportLog(), HeldForEver()
+            orders, keeper = FakeOrders(), FakeLeaseKeeper()
             wall = 1_002.0
             sharing = Sharing(Membership("n1", 1), Bounds(usage_window_s=5.0), wall=lambda: wall)
-            duties = duties_of("n1", keeper, OneRow(), log, sharing)
+            duties = make_duties("n1", keeper, OneRow(), orders, sharing)
             sharing.record_started("north")
             wall = 1_005.1 + SETTLE_S
             began = monotonic()
-            while not log.reported:
+            while not orders.reported:
                 await duties.step()
                 await asyncio.sleep(0.02)
             self.assertGreaterEqual(monotonic() - began, NEW_HOLDER_DELAY_S)
             sharing.record_started("north")
             wall += 5.0
             await duties.step()
-            self.assertEqual(len(log.reported), 2, "a holder of some time reports at once")
+            self.assertEqual(len(orders.reported), 2, "a holder of some time reports at once")
             keeper.epoch += 1
             sharing.record_started("north")
             wall += 5.0
             await duties.step()
-            self.assertEqual(len(log.reported), 2)
+            self.assertEqual(len(orders.reported), 2)
 
         quietly(work())
 
