--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -22,7 +22,7 @@
 from moledale.gateway.rollouts import Rollouts
 from tests.gateway_world import quietly
 
-LATE_S = 0.02
+POLL_DELAY_S = 0.02
 """Each look of the holder comes a little late, by what the look before it took."""
 
 
@@ -31,9 +31,9 @@
         for duration_s in (8.0, 10.0, 12.0, 20.0):
             for phase_ms in range(0, 200, 20):
                 with self.subTest(duration_s=duration_s, phase_ms=phase_ms):
-                    quietly(self.take_over(duration_s, phase_ms / 1000))
+                    quietly(self.assert_adopted_in_time(duration_s, phase_ms / 1000))
 
-    async def take_over(self, duration_s: float, first_look_s: float) -> None:
+    async def assert_adopted_in_time(self, duration_s: float, first_look_s: float) -> None:
         self.now = first_look_s
         balancer = LoadBalancer("hall-a")
         old = [Server("s0", "model", "h:0", "hall-a", 4, version="v1")]
@@ -49,7 +49,7 @@
             Exposure(),
         )
         rollouts.apply_order(RolloutOrder("model", 1, "v2", duration_s, 0.0))
-        self.note_answers(rollouts)
+        self.record_answers(rollouts)
         store = mock.Mock()
         store.load_rollouts = mock.AsyncMock(return_value=Ok([]))
         store.write_rollout = mock.AsyncMock(
@@ -59,10 +59,10 @@
         while rollouts.services["model"].phase is not Phase.COMPLETED:
             await duty.step(lambda: True)
             self.assertLessEqual(self.now, duration_s - STATUS_WRITE_S)
-            self.now += duties.DUTY_POLL_INTERVAL_S + LATE_S
+            self.now += duties.DUTY_POLL_INTERVAL_S + POLL_DELAY_S
             await asyncio.sleep(0)
 
-    def note_answers(self, rollouts: Rollouts) -> None:
+    def record_answers(self, rollouts: Rollouts) -> None:
         """Have enough answers in all, but too few on one route."""
         rollout = rollouts.services["model"]
         for route, new in (("review", 30), ("order", 3)):
