--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class VersionDefect:
+class Defect:
     """How a version is bad: part of its answers fail, or come this many times as slow; on one route
     only, and from some time after the order on."""
 
@@ -76,9 +76,9 @@
 class RolloutWorld:
     """A cluster in which the operator orders a new version."""
 
-    def __init__(self, defect: VersionDefect | None = None, seed: int = 1) -> None:
+    def __init__(self, defect: Defect | None = None, seed: int = 1) -> None:
         self.cluster = Cluster(BOUNDS)
-        self.defect = defect or VersionDefect()
+        self.defect = defect or Defect()
         self.counts = Counts()
         self.servers: dict[str, tuple[ScriptedServer, str]] = {}
         self.ordered_at = 0.0
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -35,7 +35,7 @@
 from moledale.gateway.store_era import StoreEra
 from standins.rows import StoreMode
 from tests.gateway_world import quietly
-from tests.rollout_world import NEW, OLD, SERVICE, RolloutWorld, VersionDefect
+from tests.rollout_world import NEW, OLD, SERVICE, Defect, RolloutWorld
 
 EXPOSURE_SHARE = 0.1
 EXPOSURE_FREE = 50
@@ -500,7 +500,7 @@
 
 
 def run_in_world(
-    work: Callable[[RolloutWorld], Awaitable[None]], defect: VersionDefect | None = None
+    work: Callable[[RolloutWorld], Awaitable[None]], defect: Defect | None = None
 ) -> RolloutWorld:
     """Run a test on whole nodes."""
     world = RolloutWorld(defect)
@@ -531,7 +531,7 @@
         self.assertLessEqual(world.counts.new_version_requests, most)
         self.assertLess(world.counts.bad_answers, EXPOSURE_FREE)
 
-    def assert_rolled_back(self, defect: VersionDefect) -> RolloutWorld:
+    def assert_rolled_back(self, defect: Defect) -> RolloutWorld:
         """Order a bad version and return the world after the order's time."""
 
         async def work(world: RolloutWorld) -> None:
@@ -565,17 +565,17 @@
         self.assertEqual(world.counts.served, world.counts.requests, world.counts.answers_by_status)
 
     def test_version_whose_answers_fail_is_rolled_back(self) -> None:
-        self.assert_rolled_back(VersionDefect(failure_rate=0.5))
+        self.assert_rolled_back(Defect(failure_rate=0.5))
 
     def test_version_that_is_slow_is_rolled_back(self) -> None:
-        world = self.assert_rolled_back(VersionDefect(slow_factor=5.0))
+        world = self.assert_rolled_back(Defect(slow_factor=5.0))
         self.assertEqual(world.counts.served, world.counts.requests)
 
     def test_version_that_is_bad_on_one_route_is_rolled_back(self) -> None:
-        self.assert_rolled_back(VersionDefect(failure_rate=0.7, route="order"))
+        self.assert_rolled_back(Defect(failure_rate=0.7, route="order"))
 
     def test_version_that_turns_bad_later_is_rolled_back(self) -> None:
-        self.assert_rolled_back(VersionDefect(failure_rate=0.7, starts_after_s=1.5))
+        self.assert_rolled_back(Defect(failure_rate=0.7, starts_after_s=1.5))
 
     def test_crash_of_the_holder_loses_neither_order_nor_evidence(self) -> None:
         async def work(world: RolloutWorld) -> None:
@@ -615,7 +615,7 @@
             await world.wait_until(lambda: world.status.get("state") == "rolled_back", 6.0)
             await traffic
 
-        self.assert_bounded(run_in_world(work, VersionDefect(failure_rate=0.6)))
+        self.assert_bounded(run_in_world(work, Defect(failure_rate=0.6)))
 
     def test_lost_answers_of_the_store_do_not_change_the_verdict(self) -> None:
         async def work(world: RolloutWorld) -> None:
@@ -630,7 +630,7 @@
             await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
-        self.assert_bounded(run_in_world(work, VersionDefect(failure_rate=0.6)))
+        self.assert_bounded(run_in_world(work, Defect(failure_rate=0.6)))
 
     def test_second_order_takes_the_place_of_the_first(self) -> None:
         async def work(world: RolloutWorld) -> None:
@@ -661,7 +661,7 @@
             await world.wait_until(lambda: world.status.get("state") == "rolled_back", DURATION_S)
             await traffic
 
-        self.assert_bounded(run_in_world(work, VersionDefect(failure_rate=0.7)))
+        self.assert_bounded(run_in_world(work, Defect(failure_rate=0.7)))
 
     def test_node_that_starts_after_the_rollback_knows_the_verdict(self) -> None:
         async def work(world: RolloutWorld) -> None:
@@ -675,7 +675,7 @@
             await world.wait_until(lambda: SERVICE in node.rollouts.services, 1.0)
             self.assertIs(node.rollouts.services[SERVICE].phase, Phase.ROLLED_BACK)
 
-        run_in_world(work, VersionDefect(failure_rate=0.8))
+        run_in_world(work, Defect(failure_rate=0.8))
 
 
 class DutyTest(unittest.TestCase):
