--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -212,7 +212,7 @@
 
         return tell
 
-    def crash_server(self, node: str, server: str, requests: list[bytes]) -> None:
+    def observe_crash(self, node: str, server: str, requests: list[bytes]) -> None:
         """Let a node see the end of a server."""
         self.guards[node]._record_local_crash(server, requests, monotonic())
 
@@ -240,9 +240,9 @@
 
     def test_crashes_seen_by_different_nodes_count_together(self) -> None:
         async def work(network: Network) -> None:
-            network.crash_server("n1", "s1", [GUILTY, b"a"])
+            network.observe_crash("n1", "s1", [GUILTY, b"a"])
             await asyncio.sleep(0.3)
-            network.crash_server("n2", "s2", [GUILTY, b"b"])
+            network.observe_crash("n2", "s2", [GUILTY, b"b"])
             await asyncio.sleep(DECISION_WAIT_S)
             self.assertEqual(network.nodes_with_block(), ["n1", "n2", "n3"])
 
@@ -253,9 +253,9 @@
             network.is_lost = lambda news: (
                 isinstance(news, BlockNews) or (isinstance(news, EndNews) and news.age_s < 0.1)
             )
-            network.crash_server("n1", "s1", [GUILTY])
+            network.observe_crash("n1", "s1", [GUILTY])
             await asyncio.sleep(0.5)
-            network.crash_server("n1", "s2", [GUILTY])
+            network.observe_crash("n1", "s2", [GUILTY])
             await asyncio.sleep(0.7)
             self.assertEqual(network.nodes_with_block(), ["n1", "n2", "n3"])
 
@@ -264,9 +264,9 @@
     def test_node_that_missed_all_messages_gets_the_blocks_by_gossip(self) -> None:
         async def work(network: Network) -> None:
             network.is_lost = lambda _: True
-            network.crash_server("n1", "s1", [GUILTY])
+            network.observe_crash("n1", "s1", [GUILTY])
             await asyncio.sleep(0.3)
-            network.crash_server("n1", "s2", [GUILTY])
+            network.observe_crash("n1", "s2", [GUILTY])
             await asyncio.sleep(0.7)
             self.assertEqual(network.nodes_with_block(), ["n1"])
             network.is_lost = lambda _: False
@@ -280,7 +280,7 @@
     def test_starting_node_receives_the_blocks_and_sends_none_before(self) -> None:
         async def work(network: Network) -> None:
             for server in ("s1", "s2"):
-                network.crash_server("n1", server, [GUILTY])
+                network.observe_crash("n1", server, [GUILTY])
             await asyncio.sleep(DECISION_WAIT_S)
             guard = network.guards["n4"] = RequestGuard(ConnectionPool(monotonic))
             started = network.sharing["n4"] = QuarantineSharing(guard, network.make_sender("n4"))
@@ -302,7 +302,7 @@
 
     def test_request_that_a_server_survived_is_cleared_at_all_nodes(self) -> None:
         async def work(network: Network) -> None:
-            network.crash_server("n1", "s1", [GUILTY])
+            network.observe_crash("n1", "s1", [GUILTY])
             guard = network.guards["n2"]
             self.assertTrue(guard.quarantine.is_suspect(GUILTY))
             self.assertTrue(guard.quarantine.record_served(GUILTY))
