--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -110,7 +110,7 @@
             index = PlanIndex(msgspec.structs.replace(plan, routes=routes))
             self.assertAlmostEqual(shortest_target_s(index, "model"), factor * 0.5)
 
-    def test_renting_follows_boot_times_and_targets(self) -> None:
+    def test_renting_follows_boot_times(self) -> None:
         plan = a_plan()
         speed = Speed(50_000.0, 0.02, 0.5, 4_000.0, 100)
         waiting = 900_000.0
