--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -1,7 +1,7 @@
-"""Whole nodes, and servers of two versions of a service, one of which may be bad.
+"""Complete nodes with servers of two versions of a service, the newer of which may be bad.
 
-The stand-in for the platform carries out what a status says: `completed` ends the old servers at
-once, `rolled_back` has the new ones leave.
+The fake platform acts on the status of a roll-out: `completed` stops the old servers at once,
+`rolled_back` drains the new ones.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 def make_config(version: int = 1) -> object:
-    """Return a configuration with two routes to one service."""
+    """Return a configuration with a safe and an unsafe route to one service."""
     kinds = {"check": "safe", "order": "unsafe"}
     routes = [
         {
@@ -50,8 +50,11 @@
 
 @dataclass
 class Defect:
-    """How a version is bad: part of its answers fail, or come this many times as slow; on one route
-    only, and from some time after the order on."""
+    """How answers of the new version are bad.
+
+    A share of them fails, and all of them take `slow_factor` times as long. The defect affects one
+    `route` only, if given, and starts `starts_after_s` after the order.
+    """
 
     failure_rate: float = 0.0
     slow_factor: float = 1.0
@@ -61,7 +64,11 @@
 
 @dataclass
 class Counts:
-    """What servers and callers saw."""
+    """Counts of what servers and callers observed.
+
+    `running` holds the requests in flight per server, and `running_at_stop` those that were in
+    flight on old servers when these were stopped.
+    """
 
     requests: int = 0
     served: int = 0
@@ -74,7 +81,7 @@
 
 
 class RolloutWorld:
-    """A cluster in which the operator orders a new version."""
+    """A cluster in which an operator orders the roll-out of a new version."""
 
     def __init__(self, defect: Defect | None = None, seed: int = 1) -> None:
         self.cluster = Cluster(BOUNDS)
@@ -112,15 +119,15 @@
         for name in names:
             seeds = tuple(node.settings.node.control for node in nodes[:3])
             nodes.append(await self.cluster.start(name, seeds))
-        ends = monotonic() + 5.0
+        deadline = monotonic() + 5.0
         while not all(len(node.balancer.views) >= 4 and node.forwarder.index for node in nodes):
-            if monotonic() > ends:
+            if monotonic() > deadline:
                 raise AssertionError("the nodes are not ready")
             await asyncio.sleep(0.02)
         return nodes
 
     async def add_server(self, name: str, version: str) -> None:
-        """Start a server and list it."""
+        """Start a server and add it to the platform's server list."""
 
         async def script(
             arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -146,7 +153,7 @@
         self.platform.put("servers", name, entry)
 
     async def order_rollout(self, duration_s: float, target: str = NEW, servers: int = 4) -> None:
-        """Order a roll-out; its servers start beside the old ones."""
+        """Order a roll-out, and start its servers alongside the old ones."""
         order = {"service": SERVICE, "targetVersion": target, "durationS": duration_s}
         self.platform.put("op", f"rollout/{SERVICE}", order)
         self.ordered_at = monotonic()
@@ -155,22 +162,22 @@
 
     @property
     def status(self) -> dict[str, str]:
-        """Return the status that the operator reads."""
+        """Return the status of the roll-out in the store, {} if there is none."""
         body = self.platform.body("status", f"rollout/{SERVICE}")
         return body if isinstance(body, dict) else {}
 
     async def _apply_status(self) -> None:
-        """End or empty servers as a status says."""
-        done = ("", "")
+        """Stop or drain servers once the status is a final one."""
+        applied = ("", "")
         while True:
             await asyncio.sleep(0.01)
             status = self.status
-            name = (status.get("state", ""), status.get("targetVersion", ""))
-            if name == done or name[0] not in ("completed", "rolled_back"):
+            current = (status.get("state", ""), status.get("targetVersion", ""))
+            if current == applied or current[0] not in ("completed", "rolled_back"):
                 continue
-            done = name
+            applied = current
             self.ended_at = monotonic()
-            self._apply_outcome(name[0], name[1])
+            self._apply_outcome(current[0], current[1])
 
     def _apply_outcome(self, state: str, target: str) -> None:
         for name, (server, version) in self.servers.items():
@@ -191,34 +198,32 @@
         writer.write(answer(arrival, status=status))
 
     def _draw_answer(self, version: str, path: str) -> tuple[int, float]:
-        """Return status and time of an answer."""
+        """Return the status code and the duration of a random answer."""
         took_s = MEDIAN_ANSWER_S * self._rng.lognormvariate(0.0, 0.3)
         if version == OLD:
             return 200, took_s
         self.counts.new_version_requests += 1
         self.counts.last_new_version_request_at = monotonic()
-        bad = self.defect
-        active = monotonic() - self.ordered_at >= bad.starts_after_s
-        if not active or (bad.route and not path.startswith(f"/{bad.route}/")):
+        defect = self.defect
+        active = monotonic() - self.ordered_at >= defect.starts_after_s
+        if not active or (defect.route and not path.startswith(f"/{defect.route}/")):
             return 200, took_s
-        failed = self._rng.random() < bad.failure_rate
-        if failed or bad.slow_factor > 1.0:
+        failed = self._rng.random() < defect.failure_rate
+        if failed or defect.slow_factor > 1.0:
             self.counts.bad_answers += 1
-        return (500 if failed else 200), took_s * bad.slow_factor
-
-    # Callers
+        return (500 if failed else 200), took_s * defect.slow_factor
 
-    async def send_requests(self, for_s: float, per_s: float) -> None:
-        """Send requests to all nodes by turns."""
-        ends = monotonic() + for_s
+    async def send_requests(self, duration_s: float, requests_per_s: float) -> None:
+        """Send requests to all nodes in turn."""
+        deadline = monotonic() + duration_s
         number = 0
         pending: set[asyncio.Task[None]] = set()
-        while monotonic() < ends:
+        while monotonic() < deadline:
             number += 1
             task = asyncio.create_task(self._send_request(number))
             pending.add(task)
             task.add_done_callback(pending.discard)
-            await asyncio.sleep(1.0 / per_s)
+            await asyncio.sleep(1.0 / requests_per_s)
         if pending:
             await asyncio.wait(pending, timeout=3.0)
 
@@ -235,21 +240,21 @@
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(data)
-            got = await read_answer(reader)
+            response = await read_answer(reader)
             writer.close()
         except (OSError, asyncio.IncompleteReadError):
             return
-        self.counts.answers_by_status[got.status] = (
-            self.counts.answers_by_status.get(got.status, 0) + 1
+        self.counts.answers_by_status[response.status] = (
+            self.counts.answers_by_status.get(response.status, 0) + 1
         )
-        self.counts.served += got.status == 200
+        self.counts.served += response.status == 200
 
-    async def wait_until(self, condition: Callable[[], bool], within_s: float) -> None:
-        """Wait until something holds."""
-        ends = monotonic() + within_s
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> None:
+        """Wait until a condition holds; fail after a timeout."""
+        deadline = monotonic() + timeout_s
         while not condition():
-            if monotonic() > ends:
+            if monotonic() > deadline:
                 raise AssertionError(
-                    f"it never came true; status {self.status}, seen {self.counts}"
+                    f"condition not met in time; status {self.status}, counts {self.counts}"
                 )
             await asyncio.sleep(0.02)
