--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests under which servers end: how they are told from others, and what is done with them."""
+"""Requests that crash servers: how they are recognised, and that nodes stop sending them."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 
 
 async def reset_connection(_: Arrival, __: Reader, writer: Writer) -> None:
-    """End every connection, as a server does that crashes."""
+    """Reset the connection of a request, as a server that crashes does."""
     reset(writer)
 
 
@@ -43,7 +43,7 @@
         self.assertEqual(fingerprint(first, "north"), fingerprint(again, "north"))
 
     def test_fingerprint_depends_on_caller_path_host_and_body(self) -> None:
-        others = [
+        fingerprints = [
             fingerprint(make_request(), "north"),
             fingerprint(make_request(), "south"),
             fingerprint(make_request(), None),
@@ -52,12 +52,12 @@
             fingerprint(make_request(body=b"what"), "north"),
             fingerprint(make_request(target=b"/draft/1w", body=b"hy"), "north"),
         ]
-        self.assertEqual(len(set(others)), len(others))
+        self.assertEqual(len(set(fingerprints)), len(fingerprints))
 
 
 class SightTest(unittest.TestCase):
     def test_log_shows_one_fingerprint_for_a_request_that_breaks_off_again(self) -> None:
-        """Two arrivals with ids of their own have one fingerprint in the log."""
+        """Arrivals of a request under different ids have the same fingerprint in the log."""
         lines: list[str] = []
 
         async def work() -> None:
@@ -71,39 +71,30 @@
         with logbook.TestHandler().applicationbound() as handler:
             asyncio.run(work())
             lines = [record.message for record in handler.records]
-        ended = [json.loads(line[line.index("{") :]) for line in lines if line.startswith("E412")]
-        self.assertEqual([each["request"] for each in ended], ["r1", "r2", "r3"])
-        one, again, other = (each["fingerprint"] for each in ended)
+        entries = [json.loads(line[line.index("{") :]) for line in lines if line.startswith("E412")]
+        self.assertEqual([each["request"] for each in entries], ["r1", "r2", "r3"])
+        one, again, other = (each["fingerprint"] for each in entries)
         self.assertEqual(one, again)
         self.assertNotEqual(one, other)
-        self.assertEqual((ended[0]["route"], ended[0]["account"]), ("draft", "north"))
+        self.assertEqual((entries[0]["route"], entries[0]["account"]), ("draft", "north"))
 
 
 class CrashingRequestTest(unittest.TestCase):
-    """A request that ends each server that begins to run it must not go on ending servers.
+    """A request that crashes each server that starts to run it must not go on crashing servers.
 
-    What users saw: for forty seconds one model server after the other ended, 12 and then 14 in all,
-    each with up to ten requests of other callers, who lost answers that had begun.
-
-    The order of events: a caller sends a request that may not be repeated. The server that begins
-    to run it ends 0.05 to 0.2 s later, and the caller gets 502 at once. The request comes again
-    after 0.2 to 3.6 s with an id of its own, at any node, which sends it to the next sound server.
-
-    The cause: what a request did to servers was counted for one arrival at one node. Nothing
-    remembered it beyond that, so each arrival was a new request under which no server had ended.
-
-    The evidence: monitoring counted 12 and 14 servers under one request each. In the nodes' output
-    every arrival that had no answer when its server ended has one send, and its caller's 502 comes
-    with the end of that send: no node repeated it. What came again had a new id each time.
+    Its server crashes 0.05 to 0.2 s after the start, with up to ten requests of other callers. The
+    caller gets 502 and retries 0.2 to 3.6 s later under a new id, at any node. If each arrival
+    counted for itself, no node would recognise the request, and within forty seconds it would crash
+    12 to 14 servers.
     """
 
     SERVERS = 12
     ARRIVALS = 12
     ALLOWED_CRASHES = (2, 3)
-    """Servers that may end before the request is known for what it does. One end tells nothing."""
+    """Numbers of servers that may crash before the request is blocked; one crash is no proof."""
 
     def test_request_crashes_no_more_than_three_servers(self) -> None:
-        """Whether it may be repeated, runs at most once, or is a stream."""
+        """This holds for repeatable requests, requests that run at most once, and streams."""
         for path in ("/check/", "/order/", "/draft/"):
             with self.subTest(path=path):
                 quietly(self.check_one_node(path))
@@ -131,7 +122,7 @@
         return servers
 
     def test_request_is_blocked_at_all_nodes(self) -> None:
-        """It comes in turn at three nodes, which all know a twentieth of a second later."""
+        """The request arrives every 0.05 s, at three nodes in turn."""
 
         async def work(cluster: Cluster) -> None:
             servers = await self.start_servers(cluster)
@@ -147,9 +138,9 @@
         on_cluster(work)
 
     def test_block_survives_the_crash_of_all_nodes(self) -> None:
-        """A node that starts with nobody to ask finds in the store what was decided.
+        """A node that starts without peers reads the block from the store.
 
-        It is there half a second after the last server ended.
+        The store has it 0.5 s after the last server crashed.
         """
 
         async def work(cluster: Cluster) -> None:
@@ -161,11 +152,11 @@
             cluster.kill("n1")
             await self.start_nodes(cluster, ["n2"])
             await asyncio.sleep(0.5)
-            before = sum(server.ended for server in servers)
+            crashed = sum(server.ended for server in servers)
             for _ in range(3):
                 self.assertEqual((await self.ask_guilty(cluster, "n2")).status, 503)
-            self.assertIn(before, self.ALLOWED_CRASHES)
-            self.assertEqual(sum(server.ended for server in servers), before)
+            self.assertIn(crashed, self.ALLOWED_CRASHES)
+            self.assertEqual(sum(server.ended for server in servers), crashed)
 
         on_cluster(work)
 
