--- a/tests/test_quarantine_core.py
+++ b/tests/test_quarantine_core.py
@@ -1,4 +1,4 @@
-"""Which requests are blocked, decided on a virtual clock."""
+"""Which requests that crash servers are blocked, and for how long, on a virtual clock."""
 
 import unittest
 
@@ -19,14 +19,16 @@
 
 GUILTY = b"guilty"
 DECISION_DELAY_S = COINCIDENCE_S + 0.01
+"""Time after a crash by which it is decided whether its requests are blocked."""
 
 
 def newly_blocked(quarantine: Quarantine, now: float) -> list[bytes]:
+    """Block the guilty requests and return their fingerprints."""
     return [block.fingerprint for block in quarantine.block_guilty(now)]
 
 
 class BlamedTest(unittest.TestCase):
-    """What ends servers is blocked, and what merely ran there is not."""
+    """Requests that crash servers are blocked, and those that merely ran there are not."""
 
     def test_second_crash_that_nothing_else_explains_blocks_a_request(self) -> None:
         quarantine = Quarantine()
@@ -61,7 +63,7 @@
         self.assertEqual(newly_blocked(quarantine, 6.0), [])
 
     def test_popular_request_is_not_blocked_by_occasional_crashes(self) -> None:
-        """It runs everywhere all the time, so it ran on each server that ended; it is answered."""
+        """Such a request runs on every server, so on each that crashes; others answer it."""
         quarantine = Quarantine()
         for number in range(20):
             quarantine.record_crash(f"s{number}", [b"popular"], 10.0 * number)
@@ -69,7 +71,7 @@
             quarantine.record_served(b"popular")
 
     def test_loss_of_halls_blocks_nothing(self) -> None:
-        """Two halls of four servers go, and requests of the first were sent on to the second."""
+        """Two halls of four servers are lost, the second while it runs requests of the first."""
         quarantine = Quarantine()
         for hall in range(2):
             for server in range(4):
@@ -87,19 +89,20 @@
 
     def test_guilty_requests_sent_in_step_are_blocked_at_the_fourth_crash(self) -> None:
         quarantine = Quarantine()
-        found: list[list[bytes]] = []
+        blocked: list[list[bytes]] = []
         for turn in range(4):
             at = 3.0 * turn
             for name in (b"one", b"two", b"three"):
                 quarantine.record_crash(f"s{turn}{name!r}", [name], at)
-            found.append(sorted(newly_blocked(quarantine, at + DECISION_DELAY_S)))
-        self.assertEqual(found, [[], [], [], [b"one", b"three", b"two"]])
+            blocked.append(sorted(newly_blocked(quarantine, at + DECISION_DELAY_S)))
+        self.assertEqual(blocked, [[], [], [], [b"one", b"three", b"two"]])
 
 
 class BlockTest(unittest.TestCase):
-    """Blocks end, return, and agree over nodes."""
+    """Blocks expire, are renewed, and agree between nodes."""
 
     def blocked_at(self, at: float) -> Quarantine:
+        """Return a quarantine that blocked the guilty request at a time."""
         quarantine = Quarantine()
         quarantine.record_crash("s1", [GUILTY], at - 1.0)
         quarantine.record_crash("s2", [GUILTY], at - DECISION_DELAY_S)
@@ -159,15 +162,15 @@
 
     @given(st.lists(st.tuples(st.binary(min_size=1, max_size=2), st.integers(1, 3)), max_size=8))
     def test_nodes_that_merged_the_same_blocks_in_any_order_agree(
-        self, told: list[tuple[bytes, int]]
+        self, blocks: list[tuple[bytes, int]]
     ) -> None:
         one, other = Quarantine(), Quarantine()
-        for fingerprint, times in told:
+        for fingerprint, times in blocks:
             one.merge_block(Block(fingerprint, 50.0, times))
-        for fingerprint, times in reversed(told):
+        for fingerprint, times in reversed(blocks):
             other.merge_block(Block(fingerprint, 60.0, times))
         self.assertEqual(one.digest(), other.digest())
-        self.assertEqual(one.digest() == Quarantine().digest(), not told)
+        self.assertEqual(one.digest() == Quarantine().digest(), not blocks)
 
 
 if __name__ == "__main__":
