--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -1,4 +1,4 @@
-"""What nodes see, tell and keep of requests that end servers."""
+"""What nodes observe, exchange and store about requests that crash servers."""
 
 import asyncio
 import json
@@ -23,14 +23,14 @@
 from tests.test_gateway_nodes import Cluster, ask, on_cluster, ready, request_bytes, until
 
 DECISION_WAIT_S = 0.4
-"""What a node saw of an end is decided on by then."""
+"""Time after a crash by which its node has decided whether to block requests."""
 
 
 class SeenTest(unittest.TestCase):
-    """Only servers that ended count, and only against what ran there."""
+    """Only crashes count, and only against requests that ran on the crashed server."""
 
     def test_connection_reset_by_a_running_server_raises_no_suspicion(self) -> None:
-        async def resets_once(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
+        async def reset_guilty(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
             if arrival.body == GUILTY:
                 reset(writer)
             else:
@@ -39,7 +39,7 @@
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 for number in range(4):
-                    await world.server(f"s{number}", "plain", resets_once)
+                    await world.server(f"s{number}", "plain", reset_guilty)
                 for number in range(6):
                     await world.ask("/order/", body=GUILTY, request_id=f"r{number}")
                     await asyncio.sleep(0.1)
@@ -50,7 +50,7 @@
         quietly(work())
 
     def test_probe_of_a_running_server_leaves_a_connection_for_the_next_request(self) -> None:
-        async def resets_first(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
+        async def reset_first(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
             if arrival.connection == 1:
                 reset(writer)
             else:
@@ -58,7 +58,7 @@
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
-                server = await world.server("s1", "plain", resets_first)
+                server = await world.server("s1", "plain", reset_first)
                 await world.ask("/order/")
                 await asyncio.sleep(0.1)
                 self.assertEqual((await world.ask("/order/")).status, 200)
@@ -84,7 +84,7 @@
         quietly(work())
 
     def test_other_requests_cut_off_by_a_crash_are_served_on_retry(self) -> None:
-        """Three others run on each server that ends; each is broken off once and served then."""
+        """Three others run on each server that crashes; a retry of each of them is served."""
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
@@ -143,18 +143,18 @@
 
 
 class BlamedVersionTest(unittest.TestCase):
-    """A request that ends servers must not speak against their version as all that it broke off."""
+    """A crash cuts off many requests, but must not count against the version for each of them."""
 
     async def failures_at_crash(self, world: GatewayWorld, name: str, others: int) -> int:
-        """Let a server end under the guilty request; return what is held against its version."""
+        """Crash a server with the guilty request; return the failures counted for its version."""
         failures = 0
 
-        def note(_: object, __: str, failed: bool, ___: float) -> None:
+        def count_failure(_: object, __: str, failed: bool, ___: float) -> None:
             nonlocal failures
             failures += failed
 
         await world.add(fragile_server(name), "plain")
-        world.balancer.on_outcome = note
+        world.balancer.on_outcome = count_failure
         bodies = [b"%s beside %d" % (name.encode(), number) for number in range(others)]
         asked = [asyncio.create_task(world.ask("/order/", body=each)) for each in bodies]
         await asyncio.sleep(0.1)
@@ -173,14 +173,14 @@
         quietly(work())
 
     def test_each_answer_that_a_running_server_breaks_off_is_a_failure(self) -> None:
-        async def breaks_off(_: Arrival, __: object, writer: asyncio.StreamWriter) -> None:
+        async def break_off(_: Arrival, __: object, writer: asyncio.StreamWriter) -> None:
             reset(writer)
 
         async def work() -> None:
             async with GatewayWorld(a_plan()) as world:
                 failed: list[bool] = []
                 world.balancer.on_outcome = lambda _, __, bad, ___: failed.append(bad)
-                await world.server("s1", "plain", breaks_off)
+                await world.server("s1", "plain", break_off)
                 for number in range(3):
                     await world.ask("/order/", body=b"%d" % number)
                 await asyncio.sleep(0.1)
@@ -190,7 +190,7 @@
 
 
 class Network:
-    """Guards of several nodes, whose datagrams are delivered or lost."""
+    """Request guards of several nodes, with datagrams that `is_lost` may drop."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
         self.is_lost: Callable[[QuarantineMessage], bool] = lambda _: False
@@ -203,28 +203,28 @@
             guard.on_block = self.sharing[name].broadcast_block
 
     def make_sender(self, own: str) -> Callable[..., None]:
-        def tell(
+        def send(
             news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
         ) -> None:
             for name in [peer] if peer is not None else self.sharing:
                 if name != own and not self.is_lost(news):
                     self.sharing[name].on_message(news)
 
-        return tell
+        return send
 
     def observe_crash(self, node: str, server: str, requests: list[bytes]) -> None:
-        """Let a node see the end of a server."""
+        """Let a node observe the crash of a server."""
         self.guards[node]._record_local_crash(server, requests, monotonic())
 
     def exchange_digests(self) -> None:
-        """Let all nodes hear each other's digests."""
+        """Deliver each node's digest to all others."""
         for name, sharing in self.sharing.items():
-            for other, theirs in self.sharing.items():
-                if other != name:
-                    sharing.on_peer_digest(other, theirs.digest())
+            for peer, peer_sharing in self.sharing.items():
+                if peer != name:
+                    sharing.on_peer_digest(peer, peer_sharing.digest())
 
     def nodes_with_block(self) -> list[str]:
-        """Return the nodes that have the guilty request blocked."""
+        """Return the nodes that block the guilty request."""
         return [name for name, guard in self.guards.items() if GUILTY in guard.quarantine.blocks]
 
 
@@ -236,7 +236,7 @@
 
 
 class ToldTest(unittest.TestCase):
-    """All nodes come to know the same, whatever datagrams are lost."""
+    """All nodes arrive at the same blocks, whichever datagrams are lost."""
 
     def test_crashes_seen_by_different_nodes_count_together(self) -> None:
         async def work(network: Network) -> None:
@@ -250,8 +250,9 @@
 
     def test_first_message_of_a_crash_may_be_lost(self) -> None:
         async def work(network: Network) -> None:
-            network.is_lost = lambda news: (
-                isinstance(news, BlockNews) or (isinstance(news, EndNews) and news.age_s < 0.1)
+            network.is_lost = lambda message: (
+                isinstance(message, BlockNews)
+                or (isinstance(message, EndNews) and message.age_s < 0.1)
             )
             network.observe_crash("n1", "s1", [GUILTY])
             await asyncio.sleep(0.5)
@@ -315,22 +316,23 @@
         async def work(network: Network) -> None:
             sizes: list[int] = []
 
-            def tell(news: QuarantineMessage, **_: object) -> None:
+            def send(news: QuarantineMessage, **_: object) -> None:
                 if isinstance(news, EndNews):
                     sizes.append(len(news.requests))
 
-            sharing = QuarantineSharing(RequestGuard(ConnectionPool(monotonic)), tell)
-            many = [b"r%d" % number for number in range(150)]
-            sharing._send_crash(ObservedCrash("s1", many, monotonic()))
+            sharing = QuarantineSharing(RequestGuard(ConnectionPool(monotonic)), send)
+            requests = [b"r%d" % number for number in range(150)]
+            sharing._send_crash(ObservedCrash("s1", requests, monotonic()))
             self.assertEqual(sizes, [64, 64, 22])
 
         run_on_network(work)
 
 
 class KeptTest(unittest.TestCase):
-    """The store has what was decided, whatever happens to it."""
+    """Blocks get into the store and are read from it, although writes or rows may fail."""
 
     async def start_node_and_servers(self, cluster: Cluster, name: str) -> list[FragileServer]:
+        """Start five fragile servers and a node that has them in its list."""
         cluster.platform.drop("servers", cluster.backend.id)
         servers = [fragile_server(f"f{number}") for number in range(5)]
         for server in servers:
@@ -342,10 +344,12 @@
         return servers
 
     async def ask_guilty(self, cluster: Cluster, name: str) -> int:
+        """Send the guilty request to a node; return the status code."""
         callers = cluster.nodes[name].settings.node.callers
         return (await ask(callers, request_bytes("/check/", body=GUILTY))).status
 
     def block_keys(self, cluster: Cluster) -> list[str]:
+        """Return the keys of the stored blocks."""
         return [key for table, _, key in cluster.platform.rows if table == BLOCK_TABLE]
 
     def test_block_that_the_store_refused_is_written_later(self) -> None:
