--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -1,9 +1,8 @@
-"""A version that evidence comes late for is still taken over within its order's time.
+"""A version whose evidence comes late must still be adopted within the duration of its order.
 
-What was seen: 7 of 164 plays of a roll-out of 8 s took it over after its time. A route had 3
-answers of the new servers where 6 are wanted, so the version rose at the latest moment, 5.8 s, and
-was taken over at 8.1 s. Cause: that moment left time for what follows it, but not for the holder's
-looks: there are five a second, and a phase counted as begun at the first look after it began.
+Without the 6 answers that a route needs, a version rises at the latest moment. If that moment
+leaves time for the later phases but not for the delay of the holder's polls (five per second), a
+roll-out of 8 s that rises at 5.8 s is adopted at 8.1 s.
 """
 
 import asyncio
@@ -23,7 +22,7 @@
 from tests.gateway_world import quietly
 
 POLL_DELAY_S = 0.02
-"""Each look of the holder comes a little late, by what the look before it took."""
+"""Delay of each of the holder's polls, caused by the duration of the previous one."""
 
 
 class LateEvidenceTest(unittest.TestCase):
@@ -33,8 +32,8 @@
                 with self.subTest(duration_s=duration_s, phase_ms=phase_ms):
                     quietly(self.assert_adopted_in_time(duration_s, phase_ms / 1000))
 
-    async def assert_adopted_in_time(self, duration_s: float, first_look_s: float) -> None:
-        self.now = first_look_s
+    async def assert_adopted_in_time(self, duration_s: float, first_poll_s: float) -> None:
+        self.now = first_poll_s
         balancer = LoadBalancer("hall-a")
         old = [Server("s0", "model", "h:0", "hall-a", 4, version="v1")]
         balancer.apply(old)
@@ -63,7 +62,7 @@
             await asyncio.sleep(0)
 
     def record_answers(self, rollouts: Rollouts) -> None:
-        """Have enough answers in all, but too few on one route."""
+        """Record enough answers in total, but only 3 of the 6 required ones on one route."""
         rollout = rollouts.services["model"]
         for route, new in (("review", 30), ("order", 3)):
             for _ in range(200):
