--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs of a new version: what is judged, what is bounded, and both end to end under faults."""
+"""Roll-outs of a new version: the judge, the exposure limit, and both end to end under faults."""
 
 import asyncio
 import random
@@ -46,7 +46,7 @@
 
 
 class SimulatedTrial:
-    """Answers of an old and a new version in a model."""
+    """Random answers of an old and a new version, with the judge that compares them."""
 
     def __init__(self, seed: int, sigma: float = 0.47) -> None:
         self.rng = random.Random(seed)
@@ -57,14 +57,14 @@
     def judge_answers(
         self, arm: Arm, number: int, failure_rate: float, slow_factor: float = 1.0
     ) -> bool:
-        """Note answers; say whether the new version is found bad."""
+        """Record answers and return whether the new version is found bad."""
         self.record_answers(arm, number, failure_rate, slow_factor)
         return self.judge.observe(self.evidence)
 
     def record_answers(
         self, arm: Arm, number: int, failure_rate: float, slow_factor: float = 1.0
     ) -> None:
-        """Note answers that are judged with those that come next."""
+        """Record answers, which are judged at the next call of `judge_answers`."""
         for _ in range(number):
             failed = self.rng.random() < failure_rate
             took_s = 0.06 * slow_factor * self.rng.lognormvariate(0.0, self.sigma)
@@ -77,11 +77,11 @@
         slow_factor: float = 1.0,
         control_failure_rate: float = 0.02,
     ) -> int:
-        """Play rounds of ten old answers and one new one; return the round that found it bad."""
-        for each in range(1, number + 1):
+        """Run rounds of ten old answers and a new one; return the round that found it bad, or 0."""
+        for index in range(1, number + 1):
             self.judge_answers(Arm.OLD, 10, control_failure_rate)
             if self.judge_answers(Arm.NEW, 1, failure_rate, slow_factor):
-                return each
+                return index
         return 0
 
 
@@ -93,12 +93,12 @@
         slow_factor: float = 1.0,
         control_failure_rate: float = 0.02,
     ) -> float:
-        """Return the share of 200 seeds in which a version is found bad."""
-        plays = (
+        """Return the share of 200 seeds with which a version is found bad."""
+        detections = (
             SimulatedTrial(seed).run_rounds(rounds, failure_rate, slow_factor, control_failure_rate)
             for seed in range(200)
         )
-        return sum(1 for each in plays if each) / 200
+        return sum(1 for each in detections if each) / 200
 
     def test_bad_versions_are_found(self) -> None:
         self.assertGreater(self.detection_rate(30, 0.5), 0.97)
@@ -136,22 +136,22 @@
         self.assertLess(stopped, 3)
 
     def test_version_that_turns_bad_later_is_found_as_soon(self) -> None:
-        needed = []
+        rounds_needed = []
         for seed in range(100):
             trial = SimulatedTrial(seed)
             trial.run_rounds(200, 0.02)
             if not trial.judge.bad:
-                needed.append(trial.run_rounds(60, 0.6) or 60)
-        self.assertLess(sorted(needed)[len(needed) // 2], 20)
+                rounds_needed.append(trial.run_rounds(60, 0.6) or 60)
+        self.assertLess(sorted(rounds_needed)[len(rounds_needed) // 2], 20)
 
     def test_only_failures_count_once_the_old_servers_have_less_to_do(self) -> None:
-        slow, failing_trial = SimulatedTrial(1), SimulatedTrial(2)
-        for trial in (slow, failing_trial):
+        slow_trial, failing_trial = SimulatedTrial(1), SimulatedTrial(2)
+        for trial in (slow_trial, failing_trial):
             trial.run_rounds(10, 0.02)
         for _ in range(60):
-            slow.record_answers(Arm.OLD, 1, 0.02)
-            slow.record_answers(Arm.NEW, 10, 0.02, slow_factor=5.0)
-            self.assertFalse(slow.judge.observe(slow.evidence, with_times=False))
+            slow_trial.record_answers(Arm.OLD, 1, 0.02)
+            slow_trial.record_answers(Arm.NEW, 10, 0.02, slow_factor=5.0)
+            self.assertFalse(slow_trial.judge.observe(slow_trial.evidence, with_times=False))
         failing_trial.record_answers(Arm.NEW, 30, 0.5)
         self.assertTrue(failing_trial.judge.observe(failing_trial.evidence, with_times=False))
 
@@ -178,11 +178,11 @@
 
     def test_counts_of_many_nodes_add_up(self) -> None:
         parts = [Evidence() for _ in range(5)]
-        chance = random.Random(1)
+        rng = random.Random(1)
         whole = Evidence()
         for number in range(200):
-            arm, failed = Arm(number % 2), chance.random() < 0.3
-            took_s = chance.random()
+            arm, failed = Arm(number % 2), rng.random() < 0.3
+            took_s = rng.random()
             parts[number % 5].observe(arm, "r", failed, took_s)
             whole.observe(arm, "r", failed, took_s)
         self.assertEqual(merged(parts).old["r"].count, whole.old["r"].count)
@@ -211,19 +211,19 @@
     def test_merge_of_two_updates_does_not_depend_on_their_order(
         self, one: RolloutNews, two: RolloutNews
     ) -> None:
-        joined = one.merged_with(two)
-        self.assertEqual(joined.order.revision, two.merged_with(one).order.revision)
-        self.assertEqual(joined.phase, two.merged_with(one).phase)
-        self.assertEqual(joined.merged_with(joined), joined)
+        merged_update = one.merged_with(two)
+        self.assertEqual(merged_update.order.revision, two.merged_with(one).order.revision)
+        self.assertEqual(merged_update.phase, two.merged_with(one).phase)
+        self.assertEqual(merged_update.merged_with(merged_update), merged_update)
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.lists(UPDATES, min_size=1, max_size=8))
     def test_merge_never_returns_to_an_earlier_order_or_phase(
-        self, told: list[RolloutNews]
+        self, updates: list[RolloutNews]
     ) -> None:
-        known = told[0]
-        for news in told[1:]:
-            after = known.merged_with(news)
+        known = updates[0]
+        for update in updates[1:]:
+            after = known.merged_with(update)
             self.assertGreaterEqual(
                 (after.order.revision, after.phase), (known.order.revision, known.phase)
             )
@@ -241,7 +241,7 @@
 
 
 class RestoredOrderTest(unittest.TestCase):
-    """The store came back from an older copy, and the operator writes its orders again."""
+    """The store was restored from an older copy, and the operator writes its orders again."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -301,13 +301,13 @@
         self, requests: list[int], serving: int
     ) -> None:
         part = Exposure(EXPOSURE_SHARE, EXPOSURE_FREE).per_node(max(serving, len(requests)))
-        tried_in_all = 0
+        total_tried = 0
         for number in requests:
             tried = 0
             for each in range(1, number + 1):
                 tried += part.allows(each, tried)
-            tried_in_all += tried
-        self.assertLessEqual(tried_in_all, EXPOSURE_SHARE * sum(requests) + EXPOSURE_FREE)
+            total_tried += tried
+        self.assertLessEqual(total_tried, EXPOSURE_SHARE * sum(requests) + EXPOSURE_FREE)
 
     def test_few_requests_are_enough_for_the_minimum_of_answers(self) -> None:
         tried = 0
@@ -403,16 +403,16 @@
         self.assertEqual(self.chosen_versions(balancer), {NEW})
 
     def test_each_phase_uses_only_its_versions(self) -> None:
-        news = RolloutNews(make_order())
-        wanted = {
+        update = RolloutNews(make_order())
+        expected = {
             Phase.TRIAL: {OLD},
             Phase.RISING: {OLD},
             Phase.MOVING: {NEW},
             Phase.ROLLED_BACK: {OLD},
             Phase.COMPLETED: {NEW},
         }
-        for phase, versions in wanted.items():
-            rule = rule_of(RolloutNews(news.order, phase))
+        for phase, versions in expected.items():
+            rule = rule_of(RolloutNews(update.order, phase))
             self.assertEqual(self.chosen_versions(self.make_balancer(rule)), versions, phase)
 
     def test_number_of_trial_servers_matches_the_share_of_the_trial(self) -> None:
@@ -457,20 +457,20 @@
         self.assertLess(tried, 0.1 * 400 + 50)
 
     def test_required_answers_are_no_more_than_a_trial_brings(self) -> None:
-        for old, wanted in ((5, 1), (36, 1), (93, 3), (500, 6)):
+        for old, required in ((5, 1), (36, 1), (93, 3), (500, 6)):
             rollouts, _ = self.make_rollouts(36, 36)
-            seen = rollouts.services[SERVICE].evidence
+            evidence = rollouts.services[SERVICE].evidence
             for _ in range(old):
-                seen.observe(Arm.OLD, "r", False, 0.01)
-            for number in range(1, wanted + 1):
+                evidence.observe(Arm.OLD, "r", False, 0.01)
+            for number in range(1, required + 1):
                 self.assertFalse(
                     _has_enough_answers(rollouts.services[SERVICE], "r"), (old, number)
                 )
-                seen.observe(Arm.NEW, "r", False, 0.01)
+                evidence.observe(Arm.NEW, "r", False, 0.01)
             self.assertTrue(_has_enough_answers(rollouts.services[SERVICE], "r"), old)
 
     def make_rollouts(self, old: int, new: int, serving: int = 1) -> tuple[Rollouts, LoadBalancer]:
-        """Return the roll-outs of a node, one of those that serve, with an order that just came."""
+        """Return the roll-outs of a node that just received an order; `serving` nodes serve."""
         balancer = LoadBalancer("hall-a")
         balancer.apply(make_servers(old, 0))
         balancer.apply(make_servers(old, new))
@@ -502,7 +502,7 @@
 def run_in_world(
     work: Callable[[RolloutWorld], Awaitable[None]], defect: Defect | None = None
 ) -> RolloutWorld:
-    """Run a test on whole nodes."""
+    """Run a test with complete nodes and return its world."""
     world = RolloutWorld(defect)
 
     async def run() -> None:
@@ -514,7 +514,7 @@
 
 
 def knows_both_versions(node: GatewayNode) -> bool:
-    """Say whether a node knows the order and the servers of both versions."""
+    """Return whether a node knows the order and the servers of both versions."""
     return SERVICE in node.rollouts.services and len(node.balancer.views) == 8
 
 
@@ -523,16 +523,16 @@
 
 
 class EndToEndTest(unittest.TestCase):
-    """Nodes, servers and an operator's order, over real sockets."""
+    """Nodes, servers and an operator's order, connected by real sockets."""
 
     def assert_bounded(self, world: RolloutWorld) -> None:
-        """Check that a bad version got no more than allowed."""
-        most = EXPOSURE_SHARE * world.counts.requests + EXPOSURE_FREE
-        self.assertLessEqual(world.counts.new_version_requests, most)
+        """Assert that the new version got no more requests than the exposure limit allows."""
+        max_requests = EXPOSURE_SHARE * world.counts.requests + EXPOSURE_FREE
+        self.assertLessEqual(world.counts.new_version_requests, max_requests)
         self.assertLess(world.counts.bad_answers, EXPOSURE_FREE)
 
     def assert_rolled_back(self, defect: Defect) -> RolloutWorld:
-        """Order a bad version and return the world after the order's time."""
+        """Order a bad version, assert that it is rolled back, and return the world."""
 
         async def work(world: RolloutWorld) -> None:
             await world.start("n1", "n2", "n3")
@@ -680,7 +680,7 @@
 
 class DutyTest(unittest.TestCase):
     def test_status_written_by_another_holder_is_adopted(self) -> None:
-        """A holder that froze and finds the roll-out ended takes that over and writes nothing."""
+        """A holder that froze and finds the roll-out ended adopts that and writes nothing."""
 
         async def work(world: RolloutWorld) -> None:
             (node,) = await world.start("n1")
