--- a/tests/test_server_model.py
+++ b/tests/test_server_model.py
@@ -1,4 +1,4 @@
-"""What a node learns of servers, over the project's own model of an engine on a virtual clock."""
+"""A node's estimates of server speed, tested against the engine model on a virtual clock."""
 
 import heapq
 import random
@@ -26,7 +26,7 @@
 REQUESTS = 200
 TOLERANCE = 0.15
 FULL_STEP_S = 0.001
-"""Time of a step with all slots taken; short, so that reading decides and not what is beside it."""
+"""Time of a step with all slots in use; short, so that prefill dominates and not the decoding."""
 
 SERVERS = 4
 ANSWER_TOKENS = 40
@@ -38,7 +38,7 @@
 
 
 def prefill_rate(spec: EngineSpec) -> float:
-    """Return the tokens that an engine reads a second beside a tenth of a batch."""
+    """Return an engine's prefill rate in tokens per second, with a tenth of its slots decoding."""
     took = []
     for prompt in (2_000, 12_000):
         engine = EngineModel(spec)
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request that was placed, and what the node believed of its server then."""
+    """A placed request, with the server's load as the node saw it at that time."""
 
     server: int
     at: float
@@ -70,28 +70,29 @@
 
 @dataclass(slots=True)
 class ServerViewHistory:
-    """What a node counts at a server: prompt tokens without a first event, and requests."""
+    """A node's counts for a server over time: prompt tokens before a first event, and requests."""
 
     states: list[tuple[float, int, int]] = field(default_factory=lambda: [(0.0, 0, 0)])
 
     def record_change(self, now: float, tokens: int, requests: int) -> None:
-        """Note a request that was placed, had its first event or ended."""
+        """Record that a request was placed, had its first event or finished."""
         _, queued_ahead, concurrent = self.states[-1]
         self.states.append((now, queued_ahead + tokens, concurrent + requests))
 
     def as_of(self, when: float) -> tuple[int, int]:
-        """Return what was counted at a moment."""
+        """Return the counts as of a time: queued prompt tokens and running requests."""
         known = [state for state in self.states if state[0] <= when]
         return known[-1][1:] if known else (0, 0)
 
 
 @dataclass(slots=True)
 class Simulation:
-    """Requests at some engines, as a node that places and learns sees them.
+    """Simulates a node that places requests on engines and estimates their speed.
 
-    `load` is the part of the engines' time that reading takes. What the node counts as waiting
-    ahead, each prompt whole until its first event, and as running beside is `view_delay_s` old. Server 0
-    takes `slow_factor` times as long.
+    `load` is the share of the engines' time that prefill takes. The node sees the load of servers
+    with a delay of `view_delay_s`, and counts a prompt as queued in full until its first event.
+    Server 0 takes `slow_factor` times as long as the others, and from `change_at` all take
+    `change_factor` times as long.
     """
 
     spec: EngineSpec
@@ -108,12 +109,12 @@
     now: float = 0.0
 
     def run_until(self, end: float) -> None:
-        """Play the requests of some time, and stop then."""
+        """Simulate the requests that arrive until a time, and stop then."""
         self.run(int(end * self.load * SERVERS * prefill_rate(self.spec) / MEAN_PROMPT_TOKENS), end)
 
     def run(self, requests: int = REQUESTS, end: float = 1e9) -> None:
-        """Play so many requests."""
-        chance = random.Random(3)
+        """Simulate a number of requests until all have finished, or until a time."""
+        rng = random.Random(3)
         rate = prefill_rate(self.spec)
         engines = [EngineModel(self.spec) for _ in range(SERVERS)]
         clocks = [0.0] * SERVERS
@@ -122,7 +123,7 @@
         arrivals: list[float] = []
         at = 0.0
         for _ in range(requests):
-            at += chance.expovariate(self.load * SERVERS * rate / MEAN_PROMPT_TOKENS)
+            at += rng.expovariate(self.load * SERVERS * rate / MEAN_PROMPT_TOKENS)
             heapq.heappush(arrivals, at)
         number = 0
         while arrivals or any(engine.busy for engine in engines):
@@ -132,8 +133,8 @@
                 return
             if first is None or (arrivals and arrivals[0] <= clocks[first]):
                 at = heapq.heappop(arrivals)
-                chosen = chance.randrange(SERVERS)
-                prompt = int(min(50_000, chance.lognormvariate(8.2, 0.8))) + 1
+                chosen = rng.randrange(SERVERS)
+                prompt = int(min(50_000, rng.lognormvariate(8.2, 0.8))) + 1
                 if not engines[chosen].busy:
                     clocks[chosen] = at
                 name = f"r{number}"
@@ -161,10 +162,10 @@
         self.now = max(self.now, now)
         took_s = now - sent.at
         self.estimator.record_placed(sent.prompt)
-        alone = PrefillSample(sent.prompt, sent.queued_ahead, took_s, now, sent.concurrent)
-        seen = self.trackers[sent.server].on_first_event(sent.at, sent.cumulative_work, alone)
-        if seen is not None:
-            self.estimator.add_sample(seen)
+        unqueued = PrefillSample(sent.prompt, sent.queued_ahead, took_s, now, sent.concurrent)
+        sample = self.trackers[sent.server].on_first_event(sent.at, sent.cumulative_work, unqueued)
+        if sample is not None:
+            self.estimator.add_sample(sample)
         speed = self.estimator.speed(now)
         tokens = sent.prompt + speed.remaining_work(sent.queued_ahead)
         expected_s = speed.start_s + speed.prefill_s(tokens, sent.concurrent)
@@ -172,45 +173,45 @@
 
 
 class LearningTest(unittest.TestCase):
-    def assert_rate_is_learnt(self, play: Simulation) -> None:
-        truth = prefill_rate(play.spec)
-        learnt = play.estimator.speed(play.now + 1.0).read_per_s
+    def assert_rate_is_learnt(self, simulation: Simulation) -> None:
+        truth = prefill_rate(simulation.spec)
+        learnt = simulation.estimator.speed(simulation.now + 1.0).read_per_s
         self.assertAlmostEqual(learnt / truth, 1.0, delta=TOLERANCE)
 
     def test_rate_is_found_for_slow_and_fast_servers_with_few_and_many_slots(self) -> None:
         for read_per_s in (10_000.0, 50_000.0, 157_000.0, 300_000.0):
             for slots in (8, 24, 128):
                 with self.subTest(read_per_s=read_per_s, slots=slots):
-                    play = Simulation(make_spec(read_per_s, slots))
-                    play.run()
-                    self.assert_rate_is_learnt(play)
+                    simulation = Simulation(make_spec(read_per_s, slots))
+                    simulation.run()
+                    self.assert_rate_is_learnt(simulation)
 
     def test_rate_is_found_although_queue_depths_arrive_late(self) -> None:
         for view_delay_s in (0.1, 0.3, 1.0):
             with self.subTest(view_delay_s=view_delay_s):
-                play = Simulation(make_spec(157_000.0, 24), view_delay_s=view_delay_s)
-                play.run()
-                self.assert_rate_is_learnt(play)
+                simulation = Simulation(make_spec(157_000.0, 24), view_delay_s=view_delay_s)
+                simulation.run()
+                self.assert_rate_is_learnt(simulation)
 
     def test_rate_is_found_under_load(self) -> None:
-        play = Simulation(make_spec(157_000.0, 24), load=0.6)
-        play.run(2 * REQUESTS)
-        self.assert_rate_is_learnt(play)
+        simulation = Simulation(make_spec(157_000.0, 24), load=0.6)
+        simulation.run(2 * REQUESTS)
+        self.assert_rate_is_learnt(simulation)
 
     def test_one_slow_server_is_distinguished_from_the_others(self) -> None:
-        play = Simulation(make_spec(50_000.0, 24), load=0.1, slow_factor=5.0)
-        play.run()
-        self.assert_rate_is_learnt(play)
-        times = [each.factor(play.now) for each in play.slowness]
-        self.assertGreater(times[0], 2.0)
-        self.assertLess(max(times[1:]), 1.5)
+        simulation = Simulation(make_spec(50_000.0, 24), load=0.1, slow_factor=5.0)
+        simulation.run()
+        self.assert_rate_is_learnt(simulation)
+        slowdowns = [each.factor(simulation.now) for each in simulation.slowness]
+        self.assertGreater(slowdowns[0], 2.0)
+        self.assertLess(max(slowdowns[1:]), 1.5)
 
     def test_a_server_that_was_slow_is_tried_again(self) -> None:
-        slow = Slowness()
+        slowness = Slowness()
         for _ in range(20):
-            slow.observe(2.0, 0.2, 10.0)
-        self.assertGreater(slow.factor(10.0), 4.0)
-        self.assertLess(slow.factor(10.0 + 4 * SLOWDOWN_DECAY_S), 1.2)
+            slowness.observe(2.0, 0.2, 10.0)
+        self.assertGreater(slowness.factor(10.0), 4.0)
+        self.assertLess(slowness.factor(10.0 + 4 * SLOWDOWN_DECAY_S), 1.2)
 
     def test_prior_applies_without_requests(self) -> None:
         self.assertEqual(SpeedEstimator().speed(5.0), PRIOR)
@@ -246,40 +247,46 @@
         self.assertEqual(estimator.speed(1.0).read_per_s, 100_000.0)
 
     def test_outlier_among_peers_does_not_change_the_combined_estimate(self) -> None:
-        told = [Speed(100_000.0 + number, 0.02, 0.8, 6_000.0, 100) for number in range(5)]
-        odd = Speed(1.0, 9.0, 90.0, 1.0, 160)
+        speeds = [Speed(100_000.0 + number, 0.02, 0.8, 6_000.0, 100) for number in range(5)]
+        outlier = Speed(1.0, 9.0, 90.0, 1.0, 160)
         self.assertAlmostEqual(
-            combine_speeds(told[0], [*told[1:], odd]).read_per_s, 100_000, delta=10
+            combine_speeds(speeds[0], [*speeds[1:], outlier]).read_per_s, 100_000, delta=10
         )
 
 
 CHANGE_AT_S = (3.0, 30.0)
 LOADS = (0.5, 0.9, 1.8)
-"""Half of what the servers can do, close to all of it, and twice that."""
+"""Half of the servers' capacity, close to all of it, and twice the latter."""
 
 ADAPTATION_S = 2.0
+"""Time within which the estimate must follow a change of speed."""
+
 CHANGED_RATE_TOLERANCE = 0.3
 MAX_MEAN_WAIT_S = 0.1
 
 
 class ChangeTest(unittest.TestCase):
-    """All servers of a service turn slower or faster at once."""
+    """All servers of a service become slower or faster at once."""
 
     def need(self, work_per_s: float, running: float, slots: int, speed: Speed) -> int:
         return servers_needed(work_per_s, running, slots, MAX_MEAN_WAIT_S, speed)
 
     def test_rate_follows_a_change_within_two_seconds(self) -> None:
         spec = make_spec(157_000.0, 64)
-        for at in CHANGE_AT_S:
+        for change_at in CHANGE_AT_S:
             for load in LOADS:
-                for times in (3.0, 1 / 3):
-                    with self.subTest(at=at, load=load, times=times):
-                        play = Simulation(
-                            spec, load=load, view_delay_s=0.1, change_at=at, change_factor=times
+                for change_factor in (3.0, 1 / 3):
+                    with self.subTest(change_at=change_at, load=load, change_factor=change_factor):
+                        simulation = Simulation(
+                            spec,
+                            load=load,
+                            view_delay_s=0.1,
+                            change_at=change_at,
+                            change_factor=change_factor,
                         )
-                        play.run_until(at + ADAPTATION_S)
-                        learnt = play.estimator.speed(play.now)
-                        truth = prefill_rate(spec) / times
+                        simulation.run_until(change_at + ADAPTATION_S)
+                        learnt = simulation.estimator.speed(simulation.now)
+                        truth = prefill_rate(spec) / change_factor
                         self.assertAlmostEqual(
                             learnt.read_per_s / truth, 1.0, delta=CHANGED_RATE_TOLERANCE
                         )
@@ -287,9 +294,9 @@
     def test_no_change_is_signalled_at_constant_speed(self) -> None:
         for load in (0.3, 0.6, 0.9):
             with self.subTest(load=load):
-                play = Simulation(make_spec(157_000.0, 64), load=load, view_delay_s=0.1)
-                play.run(1_000)
-                self.assertEqual(play.estimator.changes, 0)
+                simulation = Simulation(make_spec(157_000.0, 64), load=load, view_delay_s=0.1)
+                simulation.run(1_000)
+                self.assertEqual(simulation.estimator.changes, 0)
 
     def test_single_outliers_signal_no_change(self) -> None:
         estimator = SpeedEstimator()
@@ -323,12 +330,12 @@
         st.floats(5_000, 400_000),
     )
     def test_more_work_never_needs_fewer_servers(
-        self, work: float, running: float, slots: int, most_s: float, rate: float
+        self, work: float, running: float, slots: int, max_wait_s: float, rate: float
     ) -> None:
         speed = Speed(rate, 0.02, 1.0, 5_000.0, 100)
-        need = servers_needed(work, running, slots, most_s, speed)
-        self.assertGreaterEqual(servers_needed(1.2 * work, running, slots, most_s, speed), need)
-        self.assertGreaterEqual(servers_needed(work, 1.2 * running, slots, most_s, speed), need)
+        need = servers_needed(work, running, slots, max_wait_s, speed)
+        self.assertGreaterEqual(servers_needed(1.2 * work, running, slots, max_wait_s, speed), need)
+        self.assertGreaterEqual(servers_needed(work, 1.2 * running, slots, max_wait_s, speed), need)
         self.assertLessEqual(work / rate, need)
         self.assertLessEqual(running / slots, need)
 
