--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -1,4 +1,4 @@
-"""What operators state changes what follows from it: the same with all of it doubled or halved."""
+"""Limits derived from the operators' settings scale with them when all are halved or doubled."""
 
 import unittest
 
@@ -23,11 +23,11 @@
 
 FACTORS = (0.5, 1.0, 2.0)
 NOT_SCALED = frozenset({"retry_ratio", "limit_share", "exposure_share"})
-"""Shares: what they are of grows by itself."""
+"""Ratios: the quantities that they apply to are scaled already."""
 
 
 def scaled(bounds: Bounds, factor: float) -> Bounds:
-    """Return bounds with all times and numbers multiplied."""
+    """Return bounds with all times and counts multiplied by a factor."""
     values = msgspec.structs.asdict(bounds)
     return Bounds(
         **{name: value if name in NOT_SCALED else factor * value for name, value in values.items()}
@@ -42,14 +42,14 @@
         for factor in FACTORS:
             bounds = scaled(self.bounds, factor)
             sharing = Sharing(Membership("n1", 1), bounds)
-            moves = Evacuation(
+            evacuation = Evacuation(
                 PlatformEngines(), LoadBalancer("a"), lambda: None, sharing.leave_s, lambda: 0.0
             )
-            self.assertEqual(moves._default_notice_s, factor * self.bounds.leave_s)
+            self.assertEqual(evacuation._default_notice_s, factor * self.bounds.leave_s)
             self.assertAlmostEqual(min_stop_s(bounds), factor * min_stop_s(self.bounds))
 
     def test_usable_age_of_a_server_list_follows(self) -> None:
-        ages = []
+        usable_s = []
         for factor in FACTORS:
             watch = FleetWatch(
                 None,  # type: ignore[arg-type]
@@ -61,11 +61,11 @@
                 lambda: 1.0,
                 leave_s=scaled(self.bounds, factor).leave_s,
             )
-            ages.append(watch._max_list_age_s / factor)
-        self.assertEqual(len(set(ages)), 1)
+            usable_s.append(watch._max_list_age_s / factor)
+        self.assertEqual(len(set(usable_s)), 1)
 
     def test_account_limits_follow(self) -> None:
-        held = []
+        levels = []
         for factor in FACTORS:
             bounds = scaled(self.bounds, factor)
             account = msgspec.structs.replace(
@@ -74,8 +74,8 @@
             tolerance = Tolerance(bounds.limit_share, bounds.limit_tokens)
             limits = AccountLimits(False, bounds.limit_window_s, tolerance, lambda: 4)
             limits.configure([account], 0.0)
-            held.append(limits.level(account, 0.0) / factor)
-        self.assertEqual(len(set(held)), 1)
+            levels.append(limits.level(account, 0.0) / factor)
+        self.assertEqual(len(set(levels)), 1)
 
     def test_retry_budget_follows(self) -> None:
         for factor in FACTORS:
@@ -97,8 +97,8 @@
     def test_free_trial_requests_follow(self) -> None:
         for factor in FACTORS:
             bounds = scaled(self.bounds, factor)
-            part = Exposure(bounds.exposure_share, bounds.exposure_free).per_node(4)
-            self.assertAlmostEqual(part.free, factor * 7.5)
+            exposure = Exposure(bounds.exposure_share, bounds.exposure_free).per_node(4)
+            self.assertAlmostEqual(exposure.free, factor * 7.5)
 
     def test_shortest_target_for_renting_follows_the_targets(self) -> None:
         plan = a_plan()
@@ -113,22 +113,22 @@
     def test_renting_follows_boot_times(self) -> None:
         plan = a_plan()
         speed = Speed(50_000.0, 0.02, 0.5, 4_000.0, 100)
-        waiting = 900_000.0
+        queued_tokens = 900_000.0
         needs = [
             servers_for_load(
-                PlanIndex(plan), "model", 64, boot_s, Load(200_000.0, waiting, 20), speed
+                PlanIndex(plan), "model", 64, boot_s, Load(200_000.0, queued_tokens, 20), speed
             )
             for boot_s in (2.0, 4.0, 8.0)
         ]
         self.assertEqual(sorted(set(needs), reverse=True), needs)
         renting = Renting(1, 5, 4.0, 0.15, {"a": 1.0})
-        for boot_s, wanted in ((2.0, 2), (8.0, 6)):
+        for boot_s, on_demand in ((2.0, 2), (8.0, 6)):
             demand = Demand()
             for step in range(60):
                 demand.record_total(step * 1_000.0, step * 0.5)
                 demand.record_need(6 if step < 40 else 2, step * 0.5)
             slower = msgspec.structs.replace(renting, boot_s=boot_s)
-            self.assertEqual(demand.need(2, slower.boot_s).on_demand, wanted)
+            self.assertEqual(demand.need(2, slower.boot_s).on_demand, on_demand)
 
 
 if __name__ == "__main__":
