--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -1,4 +1,4 @@
-"""Usage is reported by one holder after another, once for each window."""
+"""Each window's usage is reported with one set of counts, by any holder and after any restore."""
 
 import asyncio
 import unittest
@@ -20,17 +20,17 @@
 
 
 class FakeLeaseKeeper:
-    """A lease that this node holds with a fence."""
+    """A lease keeper whose node always holds the lease."""
 
     epoch = 3
 
     def grant(self) -> Grant | None:
-        """Return proof of the lease."""
+        """Return a grant that never expires."""
         return Grant(LEASE_KEY, self.epoch, 1e18, 0.0)
 
 
 class FakeOrders:
-    """The cloud, which notes what is reported."""
+    """The cloud API, which records the reported usage; it fails while `down` is set."""
 
     def __init__(self) -> None:
         self.reported: list[int] = []
@@ -38,7 +38,7 @@
         self.down = False
 
     async def report_usage(self, *report: object) -> Failure | None:
-        """Note the window."""
+        """Record the window and the counts of a report."""
         if self.down:
             return Failure("down")
         self.reported.append(int(str(report[2])))
@@ -47,26 +47,26 @@
 
 
 class FakeRentingDuty:
-    """No service rents servers."""
+    """A renting duty without services."""
 
     def reset(self) -> None:
-        """Forget nothing."""
+        """Do nothing."""
 
     def record_demand(self) -> None:
-        """Watch nothing."""
+        """Do nothing."""
 
     async def step(self) -> None:
-        """Order nothing."""
+        """Do nothing."""
 
 
 class FakeRolloutDuty:
-    """No roll-out was ordered."""
+    """A roll-out duty without orders."""
 
     def reset(self) -> None:
-        """Forget nothing."""
+        """Do nothing."""
 
     async def step(self, _: object) -> None:
-        """Carry nothing on."""
+        """Do nothing."""
 
 
 def make_duties(
@@ -77,7 +77,7 @@
     sharing: Sharing,
     now: Callable[[], float] = monotonic,
 ) -> Duties:
-    """Return the duties of a node that holds the lease."""
+    """Return the duties of a lease holder, without renting and roll-outs."""
     return Duties(
         node,
         keeper,  # type: ignore[arg-type]
@@ -91,7 +91,7 @@
 
 
 class Holder:
-    """A node that holds the lease and counts requests by a wall clock of the test."""
+    """A node that holds the lease and counts requests by the clock of the test."""
 
     def __init__(self, node: str, world: "UsageWorld") -> None:
         bounds = Bounds(usage_window_s=5.0)
@@ -103,7 +103,7 @@
 
 
 class UsageWorld:
-    """Holders of the lease that follow each other, a store that restores, and a virtual clock."""
+    """A virtual clock, a store that can be restored, and the cloud that receives reports."""
 
     def __init__(self) -> None:
         self.at = 1_000.0
@@ -121,14 +121,14 @@
         return self.at
 
     async def run(self, holder: Holder, until: float) -> None:
-        """Let a holder do what is due."""
+        """Run a holder's duties every 0.2 s until a time."""
         while self.at < until:
             self.at += 0.2
             await holder.duties.step()
 
 
 class UsageOverRestoresTest(unittest.TestCase):
-    """The store lost which counts of a window were kept, and the platform has them."""
+    """The store lost the counts of a window that the platform may have received already."""
 
     def setUp(self) -> None:
         self.world = UsageWorld()
@@ -139,9 +139,10 @@
                 holder.sharing.record_started("north")
 
     def counts_of_first_window(self) -> list[object]:
+        """Return the counts of each report of window 200, which ends at 1,005 s."""
         orders = self.world.orders
-        told = zip(orders.reported, orders.counts, strict=True)
-        return [counts for window, counts in told if window == 200]
+        reports = zip(orders.reported, orders.counts, strict=True)
+        return [counts for window, counts in reports if window == 200]
 
     def test_window_whose_counts_the_store_lost_is_not_recounted_by_the_next_holder(
         self,
@@ -228,14 +229,14 @@
     def test_counts_stored_during_a_restore_are_voided(self) -> None:
         async def work() -> None:
             world = self.world
-            writes = world.store.write
+            write = world.store.write
 
-            async def restoring(*call: object) -> Result[WriteResult, Failure]:
-                world.store.write = writes  # type: ignore[method-assign]
+            async def restore_and_write(*call: object) -> Result[WriteResult, Failure]:
+                world.store.write = write  # type: ignore[method-assign]
                 world.store.restore(None, 5)
-                return await writes(*call)  # type: ignore[arg-type]
+                return await write(*call)  # type: ignore[arg-type]
 
-            world.store.write = restoring  # type: ignore[assignment,method-assign]
+            world.store.write = restore_and_write  # type: ignore[assignment,method-assign]
             await world.run(self.first, 1_008.0)
             await world.run(self.second, 1_012.0)
             self.assertEqual(self.counts_of_first_window(), [])
@@ -252,15 +253,17 @@
             duties = make_duties("n1", keeper, OneRow(), orders, sharing)
             sharing.record_started("north")
             wall = 1_005.1 + SETTLE_S
-            began = monotonic()
+            started = monotonic()
             while not orders.reported:
                 await duties.step()
                 await asyncio.sleep(0.02)
-            self.assertGreaterEqual(monotonic() - began, NEW_HOLDER_DELAY_S)
+            self.assertGreaterEqual(monotonic() - started, NEW_HOLDER_DELAY_S)
             sharing.record_started("north")
             wall += 5.0
             await duties.step()
-            self.assertEqual(len(orders.reported), 2, "a holder of some time reports at once")
+            self.assertEqual(
+                len(orders.reported), 2, "a holder past its initial delay reports at once"
+            )
             keeper.epoch += 1
             sharing.record_started("north")
             wall += 5.0
