--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -12,14 +12,14 @@
 from bench.measures import Measures, measure
 from bench.policies import all_policies
 from bench.replay import Replay
-from bench.scenarios import SIZES, Case, all_cases, quote_desk
+from bench.scenarios import ENGINE_COUNTS, Case, all_cases, quote_desk
 from bench.weights import WEIGHTS, table, trade
 from bench.workload import make
 
-OUT = Path("out")
+OUTPUT_DIR = Path("out")
 SEEDS = (1, 2, 3)
 PROCESSES = 6
-SWEPT = ("round robin", "fewest requests", "affinity alone", "paper: atomic", "ours")
+SWEEP_POLICIES = ("round robin", "fewest requests", "affinity alone", "paper: atomic", "ours")
 
 
 @dataclass(frozen=True)
@@ -27,14 +27,14 @@
     """One run: a scenario by its index (or a size of the sweep), a policy, a seed."""
 
     case: int
-    size: int | None
+    engines: int | None
     policy: str
     seed: int
 
 
 def run(job: Job) -> Measures:
     """Replay one run."""
-    case = quote_desk(job.size) if job.size is not None else all_cases()[job.case]
+    case = quote_desk(job.engines) if job.engines is not None else all_cases()[job.case_index]
     policy = next(p for p in all_policies() if p.name == job.policy)
     turns = make(case.mixes, job.seed, case.scenario.seconds, case.requests_per_s)
     outcome = Replay(case.scenario, policy, turns, job.seed).run()
@@ -59,16 +59,21 @@
         for seed in SEEDS
     ]
     if not options.no_sweep:
-        jobs += [Job(0, size, name, seed) for size in SIZES for name in SWEPT for seed in SEEDS]
+        jobs += [
+            Job(0, engines, name, seed)
+            for engines in ENGINE_COUNTS
+            for name in SWEEP_POLICIES
+            for seed in SEEDS
+        ]
     with ProcessPoolExecutor(PROCESSES) as pool:
         found = dict(zip(jobs, pool.map(run, jobs), strict=True))
         pairs = [(recompute, seed) for recompute in WEIGHTS for seed in SEEDS]
         trades = [] if options.no_sweep else list(pool.map(trade, *zip(*pairs, strict=True)))
-    OUT.mkdir(exist_ok=True)
+    OUTPUT_DIR.mkdir(exist_ok=True)
     text = report(cases, found) + (table(trades) + "\n" if trades else "")
-    (OUT / "bench.txt").write_text(text)
+    (OUTPUT_DIR / "bench.txt").write_text(text)
     print(text)
-    _plot(cases, found)
+    _save_plots(cases, found)
     print(f"{len(jobs)} runs in {time.monotonic() - began:.0f} s")
     return 0
 
@@ -81,31 +86,31 @@
         if not rows:
             continue
         lines.append(f"\n{case.scenario.name}: {case.scenario.engines} engines, {len(SEEDS)} seeds")
-        lines.append(_HEADER)
-        lines.extend(_row(name, measures) for name, measures in rows.items())
-        lines.append(_DETAIL_HEADER)
-        lines.extend(_detail(name, measures) for name, measures in rows.items())
-    lines.append(_sweep(found))
+        lines.append(_SUMMARY_HEADER)
+        lines.extend(_summary_row(name, measures) for name, measures in rows.items())
+        lines.append(_LATENCY_HEADER)
+        lines.extend(_latency_row(name, measures) for name, measures in rows.items())
+    lines.append(_sweep_table(found))
     return "\n".join(lines) + "\n"
 
 
-_HEADER = (
+_SUMMARY_HEADER = (
     f"{'policy':26}{'imm. in time':>20}{'imm. first p95 s':>20}{'norm. first p95':>17}"
     f"{'recomputed k':>18}{'cost/h':>8}{'late':>6}{'refused':>9}{'late ref.':>10}{'lost':>6}"
     f"{'engines':>9}{'nodes':>7}{'waves':>7}"
 )
-_DETAIL_HEADER = f"{'first token / between tokens, s':34}" + "".join(
+_LATENCY_HEADER = f"{'first token / between tokens, s':34}" + "".join(
     f"{name + ' p50 p95 p99':>44}" for name in ("immediate", "normal", "can-wait")
 )
 
 
-def _row(name: str, runs: list[Measures]) -> str:
+def _summary_row(name: str, runs: list[Measures]) -> str:
     return (
-        f"{name:26}{_spread(runs, lambda m: m.in_time['immediate'] * 100, 1):>20}"
-        f"{_spread(runs, lambda m: m.first_p95['immediate'], 3):>20}"
-        f"{_median(runs, lambda m: m.first_p95['normal']):>17.3f}"
-        f"{_spread(runs, lambda m: m.recomputed / 1000, 0):>18}"
-        f"{_median(runs, lambda m: m.cost_an_hour):>8.2f}"
+        f"{name:26}{_median_with_range(runs, lambda m: m.in_time_share['immediate'] * 100, 1):>20}"
+        f"{_median_with_range(runs, lambda m: m.ttft_p95_s['immediate'], 3):>20}"
+        f"{_median(runs, lambda m: m.ttft_p95_s['normal']):>17.3f}"
+        f"{_median_with_range(runs, lambda m: m.recomputed_tokens / 1000, 0):>18}"
+        f"{_median(runs, lambda m: m.cost_per_hour):>8.2f}"
         f"{_median(runs, lambda m: m.late):>6.0f}"
         f"{_median(runs, lambda m: m.refused):>9.0f}"
         f"{_median(runs, lambda m: m.refused_late):>10.0f}"
@@ -116,44 +121,44 @@
     )
 
 
-def _detail(name: str, runs: list[Measures]) -> str:
+def _latency_row(name: str, runs: list[Measures]) -> str:
     cells = []
     for priority in ("immediate", "normal", "can-wait"):
-        first = [_median(runs, lambda m, f=f, p=priority: getattr(m, f)[p]) for f in _FIRSTS]  # type: ignore[misc]
-        gaps = [_median(runs, lambda m, f=f, p=priority: getattr(m, f)[p]) for f in _GAPS]  # type: ignore[misc]
+        first = [_median(runs, lambda m, f=f, p=priority: getattr(m, f)[p]) for f in _TTFT_FIELDS]  # type: ignore[misc]
+        gaps = [_median(runs, lambda m, f=f, p=priority: getattr(m, f)[p]) for f in _GAP_FIELDS]  # type: ignore[misc]
         text = " ".join(f"{v:.3f}" for v in first) + " / " + " ".join(f"{v:.3f}" for v in gaps)
         cells.append(f"{text:>44}")
     return f"{name:34}" + "".join(cells)
 
 
-_FIRSTS = ("first_p50", "first_p95", "first_p99")
-_GAPS = ("between_p50", "between_p95", "between_p99")
+_TTFT_FIELDS = ("ttft_p50_s", "ttft_p95_s", "ttft_p99_s")
+_GAP_FIELDS = ("inter_token_p50_s", "inter_token_p95_s", "inter_token_p99_s")
 
 
-def _sweep(found: dict[Job, Measures]) -> str:
+def _sweep_table(found: dict[Job, Measures]) -> str:
     """Return the least cost at which each policy meets the target on every seed."""
     lines = ["\ncost at the latency target, Quote Desk hours (least engines, all seeds)"]
-    for name in SWEPT:
+    for name in SWEEP_POLICIES:
         shares = []
         least: float | None = None
-        for size in SIZES:
-            runs = _by_policy(found, 0, size).get(name)
+        for engines in ENGINE_COUNTS:
+            runs = _by_policy(found, 0, engines).get(name)
             if not runs:
                 return ""
-            shares.append(f"{size}: {min(m.in_time['immediate'] for m in runs) * 100:.1f}")
+            shares.append(f"{engines}: {min(m.in_time_share['immediate'] for m in runs) * 100:.1f}")
             if least is None and all(m.meets_target for m in runs):
-                least = statistics.median(m.cost_an_hour for m in runs)
+                least = statistics.median(m.cost_per_hour for m in runs)
         cost = f"{least:.2f} an hour" if least is not None else "not met"
         lines.append(f"{name:26}{cost:>16}   in time by engines: {', '.join(shares)}")
     return "\n".join(lines)
 
 
 def _by_policy(
-    found: dict[Job, Measures], case: int, size: int | None
+    found: dict[Job, Measures], case: int, engines: int | None
 ) -> dict[str, list[Measures]]:
     rows: dict[str, list[Measures]] = {}
     for job, measures in found.items():
-        if (job.case, job.size) == (case, size):
+        if (job.case_index, job.engines) == (case, engines):
             rows.setdefault(job.policy, []).append(measures)
     return rows
 
@@ -162,13 +167,15 @@
     return statistics.median(value(measures) for measures in runs)
 
 
-def _spread(runs: list[Measures], value: Callable[[Measures], float], digits: int) -> str:
+def _median_with_range(
+    runs: list[Measures], value: Callable[[Measures], float], digits: int
+) -> str:
     values = [value(measures) for measures in runs]
     low, high = min(values), max(values)
     return f"{statistics.median(values):.{digits}f} ({low:.{digits}f}-{high:.{digits}f})"
 
 
-def _plot(cases: list[Case], found: dict[Job, Measures]) -> None:
+def _save_plots(cases: list[Case], found: dict[Job, Measures]) -> None:
     """Draw, for each scenario, time to first token against recomputed tokens."""
     import matplotlib
 
@@ -181,8 +188,8 @@
             continue
         figure, axes = pyplot.subplots(figsize=(9, 5), layout="constrained")
         for name, runs in rows.items():
-            across = [m.recomputed / 1000 for m in runs]
-            up = [m.first_p95["immediate"] for m in runs]
+            across = [m.recomputed_tokens / 1000 for m in runs]
+            up = [m.ttft_p95_s["immediate"] for m in runs]
             marker = "o" if name.startswith("ours") else "x"
             axes.scatter(across, up, label=name, marker=marker)
         axes.set_xlabel("recomputed tokens, thousands")
@@ -190,7 +197,7 @@
         axes.set_title(case.scenario.name)
         axes.legend(fontsize="x-small")
         slug = case.scenario.name.replace(" ", "-").replace(",", "").replace("%", "")
-        figure.savefig(OUT / f"bench-{slug}.svg")
+        figure.savefig(OUTPUT_DIR / f"bench-{slug}.svg")
         pyplot.close(figure)
 
 
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -20,15 +20,15 @@
 class Measures:
     """The measures of one run; times in seconds, shares as parts of one."""
 
-    first_p50: dict[str, float]
-    first_p95: dict[str, float]
-    first_p99: dict[str, float]
-    between_p50: dict[str, float]
-    between_p95: dict[str, float]
-    between_p99: dict[str, float]
-    in_time: dict[str, float]
-    cost_an_hour: float
-    recomputed: int
+    ttft_p50_s: dict[str, float]
+    ttft_p95_s: dict[str, float]
+    ttft_p99_s: dict[str, float]
+    inter_token_p50_s: dict[str, float]
+    inter_token_p95_s: dict[str, float]
+    inter_token_p99_s: dict[str, float]
+    in_time_share: dict[str, float]
+    cost_per_hour: float
+    recomputed_tokens: int
     computed: int
     late: int
     refused: int
@@ -41,7 +41,7 @@
     @property
     def meets_target(self) -> bool:
         """Whether immediate work is in time often enough, and nothing is lost or refused."""
-        return self.in_time["immediate"] >= OBJECTIVE and not self.lost and not self.refused
+        return self.in_time_share["immediate"] >= OBJECTIVE and not self.lost and not self.refused
 
 
 def measure(scenario: Scenario, outcome: Outcome) -> Measures:
@@ -62,7 +62,7 @@
         {name: _quantile(values, 99) for name, values in gaps.items()},
         {name: _share(group) for name, group in groups.items()},
         outcome.engine_hours * PRICE_AN_HOUR / (scenario.seconds / 3600),
-        outcome.recomputed,
+        outcome.recomputed_tokens,
         outcome.computed,
         sum(1 for r in outcome.requests if r.first_at and _first(r) > r.turn.deadline_s),
         len(refused),
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -94,7 +94,7 @@
     """Everything that a run brought, before it is summed up."""
 
     requests: list[Request] = field(default_factory=list)
-    recomputed: int = 0
+    recomputed_tokens: int = 0
     computed: int = 0
     tokens_by_engine: Counter[str] = field(default_factory=Counter)
     requests_by_node: Counter[int] = field(default_factory=Counter)
@@ -256,7 +256,7 @@
         session = request.turn.session
         new = max(0, sequence.context_tokens - self._seen[session])
         self._outcome.computed += sequence.computed_tokens
-        self._outcome.recomputed += max(0, sequence.computed_tokens - new)
+        self._outcome.recomputed_tokens += max(0, sequence.computed_tokens - new)
         self._seen[session] = max(self._seen[session], sequence.context_tokens)
 
     def _evictions(self, engine: _Engine) -> None:
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -8,7 +8,7 @@
 WAVE_AT = 40.0
 NOTICE_S = 6.0
 SECONDS = 90.0
-SIZES = (4, 5, 6, 7, 8, 10, 12)
+ENGINE_COUNTS = (4, 5, 6, 7, 8, 10, 12)
 """Numbers of engines that the cost at the target is searched over."""
 
 
--- a/bench/weights.py
+++ b/bench/weights.py
@@ -27,8 +27,8 @@
     engines: int
     on_demand: int
     taken: int
-    cost_an_hour: float
-    recomputed: int
+    cost_per_hour: float
+    recomputed_tokens: int
 
 
 def trade(recompute: float, seed: int) -> Trade:
@@ -55,7 +55,7 @@
         else prices[one.hall].reclaimable
         for one in held
     )
-    return Trade(recompute, len(held), on_demand, len(taken), cost, measures.recomputed)
+    return Trade(recompute, len(held), on_demand, len(taken), cost, measures.recomputed_tokens)
 
 
 def table(found: list[Trade]) -> str:
@@ -67,12 +67,12 @@
     )
     for recompute in WEIGHTS:
         runs = [one for one in found if one.recompute == recompute]
-        values = sorted(one.recomputed / 1000 for one in runs)
+        values = sorted(one.recomputed_tokens / 1000 for one in runs)
         spread = f"{statistics.median(values):.0f} ({values[0]:.0f}-{values[-1]:.0f})"
         one = runs[0]
         lines.append(
             f"{recompute:>20}{one.engines:>9}{one.on_demand:>11}{one.taken:>7}"
-            f"{one.cost_an_hour:>8.2f}{spread:>20}"
+            f"{one.cost_per_hour:>8.2f}{spread:>20}"
         )
     return "\n".join(lines)
 
