--- a/bench/measures.py
+++ b/bench/measures.py
@@ -29,7 +29,7 @@
     in_time_share: dict[str, float]
     cost_per_hour: float
     recomputed_tokens: int
-    computed: int
+    computed_tokens: int
     late: int
     refused: int
     refused_late: int
@@ -63,7 +63,7 @@
         {name: _share(group) for name, group in groups.items()},
         outcome.engine_hours * PRICE_AN_HOUR / (scenario.seconds / 3600),
         outcome.recomputed_tokens,
-        outcome.computed,
+        outcome.computed_tokens,
         sum(1 for r in outcome.requests if r.first_at and _first(r) > r.turn.deadline_s),
         len(refused),
         sum(1 for r in refused if (r.refused_at or 0) - r.turn.at > LATE_GRACE_S),
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -95,7 +95,7 @@
 
     requests: list[Request] = field(default_factory=list)
     recomputed_tokens: int = 0
-    computed: int = 0
+    computed_tokens: int = 0
     tokens_by_engine: Counter[str] = field(default_factory=Counter)
     requests_by_node: Counter[int] = field(default_factory=Counter)
     engine_hours: float = 0.0
@@ -255,7 +255,7 @@
         """Count the prompt tokens that had been computed before for this session."""
         session = request.turn.session
         new = max(0, sequence.context_tokens - self._seen[session])
-        self._outcome.computed += sequence.computed_tokens
+        self._outcome.computed_tokens += sequence.computed_tokens
         self._outcome.recomputed_tokens += max(0, sequence.computed_tokens - new)
         self._seen[session] = max(self._seen[session], sequence.context_tokens)
 
