--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -111,13 +111,13 @@
         f"{_median(runs, lambda m: m.ttft_p95_s['normal']):>17.3f}"
         f"{_median_with_range(runs, lambda m: m.recomputed_tokens / 1000, 0):>18}"
         f"{_median(runs, lambda m: m.cost_per_hour):>8.2f}"
-        f"{_median(runs, lambda m: m.late):>6.0f}"
+        f"{_median(runs, lambda m: m.late_first_tokens):>6.0f}"
         f"{_median(runs, lambda m: m.refused):>9.0f}"
-        f"{_median(runs, lambda m: m.refused_late):>10.0f}"
+        f"{_median(runs, lambda m: m.late_refusals):>10.0f}"
         f"{max(m.lost for m in runs):>6}"
-        f"{_median(runs, lambda m: m.engines_most_over_mean):>9.2f}"
-        f"{_median(runs, lambda m: m.nodes_most_over_mean):>7.2f}"
-        f"{max(m.unfinished_waves for m in runs):>7}"
+        f"{_median(runs, lambda m: m.engine_max_over_mean):>9.2f}"
+        f"{_median(runs, lambda m: m.node_max_over_mean):>7.2f}"
+        f"{max(m.unfinished_drains for m in runs):>7}"
     )
 
 
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -30,13 +30,13 @@
     cost_per_hour: float
     recomputed_tokens: int
     computed_tokens: int
-    late: int
+    late_first_tokens: int
     refused: int
-    refused_late: int
+    late_refusals: int
     lost: int
-    engines_most_over_mean: float
-    nodes_most_over_mean: float
-    unfinished_waves: int
+    engine_max_over_mean: float
+    node_max_over_mean: float
+    unfinished_drains: int
 
     @property
     def meets_target(self) -> bool:
@@ -70,7 +70,7 @@
         sum(1 for r in outcome.requests if r.lost),
         _evenness(list(outcome.tokens_by_engine.values())),
         _evenness(list(outcome.requests_by_node.values())),
-        outcome.unfinished_waves,
+        outcome.unfinished_drains,
     )
 
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -99,7 +99,7 @@
     tokens_by_engine: Counter[str] = field(default_factory=Counter)
     requests_by_node: Counter[int] = field(default_factory=Counter)
     engine_hours: float = 0.0
-    unfinished_waves: int = 0
+    unfinished_drains: int = 0
 
 
 @dataclass
@@ -522,7 +522,7 @@
         engine.alive = False
         self._outcome.engine_hours += (self._now - engine.since) / 3600
         if self._policy.plans and engine.requests:
-            self._outcome.unfinished_waves += 1
+            self._outcome.unfinished_drains += 1
         for attempt in list(engine.requests):
             self._leave(engine, attempt)
         for index, node in enumerate(self._nodes):
