--- a/bench/measures.py
+++ b/bench/measures.py
@@ -8,11 +8,11 @@
 from bench.replay import Outcome, Request, Scenario
 from moledale.bundle.schema import Priority
 
-FIRST_TOKEN_S = {Priority.IMMEDIATE: 0.38, Priority.NORMAL: 1.5, Priority.CAN_WAIT: 60.0}
-BETWEEN_TOKENS_S = {Priority.IMMEDIATE: 0.071, Priority.NORMAL: 0.1, Priority.CAN_WAIT: 0.5}
-PRICE_AN_HOUR = 0.40
-OBJECTIVE = 0.95
-LATE_GRACE_S = 0.1
+TTFT_TARGET_S = {Priority.IMMEDIATE: 0.38, Priority.NORMAL: 1.5, Priority.CAN_WAIT: 60.0}
+INTER_TOKEN_TARGET_S = {Priority.IMMEDIATE: 0.071, Priority.NORMAL: 0.1, Priority.CAN_WAIT: 0.5}
+PRICE_PER_ENGINE_HOUR = 0.40
+MIN_IN_TIME_SHARE = 0.95
+LATE_REFUSAL_S = 0.1
 """A refusal later than this after arrival is a late one."""
 
 
@@ -41,7 +41,11 @@
     @property
     def meets_target(self) -> bool:
         """Whether immediate work is in time often enough, and nothing is lost or refused."""
-        return self.in_time_share["immediate"] >= OBJECTIVE and not self.lost and not self.refused
+        return (
+            self.in_time_share["immediate"] >= MIN_IN_TIME_SHARE
+            and not self.lost
+            and not self.refused
+        )
 
 
 def measure(scenario: Scenario, outcome: Outcome) -> Measures:
@@ -50,56 +54,59 @@
         priority.value: [r for r in outcome.requests if r.turn.priority is priority]
         for priority in Priority
     }
-    firsts = {name: [_first(r) for r in group if r.first_at] for name, group in groups.items()}
-    gaps = {name: [g for r in group if (g := _gap(r)) > 0] for name, group in groups.items()}
+    firsts = {name: [_ttft_s(r) for r in group if r.first_at] for name, group in groups.items()}
+    gaps = {
+        name: [g for r in group if (g := _mean_inter_token_s(r)) > 0]
+        for name, group in groups.items()
+    }
     refused = [r for r in outcome.requests if r.refused_at is not None]
     return Measures(
-        {name: _quantile(values, 50) for name, values in firsts.items()},
-        {name: _quantile(values, 95) for name, values in firsts.items()},
-        {name: _quantile(values, 99) for name, values in firsts.items()},
-        {name: _quantile(values, 50) for name, values in gaps.items()},
-        {name: _quantile(values, 95) for name, values in gaps.items()},
-        {name: _quantile(values, 99) for name, values in gaps.items()},
-        {name: _share(group) for name, group in groups.items()},
-        outcome.engine_hours * PRICE_AN_HOUR / (scenario.seconds / 3600),
+        {name: _percentile(values, 50) for name, values in firsts.items()},
+        {name: _percentile(values, 95) for name, values in firsts.items()},
+        {name: _percentile(values, 99) for name, values in firsts.items()},
+        {name: _percentile(values, 50) for name, values in gaps.items()},
+        {name: _percentile(values, 95) for name, values in gaps.items()},
+        {name: _percentile(values, 99) for name, values in gaps.items()},
+        {name: _in_time_share(group) for name, group in groups.items()},
+        outcome.engine_hours * PRICE_PER_ENGINE_HOUR / (scenario.seconds / 3600),
         outcome.recomputed_tokens,
         outcome.computed_tokens,
-        sum(1 for r in outcome.requests if r.first_at and _first(r) > r.turn.deadline_s),
+        sum(1 for r in outcome.requests if r.first_at and _ttft_s(r) > r.turn.deadline_s),
         len(refused),
-        sum(1 for r in refused if (r.refused_at or 0) - r.turn.at > LATE_GRACE_S),
+        sum(1 for r in refused if (r.refused_at or 0) - r.turn.at > LATE_REFUSAL_S),
         sum(1 for r in outcome.requests if r.lost),
-        _evenness(list(outcome.tokens_by_engine.values())),
-        _evenness(list(outcome.requests_by_node.values())),
+        _max_over_mean(list(outcome.tokens_by_engine.values())),
+        _max_over_mean(list(outcome.requests_by_node.values())),
         outcome.unfinished_drains,
     )
 
 
-def _first(request: Request) -> float:
+def _ttft_s(request: Request) -> float:
     return (request.first_at or 0.0) - request.turn.at
 
 
-def _gap(request: Request) -> float:
+def _mean_inter_token_s(request: Request) -> float:
     if request.first_at is None or request.last_at is None or request.produced < 2:
         return 0.0
     return (request.last_at - request.first_at) / (request.produced - 1)
 
 
-def _in_time(request: Request) -> bool:
+def _is_in_time(request: Request) -> bool:
     priority = request.turn.priority
     if not request.done or request.first_at is None:
         return False
-    first = _first(request) <= FIRST_TOKEN_S[priority]
-    return first and _gap(request) <= BETWEEN_TOKENS_S[priority]
+    first = _ttft_s(request) <= TTFT_TARGET_S[priority]
+    return first and _mean_inter_token_s(request) <= INTER_TOKEN_TARGET_S[priority]
 
 
-def _share(group: list[Request]) -> float:
+def _in_time_share(group: list[Request]) -> float:
     """Return the share in time; what was refused or lost is not in time."""
-    return sum(map(_in_time, group)) / len(group) if group else 1.0
+    return sum(map(_is_in_time, group)) / len(group) if group else 1.0
 
 
-def _quantile(values: list[float], percent: float) -> float:
+def _percentile(values: list[float], percent: float) -> float:
     return float(numpy.percentile(values, percent)) if values else 0.0
 
 
-def _evenness(values: list[int]) -> float:
+def _max_over_mean(values: list[int]) -> float:
     return max(values) / statistics.mean(values) if values else 0.0
