--- a/bench/policies.py
+++ b/bench/policies.py
@@ -7,8 +7,8 @@
 from moledale.core.hashing import weight
 from moledale.core.routing import Need, Pick, RoutingParams, ServerView
 
-Choose = Callable[[Sequence[ServerView], Need], Pick | None]
-DELAY_S = 0.005
+Chooser = Callable[[Sequence[ServerView], Need], Pick | None]
+RESERVE_DELAY_S = 0.005
 """Time between picking and reserving where the two are not one step."""
 
 
@@ -16,57 +16,57 @@
 class Policy:
     """A way to choose, and whether what it chose counts at once.
 
-    `refuses` is whether requests that can't make their deadline are refused at once, `plans`
+    `rejects_early` is whether requests that can't make their deadline are refused at once, `plans_reclaims`
     whether streams on a leaving server are moved by plan instead of when it is gone.
     """
 
     name: str
-    choose: Choose
+    choose: Chooser
     reserve_delay_s: float = 0.0
-    refuses: bool = True
-    plans: bool = True
-    moves_idle: bool = True
+    rejects_early: bool = True
+    plans_reclaims: bool = True
+    moves_idle_caches: bool = True
 
 
-def _room(views: Sequence[ServerView], need: Need) -> list[ServerView]:
+def _candidates(views: Sequence[ServerView], need: Need) -> list[ServerView]:
     return routing.with_free_slot(routing.eligible(views, need))
 
 
-def _picked(view: ServerView, need: Need) -> Pick:
+def _as_pick(view: ServerView, need: Need) -> Pick:
     return Pick(view.id, view.cached_for(need) > 0, view.cached_for(need))
 
 
-def _round_robin() -> Choose:
+def _round_robin() -> Chooser:
     number = 0
 
     def choose(views: Sequence[ServerView], need: Need) -> Pick | None:
         nonlocal number
-        room = sorted(_room(views, need), key=lambda view: view.id)
+        room = sorted(_candidates(views, need), key=lambda view: view.id)
         if not room:
             return None
         number += 1
-        return _picked(room[number % len(room)], need)
+        return _as_pick(room[number % len(room)], need)
 
     return choose
 
 
-def _fewest(views: Sequence[ServerView], need: Need) -> Pick | None:
-    room = _room(views, need)
+def _fewest_requests(views: Sequence[ServerView], need: Need) -> Pick | None:
+    room = _candidates(views, need)
     if not room:
         return None
-    return _picked(min(room, key=lambda v: (v.running, weight(need.session, v.id))), need)
+    return _as_pick(min(room, key=lambda v: (v.running, weight(need.session, v.id))), need)
 
 
 def _affinity(views: Sequence[ServerView], need: Need) -> Pick | None:
     """Stay with the session's server as long as it has room."""
-    room = _room(views, need)
+    room = _candidates(views, need)
     home = max(room, key=lambda view: view.cached_for(need), default=None)
     if home is not None and home.cached_for(need) > 0:
-        return _picked(home, need)
-    return _fewest(views, need)
+        return _as_pick(home, need)
+    return _fewest_requests(views, need)
 
 
-def _paper(overflow: float, decode_weight: float, at_least_one: bool) -> Choose:
+def _paper(overflow: float, decode_weight: float, at_least_one: bool) -> Chooser:
     """Affinity up to a bound on requests, else the paper's product of work and requests."""
 
     def score(view: ServerView, need: Need) -> float:
@@ -74,41 +74,41 @@
         return work * (max(view.running, 1) if at_least_one else view.running)
 
     def choose(views: Sequence[ServerView], need: Need) -> Pick | None:
-        room = _room(views, need)
+        room = _candidates(views, need)
         if not room:
             return None
         mean = sum(view.running for view in room) / len(room)
         home = max(room, key=lambda view: view.cached_for(need))
         if home.cached_for(need) > 0 and home.running <= max(1.0, overflow * mean):
-            return _picked(home, need)
+            return _as_pick(home, need)
         best = min(room, key=lambda v: (score(v, need), weight(need.session, v.id)))
-        return _picked(best, need)
+        return _as_pick(best, need)
 
     return choose
 
 
-def _ours(params: RoutingParams) -> Choose:
+def _ours(params: RoutingParams) -> Chooser:
     return lambda views, need: routing.pick(views, need, params)
 
 
-def _ours_without_affinity(params: RoutingParams) -> Choose:
+def _ours_without_affinity(params: RoutingParams) -> Chooser:
     """Always the cheapest; a session's cache counts only in the wait."""
 
     def choose(views: Sequence[ServerView], need: Need) -> Pick | None:
         room = routing.servers_for_priority(routing.eligible(views, need), need, params)
         if not room:
             return None
-        return _picked(min(room, key=lambda v: routing.cost_s(v, need, params)), need)
+        return _as_pick(min(room, key=lambda v: routing.cost_s(v, need, params)), need)
 
     return choose
 
 
-def _ours_impatient(params: RoutingParams) -> Choose:
+def _ours_impatient(params: RoutingParams) -> Chooser:
     """Go elsewhere at once when the session's server has no free slot."""
     return lambda views, need: routing.pick(views, replace(need, wait_for_cache=False), params)
 
 
-def _ours_with_overflow(params: RoutingParams, overflow: float) -> Choose:
+def _ours_with_overflow(params: RoutingParams, overflow: float) -> Chooser:
     """Leave the session's server when its share of slots is over a bound on the mean."""
 
     def choose(views: Sequence[ServerView], need: Need) -> Pick | None:
@@ -119,13 +119,13 @@
             if home.running > 1 and home.running / home.speeds.slots > overflow * mean:
                 room = routing.servers_for_priority(live, need, params)
                 best = min(room, key=lambda v: routing.cost_s(v, need, params), default=None)
-                return _picked(best, need) if best is not None else None
+                return _as_pick(best, need) if best is not None else None
         return routing.pick(views, need, params)
 
     return choose
 
 
-def _ours_with_decode(params: RoutingParams) -> Choose:
+def _ours_with_decode(params: RoutingParams) -> Chooser:
     """Count the contexts that are decoded as the paper does, at 0.01 prefill tokens each."""
 
     def score(view: ServerView, need: Need) -> float:
@@ -138,14 +138,14 @@
             return routing.pick(views, need, params)
         room = routing.servers_for_priority(live, need, params)
         best = min(room, key=lambda v: score(v, need), default=None)
-        return _picked(best, need) if best is not None else None
+        return _as_pick(best, need) if best is not None else None
 
     return choose
 
 
-def _plain(name: str, choose: Choose, delay_s: float = 0.0) -> Policy:
+def _baseline(name: str, choose: Chooser, delay_s: float = 0.0) -> Policy:
     """Return a baseline: it refuses nothing ahead and plans nothing on a notice."""
-    return Policy(name, choose, delay_s, refuses=False, plans=False)
+    return Policy(name, choose, delay_s, rejects_early=False, plans_reclaims=False)
 
 
 def all_policies() -> list[Policy]:
@@ -153,22 +153,22 @@
     base = RoutingParams()
     mixed = RoutingParams(set_aside=0.0)
     return [
-        _plain("round robin", _round_robin()),
-        _plain("fewest requests", _fewest),
-        _plain("affinity alone", _affinity),
-        _plain("paper: start (2.0)", _paper(2.0, 0.0, False), DELAY_S),
-        _plain("paper: overflow 1.3", _paper(1.3, 0.0, False), DELAY_S),
-        _plain("paper: decode term", _paper(1.3, 0.01, False), DELAY_S),
-        _plain("paper: max(n, 1)", _paper(1.3, 0.01, True), DELAY_S),
-        _plain("paper: atomic", _paper(1.3, 0.01, True)),
+        _baseline("round robin", _round_robin()),
+        _baseline("fewest requests", _fewest_requests),
+        _baseline("affinity alone", _affinity),
+        _baseline("paper: start (2.0)", _paper(2.0, 0.0, False), RESERVE_DELAY_S),
+        _baseline("paper: overflow 1.3", _paper(1.3, 0.0, False), RESERVE_DELAY_S),
+        _baseline("paper: decode term", _paper(1.3, 0.01, False), RESERVE_DELAY_S),
+        _baseline("paper: max(n, 1)", _paper(1.3, 0.01, True), RESERVE_DELAY_S),
+        _baseline("paper: atomic", _paper(1.3, 0.01, True)),
         Policy("ours", _ours(base)),
         Policy("ours, no affinity rule", _ours_without_affinity(base)),
         Policy("ours, impatient", _ours_impatient(base)),
         Policy("ours, none set aside", _ours(mixed)),
-        Policy("ours, not atomic", _ours(base), DELAY_S),
-        Policy("ours, no refusal", _ours(base), refuses=False),
-        Policy("ours, no reclaim plan", _ours(base), plans=False),
-        Policy("ours, idle caches stay", _ours(base), moves_idle=False),
+        Policy("ours, not atomic", _ours(base), RESERVE_DELAY_S),
+        Policy("ours, no refusal", _ours(base), rejects_early=False),
+        Policy("ours, no reclaim plan", _ours(base), plans_reclaims=False),
+        Policy("ours, idle caches stay", _ours(base), moves_idle_caches=False),
         Policy("ours + overflow 1.3", _ours_with_overflow(base, 1.3)),
         Policy("ours + decode term", _ours_with_decode(base)),
     ]
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -311,7 +311,7 @@
         request = Request(turn, int(name or 0))
         self._outcome.requests.append(request)
         self._outcome.requests_by_node[request.node] += 1
-        if self._policy.refuses and self._too_late(request):
+        if self._policy.rejects_early and self._too_late(request):
             request.refused_at = self._now
             return
         self._queue(request)
@@ -339,7 +339,7 @@
         self._pump(request.node)
 
     def _tick(self) -> None:
-        if self._policy.refuses:
+        if self._policy.rejects_early:
             for node in self._nodes:
                 for request in node.queue.pop_expired(self._now):
                     request.refused_at = self._now
@@ -409,7 +409,7 @@
                     view = node.load_tracker.views.get(name)
                     if view is not None and view.standing is Standing.LIVE:
                         view.note_leaving()  # type: ignore[attr-defined]
-                if self._policy.plans:
+                if self._policy.plans_reclaims:
                     self._plan(index, wave)
 
         def gone() -> None:
@@ -466,7 +466,7 @@
             for attempt, request in mine.items()
         ]
         view = node.load_tracker.views.get(engine.name)
-        if not self._policy.moves_idle or view is None:
+        if not self._policy.moves_idle_caches or view is None:
             return held
         busy = {request.turn.session for request in mine.values()}
         return held + [
@@ -521,7 +521,7 @@
     def _lose(self, engine: _Engine) -> None:
         engine.alive = False
         self._outcome.engine_hours += (self._now - engine.since) / 3600
-        if self._policy.plans and engine.requests:
+        if self._policy.plans_reclaims and engine.requests:
             self._outcome.unfinished_drains += 1
         for attempt in list(engine.requests):
             self._leave(engine, attempt)
