--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -18,135 +18,141 @@
 
 from moledale.core.quarantine import Quarantine
 
-RUN_S = 1.2
-ENDS_AFTER_S = 0.1
-BACK_AFTER_S = 4.0
-WORD_S = 0.05
-REPEATED = 0.3
+MEAN_SERVICE_S = 1.2
+CRASH_DELAY_S = 0.1
+RESTART_S = 4.0
+REPORT_DELAY_S = 0.05
+RETRIED_SHARE = 0.3
 """Part of the other requests that are repeated once."""
 
-FIRST_S = 2.0
+FIRST_FAULT_S = 2.0
 """The first guilty request, or the first end, comes after this time."""
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class Scenario:
     """What happens in 40 s.
 
-    `guilty` requests come every `every_s` by chance, in `copies` at once, or all `in_step`. Of all
-    servers, a part of `halls_end` ends together every `end_every_s`, or single ones if it is 0.
+    `guilty` requests come every `repeat_interval_s` by chance, in `copies` at once, or all `synchronized`. Of all
+    servers, a part of `crash_share` ends together every `crash_interval_s`, or single ones if it is 0.
     """
 
     name: str
     servers: int = 12
-    rate: float = 40.0
-    guilty: int = 0
-    every_s: tuple[float, float] = (0.2, 3.6)
+    requests_per_s: float = 40.0
+    guilty_requests: int = 0
+    repeat_interval_s: tuple[float, float] = (0.2, 3.6)
     copies: int = 1
-    in_step: bool = False
-    halls_end: float = 0.0
-    end_every_s: float = 0.0
-
-
-SCENES = (
-    Scene("one guilty request", guilty=1),
-    Scene("one, four servers", servers=4, rate=13.0, guilty=1),
-    Scene("one, busy", rate=160.0, guilty=1),
-    Scene("three at the same time", guilty=3),
-    Scene("three in step", guilty=3, in_step=True),
-    Scene("three copies at once", guilty=1, copies=3),
-    Scene("one, at once again", guilty=1, every_s=(0.02, 0.1)),
-    Scene("servers end, one a second", end_every_s=1.0),
-    Scene("a third ends every 5 s", halls_end=0.33, end_every_s=5.0),
-    Scene("half end every 2 s", halls_end=0.5, end_every_s=2.0),
-    Scene("one, and a third ends every 5 s", guilty=1, halls_end=0.33, end_every_s=5.0),
+    synchronized: bool = False
+    crash_share: float = 0.0
+    crash_interval_s: float = 0.0
+
+
+SCENARIOS = (
+    Scenario("one guilty request", guilty_requests=1),
+    Scenario("one, four servers", servers=4, requests_per_s=13.0, guilty_requests=1),
+    Scenario("one, busy", requests_per_s=160.0, guilty_requests=1),
+    Scenario("three at the same time", guilty_requests=3),
+    Scenario("three in step", guilty_requests=3, synchronized=True),
+    Scenario("three copies at once", guilty_requests=1, copies=3),
+    Scenario("one, at once again", guilty_requests=1, repeat_interval_s=(0.02, 0.1)),
+    Scenario("servers end, one a second", crash_interval_s=1.0),
+    Scenario("a third ends every 5 s", crash_share=0.33, crash_interval_s=5.0),
+    Scenario("half end every 2 s", crash_share=0.5, crash_interval_s=2.0),
+    Scenario(
+        "one, and a third ends every 5 s", guilty_requests=1, crash_share=0.33, crash_interval_s=5.0
+    ),
 )
-LENGTH_S = 40.0
+RUN_DURATION_S = 40.0
 
 
-WAYS = {"three ends": 2.99, "two ends": 1.99}
+MIN_STRIKES_BY_METHOD = {"three ends": 2.99, "two ends": 1.99}
 """Ways to decide: ends of servers that a request must explain before it is blocked."""
 
 
 @dataclass(slots=True)
-class Tally:
+class RunResult:
     """What came of a scene."""
 
-    ended_by_guilty: int = 0
-    broken: int = 0
-    refused: int = 0
-    blocked: set[bytes] = field(default_factory=set)
+    guilty_crashes: int = 0
+    innocent_broken: int = 0
+    innocent_refused: int = 0
+    blocked_fingerprints: set[bytes] = field(default_factory=set)
 
 
-class World:
+class Simulation:
     """Servers and requests on a virtual clock."""
 
-    def __init__(self, scene: Scene, least_strikes: float, seed: int) -> None:
-        self.scene = scene
-        self.chance = random.Random(seed)
-        self.quarantine = Quarantine(least_strikes)
-        self.tally = Tally()
+    def __init__(self, scenario: Scenario, min_strikes: float, seed: int) -> None:
+        self.scenario = scenario
+        self.rng = random.Random(seed)
+        self.quarantine = Quarantine(min_strikes)
+        self.result = RunResult()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = count()
+        self._event_ids = count()
         self._now = 0.0
         self._running: dict[str, dict[int, tuple[bytes, bool]]] = {
-            f"s{number}": {} for number in range(scene.servers)
+            f"s{number}": {} for number in range(scenario.servers)
         }
-        self._back_at = dict.fromkeys(self._running, 0.0)
-        self._runs = count()
+        self._available_at = dict.fromkeys(self._running, 0.0)
+        self._run_ids = count()
 
-    def run(self) -> Tally:
+    def run(self) -> RunResult:
         """Play the scene."""
-        self._at(0.0, self._arrive)
-        guilty = list(range(self.scene.guilty))
-        for numbers in [guilty] if self.scene.in_step else [[each] for each in guilty]:
-            self._at(FIRST_S * (1 + self.chance.random()), partial(self._guilty, numbers))
-        if self.scene.end_every_s:
-            self._at(FIRST_S, self._end_some)
+        self._schedule(0.0, self._on_arrival)
+        guilty = list(range(self.scenario.guilty_requests))
+        for numbers in [guilty] if self.scenario.synchronized else [[each] for each in guilty]:
+            self._schedule(
+                FIRST_FAULT_S * (1 + self.rng.random()), partial(self._send_guilty, numbers)
+            )
+        if self.scenario.crash_interval_s:
+            self._schedule(FIRST_FAULT_S, self._crash_some)
         while self._events:
             self._now, _, action = heapq.heappop(self._events)
-            if self._now > LENGTH_S:
+            if self._now > RUN_DURATION_S:
                 break
-            self.tally.blocked.update(
+            self.result.blocked_fingerprints.update(
                 b.fingerprint for b in self.quarantine.block_guilty(self._now)
             )
             action()
-        return self.tally
+        return self.result
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._order), action))
+    def _schedule(self, when: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._event_ids), action))
 
-    def _arrive(self) -> None:
-        name = b"innocent %d" % next(self._runs)
-        self._send(name, self.chance.random() < REPEATED)
-        self._at(self._now + self.chance.expovariate(self.scene.rate), self._arrive)
+    def _on_arrival(self) -> None:
+        name = b"innocent %d" % next(self._run_ids)
+        self._send(name, self.rng.random() < RETRIED_SHARE)
+        self._schedule(
+            self._now + self.rng.expovariate(self.scenario.requests_per_s), self._on_arrival
+        )
 
-    def _guilty(self, numbers: list[int]) -> None:
+    def _send_guilty(self, numbers: list[int]) -> None:
         for number in numbers:
-            for _ in range(self.scene.copies):
+            for _ in range(self.scenario.copies):
                 self._send(b"guilty %d" % number, False)
-        again_s = self.chance.uniform(*self.scene.every_s)
-        self._at(self._now + again_s, partial(self._guilty, numbers))
+        again_s = self.rng.uniform(*self.scenario.repeat_interval_s)
+        self._schedule(self._now + again_s, partial(self._send_guilty, numbers))
 
     def _send(self, name: bytes, repeats: bool) -> None:
         if self.quarantine.wait_s(name, self._now):
-            self.tally.refused += not name.startswith(b"guilty")
+            self.result.innocent_refused += not name.startswith(b"guilty")
             return
-        server = self._choose()
+        server = self._choose_server()
         if server is None:
             return
-        run = next(self._runs)
+        run = next(self._run_ids)
         self._running[server][run] = (name, repeats)
         if name.startswith(b"guilty"):
-            self._at(self._now + ENDS_AFTER_S, partial(self._end_if_running, server, run))
+            self._schedule(self._now + CRASH_DELAY_S, partial(self._crash_if_running, server, run))
         else:
-            took_s = self.chance.expovariate(1 / RUN_S)
-            self._at(self._now + took_s, partial(self._finish, server, run))
+            took_s = self.rng.expovariate(1 / MEAN_SERVICE_S)
+            self._schedule(self._now + took_s, partial(self._finish, server, run))
 
-    def _choose(self) -> str | None:
+    def _choose_server(self) -> str | None:
         """Return the less loaded one of two servers by chance."""
-        up = [each for each in self._running if self._back_at[each] <= self._now]
-        some = self.chance.sample(up, min(2, len(up)))
+        up = [each for each in self._running if self._available_at[each] <= self._now]
+        some = self.rng.sample(up, min(2, len(up)))
         return min(some, key=lambda each: len(self._running[each]), default=None)
 
     def _finish(self, server: str, run: int) -> None:
@@ -154,31 +160,33 @@
         if held is not None:
             self.quarantine.record_served(held[0])
 
-    def _end_if_running(self, server: str, run: int) -> None:
+    def _crash_if_running(self, server: str, run: int) -> None:
         if run in self._running[server]:
-            self.tally.ended_by_guilty += 1
-            self._end(server)
+            self.result.guilty_crashes += 1
+            self._crash(server)
 
-    def _end_some(self) -> None:
+    def _crash_some(self) -> None:
         names = list(self._running)
-        number = max(1, round(self.scene.halls_end * len(names)))
-        for server in self.chance.sample(names, number):
-            if self._back_at[server] <= self._now:
-                self._end(server)
-        self._at(self._now + self.scene.end_every_s, self._end_some)
+        number = max(1, round(self.scenario.crash_share * len(names)))
+        for server in self.rng.sample(names, number):
+            if self._available_at[server] <= self._now:
+                self._crash(server)
+        self._schedule(self._now + self.scenario.crash_interval_s, self._crash_some)
 
-    def _end(self, server: str) -> None:
+    def _crash(self, server: str) -> None:
         held = list(self._running[server].values())
         self._running[server].clear()
-        self._back_at[server] = self._now + BACK_AFTER_S
+        self._available_at[server] = self._now + RESTART_S
         at = self._now
         names = [name for name, _ in held]
-        self._at(at + WORD_S, partial(self.quarantine.record_crash, server, names, at))
+        self._schedule(
+            at + REPORT_DELAY_S, partial(self.quarantine.record_crash, server, names, at)
+        )
         for name, repeats in held:
             guilty = name.startswith(b"guilty")
-            self.tally.broken += not guilty
+            self.result.innocent_broken += not guilty
             if repeats:
-                self._at(at + 0.005, partial(self._send, name, False))
+                self._schedule(at + 0.005, partial(self._send, name, False))
 
 
 def main() -> int:
@@ -188,17 +196,17 @@
     seeds = range(parser.parse_args().seeds)
     print("means of a run of 40 s: servers that guilty requests ended, others broken off,")
     print("others blocked, and runs in which any guilty one was not blocked\n")
-    for scene in SCENES:
-        print(scene.name)
-        for way, least_strikes in WAYS.items():
-            tallies = [World(scene, least_strikes, seed).run() for seed in seeds]
-            guilty = {b"guilty %d" % number for number in range(scene.guilty)}
+    for scenario in SCENARIOS:
+        print(scenario.name)
+        for way, min_strikes in MIN_STRIKES_BY_METHOD.items():
+            tallies = [Simulation(scenario, min_strikes, seed).run() for seed in seeds]
+            guilty = {b"guilty %d" % number for number in range(scenario.guilty_requests)}
             print(
                 f"  {way:32}"
-                f"{mean(each.ended_by_guilty for each in tallies):8.2f}"
-                f"{mean(each.broken for each in tallies):9.1f}"
-                f"{mean(len(each.blocked - guilty) for each in tallies):8.3f}"
-                f"{sum(not guilty <= each.blocked for each in tallies):5d}"
+                f"{mean(each.guilty_crashes for each in tallies):8.2f}"
+                f"{mean(each.innocent_broken for each in tallies):9.1f}"
+                f"{mean(len(each.blocked_fingerprints - guilty) for each in tallies):8.3f}"
+                f"{sum(not guilty <= each.blocked_fingerprints for each in tallies):5d}"
             )
     return 0
 
--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -17,7 +17,7 @@
 from moledale.core.hashing import first_ranked, ranked
 from moledale.core.pacing import Pacer
 
-LENGTH_S = 60.0
+RUN_DURATION_S = 60.0
 WINDOW_S = 4.0
 GOSSIP_INTERVAL_S = 0.2
 """Time between two tellings of a node's state."""
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class Scenario:
     """`demand_x` is what callers ask of all limits together; `busy` nodes get all of it.
 
     From 20 to 40 s the nodes are `cut` into two halves that hear nothing of each other.
@@ -45,18 +45,18 @@
     cut: bool = False
 
 
-SCENES = (
-    Scene("9 nodes, 1 a second", 9, 1.0),
-    Scene("9 nodes, 0.4 a second", 9, 0.4),
-    Scene("9 nodes, 50 a second", 9, 50.0),
-    Scene("9 nodes, two of them busy", 9, 4.0, busy=0.23),
-    Scene("9 nodes, 18 servers, demand as the limits", 9, 1.0, servers=18, demand_x=1.0),
-    Scene("9 nodes, cut in half", 9, 4.0, cut=True),
-    Scene("45 nodes, 1 a second", 45, 1.0),
-    Scene("195 nodes, 10 a second", 195, 10.0),
-    Scene("390 nodes, 1 a second", 390, 1.0),
-    Scene("390 nodes, 50 a second", 390, 50.0),
-    Scene("390 nodes, cut in half", 390, 10.0, cut=True),
+SCENARIOS = (
+    Scenario("9 nodes, 1 a second", 9, 1.0),
+    Scenario("9 nodes, 0.4 a second", 9, 0.4),
+    Scenario("9 nodes, 50 a second", 9, 50.0),
+    Scenario("9 nodes, two of them busy", 9, 4.0, busy=0.23),
+    Scenario("9 nodes, 18 servers, demand as the limits", 9, 1.0, servers=18, demand_x=1.0),
+    Scenario("9 nodes, cut in half", 9, 4.0, cut=True),
+    Scenario("45 nodes, 1 a second", 45, 1.0),
+    Scenario("195 nodes, 10 a second", 195, 10.0),
+    Scenario("390 nodes, 1 a second", 390, 1.0),
+    Scenario("390 nodes, 50 a second", 390, 50.0),
+    Scenario("390 nodes, cut in half", 390, 10.0, cut=True),
 )
 
 
@@ -64,19 +64,19 @@
 class World:
     """What a way to decide may know: nodes, servers, and which nodes hear each other."""
 
-    scene: Scene
-    chance: random.Random
+    scenario: Scenario
+    rng: random.Random
     messages: int = 0
     nodes: list[str] = field(default_factory=list)
     servers: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.nodes = [f"n{each}" for each in range(self.scene.nodes)]
-        self.servers = [f"s{each}" for each in range(self.scene.servers)]
+        self.nodes = [f"n{each}" for each in range(self.scenario.nodes)]
+        self.servers = [f"s{each}" for each in range(self.scenario.servers)]
 
     def heard(self, node: str, now: float) -> list[str]:
         """Return the nodes that one hears, with itself."""
-        if not self.scene.cut or not 20.0 <= now < 40.0:
+        if not self.scenario.cut or not 20.0 <= now < 40.0:
             return self.nodes
         side = int(node[1:]) % 2
         return self.nodes[side::2]
@@ -99,7 +99,7 @@
 
     def may_send(self, node: str, server: str, now: float) -> bool:
         """Take a place of the node's own part."""
-        part = self._world.scene.limit_per_s / len(self._world.heard(node, now))
+        part = self._world.scenario.limit_per_s / len(self._world.heard(node, now))
         pacer = self._pacers.setdefault((node, server), Pacer(part, now))
         pacer.per_s = part
         return pacer.take(now).granted
@@ -114,7 +114,7 @@
 
     def may_send(self, node: str, server: str, now: float) -> bool:
         """Take a place if the node is one of the few."""
-        limit = self._world.scene.limit_per_s
+        limit = self._world.scenario.limit_per_s
         heard = self._world.heard(node, now)
         number = max(1, min(len(heard), int(limit / LEAST_PER_NODE_S)))
         if node not in ranked(server, heard)[:number]:
@@ -134,7 +134,7 @@
     def may_send(self, node: str, server: str, now: float) -> bool:
         """Compare what is known to have been sent with the limit."""
         told = now - now % GOSSIP_INTERVAL_S
-        limit = self._world.scene.limit_per_s
+        limit = self._world.scenario.limit_per_s
         span = max(1.0, 1.0 / limit)
         known = 0
         for other in self._world.heard(node, now):
@@ -166,7 +166,7 @@
         heard = self._world.heard(node, now)
         part = len(heard) / len(self._world.nodes)
         grantor = self._grantor(server, node, heard)
-        limit = self._world.scene.limit_per_s * part
+        limit = self._world.scenario.limit_per_s * part
         pacer = self._pacers.setdefault((grantor, server), Pacer.without_credit(limit, now))
         pacer.set_rate(limit, now)
         if grantor != node:
@@ -201,25 +201,25 @@
     messages_per_s: float
 
 
-def play(scene: Scene, way: type, seed: int) -> Figures:
+def play(scenario: Scenario, way: type, seed: int) -> Figures:
     """Play a scene once."""
-    world = World(scene, random.Random(seed))
+    world = World(scenario, random.Random(seed))
     decide: Way = way(world)
-    chance = world.chance
-    limits = scene.limit_per_s * scene.servers
-    busy = world.nodes[: max(1, round(scene.busy * scene.nodes))]
+    rng = world.rng
+    limits = scenario.limit_per_s * scenario.servers
+    busy = world.nodes[: max(1, round(scenario.busy * scenario.nodes))]
     got: dict[str, list[float]] = {server: [] for server in world.servers}
     now = 0.0
-    while (now := now + chance.expovariate(limits * scene.demand_x)) < LENGTH_S:
-        node = chance.choice(busy)
-        for server in chance.sample(world.servers, scene.servers):
+    while (now := now + rng.expovariate(limits * scenario.demand_x)) < RUN_DURATION_S:
+        node = rng.choice(busy)
+        for server in rng.sample(world.servers, scenario.servers):
             if decide.may_send(node, server, now):
                 got[server].append(now)
                 break
     most = max(most_in_window(times) for times in got.values())
-    used = sum(len(times) for times in got.values()) / (limits * LENGTH_S)
-    granted = scene.limit_per_s * WINDOW_S
-    return Figures(most / granted, used, world.messages / LENGTH_S)
+    used = sum(len(times) for times in got.values()) / (limits * RUN_DURATION_S)
+    granted = scenario.limit_per_s * WINDOW_S
+    return Figures(most / granted, used, world.messages / RUN_DURATION_S)
 
 
 def most_in_window(times: list[float]) -> int:
@@ -240,15 +240,17 @@
     seeds = range(parser.parse_args().seeds)
     print("| scene | way | most in 4 s, x limit (allowed) | used | messages a second |")
     print("|---|---|---|---|---|")
-    for scene in SCENES:
-        bound = 1.5 + 5.0 / (scene.limit_per_s * WINDOW_S)
+    for scenario in SCENARIOS:
+        bound = 1.5 + 5.0 / (scenario.limit_per_s * WINDOW_S)
         for name, way in WAYS.items():
-            figures = [play(scene, way, seed) for seed in seeds]
+            figures = [play(scenario, way, seed) for seed in seeds]
             most = max(each.most_x for each in figures)
             used = mean(each.used for each in figures)
             messages = mean(each.messages_per_s for each in figures)
             kept = f"{most:.2f} ({bound:.2f})"
-            print(f"| {scene.name} | {name} | {kept} | {used:.2f} | {messages:.1f} |", flush=True)
+            print(
+                f"| {scenario.name} | {name} | {kept} | {used:.2f} | {messages:.1f} |", flush=True
+            )
     return 0
 
 
