--- a/bench/replay.py
+++ b/bench/replay.py
@@ -31,19 +31,19 @@
 from standins.engine_model import EngineModel, EngineSpec, Sequence
 
 MODEL = "m"
-REPORT_S = 1.0
+REPORT_INTERVAL_S = 1.0
 REPORT_LAG_S = 0.3
-EVENT_LAG_S = 0.5
-MOST_WAITING = 2_000
-HEARD_S = 1.5
+EVICTION_LAG_S = 0.5
+MAX_WAITING = 2_000
+NOTICE_LAG_S = 1.5
 KV_BYTES_PER_TOKEN = 100_000
 LINK_BYTES_PER_S = 3.0e9
-RESUME_PAUSE_S = 0.1
-TAIL_S = 120.0
+RESUME_DELAY_S = 0.1
+DRAIN_S = 120.0
 
 
 @dataclass(frozen=True)
-class Reclaim:
+class ReclaimWave:
     """A wave: engines of these names get notice at a time; replacements come later, or never."""
 
     at: float
@@ -62,7 +62,7 @@
     nodes: int = 9
     seconds: float = 90.0
     spec: EngineSpec = field(default_factory=EngineSpec)
-    waves: tuple[Reclaim, ...] = ()
+    waves: tuple[ReclaimWave, ...] = ()
     stale_reports: tuple[float, float] = (0.0, 0.0)
 
 
@@ -145,7 +145,7 @@
         self._seen: defaultdict[str, int] = defaultdict(int)
         self._engines: dict[str, _Engine] = {}
         self._nodes = [
-            _Node(LoadTracker(20_000), WaitingQueue(MOST_WAITING)) for _ in range(scenario.nodes)
+            _Node(LoadTracker(20_000), WaitingQueue(MAX_WAITING)) for _ in range(scenario.nodes)
         ]
         self._outcome = Outcome()
 
@@ -157,7 +157,7 @@
             self._at(turn.at, lambda turn=turn: self._arrive(turn))  # type: ignore[misc]
         for wave in self._scenario.waves:
             self._at(wave.at, lambda wave=wave: self._notice(wave))  # type: ignore[misc]
-        end = self._scenario.seconds + TAIL_S
+        end = self._scenario.seconds + DRAIN_S
         self._at(0.0, self._report_all)
         self._at(0.1, self._tick)
         while self._events and self._events[0][0] <= end:
@@ -271,7 +271,7 @@
                     if node.load_tracker.server_of(session) == engine.name:
                         node.load_tracker.forget_session(session)
 
-        self._after(EVENT_LAG_S, heard)
+        self._after(EVICTION_LAG_S, heard)
 
     # Reports
 
@@ -281,7 +281,7 @@
             for engine in self._engines.values():
                 if engine.alive:
                     self._report(engine, list(range(len(self._nodes))))
-        self._after(REPORT_S, self._report_all)
+        self._after(REPORT_INTERVAL_S, self._report_all)
 
     def _report(self, engine: _Engine, nodes: list[int]) -> None:
         """Take a snapshot that arrives after the lag."""
@@ -398,11 +398,11 @@
         """A request whose server has gone goes on elsewhere."""
         self._release(request)
         request.engine = ""
-        self._after(RESUME_PAUSE_S, lambda: self._queue(request))
+        self._after(RESUME_DELAY_S, lambda: self._queue(request))
 
     # Reclaims
 
-    def _notice(self, wave: Reclaim) -> None:
+    def _notice(self, wave: ReclaimWave) -> None:
         def heard() -> None:
             for index, node in enumerate(self._nodes):
                 for name in wave.engines:
@@ -416,7 +416,7 @@
             for name in wave.engines:
                 self._lose(self._engines[name])
 
-        self._after(HEARD_S, heard)
+        self._after(NOTICE_LAG_S, heard)
         self._after(wave.notice_s, gone)
         if wave.replaced_after_s is not None:
             for name in wave.engines:
@@ -426,7 +426,7 @@
                     lambda name=name, hall=hall: self._add_engine(f"{name}r", hall),  # type: ignore[misc]
                 )
 
-    def _plan(self, index: int, wave: Reclaim) -> None:
+    def _plan(self, index: int, wave: ReclaimWave) -> None:
         """Plan for a node's streams on each leaving engine, as the daemon does."""
         spec = self._scenario.spec
         for name in wave.engines:
@@ -435,7 +435,7 @@
             held = self._held(self._nodes[index], engine, mine)
             share = max(1, len(mine)) / max(1, len(engine.requests))
             view = reclaim.ReclaimView(
-                wave.notice_s - HEARD_S,
+                wave.notice_s - NOTICE_LAG_S,
                 LINK_BYTES_PER_S * share,
                 spec.prefill_tokens_per_s,
             )
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from bench.replay import Reclaim, Scenario
+from bench.replay import ReclaimWave, Scenario
 from bench.workload import ORDERVOET, QUOTE_DESK, Mix
 
 WAVE_AT = 40.0
@@ -35,9 +35,9 @@
     """Return every scenario."""
     hall = _hall(10, 0)
     most = tuple(f"e{index}" for index in range(5))
-    wave = Reclaim(WAVE_AT, hall, NOTICE_S)
-    refused = Reclaim(WAVE_AT, hall, NOTICE_S, replaced_after_s=None)
-    half = Reclaim(WAVE_AT, most, NOTICE_S)
+    wave = ReclaimWave(WAVE_AT, hall, NOTICE_S)
+    refused = ReclaimWave(WAVE_AT, hall, NOTICE_S, replaced_after_s=None)
+    half = ReclaimWave(WAVE_AT, most, NOTICE_S)
     return [
         quote_desk(),
         Case(Scenario("Ordervoet sessions", 10, seconds=SECONDS), ORDERVOET, 5.0, 0.7),
--- a/bench/weights.py
+++ b/bench/weights.py
@@ -6,7 +6,7 @@
 
 from bench.measures import measure
 from bench.policies import all_policies
-from bench.replay import Reclaim, Replay, Scenario
+from bench.replay import ReclaimWave, Replay, Scenario
 from bench.scenarios import SECONDS, WAVE_AT
 from bench.workload import ORDERVOET, make
 from moledale.bundle.schema import Bundle, Market, Weights, parse
@@ -42,7 +42,7 @@
         "weights",
         len(held),
         seconds=SECONDS,
-        waves=(Reclaim(WAVE_AT, taken, SHORT_NOTICE_S),) if taken else (),
+        waves=(ReclaimWave(WAVE_AT, taken, SHORT_NOTICE_S),) if taken else (),
     )
     policy = next(p for p in all_policies() if p.name == "ours")
     turns = make(ORDERVOET, seed, SECONDS, REQUESTS_PER_S)
