--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -36,7 +36,7 @@
     """Replay one run."""
     case = quote_desk(job.engines) if job.engines is not None else all_cases()[job.case_index]
     policy = next(p for p in all_policies() if p.name == job.policy)
-    turns = make(case.mixes, job.seed, case.scenario.seconds, case.requests_per_s)
+    turns = make(case.mixes, job.seed, case.scenario.duration_s, case.requests_per_s)
     outcome = Replay(case.scenario, policy, turns, job.seed).run()
     return measure(case.scenario, outcome)
 
