--- a/bench/measures.py
+++ b/bench/measures.py
@@ -68,7 +68,7 @@
         {name: _percentile(values, 95) for name, values in gaps.items()},
         {name: _percentile(values, 99) for name, values in gaps.items()},
         {name: _in_time_share(group) for name, group in groups.items()},
-        outcome.engine_hours * PRICE_PER_ENGINE_HOUR / (scenario.seconds / 3600),
+        outcome.engine_hours * PRICE_PER_ENGINE_HOUR / (scenario.duration_s / 3600),
         outcome.recomputed_tokens,
         outcome.computed_tokens,
         sum(1 for r in outcome.requests if r.first_at and _ttft_s(r) > r.turn.deadline_s),
