--- a/bench/weights.py
+++ b/bench/weights.py
@@ -41,7 +41,7 @@
     scenario = Scenario(
         "weights",
         len(held),
-        seconds=SECONDS,
+        duration_s=SECONDS,
         waves=(ReclaimWave(WAVE_AT, taken, SHORT_NOTICE_S),) if taken else (),
     )
     policy = next(p for p in all_policies() if p.name == "ours")
