--- a/bench/replay.py
+++ b/bench/replay.py
@@ -60,7 +60,7 @@
     engines: int
     halls: int = 4
     nodes: int = 9
-    seconds: float = 90.0
+    duration_s: float = 90.0
     spec: EngineSpec = field(default_factory=EngineSpec)
     waves: tuple[ReclaimWave, ...] = ()
     stale_reports: tuple[float, float] = (0.0, 0.0)
@@ -157,13 +157,13 @@
             self._at(turn.at, lambda turn=turn: self._arrive(turn))  # type: ignore[misc]
         for wave in self._scenario.waves:
             self._at(wave.at, lambda wave=wave: self._notice(wave))  # type: ignore[misc]
-        end = self._scenario.seconds + DRAIN_S
+        end = self._scenario.duration_s + DRAIN_S
         self._at(0.0, self._report_all)
         self._at(0.1, self._tick)
         while self._events and self._events[0][0] <= end:
             self._now, _, action = heapq.heappop(self._events)
             action()
-            if self._now > self._scenario.seconds and self._all_done():
+            if self._now > self._scenario.duration_s and self._all_done():
                 break
         return self._finish()
 
@@ -539,6 +539,6 @@
             request.lost = not request.done and request.refused_at is None
         for engine in self._engines.values():
             if engine.alive:
-                until = max(engine.since, self._scenario.seconds)
+                until = max(engine.since, self._scenario.duration_s)
                 self._outcome.engine_hours += (until - engine.since) / 3600
         return self._outcome
