--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -7,7 +7,7 @@
 
 WAVE_AT = 40.0
 NOTICE_S = 6.0
-SECONDS = 90.0
+DURATION_S = 90.0
 ENGINE_COUNTS = (4, 5, 6, 7, 8, 10, 12)
 """Numbers of engines that the cost at the target is searched over."""
 
@@ -28,7 +28,7 @@
 
 def quote_desk(engines: int = 10) -> Case:
     """Quote Desk hours on a number of engines."""
-    return Case(Scenario("Quote Desk hours", engines, duration_s=SECONDS), QUOTE_DESK, 20.0, 0.3)
+    return Case(Scenario("Quote Desk hours", engines, duration_s=DURATION_S), QUOTE_DESK, 20.0, 0.3)
 
 
 def all_cases() -> list[Case]:
@@ -40,26 +40,31 @@
     half = ReclaimWave(WAVE_AT, most, NOTICE_S)
     return [
         quote_desk(),
-        Case(Scenario("Ordervoet sessions", 10, duration_s=SECONDS), ORDERVOET, 5.0, 0.7),
+        Case(Scenario("Ordervoet sessions", 10, duration_s=DURATION_S), ORDERVOET, 5.0, 0.7),
         Case(
-            Scenario("hall reclaimed", 10, duration_s=SECONDS, waves=(wave,)), ORDERVOET, 5.0, 0.7
+            Scenario("hall reclaimed", 10, duration_s=DURATION_S, waves=(wave,)),
+            ORDERVOET,
+            5.0,
+            0.7,
         ),
         Case(
-            Scenario("hall reclaimed, refused", 10, duration_s=SECONDS, waves=(refused,)),
+            Scenario("hall reclaimed, refused", 10, duration_s=DURATION_S, waves=(refused,)),
             ORDERVOET,
             5.0,
             0.7,
         ),
-        Case(Scenario("48% reclaimed", 10, duration_s=SECONDS, waves=(half,)), ORDERVOET, 5.0, 0.7),
-        Case(Scenario("overload, 1.5 times", 6, duration_s=SECONDS), QUOTE_DESK, OVERLOAD, 0.3),
         Case(
-            Scenario("overload, 4 times", 6, duration_s=SECONDS),
+            Scenario("48% reclaimed", 10, duration_s=DURATION_S, waves=(half,)), ORDERVOET, 5.0, 0.7
+        ),
+        Case(Scenario("overload, 1.5 times", 6, duration_s=DURATION_S), QUOTE_DESK, OVERLOAD, 0.3),
+        Case(
+            Scenario("overload, 4 times", 6, duration_s=DURATION_S),
             QUOTE_DESK,
             4 * CAPACITY_OF_SIX,
             0.3,
         ),
         Case(
-            Scenario("platform outage", 10, duration_s=SECONDS, stale_reports=(30.0, 60.0)),
+            Scenario("platform outage", 10, duration_s=DURATION_S, stale_reports=(30.0, 60.0)),
             QUOTE_DESK,
             20.0,
             0.3,
--- a/bench/weights.py
+++ b/bench/weights.py
@@ -7,7 +7,7 @@
 from bench.measures import measure
 from bench.policies import all_policies
 from bench.replay import ReclaimWave, Replay, Scenario
-from bench.scenarios import SECONDS, WAVE_AT
+from bench.scenarios import DURATION_S, WAVE_AT
 from bench.workload import ORDERVOET, make
 from moledale.bundle.schema import Bundle, Market, Weights, parse
 from moledale.core.renting import HeldInstance, Rent, RentView, plan
@@ -41,11 +41,11 @@
     scenario = Scenario(
         "weights",
         len(held),
-        duration_s=SECONDS,
+        duration_s=DURATION_S,
         waves=(ReclaimWave(WAVE_AT, taken, SHORT_NOTICE_S),) if taken else (),
     )
     policy = next(p for p in all_policies() if p.name == "ours")
-    turns = make(ORDERVOET, seed, SECONDS, REQUESTS_PER_S)
+    turns = make(ORDERVOET, seed, DURATION_S, REQUESTS_PER_S)
     measures = measure(scenario, Replay(scenario, policy, turns, seed).run())
     on_demand = len(held) - len(reclaimable)
     prices = {price.hall: price for price in bundle.prices}
