--- a/bench/measures.py
+++ b/bench/measures.py
@@ -54,7 +54,9 @@
         priority.value: [r for r in outcome.requests if r.turn.priority is priority]
         for priority in Priority
     }
-    firsts = {name: [_ttft_s(r) for r in group if r.first_at] for name, group in groups.items()}
+    firsts = {
+        name: [_ttft_s(r) for r in group if r.first_token_at] for name, group in groups.items()
+    }
     gaps = {
         name: [g for r in group if (g := _mean_inter_token_s(r)) > 0]
         for name, group in groups.items()
@@ -71,7 +73,7 @@
         outcome.engine_hours * PRICE_PER_ENGINE_HOUR / (scenario.duration_s / 3600),
         outcome.recomputed_tokens,
         outcome.computed_tokens,
-        sum(1 for r in outcome.requests if r.first_at and _ttft_s(r) > r.turn.deadline_s),
+        sum(1 for r in outcome.requests if r.first_token_at and _ttft_s(r) > r.turn.deadline_s),
         len(refused),
         sum(1 for r in refused if (r.refused_at or 0) - r.turn.at > LATE_REFUSAL_S),
         sum(1 for r in outcome.requests if r.lost),
@@ -82,18 +84,18 @@
 
 
 def _ttft_s(request: Request) -> float:
-    return (request.first_at or 0.0) - request.turn.at
+    return (request.first_token_at or 0.0) - request.turn.at
 
 
 def _mean_inter_token_s(request: Request) -> float:
-    if request.first_at is None or request.last_at is None or request.produced < 2:
+    if request.first_token_at is None or request.last_token_at is None or request.produced < 2:
         return 0.0
-    return (request.last_at - request.first_at) / (request.produced - 1)
+    return (request.last_token_at - request.first_token_at) / (request.produced - 1)
 
 
 def _is_in_time(request: Request) -> bool:
     priority = request.turn.priority
-    if not request.done or request.first_at is None:
+    if not request.done or request.first_token_at is None:
         return False
     first = _ttft_s(request) <= TTFT_TARGET_S[priority]
     return first and _mean_inter_token_s(request) <= INTER_TOKEN_TARGET_S[priority]
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -63,7 +63,7 @@
     duration_s: float = 90.0
     spec: EngineSpec = field(default_factory=EngineSpec)
     waves: tuple[ReclaimWave, ...] = ()
-    stale_reports: tuple[float, float] = (0.0, 0.0)
+    report_outage_s: tuple[float, float] = (0.0, 0.0)
 
 
 @dataclass
@@ -77,14 +77,14 @@
     engine: str = ""
     reservation: Reservation | None = None
     queued_at: float = 0.0
-    first_at: float | None = None
-    last_at: float | None = None
+    first_token_at: float | None = None
+    last_token_at: float | None = None
     refused_at: float | None = None
     lost: bool = False
     done: bool = False
 
     @property
-    def context(self) -> int:
+    def context_tokens(self) -> int:
         """Return the tokens that a server must have computed to go on."""
         return self.turn.prompt_tokens + self.produced
 
@@ -111,7 +111,7 @@
     model: EngineModel
     stepping: bool = False
     alive: bool = True
-    since: float = 0.0
+    started_at: float = 0.0
     sequence: int = 0
     requests: dict[str, Request] = field(default_factory=dict)
 
@@ -122,7 +122,7 @@
 
     load_tracker: LoadTracker
     queue: WaitingQueue[Request]
-    service_s: float = 2.0
+    mean_service_s: float = 2.0
 
 
 class Replay:
@@ -141,8 +141,8 @@
         self._rng = random.Random(seed)
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._serial = 0
-        self._seen: defaultdict[str, int] = defaultdict(int)
+        self._event_id = 0
+        self._computed_context: defaultdict[str, int] = defaultdict(int)
         self._engines: dict[str, _Engine] = {}
         self._nodes = [
             _Node(LoadTracker(20_000), WaitingQueue(MAX_WAITING)) for _ in range(scenario.nodes)
@@ -154,12 +154,12 @@
         for index in range(self._scenario.engines):
             self._add_engine(f"e{index}", f"h{index % self._scenario.halls}")
         for turn in self._turns:
-            self._at(turn.at, lambda turn=turn: self._arrive(turn))  # type: ignore[misc]
+            self._schedule_at(turn.at, lambda turn=turn: self._on_arrival(turn))  # type: ignore[misc]
         for wave in self._scenario.waves:
-            self._at(wave.at, lambda wave=wave: self._notice(wave))  # type: ignore[misc]
+            self._schedule_at(wave.at, lambda wave=wave: self._on_notice(wave))  # type: ignore[misc]
         end = self._scenario.duration_s + DRAIN_S
-        self._at(0.0, self._report_all)
-        self._at(0.1, self._tick)
+        self._schedule_at(0.0, self._report_all)
+        self._schedule_at(0.1, self._tick)
         while self._events and self._events[0][0] <= end:
             self._now, _, action = heapq.heappop(self._events)
             action()
@@ -169,17 +169,17 @@
 
     # Time
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
-        self._serial += 1
-        heapq.heappush(self._events, (when, self._serial, action))
+    def _schedule_at(self, when: float, action: Callable[[], None]) -> None:
+        self._event_id += 1
+        heapq.heappush(self._events, (when, self._event_id, action))
 
-    def _after(self, seconds: float, action: Callable[[], None]) -> None:
-        self._at(self._now + seconds, action)
+    def _schedule_after(self, seconds: float, action: Callable[[], None]) -> None:
+        self._schedule_at(self._now + seconds, action)
 
     # Engines
 
     def _add_engine(self, name: str, hall: str) -> None:
-        engine = _Engine(name, hall, EngineModel(self._scenario.spec), since=self._now)
+        engine = _Engine(name, hall, EngineModel(self._scenario.spec), started_at=self._now)
         self._engines[name] = engine
         spec = self._scenario.spec
         speeds = Speeds(spec.prefill_tokens_per_s, spec.decode_tokens_per_s, spec.slots)
@@ -187,7 +187,7 @@
             view = ServerView(name, hall, name, speeds, frozenset({MODEL}))
             node.load_tracker.follow(view)
         for index in range(len(self._nodes)):
-            self._pump(index)
+            self._dispatch_waiting(index)
 
     def _submit(self, request: Request, engine: _Engine) -> None:
         request.attempts += 1
@@ -197,8 +197,8 @@
             Sequence(
                 attempt,
                 request.turn.session,
-                blocks_of(request.turn.session, request.context),
-                request.context,
+                blocks_of(request.turn.session, request.context_tokens),
+                request.context_tokens,
                 request.produced,
                 request.turn.output_tokens,
                 request.turn.priority.value,
@@ -217,28 +217,28 @@
             if not engine.alive:
                 return
             for attempt, _ in step.tokens:
-                self._token(engine, attempt)
+                self._on_token(engine, attempt)
             for sequence in step.finished:
-                self._finished(engine, sequence)
-            self._evictions(engine)
+                self._on_finished(engine, sequence)
+            self._report_evictions(engine)
             self._step_soon(engine)
 
-        self._after(step.duration_s, done)
+        self._schedule_after(step.duration_s, done)
 
-    def _token(self, engine: _Engine, attempt: str) -> None:
+    def _on_token(self, engine: _Engine, attempt: str) -> None:
         request = engine.requests.get(attempt)
         if request is None or request.done:
             return
         request.produced += 1
         self._outcome.tokens_by_engine[engine.name] += 1
-        if request.first_at is None:
-            request.first_at = self._now
-        request.last_at = self._now
+        if request.first_token_at is None:
+            request.first_token_at = self._now
+        request.last_token_at = self._now
         node = self._nodes[request.node]
         if request.reservation is not None and request.reservation.prefill_tokens:
             request.reservation = node.load_tracker.record_first_token(request.reservation)
 
-    def _finished(self, engine: _Engine, sequence: Sequence) -> None:
+    def _on_finished(self, engine: _Engine, sequence: Sequence) -> None:
         request = engine.requests.pop(sequence.attempt, None)
         if request is None:
             return
@@ -247,19 +247,21 @@
         node = self._nodes[request.node]
         self._release(request)
         node.load_tracker.record_cache(request.turn.session, engine.name, sequence.context_tokens)
-        node.service_s += 0.1 * (self._now - request.turn.at - node.service_s)
+        node.mean_service_s += 0.1 * (self._now - request.turn.at - node.mean_service_s)
         self._report(engine, [request.node])
-        self._pump(request.node)
+        self._dispatch_waiting(request.node)
 
     def _count_computed(self, request: Request, sequence: Sequence) -> None:
         """Count the prompt tokens that had been computed before for this session."""
         session = request.turn.session
-        new = max(0, sequence.context_tokens - self._seen[session])
+        new = max(0, sequence.context_tokens - self._computed_context[session])
         self._outcome.computed_tokens += sequence.computed_tokens
         self._outcome.recomputed_tokens += max(0, sequence.computed_tokens - new)
-        self._seen[session] = max(self._seen[session], sequence.context_tokens)
+        self._computed_context[session] = max(
+            self._computed_context[session], sequence.context_tokens
+        )
 
-    def _evictions(self, engine: _Engine) -> None:
+    def _report_evictions(self, engine: _Engine) -> None:
         notes, engine.model.cache.changes = engine.model.cache.changes, []
         gone = [note.session for note in notes if note.kind == "evicted"]
         if not gone:
@@ -271,17 +273,17 @@
                     if node.load_tracker.server_of(session) == engine.name:
                         node.load_tracker.forget_session(session)
 
-        self._after(EVICTION_LAG_S, heard)
+        self._schedule_after(EVICTION_LAG_S, heard)
 
     # Reports
 
     def _report_all(self) -> None:
-        begin, end = self._scenario.stale_reports
+        begin, end = self._scenario.report_outage_s
         if not begin <= self._now < end:
             for engine in self._engines.values():
                 if engine.alive:
                     self._report(engine, list(range(len(self._nodes))))
-        self._after(REPORT_INTERVAL_S, self._report_all)
+        self._schedule_after(REPORT_INTERVAL_S, self._report_all)
 
     def _report(self, engine: _Engine, nodes: list[int]) -> None:
         """Take a snapshot that arrives after the lag."""
@@ -300,23 +302,23 @@
         def arrive() -> None:
             for index in nodes:
                 self._nodes[index].load_tracker.apply_report(report, taken, self._now)
-                self._pump(index)
+                self._dispatch_waiting(index)
 
-        self._after(REPORT_LAG_S, arrive)
+        self._schedule_after(REPORT_LAG_S, arrive)
 
     # Requests
 
-    def _arrive(self, turn: Turn) -> None:
+    def _on_arrival(self, turn: Turn) -> None:
         name = first_ranked(turn.session, [str(index) for index in range(len(self._nodes))])
         request = Request(turn, int(name or 0))
         self._outcome.requests.append(request)
         self._outcome.requests_by_node[request.node] += 1
-        if self._policy.rejects_early and self._too_late(request):
+        if self._policy.rejects_early and self._would_miss_deadline(request):
             request.refused_at = self._now
             return
-        self._queue(request)
+        self._enqueue(request)
 
-    def _too_late(self, request: Request) -> bool:
+    def _would_miss_deadline(self, request: Request) -> bool:
         node = self._nodes[request.node]
         ready = eligible(node.load_tracker.views.values(), self._need(request))
         slots = sum(view.speeds.slots for view in ready)
@@ -324,10 +326,10 @@
         ahead = node.queue.count_ahead(request.turn.priority, self._now)
         # Other nodes draw on the same slots; each counts on its part of them.
         part = 1 / len(self._nodes)
-        wait = estimated_wait_s(ahead, free, max(1, round(slots * part)), node.service_s)
+        wait = estimated_wait_s(ahead, free, max(1, round(slots * part)), node.mean_service_s)
         return wait > request.turn.deadline_s
 
-    def _queue(self, request: Request) -> None:
+    def _enqueue(self, request: Request) -> None:
         node = self._nodes[request.node]
         deadline = request.turn.at + request.turn.deadline_s
         request.queued_at = self._now
@@ -336,7 +338,7 @@
             request.refused_at = self._now
         if offered.evicted is not None:
             offered.evicted.refused_at = self._now
-        self._pump(request.node)
+        self._dispatch_waiting(request.node)
 
     def _tick(self) -> None:
         if self._policy.rejects_early:
@@ -344,10 +346,10 @@
                 for request in node.queue.pop_expired(self._now):
                     request.refused_at = self._now
         for index in range(len(self._nodes)):
-            self._pump(index)
-        self._after(0.1, self._tick)
+            self._dispatch_waiting(index)
+        self._schedule_after(0.1, self._tick)
 
-    def _pump(self, index: int) -> None:
+    def _dispatch_waiting(self, index: int) -> None:
         node = self._nodes[index]
         if not len(node.queue):
             return
@@ -375,34 +377,34 @@
                 request.reservation = node.load_tracker.reserve(server, need, self._now)
 
         if self._policy.reserve_delay_s:
-            self._after(self._policy.reserve_delay_s, reserve)
+            self._schedule_after(self._policy.reserve_delay_s, reserve)
         else:
             reserve()
         engine = self._engines[server]
         if engine.alive:
             self._submit(request, engine)
         else:
-            self._broken(request)
+            self._resume(request)
 
     def _need(self, request: Request) -> Need:
         turn = request.turn
         left = turn.output_tokens - request.produced
-        return Need(MODEL, request.context, left, turn.session, "", turn.priority)
+        return Need(MODEL, request.context_tokens, left, turn.session, "", turn.priority)
 
     def _release(self, request: Request) -> None:
         if request.reservation is not None:
             self._nodes[request.node].load_tracker.release(request.reservation, self._now)
             request.reservation = None
 
-    def _broken(self, request: Request) -> None:
+    def _resume(self, request: Request) -> None:
         """A request whose server has gone goes on elsewhere."""
         self._release(request)
         request.engine = ""
-        self._after(RESUME_DELAY_S, lambda: self._queue(request))
+        self._schedule_after(RESUME_DELAY_S, lambda: self._enqueue(request))
 
     # Reclaims
 
-    def _notice(self, wave: ReclaimWave) -> None:
+    def _on_notice(self, wave: ReclaimWave) -> None:
         def heard() -> None:
             for index, node in enumerate(self._nodes):
                 for name in wave.engines:
@@ -410,29 +412,29 @@
                     if view is not None and view.standing is Standing.LIVE:
                         view.note_leaving()  # type: ignore[attr-defined]
                 if self._policy.plans_reclaims:
-                    self._plan(index, wave)
+                    self._plan_reclaim(index, wave)
 
         def gone() -> None:
             for name in wave.engines:
-                self._lose(self._engines[name])
+                self._remove_engine(self._engines[name])
 
-        self._after(NOTICE_LAG_S, heard)
-        self._after(wave.notice_s, gone)
+        self._schedule_after(NOTICE_LAG_S, heard)
+        self._schedule_after(wave.notice_s, gone)
         if wave.replaced_after_s is not None:
             for name in wave.engines:
                 hall = self._engines[name].hall
-                self._after(
+                self._schedule_after(
                     wave.replaced_after_s,
                     lambda name=name, hall=hall: self._add_engine(f"{name}r", hall),  # type: ignore[misc]
                 )
 
-    def _plan(self, index: int, wave: ReclaimWave) -> None:
+    def _plan_reclaim(self, index: int, wave: ReclaimWave) -> None:
         """Plan for a node's streams on each leaving engine, as the daemon does."""
         spec = self._scenario.spec
         for name in wave.engines:
             engine = self._engines[name]
             mine = {a: r for a, r in engine.requests.items() if r.node == index}
-            held = self._held(self._nodes[index], engine, mine)
+            held = self._held_sessions(self._nodes[index], engine, mine)
             share = max(1, len(mine)) / max(1, len(engine.requests))
             view = reclaim.ReclaimView(
                 wave.notice_s - NOTICE_LAG_S,
@@ -444,12 +446,12 @@
             for key, course in reclaim.plan(held, view).items():
                 if course is reclaim.ReclaimAction.MOVE:
                     spent += by_id[key].kv_bytes / view.bandwidth_bytes_per_s
-                    move = self._move_idle if by_id[key].idle else self._move
-                    self._after(spent, partial(move, index, engine, key))
+                    move = self._finish_idle_transfer if by_id[key].idle else self._finish_transfer
+                    self._schedule_after(spent, partial(move, index, engine, key))
                 elif course is reclaim.ReclaimAction.PREFILL and not by_id[key].idle:
-                    self._leave(engine, key)
+                    self._stop_and_resume(engine, key)
 
-    def _held(
+    def _held_sessions(
         self, node: _Node, engine: _Engine, mine: dict[str, Request]
     ) -> list[reclaim.HeldSession]:
         """Return a node's streams on an engine and, where the policy moves them, idle caches."""
@@ -458,8 +460,8 @@
         held = [
             reclaim.HeldSession(
                 attempt,
-                request.context,
-                request.context * KV_BYTES_PER_TOKEN,
+                request.context_tokens,
+                request.context_tokens * KV_BYTES_PER_TOKEN,
                 (request.turn.output_tokens - request.produced) * token_s,
                 request.turn.priority is Priority.IMMEDIATE,
             )
@@ -475,7 +477,7 @@
             if session not in busy
         ]
 
-    def _move_idle(self, index: int, source: _Engine, session: str) -> None:
+    def _finish_idle_transfer(self, index: int, source: _Engine, session: str) -> None:
         """End the transfer of an idle session's cache."""
         node = self._nodes[index]
         if not source.alive or node.load_tracker.server_of(session) != source.name:
@@ -488,7 +490,7 @@
             self._engines[chosen.server].model.import_context(blocks, session)
             node.load_tracker.record_cache(session, chosen.server, tokens)
 
-    def _move(self, index: int, source: _Engine, attempt: str) -> None:
+    def _finish_transfer(self, index: int, source: _Engine, attempt: str) -> None:
         """End a transfer: the cache is at the target, and the stream goes on there."""
         request = source.requests.get(attempt)
         if request is None or request.done or not source.alive:
@@ -499,18 +501,18 @@
         if chosen is None:
             return
         target = self._engines[chosen.server]
-        blocks = blocks_of(request.turn.session, request.context)
+        blocks = blocks_of(request.turn.session, request.context_tokens)
         target.model.import_context(blocks, request.turn.session)
-        self._stop(source, attempt)
+        self._stop_attempt(source, attempt)
         self._release(request)
         self._dispatch(node, request, chosen.server, need)
 
-    def _leave(self, engine: _Engine, attempt: str) -> None:
-        request = self._stop(engine, attempt)
+    def _stop_and_resume(self, engine: _Engine, attempt: str) -> None:
+        request = self._stop_attempt(engine, attempt)
         if request is not None:
-            self._broken(request)
+            self._resume(request)
 
-    def _stop(self, engine: _Engine, attempt: str) -> Request | None:
+    def _stop_attempt(self, engine: _Engine, attempt: str) -> Request | None:
         sequence = engine.model.sequences.get(attempt)
         request = engine.requests.pop(attempt, None)
         if sequence is not None and request is not None:
@@ -518,16 +520,16 @@
         engine.model.cancel(attempt)
         return request
 
-    def _lose(self, engine: _Engine) -> None:
+    def _remove_engine(self, engine: _Engine) -> None:
         engine.alive = False
-        self._outcome.engine_hours += (self._now - engine.since) / 3600
+        self._outcome.engine_hours += (self._now - engine.started_at) / 3600
         if self._policy.plans_reclaims and engine.requests:
             self._outcome.unfinished_drains += 1
         for attempt in list(engine.requests):
-            self._leave(engine, attempt)
+            self._stop_and_resume(engine, attempt)
         for index, node in enumerate(self._nodes):
             node.load_tracker.unfollow(engine.name)
-            self._pump(index)
+            self._dispatch_waiting(index)
 
     # The end
 
@@ -539,6 +541,6 @@
             request.lost = not request.done and request.refused_at is None
         for engine in self._engines.values():
             if engine.alive:
-                until = max(engine.since, self._scenario.duration_s)
-                self._outcome.engine_hours += (until - engine.since) / 3600
+                until = max(engine.started_at, self._scenario.duration_s)
+                self._outcome.engine_hours += (until - engine.started_at) / 3600
         return self._outcome
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -64,7 +64,7 @@
             0.3,
         ),
         Case(
-            Scenario("platform outage", 10, duration_s=DURATION_S, stale_reports=(30.0, 60.0)),
+            Scenario("platform outage", 10, duration_s=DURATION_S, report_outage_s=(30.0, 60.0)),
             QUOTE_DESK,
             20.0,
             0.3,
