--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -5,7 +5,7 @@
 from bench.replay import ReclaimWave, Scenario
 from bench.workload import ORDERVOET, QUOTE_DESK, Mix
 
-WAVE_AT = 40.0
+WAVE_AT_S = 40.0
 NOTICE_S = 6.0
 DURATION_S = 90.0
 ENGINE_COUNTS = (4, 5, 6, 7, 8, 10, 12)
@@ -14,15 +14,15 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A scenario with its workload; `recompute` is the weight of the deployment's bundle."""
+    """A scenario with its workload; `recompute_weight` is the weight of the deployment's bundle."""
 
     scenario: Scenario
     mixes: list[Mix]
     requests_per_s: float
-    recompute: float
+    recompute_weight: float
 
 
-def _hall(engines: int, hall: int, halls: int = 4) -> tuple[str, ...]:
+def _engines_of_hall(engines: int, hall: int, halls: int = 4) -> tuple[str, ...]:
     return tuple(f"e{index}" for index in range(engines) if index % halls == hall)
 
 
@@ -33,11 +33,11 @@
 
 def all_cases() -> list[Case]:
     """Return every scenario."""
-    hall = _hall(10, 0)
+    hall = _engines_of_hall(10, 0)
     most = tuple(f"e{index}" for index in range(5))
-    wave = ReclaimWave(WAVE_AT, hall, NOTICE_S)
-    refused = ReclaimWave(WAVE_AT, hall, NOTICE_S, replaced_after_s=None)
-    half = ReclaimWave(WAVE_AT, most, NOTICE_S)
+    wave = ReclaimWave(WAVE_AT_S, hall, NOTICE_S)
+    refused = ReclaimWave(WAVE_AT_S, hall, NOTICE_S, replaced_after_s=None)
+    half = ReclaimWave(WAVE_AT_S, most, NOTICE_S)
     return [
         quote_desk(),
         Case(Scenario("Ordervoet sessions", 10, duration_s=DURATION_S), ORDERVOET, 5.0, 0.7),
@@ -56,11 +56,16 @@
         Case(
             Scenario("48% reclaimed", 10, duration_s=DURATION_S, waves=(half,)), ORDERVOET, 5.0, 0.7
         ),
-        Case(Scenario("overload, 1.5 times", 6, duration_s=DURATION_S), QUOTE_DESK, OVERLOAD, 0.3),
+        Case(
+            Scenario("overload, 1.5 times", 6, duration_s=DURATION_S),
+            QUOTE_DESK,
+            OVERLOAD_PER_S,
+            0.3,
+        ),
         Case(
             Scenario("overload, 4 times", 6, duration_s=DURATION_S),
             QUOTE_DESK,
-            4 * CAPACITY_OF_SIX,
+            4 * SIX_ENGINE_CAPACITY_PER_S,
             0.3,
         ),
         Case(
@@ -72,10 +77,10 @@
     ]
 
 
-CAPACITY_OF_SIX = 18.0
+SIX_ENGINE_CAPACITY_PER_S = 18.0
 """Requests a second of the Quote Desk mix that six engines keep the target at.
 
 Trials with seeds 1 to 3: kept on all three at 18, missed on two at 20.
 """
 
-OVERLOAD = 1.5 * CAPACITY_OF_SIX
+OVERLOAD_PER_S = 1.5 * SIX_ENGINE_CAPACITY_PER_S
--- a/bench/weights.py
+++ b/bench/weights.py
@@ -7,7 +7,7 @@
 from bench.measures import measure
 from bench.policies import all_policies
 from bench.replay import ReclaimWave, Replay, Scenario
-from bench.scenarios import DURATION_S, WAVE_AT
+from bench.scenarios import DURATION_S, WAVE_AT_S
 from bench.workload import ORDERVOET, make
 from moledale.bundle.schema import Bundle, Market, Weights, parse
 from moledale.core.renting import HeldInstance, Rent, RentView, plan
@@ -42,7 +42,7 @@
         "weights",
         len(held),
         duration_s=DURATION_S,
-        waves=(ReclaimWave(WAVE_AT, taken, SHORT_NOTICE_S),) if taken else (),
+        waves=(ReclaimWave(WAVE_AT_S, taken, SHORT_NOTICE_S),) if taken else (),
     )
     policy = next(p for p in all_policies() if p.name == "ours")
     turns = make(ORDERVOET, seed, DURATION_S, REQUESTS_PER_S)
