--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -13,7 +13,7 @@
 from bench.policies import all_policies
 from bench.replay import Replay
 from bench.scenarios import ENGINE_COUNTS, Case, all_cases, quote_desk
-from bench.weights import WEIGHTS, table, trade
+from bench.weights import RECOMPUTE_WEIGHTS, format_tradeoffs, measure_tradeoff
 from bench.workload import make
 
 OUTPUT_DIR = Path("out")
@@ -67,10 +67,12 @@
         ]
     with ProcessPoolExecutor(PROCESSES) as pool:
         found = dict(zip(jobs, pool.map(run, jobs), strict=True))
-        pairs = [(recompute, seed) for recompute in WEIGHTS for seed in SEEDS]
-        trades = [] if options.no_sweep else list(pool.map(trade, *zip(*pairs, strict=True)))
+        pairs = [(recompute, seed) for recompute in RECOMPUTE_WEIGHTS for seed in SEEDS]
+        trades = (
+            [] if options.no_sweep else list(pool.map(measure_tradeoff, *zip(*pairs, strict=True)))
+        )
     OUTPUT_DIR.mkdir(exist_ok=True)
-    text = report(cases, found) + (table(trades) + "\n" if trades else "")
+    text = report(cases, found) + (format_tradeoffs(trades) + "\n" if trades else "")
     (OUTPUT_DIR / "bench.txt").write_text(text)
     print(text)
     _save_plots(cases, found)
