--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -14,7 +14,7 @@
 from bench.replay import Replay
 from bench.scenarios import ENGINE_COUNTS, Case, all_cases, quote_desk
 from bench.weights import RECOMPUTE_WEIGHTS, format_tradeoffs, measure_tradeoff
-from bench.workload import make
+from bench.workload import make_turns
 
 OUTPUT_DIR = Path("out")
 SEEDS = (1, 2, 3)
@@ -36,7 +36,7 @@
     """Replay one run."""
     case = quote_desk(job.engines) if job.engines is not None else all_cases()[job.case_index]
     policy = next(p for p in all_policies() if p.name == job.policy)
-    turns = make(case.mixes, job.seed, case.scenario.duration_s, case.requests_per_s)
+    turns = make_turns(case.session_kinds, job.seed, case.scenario.duration_s, case.requests_per_s)
     outcome = Replay(case.scenario, policy, turns, job.seed).run()
     return measure(case.scenario, outcome)
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -12,7 +12,7 @@
 from functools import partial
 
 from bench.policies import Policy
-from bench.workload import Turn, blocks_of
+from bench.workload import Turn, block_hashes
 from moledale.bundle.schema import Priority
 from moledale.core import reclaim
 from moledale.core.hashing import first_ranked
@@ -197,7 +197,7 @@
             Sequence(
                 attempt,
                 request.turn.session,
-                blocks_of(request.turn.session, request.context_tokens),
+                block_hashes(request.turn.session, request.context_tokens),
                 request.context_tokens,
                 request.produced,
                 request.turn.output_tokens,
@@ -486,7 +486,7 @@
         need = Need(MODEL, tokens, 0, session)
         chosen = self._policy.choose(list(node.load_tracker.views.values()), need)
         if chosen is not None:
-            blocks = blocks_of(session, tokens)
+            blocks = block_hashes(session, tokens)
             self._engines[chosen.server].model.import_context(blocks, session)
             node.load_tracker.record_cache(session, chosen.server, tokens)
 
@@ -501,7 +501,7 @@
         if chosen is None:
             return
         target = self._engines[chosen.server]
-        blocks = blocks_of(request.turn.session, request.context_tokens)
+        blocks = block_hashes(request.turn.session, request.context_tokens)
         target.model.import_context(blocks, request.turn.session)
         self._stop_attempt(source, attempt)
         self._release(request)
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from bench.replay import ReclaimWave, Scenario
-from bench.workload import ORDERVOET, QUOTE_DESK, Mix
+from bench.workload import ORDERVOET, QUOTE_DESK, SessionKind
 
 WAVE_AT_S = 40.0
 NOTICE_S = 6.0
@@ -17,7 +17,7 @@
     """A scenario with its workload; `recompute_weight` is the weight of the deployment's bundle."""
 
     scenario: Scenario
-    mixes: list[Mix]
+    session_kinds: list[SessionKind]
     requests_per_s: float
     recompute_weight: float
 
--- a/bench/weights.py
+++ b/bench/weights.py
@@ -8,7 +8,7 @@
 from bench.policies import all_policies
 from bench.replay import ReclaimWave, Replay, Scenario
 from bench.scenarios import DURATION_S, WAVE_AT_S
-from bench.workload import ORDERVOET, make
+from bench.workload import ORDERVOET, make_turns
 from moledale.bundle.schema import Bundle, Market, Weights, parse
 from moledale.core.renting import HeldInstance, Rent, RentView, plan
 
@@ -45,7 +45,7 @@
         waves=(ReclaimWave(WAVE_AT_S, reclaimed, SHORT_NOTICE_S),) if reclaimed else (),
     )
     policy = next(p for p in all_policies() if p.name == "ours")
-    turns = make(ORDERVOET, seed, DURATION_S, REQUESTS_PER_S)
+    turns = make_turns(ORDERVOET, seed, DURATION_S, REQUESTS_PER_S)
     measures = measure(scenario, Replay(scenario, policy, turns, seed).run())
     on_demand = len(held) - len(reclaimable)
     prices = {price.hall: price for price in bundle.prices}
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -6,7 +6,7 @@
 
 from moledale.bundle.schema import Priority
 
-BLOCK = 16
+BLOCK_TOKENS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,87 +23,89 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mix:
+class SessionKind:
     """A kind of session: medians of its sizes and gaps, and how often it begins."""
 
     share: float
     priority: Priority
     turns: tuple[int, int]
-    first_prompt: int
-    added_prompt: int
-    output: int
-    gap_s: float
+    first_prompt_tokens: int
+    added_prompt_tokens: int
+    output_tokens: int
+    mean_gap_s: float
     deadline_s: float
 
 
 QUOTE_DESK = [
-    Mix(0.62, Priority.IMMEDIATE, (1, 4), 700, 90, 40, 2.0, 5.0),
-    Mix(0.30, Priority.NORMAL, (2, 6), 1_200, 200, 120, 6.0, 30.0),
-    Mix(0.08, Priority.CAN_WAIT, (1, 1), 6_000, 0, 500, 1.0, 3_600.0),
+    SessionKind(0.62, Priority.IMMEDIATE, (1, 4), 700, 90, 40, 2.0, 5.0),
+    SessionKind(0.30, Priority.NORMAL, (2, 6), 1_200, 200, 120, 6.0, 30.0),
+    SessionKind(0.08, Priority.CAN_WAIT, (1, 1), 6_000, 0, 500, 1.0, 3_600.0),
 ]
 ORDERVOET = [
-    Mix(0.30, Priority.IMMEDIATE, (2, 6), 900, 120, 40, 4.0, 5.0),
-    Mix(0.55, Priority.NORMAL, (6, 14), 8_000, 700, 220, 5.0, 30.0),
-    Mix(0.15, Priority.CAN_WAIT, (1, 3), 12_000, 900, 600, 8.0, 3_600.0),
+    SessionKind(0.30, Priority.IMMEDIATE, (2, 6), 900, 120, 40, 4.0, 5.0),
+    SessionKind(0.55, Priority.NORMAL, (6, 14), 8_000, 700, 220, 5.0, 30.0),
+    SessionKind(0.15, Priority.CAN_WAIT, (1, 3), 12_000, 900, 600, 8.0, 3_600.0),
 ]
 
 
-def day_hours(at: float, seconds: float) -> float:
+def daily_rate_factor(at: float, duration_s: float) -> float:
     """Return the rate's factor over the run: a rise, a peak in the middle, a fall."""
-    place = at / seconds
+    place = at / duration_s
     return 0.6 + 0.8 * (1 - abs(2 * place - 1))
 
 
-def make(
-    mixes: list[Mix],
+def make_turns(
+    session_kinds: list[SessionKind],
     seed: int,
-    seconds: float,
+    duration_s: float,
     requests_per_s: float,
-    shape: Callable[[float, float], float] = day_hours,
+    rate_factor: Callable[[float, float], float] = daily_rate_factor,
 ) -> list[Turn]:
     """Return the turns of a run, in order of time."""
     rng = random.Random(f"{seed} {requests_per_s}")
-    mean_turns = sum(mix.share * (mix.turns[0] + mix.turns[1]) / 2 for mix in mixes)
+    mean_turns = sum(kind.share * (kind.turns[0] + kind.turns[1]) / 2 for kind in session_kinds)
     sessions_per_s = requests_per_s / mean_turns
     turns: list[Turn] = []
     at, number = 0.0, 0
     while True:
-        at += rng.expovariate(sessions_per_s * shape(at, seconds))
-        if at >= seconds:
+        at += rng.expovariate(sessions_per_s * rate_factor(at, duration_s))
+        if at >= duration_s:
             break
         number += 1
-        mix = rng.choices(mixes, [mix.share for mix in mixes])[0]
-        turns.extend(_session(mix, f"s{seed}-{number}", at, seconds, rng))
+        kind = rng.choices(session_kinds, [kind.share for kind in session_kinds])[0]
+        turns.extend(_session_turns(kind, f"s{seed}-{number}", at, duration_s, rng))
     return sorted(turns, key=lambda turn: (turn.at, turn.session))
 
 
-def _session(mix: Mix, name: str, at: float, seconds: float, rng: random.Random) -> list[Turn]:
+def _session_turns(
+    kind: SessionKind, name: str, at: float, duration_s: float, rng: random.Random
+) -> list[Turn]:
     seen = 0
     found = []
-    length = _spread(mix.first_prompt, rng)
-    for _ in range(rng.randint(*mix.turns)):
-        if at >= seconds:
+    length = _long_tailed(kind.first_prompt_tokens, rng)
+    for _ in range(rng.randint(*kind.turns)):
+        if at >= duration_s:
             break
-        output = _spread(mix.output, rng)
-        turn = Turn(at, name, length, seen, output, mix.priority, mix.deadline_s)
+        output = _long_tailed(kind.output_tokens, rng)
+        turn = Turn(at, name, length, seen, output, kind.priority, kind.deadline_s)
         found.append(turn)
         seen = length + output
-        length = seen + _spread(max(1, mix.added_prompt), rng)
-        at += output * 0.02 + rng.expovariate(1 / mix.gap_s)
+        length = seen + _long_tailed(max(1, kind.added_prompt_tokens), rng)
+        at += output * 0.02 + rng.expovariate(1 / kind.mean_gap_s)
     return found
 
 
-def _spread(median: int, rng: random.Random) -> int:
+def _long_tailed(median: int, rng: random.Random) -> int:
     """Return a size with a long tail around its median."""
     return max(1, round(median * rng.lognormvariate(0.0, 0.5)))
 
 
-def blocks_of(session: str, tokens: int) -> tuple[int, ...]:
+def block_hashes(session: str, tokens: int) -> tuple[int, ...]:
     """Return the chained block hashes of a session's first tokens."""
-    base = hash_of(session)
-    return tuple(base + index for index in range(tokens // BLOCK))
+    base = block_hash_base(session)
+    return tuple(base + index for index in range(tokens // BLOCK_TOKENS))
 
 
-def hash_of(session: str) -> int:
+def block_hash_base(session: str) -> int:
     """Return a number that keeps the blocks of two sessions apart."""
     return random.Random(session).getrandbits(60) << 20
