--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Replays seeded workloads through the daemon's own decisions, on a virtual clock."""
+"""Benchmarks of the daemon's decisions: simulations with seeded workloads on a virtual clock."""
