--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,7 @@
-"""Runs the bench: `make bench`. Writes tables and plots to `out/`, which is not committed."""
+"""Compares routing policies in all scenarios: `make bench`.
+
+Writes tables and plots to `out/`, which is not committed.
+"""
 
 import argparse
 import statistics
@@ -24,16 +27,20 @@
 
 @dataclass(frozen=True)
 class Job:
-    """One run: a scenario by its index (or a size of the sweep), a policy, a seed."""
+    """One run of a policy with a seed.
+
+    The scenario is given by its index in `all_cases()`. In the sweep `engines` is set instead, and
+    the run uses the Quote Desk scenario with this number of engines.
+    """
 
-    case: int
+    case_index: int
     engines: int | None
     policy: str
     seed: int
 
 
 def run(job: Job) -> Measures:
-    """Replay one run."""
+    """Replay a job and return its measures."""
     case = quote_desk(job.engines) if job.engines is not None else all_cases()[job.case_index]
     policy = next(p for p in all_policies() if p.name == job.policy)
     turns = make_turns(case.session_kinds, job.seed, case.scenario.duration_s, case.requests_per_s)
@@ -42,13 +49,13 @@
 
 
 def main() -> int:
-    """Run all scenarios and the sweep, and report."""
+    """Run the scenarios and the sweep, then print the tables and save them with the plots."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--only", help="a part of a scenario's name")
-    parser.add_argument("--policies", help="a part of the policies' names")
+    parser.add_argument("--only", help="run only scenarios whose name contains this text")
+    parser.add_argument("--policies", help="run only policies whose name contains this text")
     parser.add_argument("--no-sweep", action="store_true")
     options = parser.parse_args()
-    began = time.monotonic()
+    started_at = time.monotonic()
     cases = all_cases()
     names = [p.name for p in all_policies() if (options.policies or "") in p.name]
     jobs = [
@@ -66,25 +73,28 @@
             for seed in SEEDS
         ]
     with ProcessPoolExecutor(PROCESSES) as pool:
-        found = dict(zip(jobs, pool.map(run, jobs), strict=True))
+        results = dict(zip(jobs, pool.map(run, jobs), strict=True))
         pairs = [(recompute, seed) for recompute in RECOMPUTE_WEIGHTS for seed in SEEDS]
-        trades = (
+        tradeoffs = (
             [] if options.no_sweep else list(pool.map(measure_tradeoff, *zip(*pairs, strict=True)))
         )
     OUTPUT_DIR.mkdir(exist_ok=True)
-    text = report(cases, found) + (format_tradeoffs(trades) + "\n" if trades else "")
+    text = report(cases, results) + (format_tradeoffs(tradeoffs) + "\n" if tradeoffs else "")
     (OUTPUT_DIR / "bench.txt").write_text(text)
     print(text)
-    _save_plots(cases, found)
-    print(f"{len(jobs)} runs in {time.monotonic() - began:.0f} s")
+    _save_plots(cases, results)
+    print(f"{len(jobs)} runs in {time.monotonic() - started_at:.0f} s")
     return 0
 
 
-def report(cases: list[Case], found: dict[Job, Measures]) -> str:
-    """Return the tables: for each scenario and policy the median over the seeds, and the spread."""
+def report(cases: list[Case], results: dict[Job, Measures]) -> str:
+    """Return the tables of all scenarios and of the sweep.
+
+    A row is a policy's median over the seeds, for some columns with the range.
+    """
     lines: list[str] = []
     for index, case in enumerate(cases):
-        rows = _by_policy(found, index, None)
+        rows = _by_policy(results, index, None)
         if not rows:
             continue
         lines.append(f"\n{case.scenario.name}: {case.scenario.engines} engines, {len(SEEDS)} seeds")
@@ -92,7 +102,7 @@
         lines.extend(_summary_row(name, measures) for name, measures in rows.items())
         lines.append(_LATENCY_HEADER)
         lines.extend(_latency_row(name, measures) for name, measures in rows.items())
-    lines.append(_sweep_table(found))
+    lines.append(_sweep_table(results))
     return "\n".join(lines) + "\n"
 
 
@@ -126,9 +136,9 @@
 def _latency_row(name: str, runs: list[Measures]) -> str:
     cells = []
     for priority in ("immediate", "normal", "can-wait"):
-        first = [_median(runs, lambda m, f=f, p=priority: getattr(m, f)[p]) for f in _TTFT_FIELDS]  # type: ignore[misc]
+        ttfts = [_median(runs, lambda m, f=f, p=priority: getattr(m, f)[p]) for f in _TTFT_FIELDS]  # type: ignore[misc]
         gaps = [_median(runs, lambda m, f=f, p=priority: getattr(m, f)[p]) for f in _GAP_FIELDS]  # type: ignore[misc]
-        text = " ".join(f"{v:.3f}" for v in first) + " / " + " ".join(f"{v:.3f}" for v in gaps)
+        text = " ".join(f"{v:.3f}" for v in ttfts) + " / " + " ".join(f"{v:.3f}" for v in gaps)
         cells.append(f"{text:>44}")
     return f"{name:34}" + "".join(cells)
 
@@ -137,30 +147,34 @@
 _GAP_FIELDS = ("inter_token_p50_s", "inter_token_p95_s", "inter_token_p99_s")
 
 
-def _sweep_table(found: dict[Job, Measures]) -> str:
-    """Return the least cost at which each policy meets the target on every seed."""
-    lines = ["\ncost at the latency target, Quote Desk hours (least engines, all seeds)"]
+def _sweep_table(results: dict[Job, Measures]) -> str:
+    """Return the lowest cost at which each policy meets the target with every seed.
+
+    The text is empty if the sweep was not run.
+    """
+    lines = ["\ncost at the latency target, Quote Desk hours (fewest engines, all seeds)"]
     for name in SWEEP_POLICIES:
         shares = []
-        least: float | None = None
+        min_cost: float | None = None
         for engines in ENGINE_COUNTS:
-            runs = _by_policy(found, 0, engines).get(name)
+            runs = _by_policy(results, 0, engines).get(name)
             if not runs:
                 return ""
             shares.append(f"{engines}: {min(m.in_time_share['immediate'] for m in runs) * 100:.1f}")
-            if least is None and all(m.meets_target for m in runs):
-                least = statistics.median(m.cost_per_hour for m in runs)
-        cost = f"{least:.2f} an hour" if least is not None else "not met"
+            if min_cost is None and all(m.meets_target for m in runs):
+                min_cost = statistics.median(m.cost_per_hour for m in runs)
+        cost = f"{min_cost:.2f} an hour" if min_cost is not None else "not met"
         lines.append(f"{name:26}{cost:>16}   in time by engines: {', '.join(shares)}")
     return "\n".join(lines)
 
 
 def _by_policy(
-    found: dict[Job, Measures], case: int, engines: int | None
+    results: dict[Job, Measures], case_index: int, engines: int | None
 ) -> dict[str, list[Measures]]:
+    """Return the measures of all seeds for each policy."""
     rows: dict[str, list[Measures]] = {}
-    for job, measures in found.items():
-        if (job.case_index, job.engines) == (case, engines):
+    for job, measures in results.items():
+        if (job.case_index, job.engines) == (case_index, engines):
             rows.setdefault(job.policy, []).append(measures)
     return rows
 
@@ -177,23 +191,23 @@
     return f"{statistics.median(values):.{digits}f} ({low:.{digits}f}-{high:.{digits}f})"
 
 
-def _save_plots(cases: list[Case], found: dict[Job, Measures]) -> None:
-    """Draw, for each scenario, time to first token against recomputed tokens."""
+def _save_plots(cases: list[Case], results: dict[Job, Measures]) -> None:
+    """Plot time to first token against recomputed tokens, in one file per scenario."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     for index, case in enumerate(cases):
-        rows = _by_policy(found, index, None)
+        rows = _by_policy(results, index, None)
         if not rows:
             continue
         figure, axes = pyplot.subplots(figsize=(9, 5), layout="constrained")
         for name, runs in rows.items():
-            across = [m.recomputed_tokens / 1000 for m in runs]
-            up = [m.ttft_p95_s["immediate"] for m in runs]
+            thousands_recomputed = [m.recomputed_tokens / 1000 for m in runs]
+            ttft_p95_s = [m.ttft_p95_s["immediate"] for m in runs]
             marker = "o" if name.startswith("ours") else "x"
-            axes.scatter(across, up, label=name, marker=marker)
+            axes.scatter(thousands_recomputed, ttft_p95_s, label=name, marker=marker)
         axes.set_xlabel("recomputed tokens, thousands")
         axes.set_ylabel("immediate, first token p95, s")
         axes.set_title(case.scenario.name)
