--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,4 +1,4 @@
-"""Sums a run up into the measures of the brief."""
+"""Computes the measures of a run: latency, cost, recomputed tokens, refusals and balance."""
 
 import statistics
 from dataclasses import dataclass
@@ -10,15 +10,26 @@
 
 TTFT_TARGET_S = {Priority.IMMEDIATE: 0.38, Priority.NORMAL: 1.5, Priority.CAN_WAIT: 60.0}
 INTER_TOKEN_TARGET_S = {Priority.IMMEDIATE: 0.071, Priority.NORMAL: 0.1, Priority.CAN_WAIT: 0.5}
+"""Maximum times to the first token, and mean times between tokens, of requests that are in time."""
+
 PRICE_PER_ENGINE_HOUR = 0.40
 MIN_IN_TIME_SHARE = 0.95
+"""Share of the immediate requests that must be in time to meet the target."""
+
 LATE_REFUSAL_S = 0.1
-"""A refusal later than this after arrival is a late one."""
+"""A refusal is late if it comes more than this after the request's arrival."""
 
 
 @dataclass(frozen=True)
 class Measures:
-    """The measures of one run; times in seconds, shares as parts of one."""
+    """Measures of one run.
+
+    Dictionaries are keyed by priority. `late_first_tokens` counts requests whose first token came
+    after their deadline. `lost` counts requests that were neither finished nor refused by the end
+    of the run. `engine_max_over_mean` compares generated tokens per engine, `node_max_over_mean`
+    requests per node. `unfinished_drains` counts engines that still had requests when they were
+    reclaimed, under policies that plan reclaims.
+    """
 
     ttft_p50_s: dict[str, float]
     ttft_p95_s: dict[str, float]
@@ -40,7 +51,7 @@
 
     @property
     def meets_target(self) -> bool:
-        """Whether immediate work is in time often enough, and nothing is lost or refused."""
+        """Whether enough immediate requests are in time and no request is lost or refused."""
         return (
             self.in_time_share["immediate"] >= MIN_IN_TIME_SHARE
             and not self.lost
@@ -49,12 +60,12 @@
 
 
 def measure(scenario: Scenario, outcome: Outcome) -> Measures:
-    """Sum a run up."""
+    """Compute the measures of a run."""
     groups = {
         priority.value: [r for r in outcome.requests if r.turn.priority is priority]
         for priority in Priority
     }
-    firsts = {
+    ttfts = {
         name: [_ttft_s(r) for r in group if r.first_token_at] for name, group in groups.items()
     }
     gaps = {
@@ -63,9 +74,9 @@
     }
     refused = [r for r in outcome.requests if r.refused_at is not None]
     return Measures(
-        {name: _percentile(values, 50) for name, values in firsts.items()},
-        {name: _percentile(values, 95) for name, values in firsts.items()},
-        {name: _percentile(values, 99) for name, values in firsts.items()},
+        {name: _percentile(values, 50) for name, values in ttfts.items()},
+        {name: _percentile(values, 95) for name, values in ttfts.items()},
+        {name: _percentile(values, 99) for name, values in ttfts.items()},
         {name: _percentile(values, 50) for name, values in gaps.items()},
         {name: _percentile(values, 95) for name, values in gaps.items()},
         {name: _percentile(values, 99) for name, values in gaps.items()},
@@ -88,6 +99,7 @@
 
 
 def _mean_inter_token_s(request: Request) -> float:
+    """Return the mean time between tokens, 0.0 with fewer than two tokens."""
     if request.first_token_at is None or request.last_token_at is None or request.produced < 2:
         return 0.0
     return (request.last_token_at - request.first_token_at) / (request.produced - 1)
@@ -97,12 +109,12 @@
     priority = request.turn.priority
     if not request.done or request.first_token_at is None:
         return False
-    first = _ttft_s(request) <= TTFT_TARGET_S[priority]
-    return first and _mean_inter_token_s(request) <= INTER_TOKEN_TARGET_S[priority]
+    ttft_in_time = _ttft_s(request) <= TTFT_TARGET_S[priority]
+    return ttft_in_time and _mean_inter_token_s(request) <= INTER_TOKEN_TARGET_S[priority]
 
 
 def _in_time_share(group: list[Request]) -> float:
-    """Return the share in time; what was refused or lost is not in time."""
+    """Return the share of requests in time; refused and lost requests are not in time."""
     return sum(map(_is_in_time, group)) / len(group) if group else 1.0
 
 
