--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -1,9 +1,10 @@
-"""How well requests that end servers are told from others: `python -m bench.quarantine`.
+"""Simulates how well requests that crash servers are told from others.
 
-Servers take requests of 1.2 s on average, some of which are repeated once when their server ends.
-In some scenes a guilty request comes again and again, each time to a server that ends 0.1 s later
-and is back after 4 s; in others servers end for reasons of their own. The product's own code
-decides; word of an end is around after 0.05 s.
+Run with `python -m bench.quarantine`. Innocent requests take 1.2 s on average, and some of them are
+retried once if their server crashes. In some scenarios a guilty request is sent again and again and
+crashes each server 0.1 s after it started there; in others servers crash for unrelated reasons. A
+crashed server is back after 4 s. The daemon's own quarantine decides; crashes are reported to it
+after 0.05 s.
 """
 
 import argparse
@@ -23,18 +24,21 @@
 RESTART_S = 4.0
 REPORT_DELAY_S = 0.05
 RETRIED_SHARE = 0.3
-"""Part of the other requests that are repeated once."""
+"""Share of the innocent requests that are retried once after a crash."""
 
 FIRST_FAULT_S = 2.0
-"""The first guilty request, or the first end, comes after this time."""
+"""Time of the first unrelated crash. Guilty requests start at a random time between this and twice
+this."""
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What happens in 40 s.
+    """Traffic and faults of a run of 40 s.
 
-    `guilty` requests come every `repeat_interval_s` by chance, in `copies` at once, or all `synchronized`. Of all
-    servers, a part of `crash_share` ends together every `crash_interval_s`, or single ones if it is 0.
+    Innocent requests arrive at random, `requests_per_s` on average. Each guilty request is sent
+    again after a random time in the range `repeat_interval_s`, as `copies` at once; `synchronized`
+    ones are all sent together. Every `crash_interval_s`, `crash_share` of the servers crash
+    together, or one if it is 0; there are no such crashes if the interval is 0.
     """
 
     name: str
@@ -67,12 +71,16 @@
 
 
 MIN_STRIKES_BY_METHOD = {"three ends": 2.99, "two ends": 1.99}
-"""Ways to decide: ends of servers that a request must explain before it is blocked."""
+"""Compared thresholds: crashes that a request must explain before it is blocked."""
 
 
 @dataclass(slots=True)
 class RunResult:
-    """What came of a scene."""
+    """Result of one run.
+
+    It has the number of crashes by guilty requests, of innocent requests that were broken off by a
+    crash or refused by the quarantine, and the fingerprints that were blocked.
+    """
 
     guilty_crashes: int = 0
     innocent_broken: int = 0
@@ -81,7 +89,7 @@
 
 
 class Simulation:
-    """Servers and requests on a virtual clock."""
+    """One run of a scenario on a virtual clock, with the daemon's quarantine."""
 
     def __init__(self, scenario: Scenario, min_strikes: float, seed: int) -> None:
         self.scenario = scenario
@@ -98,7 +106,7 @@
         self._run_ids = count()
 
     def run(self) -> RunResult:
-        """Play the scene."""
+        """Run the scenario to its end and return the result."""
         self._schedule(0.0, self._on_arrival)
         guilty = list(range(self.scenario.guilty_requests))
         for numbers in [guilty] if self.scenario.synchronized else [[each] for each in guilty]:
@@ -121,8 +129,8 @@
         heapq.heappush(self._events, (when, next(self._event_ids), action))
 
     def _on_arrival(self) -> None:
-        name = b"innocent %d" % next(self._run_ids)
-        self._send(name, self.rng.random() < RETRIED_SHARE)
+        fingerprint = b"innocent %d" % next(self._run_ids)
+        self._send(fingerprint, self.rng.random() < RETRIED_SHARE)
         self._schedule(
             self._now + self.rng.expovariate(self.scenario.requests_per_s), self._on_arrival
         )
@@ -131,34 +139,34 @@
         for number in numbers:
             for _ in range(self.scenario.copies):
                 self._send(b"guilty %d" % number, False)
-        again_s = self.rng.uniform(*self.scenario.repeat_interval_s)
-        self._schedule(self._now + again_s, partial(self._send_guilty, numbers))
+        wait_s = self.rng.uniform(*self.scenario.repeat_interval_s)
+        self._schedule(self._now + wait_s, partial(self._send_guilty, numbers))
 
-    def _send(self, name: bytes, repeats: bool) -> None:
-        if self.quarantine.wait_s(name, self._now):
-            self.result.innocent_refused += not name.startswith(b"guilty")
+    def _send(self, fingerprint: bytes, retried: bool) -> None:
+        if self.quarantine.wait_s(fingerprint, self._now):
+            self.result.innocent_refused += not fingerprint.startswith(b"guilty")
             return
         server = self._choose_server()
         if server is None:
             return
         run = next(self._run_ids)
-        self._running[server][run] = (name, repeats)
-        if name.startswith(b"guilty"):
+        self._running[server][run] = (fingerprint, retried)
+        if fingerprint.startswith(b"guilty"):
             self._schedule(self._now + CRASH_DELAY_S, partial(self._crash_if_running, server, run))
         else:
-            took_s = self.rng.expovariate(1 / MEAN_SERVICE_S)
-            self._schedule(self._now + took_s, partial(self._finish, server, run))
+            service_s = self.rng.expovariate(1 / MEAN_SERVICE_S)
+            self._schedule(self._now + service_s, partial(self._finish, server, run))
 
     def _choose_server(self) -> str | None:
-        """Return the less loaded one of two servers by chance."""
+        """Return the less loaded of two random servers that are up, or None if none is."""
         up = [each for each in self._running if self._available_at[each] <= self._now]
-        some = self.rng.sample(up, min(2, len(up)))
-        return min(some, key=lambda each: len(self._running[each]), default=None)
+        candidates = self.rng.sample(up, min(2, len(up)))
+        return min(candidates, key=lambda each: len(self._running[each]), default=None)
 
     def _finish(self, server: str, run: int) -> None:
-        held = self._running[server].pop(run, None)
-        if held is not None:
-            self.quarantine.record_served(held[0])
+        entry = self._running[server].pop(run, None)
+        if entry is not None:
+            self.quarantine.record_served(entry[0])
 
     def _crash_if_running(self, server: str, run: int) -> None:
         if run in self._running[server]:
@@ -174,39 +182,44 @@
         self._schedule(self._now + self.scenario.crash_interval_s, self._crash_some)
 
     def _crash(self, server: str) -> None:
-        held = list(self._running[server].values())
+        running = list(self._running[server].values())
         self._running[server].clear()
         self._available_at[server] = self._now + RESTART_S
-        at = self._now
-        names = [name for name, _ in held]
+        crashed_at = self._now
+        fingerprints = [fingerprint for fingerprint, _ in running]
         self._schedule(
-            at + REPORT_DELAY_S, partial(self.quarantine.record_crash, server, names, at)
+            crashed_at + REPORT_DELAY_S,
+            partial(self.quarantine.record_crash, server, fingerprints, crashed_at),
         )
-        for name, repeats in held:
-            guilty = name.startswith(b"guilty")
+        for fingerprint, retried in running:
+            guilty = fingerprint.startswith(b"guilty")
             self.result.innocent_broken += not guilty
-            if repeats:
-                self._schedule(at + 0.005, partial(self._send, name, False))
+            if retried:
+                self._schedule(crashed_at + 0.005, partial(self._send, fingerprint, False))
 
 
 def main() -> int:
-    """Print a table: what each way does in each scene."""
+    """Print a table of all scenarios and thresholds."""
     parser = argparse.ArgumentParser(prog="python -m bench.quarantine", description=__doc__)
     parser.add_argument("--seeds", type=int, default=100)
     seeds = range(parser.parse_args().seeds)
-    print("means of a run of 40 s: servers that guilty requests ended, others broken off,")
-    print("others blocked, and runs in which any guilty one was not blocked\n")
+    print(
+        "means per run of 40 s: servers crashed by guilty requests, innocent requests broken off,"
+    )
+    print(
+        "innocent requests blocked; and number of runs in which a guilty request wasn't blocked\n"
+    )
     for scenario in SCENARIOS:
         print(scenario.name)
-        for way, min_strikes in MIN_STRIKES_BY_METHOD.items():
-            tallies = [Simulation(scenario, min_strikes, seed).run() for seed in seeds]
+        for method, min_strikes in MIN_STRIKES_BY_METHOD.items():
+            results = [Simulation(scenario, min_strikes, seed).run() for seed in seeds]
             guilty = {b"guilty %d" % number for number in range(scenario.guilty_requests)}
             print(
-                f"  {way:32}"
-                f"{mean(each.guilty_crashes for each in tallies):8.2f}"
-                f"{mean(each.innocent_broken for each in tallies):9.1f}"
-                f"{mean(len(each.blocked_fingerprints - guilty) for each in tallies):8.3f}"
-                f"{sum(not guilty <= each.blocked_fingerprints for each in tallies):5d}"
+                f"  {method:32}"
+                f"{mean(each.guilty_crashes for each in results):8.2f}"
+                f"{mean(each.innocent_broken for each in results):9.1f}"
+                f"{mean(len(each.blocked_fingerprints - guilty) for each in results):8.3f}"
+                f"{sum(not guilty <= each.blocked_fingerprints for each in results):5d}"
             )
     return 0
 
