--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,7 +1,8 @@
 """Replays a workload against modelled engines on a virtual clock.
 
-Nodes decide with the daemon's own code: the load book, the queue, the reclaim plan. What is
-modelled here is only time: engine steps, report lags, notices.
+Nodes decide with the daemon's own code: the load tracker, the waiting queue and the reclaim plan.
+Only time is modelled here: the duration of engine steps, the lag of reports, and reclaim notices.
+An engine is a model server.
 """
 
 import heapq
@@ -33,18 +34,31 @@
 MODEL = "m"
 REPORT_INTERVAL_S = 1.0
 REPORT_LAG_S = 0.3
+"""Time from a load report until nodes apply it."""
+
 EVICTION_LAG_S = 0.5
+"""Time from a cache eviction until nodes know of it."""
+
 MAX_WAITING = 2_000
 NOTICE_LAG_S = 1.5
+"""Time from a reclaim notice until nodes know of it."""
+
 KV_BYTES_PER_TOKEN = 100_000
 LINK_BYTES_PER_S = 3.0e9
 RESUME_DELAY_S = 0.1
+"""Time from a broken stream until its request is queued again."""
+
 DRAIN_S = 120.0
+"""Time after the last arrivals in which open requests may still finish; the rest counts as lost."""
 
 
 @dataclass(frozen=True)
 class ReclaimWave:
-    """A wave: engines of these names get notice at a time; replacements come later, or never."""
+    """A reclaim of several engines at once.
+
+    The named engines get their notice at `at` and are gone `notice_s` later. Replacements start
+    `replaced_after_s` after the notice, or never if it is None.
+    """
 
     at: float
     engines: tuple[str, ...]
@@ -54,7 +68,11 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What is replayed: engines by hall, nodes, speeds, and faults."""
+    """The simulated deployment and its faults.
+
+    Engines are spread evenly over the halls. Requests arrive for `duration_s`. No load reports are
+    made between the two times of `report_outage_s`, except when a request finishes.
+    """
 
     name: str
     engines: int
@@ -68,7 +86,7 @@
 
 @dataclass
 class Request:
-    """One request on its way."""
+    """State of a request; `produced` is the number of tokens generated so far."""
 
     turn: Turn
     node: int
@@ -85,13 +103,18 @@
 
     @property
     def context_tokens(self) -> int:
-        """Return the tokens that a server must have computed to go on."""
+        """Return the tokens that a server must have in its cache to generate the next one."""
         return self.turn.prompt_tokens + self.produced
 
 
 @dataclass
 class Outcome:
-    """Everything that a run brought, before it is summed up."""
+    """Raw results of a run.
+
+    `recomputed_tokens` are those of the `computed_tokens` that an engine had already computed for
+    the same session. `unfinished_drains` counts engines that still had requests when they were
+    gone, under policies that plan reclaims.
+    """
 
     requests: list[Request] = field(default_factory=list)
     recomputed_tokens: int = 0
@@ -104,7 +127,7 @@
 
 @dataclass
 class _Engine:
-    """An engine with its model, and whether it steps now."""
+    """A model server; `sequence` numbers its load reports, `requests` is keyed by attempt."""
 
     name: str
     hall: str
@@ -118,7 +141,7 @@
 
 @dataclass
 class _Node:
-    """A node's own view and queue."""
+    """A node's view of the engines, its queue, and a moving average of the service time."""
 
     load_tracker: LoadTracker
     queue: WaitingQueue[Request]
@@ -126,7 +149,7 @@
 
 
 class Replay:
-    """One run of one policy over one workload."""
+    """Discrete-event simulation of one policy under one workload."""
 
     def __init__(
         self,
@@ -150,7 +173,7 @@
         self._outcome = Outcome()
 
     def run(self) -> Outcome:
-        """Replay everything and return what happened."""
+        """Run the simulation and return its results."""
         for index in range(self._scenario.engines):
             self._add_engine(f"e{index}", f"h{index % self._scenario.halls}")
         for turn in self._turns:
@@ -167,7 +190,7 @@
                 break
         return self._finish()
 
-    # Time
+    # Event loop
 
     def _schedule_at(self, when: float, action: Callable[[], None]) -> None:
         self._event_id += 1
@@ -212,7 +235,7 @@
         engine.stepping = True
         step = engine.model.step()
 
-        def done() -> None:
+        def finish_step() -> None:
             engine.stepping = False
             if not engine.alive:
                 return
@@ -223,7 +246,7 @@
             self._report_evictions(engine)
             self._step_soon(engine)
 
-        self._schedule_after(step.duration_s, done)
+        self._schedule_after(step.duration_s, finish_step)
 
     def _on_token(self, engine: _Engine, attempt: str) -> None:
         request = engine.requests.get(attempt)
@@ -252,7 +275,7 @@
         self._dispatch_waiting(request.node)
 
     def _count_computed(self, request: Request, sequence: Sequence) -> None:
-        """Count the prompt tokens that had been computed before for this session."""
+        """Count an attempt's computed tokens, and those computed before for its session."""
         session = request.turn.session
         new = max(0, sequence.context_tokens - self._computed_context[session])
         self._outcome.computed_tokens += sequence.computed_tokens
@@ -263,19 +286,19 @@
 
     def _report_evictions(self, engine: _Engine) -> None:
         notes, engine.model.cache.changes = engine.model.cache.changes, []
-        gone = [note.session for note in notes if note.kind == "evicted"]
-        if not gone:
+        evicted = [note.session for note in notes if note.kind == "evicted"]
+        if not evicted:
             return
 
-        def heard() -> None:
+        def forget_evicted() -> None:
             for node in self._nodes:
-                for session in gone:
+                for session in evicted:
                     if node.load_tracker.server_of(session) == engine.name:
                         node.load_tracker.forget_session(session)
 
-        self._schedule_after(EVICTION_LAG_S, heard)
+        self._schedule_after(EVICTION_LAG_S, forget_evicted)
 
-    # Reports
+    # Load reports
 
     def _report_all(self) -> None:
         begin, end = self._scenario.report_outage_s
@@ -286,9 +309,9 @@
         self._schedule_after(REPORT_INTERVAL_S, self._report_all)
 
     def _report(self, engine: _Engine, nodes: list[int]) -> None:
-        """Take a snapshot that arrives after the lag."""
+        """Report an engine's current load to some nodes, which apply it after `REPORT_LAG_S`."""
         engine.sequence += 1
-        load, taken = engine.model.load(), self._now
+        load, measured_at = engine.model.load(), self._now
         report = LoadReport(
             engine.name,
             engine.sequence,
@@ -299,12 +322,12 @@
             [MODEL],
         )
 
-        def arrive() -> None:
+        def deliver() -> None:
             for index in nodes:
-                self._nodes[index].load_tracker.apply_report(report, taken, self._now)
+                self._nodes[index].load_tracker.apply_report(report, measured_at, self._now)
                 self._dispatch_waiting(index)
 
-        self._schedule_after(REPORT_LAG_S, arrive)
+        self._schedule_after(REPORT_LAG_S, deliver)
 
     # Requests
 
@@ -323,11 +346,13 @@
         ready = eligible(node.load_tracker.views.values(), self._need(request))
         slots = sum(view.speeds.slots for view in ready)
         free = sum(max(0, view.speeds.slots - view.running) for view in ready)
-        ahead = node.queue.count_ahead(request.turn.priority, self._now)
-        # Other nodes draw on the same slots; each counts on its part of them.
-        part = 1 / len(self._nodes)
-        wait = estimated_wait_s(ahead, free, max(1, round(slots * part)), node.mean_service_s)
-        return wait > request.turn.deadline_s
+        queued_ahead = node.queue.count_ahead(request.turn.priority, self._now)
+        # Other nodes use the same slots, so each node counts only on its share of them.
+        share = 1 / len(self._nodes)
+        wait_s = estimated_wait_s(
+            queued_ahead, free, max(1, round(slots * share)), node.mean_service_s
+        )
+        return wait_s > request.turn.deadline_s
 
     def _enqueue(self, request: Request) -> None:
         node = self._nodes[request.node]
@@ -341,6 +366,7 @@
         self._dispatch_waiting(request.node)
 
     def _tick(self) -> None:
+        """Refuse expired requests and dispatch waiting ones every 0.1 s."""
         if self._policy.rejects_early:
             for node in self._nodes:
                 for request in node.queue.pop_expired(self._now):
@@ -350,20 +376,21 @@
         self._schedule_after(0.1, self._tick)
 
     def _dispatch_waiting(self, index: int) -> None:
+        """Dispatch a node's waiting requests in order of rank, as the daemon does."""
         node = self._nodes[index]
         if not len(node.queue):
             return
         full: set[Priority] = set()
         for request in node.queue.in_order()[:MAX_WAITERS_PER_PASS]:
-            has_home = node.load_tracker.server_of(request.turn.session) is not None
-            if request.turn.priority in full and not has_home:
+            has_cache = node.load_tracker.server_of(request.turn.session) is not None
+            if request.turn.priority in full and not has_cache:
                 continue
             need = self._need(request)
             if self._now - request.queued_at >= AFFINITY_WAIT_S:
                 need = replace(need, wait_for_cache=False)
             chosen = self._policy.choose(list(node.load_tracker.views.values()), need)
             if chosen is None:
-                if not has_home:
+                if not has_cache:
                     full.add(request.turn.priority)
                 continue
             node.queue.remove(request)
@@ -397,7 +424,7 @@
             request.reservation = None
 
     def _resume(self, request: Request) -> None:
-        """A request whose server has gone goes on elsewhere."""
+        """Queue a request again after its server has gone."""
         self._release(request)
         request.engine = ""
         self._schedule_after(RESUME_DELAY_S, lambda: self._enqueue(request))
@@ -405,7 +432,7 @@
     # Reclaims
 
     def _on_notice(self, wave: ReclaimWave) -> None:
-        def heard() -> None:
+        def handle_notice() -> None:
             for index, node in enumerate(self._nodes):
                 for name in wave.engines:
                     view = node.load_tracker.views.get(name)
@@ -414,12 +441,12 @@
                 if self._policy.plans_reclaims:
                     self._plan_reclaim(index, wave)
 
-        def gone() -> None:
+        def remove_engines() -> None:
             for name in wave.engines:
                 self._remove_engine(self._engines[name])
 
-        self._schedule_after(NOTICE_LAG_S, heard)
-        self._schedule_after(wave.notice_s, gone)
+        self._schedule_after(NOTICE_LAG_S, handle_notice)
+        self._schedule_after(wave.notice_s, remove_engines)
         if wave.replaced_after_s is not None:
             for name in wave.engines:
                 hall = self._engines[name].hall
@@ -429,32 +456,34 @@
                 )
 
     def _plan_reclaim(self, index: int, wave: ReclaimWave) -> None:
-        """Plan for a node's streams on each leaving engine, as the daemon does."""
+        """Plan a node's streams and idle caches on the leaving engines, and schedule the moves."""
         spec = self._scenario.spec
         for name in wave.engines:
             engine = self._engines[name]
-            mine = {a: r for a, r in engine.requests.items() if r.node == index}
-            held = self._held_sessions(self._nodes[index], engine, mine)
-            share = max(1, len(mine)) / max(1, len(engine.requests))
+            own_requests = {a: r for a, r in engine.requests.items() if r.node == index}
+            held = self._held_sessions(self._nodes[index], engine, own_requests)
+            share = max(1, len(own_requests)) / max(1, len(engine.requests))
             view = reclaim.ReclaimView(
                 wave.notice_s - NOTICE_LAG_S,
                 LINK_BYTES_PER_S * share,
                 spec.prefill_tokens_per_s,
             )
-            by_id = {one.id: one for one in held}
-            spent = 0.0
-            for key, course in reclaim.plan(held, view).items():
-                if course is reclaim.ReclaimAction.MOVE:
-                    spent += by_id[key].kv_bytes / view.bandwidth_bytes_per_s
-                    move = self._finish_idle_transfer if by_id[key].idle else self._finish_transfer
-                    self._schedule_after(spent, partial(move, index, engine, key))
-                elif course is reclaim.ReclaimAction.PREFILL and not by_id[key].idle:
-                    self._stop_and_resume(engine, key)
+            by_id = {session.id: session for session in held}
+            link_used_s = 0.0
+            for held_id, action in reclaim.plan(held, view).items():
+                if action is reclaim.ReclaimAction.MOVE:
+                    link_used_s += by_id[held_id].kv_bytes / view.bandwidth_bytes_per_s
+                    move = (
+                        self._finish_idle_transfer if by_id[held_id].idle else self._finish_transfer
+                    )
+                    self._schedule_after(link_used_s, partial(move, index, engine, held_id))
+                elif action is reclaim.ReclaimAction.PREFILL and not by_id[held_id].idle:
+                    self._stop_and_resume(engine, held_id)
 
     def _held_sessions(
-        self, node: _Node, engine: _Engine, mine: dict[str, Request]
+        self, node: _Node, engine: _Engine, own_requests: dict[str, Request]
     ) -> list[reclaim.HeldSession]:
-        """Return a node's streams on an engine and, where the policy moves them, idle caches."""
+        """Return a node's streams on an engine and, if the policy moves them, its idle caches."""
         spec = self._scenario.spec
         token_s = spec.slots / spec.decode_tokens_per_s
         held = [
@@ -465,12 +494,12 @@
                 (request.turn.output_tokens - request.produced) * token_s,
                 request.turn.priority is Priority.IMMEDIATE,
             )
-            for attempt, request in mine.items()
+            for attempt, request in own_requests.items()
         ]
         view = node.load_tracker.views.get(engine.name)
         if not self._policy.moves_idle_caches or view is None:
             return held
-        busy = {request.turn.session for request in mine.values()}
+        busy = {request.turn.session for request in own_requests.values()}
         return held + [
             reclaim.HeldSession(session, tokens, tokens * KV_BYTES_PER_TOKEN, 0.0, False, idle=True)
             for session, tokens in view.cached.items()
@@ -478,7 +507,7 @@
         ]
 
     def _finish_idle_transfer(self, index: int, source: _Engine, session: str) -> None:
-        """End the transfer of an idle session's cache."""
+        """Store an idle session's cache at the server that the policy chooses."""
         node = self._nodes[index]
         if not source.alive or node.load_tracker.server_of(session) != source.name:
             return
@@ -491,7 +520,7 @@
             node.load_tracker.record_cache(session, chosen.server, tokens)
 
     def _finish_transfer(self, index: int, source: _Engine, attempt: str) -> None:
-        """End a transfer: the cache is at the target, and the stream goes on there."""
+        """Store a stream's cache at the server that the policy chooses and resume it there."""
         request = source.requests.get(attempt)
         if request is None or request.done or not source.alive:
             return
@@ -531,7 +560,7 @@
             node.load_tracker.unfollow(engine.name)
             self._dispatch_waiting(index)
 
-    # The end
+    # Results
 
     def _all_done(self) -> bool:
         return all(r.done or r.refused_at is not None for r in self._outcome.requests)
