--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the bench, each a workload with its faults."""
+"""The scenarios of the routing benchmark, each a deployment with a workload and faults."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,15 @@
 NOTICE_S = 6.0
 DURATION_S = 90.0
 ENGINE_COUNTS = (4, 5, 6, 7, 8, 10, 12)
-"""Numbers of engines that the cost at the target is searched over."""
+"""Numbers of engines among which the sweep finds the cheapest that meets the target."""
 
 
 @dataclass(frozen=True)
 class Case:
-    """A scenario with its workload; `recompute_weight` is the weight of the deployment's bundle."""
+    """A scenario with its workload.
+
+    `recompute_weight` is the weight of recomputed tokens in the bundle of such a deployment.
+    """
 
     scenario: Scenario
     session_kinds: list[SessionKind]
@@ -27,17 +30,17 @@
 
 
 def quote_desk(engines: int = 10) -> Case:
-    """Quote Desk hours on a number of engines."""
+    """Return the Quote Desk scenario with a number of engines."""
     return Case(Scenario("Quote Desk hours", engines, duration_s=DURATION_S), QUOTE_DESK, 20.0, 0.3)
 
 
 def all_cases() -> list[Case]:
     """Return every scenario."""
     hall = _engines_of_hall(10, 0)
-    most = tuple(f"e{index}" for index in range(5))
+    half_of_engines = tuple(f"e{index}" for index in range(5))
     wave = ReclaimWave(WAVE_AT_S, hall, NOTICE_S)
     refused = ReclaimWave(WAVE_AT_S, hall, NOTICE_S, replaced_after_s=None)
-    half = ReclaimWave(WAVE_AT_S, most, NOTICE_S)
+    half = ReclaimWave(WAVE_AT_S, half_of_engines, NOTICE_S)
     return [
         quote_desk(),
         Case(Scenario("Ordervoet sessions", 10, duration_s=DURATION_S), ORDERVOET, 5.0, 0.7),
@@ -78,9 +81,9 @@
 
 
 SIX_ENGINE_CAPACITY_PER_S = 18.0
-"""Requests a second of the Quote Desk mix that six engines keep the target at.
+"""Rate of the Quote Desk workload up to which six engines meet the latency target.
 
-Trials with seeds 1 to 3: kept on all three at 18, missed on two at 20.
+With seeds 1 to 3 it is met with all three at 18 requests per second, and missed with two at 20.
 """
 
 OVERLOAD_PER_S = 1.5 * SIX_ENGINE_CAPACITY_PER_S
