--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -1,9 +1,10 @@
-"""How nodes keep a server's limit together: `python -m bench.server_limits`.
+"""Compares methods by which nodes keep a server's rate limit together.
 
-Nodes get requests by chance; servers name a limit of so many requests a second from all nodes
-together. Ways to keep the sum are played on the same requests. News of other nodes come each 0.2 s.
-Told is the most that one server got in any 4 s against what its limit grants in that time, the
-share of the limits that was used where there were requests for it, and messages a second.
+Run with `python -m bench.server_limits`. Requests arrive at random nodes. Each server states a
+limit in requests per second for all nodes together. The methods are run on the same requests, and
+nodes learn of each other's state every 0.2 s. The table shows the maximum that one server got in
+any 4 s relative to what its limit grants in that time, the share of the limits that was used (there
+is demand for all of it), and messages per second.
 """
 
 import argparse
@@ -20,20 +21,22 @@
 RUN_DURATION_S = 60.0
 WINDOW_S = 4.0
 GOSSIP_INTERVAL_S = 0.2
-"""Time between two tellings of a node's state."""
+"""Time between two broadcasts of a node's state."""
 
 GRANT_ROUND_TRIP_S = 0.002
-"""Time from a question to a node that grants until its answer."""
+"""Time from a node's request for a grant until the answer; it isn't simulated."""
 
 MIN_NODE_SHARE_PER_S = 1.0
-"""Nodes that are drawn for a server get at least so much of its limit each."""
+"""Minimum share of a limit, in requests per second, of each node that is selected for a server."""
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """`demand_factor` is what callers ask of all limits together; `busy_share` nodes get all of it.
+    """The simulated nodes, servers and demand.
 
-    From 20 to 40 s the nodes are `partitioned` into two halves that hear nothing of each other.
+    Each server states `limit_per_s`. Callers send `demand_factor` times the sum of the limits, all
+    of it to `busy_share` of the nodes. If `partitioned`, the nodes are split from 20 to 40 s into
+    two halves that don't reach each other.
     """
 
     name: str
@@ -62,7 +65,7 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """What a way to decide may know: nodes, servers, and which nodes hear each other."""
+    """What limiters may know: nodes, servers, and which nodes reach each other."""
 
     scenario: Scenario
     rng: random.Random
@@ -75,7 +78,7 @@
         self.servers = [f"s{each}" for each in range(self.scenario.servers)]
 
     def reachable_nodes(self, node: str, now: float) -> list[str]:
-        """Return the nodes that one hears, with itself."""
+        """Return the nodes whose state reaches a node, including itself."""
         if not self.scenario.partitioned or not 20.0 <= now < 40.0:
             return self.nodes
         side = int(node[1:]) % 2
@@ -86,38 +89,38 @@
     """Decides whether a node may send a request to a server."""
 
     def try_acquire(self, node: str, server: str, now: float) -> bool:
-        """Say whether one more may be sent, and count it if so."""
+        """Return whether one more request may be sent, and count it if so."""
         ...
 
 
 class EqualShares:
-    """Each node keeps its part of the limit by itself."""
+    """Gives each node an equal share of the limit, which it keeps by itself."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._pacers: dict[tuple[str, str], Pacer] = {}
 
     def try_acquire(self, node: str, server: str, now: float) -> bool:
-        """Take a place of the node's own part."""
-        part = self._cluster.scenario.limit_per_s / len(self._cluster.reachable_nodes(node, now))
-        pacer = self._pacers.setdefault((node, server), Pacer(part, now))
-        pacer.per_s = part
+        """Take a slot of the node's own share."""
+        share = self._cluster.scenario.limit_per_s / len(self._cluster.reachable_nodes(node, now))
+        pacer = self._pacers.setdefault((node, server), Pacer(share, now))
+        pacer.per_s = share
         return pacer.take(now).granted
 
 
 class HashedSubset:
-    """A few nodes, drawn by a hash, keep a part each; the others send nothing there."""
+    """Gives equal shares to a few nodes selected by a hash; the others send the server nothing."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._pacers: dict[tuple[str, str], Pacer] = {}
 
     def try_acquire(self, node: str, server: str, now: float) -> bool:
-        """Take a place if the node is one of the few."""
+        """Take a slot if the node is one of the selected ones."""
         limit = self._cluster.scenario.limit_per_s
-        heard = self._cluster.reachable_nodes(node, now)
-        number = max(1, min(len(heard), int(limit / MIN_NODE_SHARE_PER_S)))
-        if node not in ranked(server, heard)[:number]:
+        reachable = self._cluster.reachable_nodes(node, now)
+        number = max(1, min(len(reachable), int(limit / MIN_NODE_SHARE_PER_S)))
+        if node not in ranked(server, reachable)[:number]:
             return False
         pacer = self._pacers.setdefault((node, server), Pacer.without_credit(limit / number, now))
         pacer.per_s = limit / number
@@ -125,21 +128,25 @@
 
 
 class GossipedCounts:
-    """Each node sums what all have told of the last second, and its own."""
+    """Lets each node add up its own requests of the last second and those that peers broadcast.
+
+    With limits below one request per second the time of one request is used instead. No more than
+    the last 64 requests of a node are counted.
+    """
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._sent: dict[tuple[str, str], list[float]] = defaultdict(list)
 
     def try_acquire(self, node: str, server: str, now: float) -> bool:
-        """Compare what is known to have been sent with the limit."""
-        told = now - now % GOSSIP_INTERVAL_S
+        """Compare the known number of recent requests with the limit."""
+        last_broadcast_at = now - now % GOSSIP_INTERVAL_S
         limit = self._cluster.scenario.limit_per_s
         span = max(1.0, 1.0 / limit)
         known = 0
-        for other in self._cluster.reachable_nodes(node, now):
-            until = now if other == node else told
-            sent = self._sent[other, server]
+        for peer in self._cluster.reachable_nodes(node, now):
+            until = now if peer == node else last_broadcast_at
+            sent = self._sent[peer, server]
             known += sum(1 for at in sent[-64:] if now - span < at <= until)
         if known >= limit * span:
             return False
@@ -148,9 +155,10 @@
 
 
 class SingleGrantor:
-    """One node grants, drawn by a hash; those that are turned away ask again when told.
+    """Lets one node, selected by a hash, grant all requests to a server.
 
-    A node that hears a part of the others only grants as much of the limit.
+    A rejected node asks again after the wait that it was given. In a partition each half has its
+    own grantor, which grants only the share of the limit that the half has of the nodes.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -160,13 +168,13 @@
         self._grantors: dict[tuple[str, bool, int], str] = {}
 
     def try_acquire(self, node: str, server: str, now: float) -> bool:
-        """Ask the node that grants, unless it is too early for that."""
+        """Ask the grantor, unless the wait after a rejection isn't over."""
         if now < self._retry_at.get((node, server), 0.0):
             return False
-        heard = self._cluster.reachable_nodes(node, now)
-        part = len(heard) / len(self._cluster.nodes)
-        grantor = self._grantor(server, node, heard)
-        limit = self._cluster.scenario.limit_per_s * part
+        reachable = self._cluster.reachable_nodes(node, now)
+        share = len(reachable) / len(self._cluster.nodes)
+        grantor = self._grantor(server, node, reachable)
+        limit = self._cluster.scenario.limit_per_s * share
         pacer = self._pacers.setdefault((grantor, server), Pacer.without_credit(limit, now))
         pacer.set_rate(limit, now)
         if grantor != node:
@@ -176,11 +184,11 @@
             self._retry_at[node, server] = now + reservation.wait_s
         return reservation.granted
 
-    def _grantor(self, server: str, node: str, heard: list[str]) -> str:
-        whole = len(heard) == len(self._cluster.nodes)
-        key = (server, whole, 0 if whole else int(node[1:]) % 2)
+    def _grantor(self, server: str, node: str, reachable: list[str]) -> str:
+        complete = len(reachable) == len(self._cluster.nodes)
+        key = (server, complete, 0 if complete else int(node[1:]) % 2)
         if key not in self._grantors:
-            self._grantors[key] = first_ranked(server, heard) or node
+            self._grantors[key] = first_ranked(server, reachable) or node
         return self._grantors[key]
 
 
@@ -194,62 +202,67 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What came of a scene: see the module's text."""
+    """Result of one run: the columns of the table that the module's docstring describes."""
 
     max_over_limit: float
     used_share: float
     messages_per_s: float
 
 
-def run_scenario(scenario: Scenario, way: type, seed: int) -> RunResult:
-    """Play a scene once."""
+def run_scenario(scenario: Scenario, limiter_type: type, seed: int) -> RunResult:
+    """Run a scenario once with a limiter."""
     cluster = Cluster(scenario, random.Random(seed))
-    decide: Limiter = way(cluster)
+    limiter: Limiter = limiter_type(cluster)
     rng = cluster.rng
-    limits = scenario.limit_per_s * scenario.servers
-    busy_share = cluster.nodes[: max(1, round(scenario.busy_share * scenario.nodes))]
-    got: dict[str, list[float]] = {server: [] for server in cluster.servers}
+    total_limit_per_s = scenario.limit_per_s * scenario.servers
+    busy_nodes = cluster.nodes[: max(1, round(scenario.busy_share * scenario.nodes))]
+    received_at: dict[str, list[float]] = {server: [] for server in cluster.servers}
     now = 0.0
-    while (now := now + rng.expovariate(limits * scenario.demand_factor)) < RUN_DURATION_S:
-        node = rng.choice(busy_share)
+    while (
+        now := now + rng.expovariate(total_limit_per_s * scenario.demand_factor)
+    ) < RUN_DURATION_S:
+        node = rng.choice(busy_nodes)
         for server in rng.sample(cluster.servers, scenario.servers):
-            if decide.try_acquire(node, server, now):
-                got[server].append(now)
+            if limiter.try_acquire(node, server, now):
+                received_at[server].append(now)
                 break
-    most = max(max_in_window(times) for times in got.values())
-    used_share = sum(len(times) for times in got.values()) / (limits * RUN_DURATION_S)
+    max_count = max(max_in_window(times) for times in received_at.values())
+    used_share = sum(len(times) for times in received_at.values()) / (
+        total_limit_per_s * RUN_DURATION_S
+    )
     granted = scenario.limit_per_s * WINDOW_S
-    return RunResult(most / granted, used_share, cluster.messages / RUN_DURATION_S)
+    return RunResult(max_count / granted, used_share, cluster.messages / RUN_DURATION_S)
 
 
 def max_in_window(times: list[float]) -> int:
-    """Return the most requests in any window; `times` rise."""
-    begins = 0
-    most = 0
+    """Return the maximum number of requests within `WINDOW_S`; `times` must be sorted."""
+    first = 0
+    max_count = 0
     for number, at in enumerate(times):
-        while times[begins] <= at - WINDOW_S:
-            begins += 1
-        most = max(most, number - begins + 1)
-    return most
+        while times[first] <= at - WINDOW_S:
+            first += 1
+        max_count = max(max_count, number - first + 1)
+    return max_count
 
 
 def main() -> int:
-    """Print a table."""
+    """Print a table of all scenarios and limiters."""
     parser = argparse.ArgumentParser(prog="python -m bench.server_limits")
     parser.add_argument("--seeds", type=int, default=5)
     seeds = range(parser.parse_args().seeds)
     print("| scene | way | most in 4 s, x limit (allowed) | used | messages a second |")
     print("|---|---|---|---|---|")
     for scenario in SCENARIOS:
+        # Allowed are 1.5 times the limit, plus 5 requests.
         bound = 1.5 + 5.0 / (scenario.limit_per_s * WINDOW_S)
-        for name, way in LIMITERS.items():
-            figures = [run_scenario(scenario, way, seed) for seed in seeds]
-            most = max(each.max_over_limit for each in figures)
-            used_share = mean(each.used_share for each in figures)
-            messages = mean(each.messages_per_s for each in figures)
-            kept = f"{most:.2f} ({bound:.2f})"
+        for name, limiter_type in LIMITERS.items():
+            results = [run_scenario(scenario, limiter_type, seed) for seed in seeds]
+            max_over_limit = max(each.max_over_limit for each in results)
+            used_share = mean(each.used_share for each in results)
+            messages = mean(each.messages_per_s for each in results)
+            cell = f"{max_over_limit:.2f} ({bound:.2f})"
             print(
-                f"| {scenario.name} | {name} | {kept} | {used_share:.2f} | {messages:.1f} |",
+                f"| {scenario.name} | {name} | {cell} | {used_share:.2f} | {messages:.1f} |",
                 flush=True,
             )
     return 0
