--- a/bench/weights.py
+++ b/bench/weights.py
@@ -1,4 +1,7 @@
-"""How the bundle's weights trade cost against recomputed tokens when all reclaimable goes."""
+"""Measures how the bundle's weights trade cost against recomputed tokens.
+
+In each run all reclaimable instances are reclaimed at once.
+"""
 
 import statistics
 from dataclasses import dataclass
@@ -21,7 +24,11 @@
 
 @dataclass(frozen=True)
 class Tradeoff:
-    """What one weighting costs an hour and what a reclaim makes it compute again."""
+    """Cost per hour and recomputed tokens of one run.
+
+    `recompute` is the bundle's weight of recomputed tokens; `on_demand` and `reclaimed` are numbers
+    of engines.
+    """
 
     recompute: float
     engines: int
@@ -32,12 +39,12 @@
 
 
 def measure_tradeoff(recompute: float, seed: int) -> Tradeoff:
-    """Rent by the plan, then take back all reclaimable instances at once, on short notice."""
+    """Rent by the daemon's plan, then reclaim all reclaimable instances on short notice."""
     bundle = _example_bundle(recompute)
     held = _rent_for_demand(bundle)
-    names = {one.id: f"e{index}" for index, one in enumerate(held)}
-    reclaimable = [one for one in held if one.market is Market.RECLAIMABLE]
-    reclaimed = tuple(names[one.id] for one in reclaimable)
+    names = {instance.id: f"e{index}" for index, instance in enumerate(held)}
+    reclaimable = [instance for instance in held if instance.market is Market.RECLAIMABLE]
+    reclaimed = tuple(names[instance.id] for instance in reclaimable)
     scenario = Scenario(
         "weights",
         len(held),
@@ -50,25 +57,27 @@
     on_demand = len(held) - len(reclaimable)
     prices = {price.hall: price for price in bundle.prices}
     cost = sum(
-        prices[one.hall].on_demand
-        if one.market is Market.ON_DEMAND
-        else prices[one.hall].reclaimable
-        for one in held
+        prices[instance.hall].on_demand
+        if instance.market is Market.ON_DEMAND
+        else prices[instance.hall].reclaimable
+        for instance in held
     )
     return Tradeoff(
         recompute, len(held), on_demand, len(reclaimed), cost, measures.recomputed_tokens
     )
 
 
-def format_tradeoffs(found: list[Tradeoff]) -> str:
-    """Return the trade as lines, the median over the seeds."""
-    lines = ["\nweights of the bundle: cost against recomputed tokens, all reclaimable gone"]
+def format_tradeoffs(results: list[Tradeoff]) -> str:
+    """Return a table with a row per weight: the median over the seeds, and the range."""
+    lines = [
+        "\nweights of the bundle: cost against recomputed tokens, all reclaimable instances gone"
+    ]
     lines.append(
         f"{'weight of recompute':>20}{'engines':>9}{'on demand':>11}{'taken':>7}"
         f"{'cost/h':>8}{'recomputed k':>20}"
     )
     for recompute in RECOMPUTE_WEIGHTS:
-        runs = [one for one in found if one.recompute == recompute]
+        runs = [one for one in results if one.recompute == recompute]
         values = sorted(one.recomputed_tokens / 1000 for one in runs)
         spread = f"{statistics.median(values):.0f} ({values[0]:.0f}-{values[-1]:.0f})"
         one = runs[0]
@@ -80,12 +89,14 @@
 
 
 def _example_bundle(recompute: float) -> Bundle:
+    """Return the example bundle with other weights."""
     bundle = parse("example", EXAMPLE_BUNDLE.read_bytes()).unwrap()
     weights = Weights(cost=1 - recompute, recompute=recompute)
     return bundle.model_copy(update={"weights": weights})
 
 
 def _rent_for_demand(bundle: Bundle) -> list[HeldInstance]:
+    """Follow the renting plan until it rents no more, and return the instances."""
     held: list[HeldInstance] = []
     while True:
         changes = [
