--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -7,7 +7,7 @@
 from moledale.clock import monotonic
 from moledale.gateway.node import GatewayNode
 from tests.gateway_world import STAMP, Arrival, ScriptedServer, answer, request_bytes
-from tests.test_gateway_nodes import Cluster, ask, config, ready, until
+from tests.test_gateway_nodes import Cluster, ask, make_config, ready, wait_until
 
 WINDOW_S = 4.0
 """Length of the sliding window in which arrivals at a server are counted."""
@@ -101,7 +101,7 @@
 
 def set_long_timeouts(cluster: Cluster) -> None:
     """Set timeouts so long that a stall of the test machine does not end requests."""
-    plan = config(2)
+    plan = make_config(2)
     plan["routes"][0].update(timeoutMs=10_000, sloMs=2_000)  # type: ignore[index]
     cluster.platform.put("op", "config", plan)
 
@@ -112,6 +112,6 @@
     seed = (nodes[0].settings.node.control,)
     nodes += [await cluster.start(f"n{each}", seed) for each in range(1, number)]
     for node in nodes:
-        await until(ready(node))
-        await until(lambda node=node: len(node.members.members) == number - 1)  # type: ignore[misc]
+        await wait_until(ready(node))
+        await wait_until(lambda node=node: len(node.members.members) == number - 1)  # type: ignore[misc]
     return nodes
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -14,7 +14,7 @@
 from moledale.gateway.builds import FORMATS, BuildWatch
 from moledale.gateway.gossip import MAX_UNREADABLE_KINDS, OTHER_KINDS, GossipSocket, Message
 from tests.gateway_states import state
-from tests.test_gateway_nodes import Cluster, ask, on_cluster, ready, until
+from tests.test_gateway_nodes import Cluster, ask, ready, run_on_cluster, wait_until
 
 
 def events(handler: logbook.TestHandler) -> list[str]:
@@ -90,8 +90,8 @@
             first = await cluster.start("n1")
             second = await cluster.start("n2", (first.settings.node.control,))
             for node in (first, second):
-                await until(ready(node))
-            await until(lambda: bool(first.members.members))
+                await wait_until(ready(node))
+            await wait_until(lambda: bool(first.members.members))
             await asyncio.sleep(0.5)
             data = b"GET /metrics HTTP/1.1\r\nHost: d\r\n\r\n"
             body = (await ask(first.settings.node.control, data)).body
@@ -99,7 +99,7 @@
             for name in (b"peers_of_other_builds", b"news_unreadable_total", b"servers_limited"):
                 self.assertIn(b"moledale_" + name + b" 0\n", body)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -35,7 +35,7 @@
 BOUNDS = Bounds(stop_s=3.0, lease_s=0.6, usage_window_s=1.0)
 
 
-def config(version: int, prefix: str = "/check/", keys: tuple[str, ...] = (KEY,)) -> object:
+def make_config(version: int, prefix: str = "/check/", keys: tuple[str, ...] = (KEY,)) -> object:
     """Return a configuration as the operator writes it."""
     return {
         "version": version,
@@ -66,7 +66,7 @@
 FIRST_PORT = 7100
 
 
-def own_address() -> str:
+def random_loopback_address() -> str:
     """Return an address of loopback that no other node of this machine is likely to have."""
     return f"127.{random.randint(1, 254)}.{random.randint(0, 254)}.{random.randint(1, 254)}"
 
@@ -85,7 +85,7 @@
     async def __aenter__(self) -> "Cluster":
         await self.platform.start()
         await self.backend.start()
-        self.platform.put("op", "config", config(1))
+        self.platform.put("op", "config", make_config(1))
         self.list_backend("ready")
         return self
 
@@ -116,7 +116,7 @@
 
     async def start(self, name: str, seeds: tuple[str, ...] = ()) -> GatewayNode:
         """Start a node."""
-        address = own_address()
+        address = random_loopback_address()
         callers, control, directory, readiness, peers = (
             f"{address}:{FIRST_PORT + number}" for number in range(5)
         )
@@ -145,7 +145,7 @@
         self.nodes[name] = node
         self._stops[name] = asyncio.Event()
         task = asyncio.create_task(node.run(self._stops[name]))
-        task.add_done_callback(_note_failure)
+        task.add_done_callback(_record_failure)
         self._tasks[name] = task
         return node
 
@@ -186,13 +186,13 @@
         return found
 
 
-FAILED: list[str] = []
+NODE_FAILURES: list[str] = []
 """What ended nodes by itself, over all tests of this module."""
 
 
-def _note_failure(task: "asyncio.Task[int]") -> None:
+def _record_failure(task: "asyncio.Task[int]") -> None:
     if not task.cancelled() and task.exception() is not None:
-        FAILED.append(repr(task.exception()))
+        NODE_FAILURES.append(repr(task.exception()))
 
 
 async def ask(address: str, data: bytes) -> CallerAnswer:
@@ -205,12 +205,12 @@
     return got
 
 
-async def until(condition: Callable[[], bool], within_s: float = 5.0) -> None:
+async def wait_until(condition: Callable[[], bool], within_s: float = 5.0) -> None:
     """Wait until something holds; a node that ended by itself is told as the cause."""
     ends = monotonic() + within_s
     while not condition():
         if monotonic() > ends:
-            raise AssertionError(f"it never came true; nodes that ended: {FAILED}")
+            raise AssertionError(f"it never came true; nodes that ended: {NODE_FAILURES}")
         await asyncio.sleep(0.02)
 
 
@@ -219,12 +219,12 @@
     return lambda: node.standing is Standing.READY
 
 
-def version_of(node: GatewayNode) -> int:
+def plan_version_of(node: GatewayNode) -> int:
     """Return the plan version in force at a node."""
     return node.forwarder.index.version if node.forwarder.index is not None else 0
 
 
-def on_cluster(work: Callable[[Cluster], Awaitable[None]], bounds: Bounds = BOUNDS) -> None:
+def run_on_cluster(work: Callable[[Cluster], Awaitable[None]], bounds: Bounds = BOUNDS) -> None:
     """Run a test on a cluster."""
 
     async def run() -> None:
@@ -235,75 +235,75 @@
 
 
 class PlanTest(unittest.TestCase):
-    def test_new_version_is_in_force_at_once_and_stays(self) -> None:
+    def test_newer_plan_is_applied_at_once_and_older_one_is_ignored(self) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
-            await until(ready(node))
+            await wait_until(ready(node))
             self.assertEqual((await cluster.ask("n1")).status, 200)
-            cluster.platform.put("op", "config", config(3, "/new/"))
-            await until(lambda: version_of(node) == 3, 1.0)
+            cluster.platform.put("op", "config", make_config(3, "/new/"))
+            await wait_until(lambda: plan_version_of(node) == 3, 1.0)
             self.assertEqual((await cluster.ask("n1", "/new/")).status, 200)
             self.assertEqual((await cluster.ask("n1", "/check/")).status, 404)
-            cluster.platform.put("op", "config", config(2))
+            cluster.platform.put("op", "config", make_config(2))
             await asyncio.sleep(0.3)
-            self.assertEqual(version_of(node), 3)
+            self.assertEqual(plan_version_of(node), 3)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_node_without_a_plan_answers_503_and_is_not_ready(self) -> None:
+    def test_node_without_a_plan_responds_with_503_and_is_not_ready(self) -> None:
         async def work(cluster: Cluster) -> None:
             cluster.platform.drop("op", "config")
             node = await cluster.start("n1")
-            await until(lambda: node.fleet.known)
+            await wait_until(lambda: node.fleet.known)
             self.assertEqual((await cluster.ask("n1")).status, 503)
             self.assertIs(node.standing, Standing.STARTING)
-            cluster.platform.put("op", "config", config(1))
-            await until(ready(node), 1.0)
+            cluster.platform.put("op", "config", make_config(1))
+            await wait_until(ready(node), 1.0)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_forgotten_history_does_not_hide_a_version(self) -> None:
+    def test_new_plan_is_found_when_the_store_has_dropped_its_history(self) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
-            await until(ready(node))
+            await wait_until(ready(node))
             cluster.platform.history_from = cluster.platform.version + 10
-            cluster.platform.put("op", "config", config(4))
-            await until(lambda: version_of(node) == 4, 2.0)
+            cluster.platform.put("op", "config", make_config(4))
+            await wait_until(lambda: plan_version_of(node) == 4, 2.0)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_node_that_the_store_turns_away_learns_of_a_version_from_its_peers(self) -> None:
+    def test_node_that_gets_no_answer_from_the_store_gets_a_new_plan_from_its_peers(self) -> None:
         async def work(cluster: Cluster) -> None:
             first, second = await cluster.start("n1"), await cluster.start("n2")
-            await until(lambda: ready(first)() and ready(second)())
+            await wait_until(lambda: ready(first)() and ready(second)())
             silent = RowsPlatform(mode=StoreMode.SILENT)
             await silent.start()
             second.plans._store = PlatformStore(silent.address)
             await asyncio.sleep(WATCH_TIMEOUT_S + 0.3)
-            cluster.platform.put("op", "config", config(4))
-            await until(lambda: version_of(second) == 4, 2.0)
+            cluster.platform.put("op", "config", make_config(4))
+            await wait_until(lambda: plan_version_of(second) == 4, 2.0)
             await silent.stop()
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_few_nodes_watch_and_all_have_a_version_at_once(self) -> None:
+    def test_few_nodes_watch_the_store_and_all_get_a_new_plan_at_once(self) -> None:
         async def work(cluster: Cluster) -> None:
             nodes = [await cluster.start(f"n{number}") for number in range(7)]
             for node in nodes:
-                await until(ready(node))
+                await wait_until(ready(node))
             await asyncio.sleep(7.5)
             watching = [node for node in nodes if monotonic() - node.plans.store_reached_at < 3.5]
             self.assertEqual(len(watching), 3)
-            cluster.platform.put("op", "config", config(4))
-            await until(lambda: all(version_of(node) == 4 for node in nodes), 0.8)
+            cluster.platform.put("op", "config", make_config(4))
+            await wait_until(lambda: all(plan_version_of(node) == 4 for node in nodes), 0.8)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_others_watch_when_those_that_did_are_killed(self) -> None:
+    def test_other_nodes_watch_the_store_after_its_watchers_are_killed(self) -> None:
         async def work(cluster: Cluster) -> None:
             nodes = {f"n{number}": await cluster.start(f"n{number}") for number in range(6)}
             for node in nodes.values():
-                await until(ready(node))
+                await wait_until(ready(node))
             await asyncio.sleep(7.5)
             watching = [
                 name
@@ -313,54 +313,56 @@
             for name in watching:
                 cluster.kill(name)
                 del nodes[name]
-            cluster.platform.put("op", "config", config(4))
-            await until(lambda: all(version_of(node) == 4 for node in nodes.values()), 1.9)
+            cluster.platform.put("op", "config", make_config(4))
+            await wait_until(
+                lambda: all(plan_version_of(node) == 4 for node in nodes.values()), 1.9
+            )
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_store_that_is_down_changes_nothing_for_callers(self) -> None:
+    def test_requests_succeed_while_the_store_is_down(self) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
-            await until(ready(node))
+            await wait_until(ready(node))
             for mood in (StoreMode.BUSY, StoreMode.SILENT, StoreMode.RESET):
                 cluster.platform.mode = mood
                 await asyncio.sleep(0.4)
                 self.assertEqual((await cluster.ask("n1")).status, 200)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 class FleetTest(unittest.TestCase):
-    def test_leaving_server_is_known_to_all_nodes_while_one_reads_the_list(self) -> None:
+    def test_all_nodes_learn_of_a_leaving_server_while_only_one_reads_the_list(self) -> None:
         async def work(cluster: Cluster) -> None:
             nodes = [await cluster.start(f"n{number}") for number in range(3)]
             for node in nodes:
-                await until(ready(node))
+                await wait_until(ready(node))
             await asyncio.sleep(1.0)
             before = cluster.platform.reads["servers"]
             await asyncio.sleep(4.0)
             self.assertLessEqual(cluster.platform.reads["servers"] - before, 4.0 / 0.8 + 2)
             cluster.list_backend("draining")
             for node in nodes:
-                await until(lambda node=node: node.balancer.views["s1"].server.leaving, 1.5)  # type: ignore[misc]
+                await wait_until(lambda node=node: node.balancer.views["s1"].server.leaving, 1.5)  # type: ignore[misc]
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_silence_of_the_reader_is_made_up_for(self) -> None:
+    def test_other_node_reads_the_list_after_its_reader_is_killed(self) -> None:
         async def work(cluster: Cluster) -> None:
             nodes = [await cluster.start(f"n{number}") for number in range(3)]
             for node in nodes:
-                await until(ready(node))
+                await wait_until(ready(node))
             cluster.kill("n0")
             cluster.list_backend("draining")
             for node in nodes[1:]:
-                await until(lambda node=node: node.balancer.views["s1"].server.leaving, 1.8)  # type: ignore[misc]
+                await wait_until(lambda node=node: node.balancer.views["s1"].server.leaving, 1.8)  # type: ignore[misc]
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 class DutyTest(unittest.TestCase):
-    def reports(self, cluster: Cluster) -> dict[int, list[dict[str, int]]]:
+    def reported_counts(self, cluster: Cluster) -> dict[int, list[dict[str, int]]]:
         """Return the counts that were reported of each window."""
         found: dict[int, list[dict[str, int]]] = {}
         for call in cluster.platform.duty_calls:
@@ -369,39 +371,43 @@
                 found.setdefault(window, []).append(call.body["counts"])  # type: ignore[arg-type]
         return found
 
-    def test_each_request_is_reported_once_whoever_served_it(self) -> None:
+    def test_each_request_is_reported_once_whichever_node_served_it(self) -> None:
         async def work(cluster: Cluster) -> None:
             nodes = [await cluster.start(f"n{number}") for number in range(3)]
             for node in nodes:
-                await until(ready(node))
+                await wait_until(ready(node))
             for number in range(30):
                 self.assertEqual((await cluster.ask(f"n{number % 3}")).status, 200)
-            await until(
-                lambda: sum(c[0]["north"] for c in self.reports(cluster).values()) == 30, 6.0
+            await wait_until(
+                lambda: sum(c[0]["north"] for c in self.reported_counts(cluster).values()) == 30,
+                6.0,
             )
-            for counts in self.reports(cluster).values():
+            for counts in self.reported_counts(cluster).values():
                 self.assertTrue(all(each == counts[0] for each in counts))
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_successor_of_a_killed_holder_has_a_higher_fence_and_the_same_counts(self) -> None:
         async def work(cluster: Cluster) -> None:
             nodes = {f"n{number}": await cluster.start(f"n{number}") for number in range(3)}
             for node in nodes.values():
-                await until(ready(node))
-            await until(lambda: any(node.keeper.grant() for node in nodes.values()))
+                await wait_until(ready(node))
+            await wait_until(lambda: any(node.keeper.grant() for node in nodes.values()))
             holder = next(name for name, node in nodes.items() if node.keeper.grant())
             other = next(name for name in nodes if name != holder)
             for _ in range(5):
                 await cluster.ask(holder)
             await asyncio.sleep(0.5)
             cluster.kill(holder)
-            await until(
+            await wait_until(
                 lambda: any(n.keeper.grant() for name, n in nodes.items() if name != holder), 8.0
             )
             await cluster.ask(other)
-            await until(
-                lambda: sum(c[0].get("north", 0) for c in self.reports(cluster).values()) >= 6, 6.0
+            await wait_until(
+                lambda: (
+                    sum(c[0].get("north", 0) for c in self.reported_counts(cluster).values()) >= 6
+                ),
+                6.0,
             )
             fences: dict[str, set[int]] = {}
             for call in cluster.platform.duty_calls:
@@ -414,14 +420,14 @@
             order = [call.fence for call in cluster.platform.duty_calls]
             self.assertEqual(order, sorted(order))
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_lost_answers_of_the_store_give_no_second_holder(self) -> None:
+    def test_lost_answers_of_the_store_cause_no_second_holder(self) -> None:
         async def work(cluster: Cluster) -> None:
             nodes = [await cluster.start(f"n{number}") for number in range(2)]
             for node in nodes:
-                await until(ready(node))
-            await until(lambda: any(node.keeper.grant() for node in nodes))
+                await wait_until(ready(node))
+            await wait_until(lambda: any(node.keeper.grant() for node in nodes))
             cluster.platform.mode = StoreMode.LOSES_WRITE_ANSWERS
             ends = monotonic() + 4.0
             while monotonic() < ends:
@@ -429,22 +435,22 @@
                 self.assertLessEqual(len(held), 1)
                 await asyncio.sleep(0.02)
             cluster.platform.mode = StoreMode.HEALTHY
-            await until(lambda: any(node.keeper.grant() for node in nodes), 6.0)
+            await wait_until(lambda: any(node.keeper.grant() for node in nodes), 6.0)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_planned_stop_of_the_holder_passes_the_duties_on_at_once(self) -> None:
+    def test_planned_stop_of_the_holder_hands_over_the_lease_at_once(self) -> None:
         async def work(cluster: Cluster) -> None:
             nodes = {f"n{number}": await cluster.start(f"n{number}") for number in range(3)}
-            await until(lambda: any(node.keeper.grant() for node in nodes.values()))
+            await wait_until(lambda: any(node.keeper.grant() for node in nodes.values()))
             holder = next(name for name, node in nodes.items() if node.keeper.grant())
             cluster.stop(holder)
             others = [node for name, node in nodes.items() if name != holder]
-            await until(lambda: any(node.keeper.grant() for node in others), 2.5)
+            await wait_until(lambda: any(node.keeper.grant() for node in others), 2.5)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_frozen_counts_are_what_a_successor_sends(self) -> None:
+    def test_counts_that_a_successor_finds_stored_are_not_overwritten(self) -> None:
         async def work(cluster: Cluster) -> None:
             store = PlatformStore(cluster.platform.address)
             row = msgspec.json.encode({"window": 7, "counts": {"north": 3}})
@@ -457,11 +463,11 @@
                 (second.conflicting_row.value, second.conflicting_row.version), (row, first.version)
             )
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 class StopTest(unittest.TestCase):
-    def test_planned_stop_cuts_nothing_and_leaves_the_directory(self) -> None:
+    def test_planned_stop_finishes_requests_and_removes_the_node_from_the_directory(self) -> None:
         async def slow(arrival, reader, writer) -> None:  # type: ignore[no-untyped-def]
             await asyncio.sleep(0.7)
             await fine(arrival, reader, writer)
@@ -470,10 +476,12 @@
             cluster.backend.script = slow
             nodes = {name: await cluster.start(name) for name in ("n1", "n2")}
             for node in nodes.values():
-                await until(ready(node))
-                await until(lambda node=node: bool(node.members.alive(monotonic())))  # type: ignore[misc]
+                await wait_until(ready(node))
+                await wait_until(lambda node=node: bool(node.members.alive(monotonic())))  # type: ignore[misc]
             for node in nodes.values():
-                await until(lambda node=node: [n.serving for n in node.serving_nodes()] == [True])  # type: ignore[misc]
+                await wait_until(
+                    lambda node=node: [n.serving for n in node.serving_nodes()] == [True]
+                )  # type: ignore[misc]
             told = (await cluster.addresses("n1"))[0]
             first = next(n for n, node in nodes.items() if node.settings.node.callers == told)
             second = next(name for name in nodes if name != first)
@@ -491,15 +499,15 @@
             self.assertEqual((late.status, late.headers["connection"]), (200, "close"))
             self.assertEqual(await stopping, 0)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
-    def test_request_that_could_be_cut_at_the_end_of_a_stop_is_not_taken(self) -> None:
+    def test_request_that_may_not_finish_before_the_end_of_a_stop_is_rejected(self) -> None:
         async def hangs(arrival, reader, writer) -> None:  # type: ignore[no-untyped-def]
             await reader.read()
 
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
-            await until(ready(node))
+            await wait_until(ready(node))
             cluster.backend.script = hangs
             host, port = node.settings.node.callers.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -513,7 +521,7 @@
             writer.close()
             self.assertEqual(await stopping, 0)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 class DeployedLibrariesTest(unittest.TestCase):
@@ -566,7 +574,7 @@
         missing = load(root / "examples" / "no-such-file.toml").unwrap_err()
         self.assertIn("can't be read", str(missing[0]))
 
-    def test_findings_have_their_place(self) -> None:
+    def test_findings_name_the_path_of_the_setting(self) -> None:
         text = '[node]\nid = "n1"\nhall = "h"\nregion = "r"\ncallers = "x"\ncontrol = "a:1"\n'
         text += (
             'directory = "a:2"\nreadiness = "a:3"\npeers = "a:99999"\n[outside]\nstore = "a:1"\n'
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -19,7 +19,7 @@
     request_bytes,
     reset,
 )
-from tests.test_gateway_nodes import Cluster, ask, on_cluster, ready, until
+from tests.test_gateway_nodes import Cluster, ask, ready, run_on_cluster, wait_until
 
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
@@ -135,7 +135,7 @@
             statuses = [(await self.ask_guilty(cluster, name)).status for name in names]
             self.assertEqual(statuses, [503] * 3)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_block_survives_the_crash_of_all_nodes(self) -> None:
         """A node that starts without peers reads the block from the store.
@@ -158,7 +158,7 @@
             self.assertIn(crashed, self.ALLOWED_CRASHES)
             self.assertEqual(sum(server.ended for server in servers), crashed)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     async def start_servers(self, cluster: Cluster) -> list[FragileServer]:
         cluster.platform.drop("servers", cluster.backend.id)
@@ -176,9 +176,11 @@
             seeds = tuple(node.settings.node.control for node in nodes)
             nodes.append(await cluster.start(name, seeds))
         for node in nodes:
-            await until(ready(node))
-            await until(lambda node=node: len(node.balancer.views) == self.SERVERS)
-            await until(lambda node=node: len(node.members.alive(monotonic())) + 1 == len(names))
+            await wait_until(ready(node))
+            await wait_until(lambda node=node: len(node.balancer.views) == self.SERVERS)
+            await wait_until(
+                lambda node=node: len(node.members.alive(monotonic())) + 1 == len(names)
+            )
 
     async def ask_guilty(self, cluster: Cluster, name: str) -> CallerAnswer:
         callers = cluster.nodes[name].settings.node.callers
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -20,7 +20,7 @@
 from standins.rows import StoreMode
 from tests.fragile_server import GUILTY, FragileServer, fragile_server
 from tests.gateway_world import Arrival, GatewayWorld, a_plan, answer, quietly, reset
-from tests.test_gateway_nodes import Cluster, ask, on_cluster, ready, request_bytes, until
+from tests.test_gateway_nodes import Cluster, ask, ready, request_bytes, run_on_cluster, wait_until
 
 DECISION_WAIT_S = 0.4
 """Time after a crash by which its node has decided whether to block requests."""
@@ -339,8 +339,8 @@
             await server.start()
             cluster.list_server(server, "ready")
         node = await cluster.start(name)
-        await until(ready(node))
-        await until(lambda: len(node.balancer.views) == len(servers))
+        await wait_until(ready(node))
+        await wait_until(lambda: len(node.balancer.views) == len(servers))
         return servers
 
     async def ask_guilty(self, cluster: Cluster, name: str) -> int:
@@ -355,16 +355,16 @@
     def test_block_that_the_store_refused_is_written_later(self) -> None:
         async def work(cluster: Cluster) -> None:
             await self.start_node_and_servers(cluster, "n1")
-            await until(lambda: cluster.nodes["n1"].quarantine.synced)
+            await wait_until(lambda: cluster.nodes["n1"].quarantine.synced)
             cluster.platform.mode = StoreMode.BUSY
             await self.ask_guilty(cluster, "n1")
-            await until(lambda: bool(cluster.nodes["n1"].forwarder.guard.quarantine.blocks))
+            await wait_until(lambda: bool(cluster.nodes["n1"].forwarder.guard.quarantine.blocks))
             await asyncio.sleep(0.3)
             self.assertEqual(self.block_keys(cluster), [])
             cluster.platform.mode = StoreMode.HEALTHY
-            await until(lambda: len(self.block_keys(cluster)) == 1)
+            await wait_until(lambda: len(self.block_keys(cluster)) == 1)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_unreadable_row_hides_no_other(self) -> None:
         async def work(cluster: Cluster) -> None:
@@ -373,10 +373,10 @@
             until_s = monotonic() + 100.0
             cluster.platform.put(BLOCK_TABLE, "ab12", {"until_s": until_s, "times": 1})
             node = await cluster.start("n1")
-            await until(lambda: node.quarantine.synced)
+            await wait_until(lambda: node.quarantine.synced)
             self.assertEqual(list(node.forwarder.guard.quarantine.blocks), [b"\xab\x12"])
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_expired_block_blocks_nothing_and_its_row_is_deleted(self) -> None:
         async def work(cluster: Cluster) -> None:
@@ -384,24 +384,24 @@
             for key, until_s in (("aa", now_s - 1_000.0), ("bb", now_s - 10.0)):
                 cluster.platform.put(BLOCK_TABLE, key, {"until_s": until_s, "times": 1})
             node = await cluster.start("n1")
-            await until(lambda: node.quarantine.synced)
+            await wait_until(lambda: node.quarantine.synced)
             rows = cluster.platform.rows
-            await until(lambda: rows[(BLOCK_TABLE, "", "aa")].gone)
+            await wait_until(lambda: rows[(BLOCK_TABLE, "", "aa")].gone)
             self.assertFalse(rows[(BLOCK_TABLE, "", "bb")].gone)
             self.assertEqual(list(node.forwarder.guard.quarantine.blocks), [b"\xbb"])
             self.assertEqual(node.forwarder.guard.quarantine.wait_s(b"\xbb", monotonic()), 0.0)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_block_is_decided_on_once_and_written_once(self) -> None:
         async def work(cluster: Cluster) -> None:
             await self.start_node_and_servers(cluster, "n1")
             other = await cluster.start("n2", (cluster.nodes["n1"].settings.node.control,))
-            await until(ready(other))
-            await until(lambda: other.quarantine.synced)
+            await wait_until(ready(other))
+            await wait_until(lambda: other.quarantine.synced)
             for name in ("n1", "n2", "n1"):
                 await self.ask_guilty(cluster, name)
-            await until(lambda: len(self.block_keys(cluster)) == 1)
+            await wait_until(lambda: len(self.block_keys(cluster)) == 1)
             row = next(
                 each
                 for (table, _, _), each in cluster.platform.rows.items()
@@ -413,7 +413,7 @@
             for node in cluster.nodes.values():
                 self.assertEqual(len(node.forwarder.guard.quarantine.blocks), 1)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 if __name__ == "__main__":
--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -7,7 +7,7 @@
 from moledale.gateway.messages import Placed, PromptPart, RequestFacts, Server
 from moledale.gateway.plan import Engine
 from tests.gateway_world import fine, request_bytes
-from tests.test_gateway_nodes import Cluster, ScriptedServer, ask, on_cluster, ready, until
+from tests.test_gateway_nodes import Cluster, ScriptedServer, ask, ready, run_on_cluster, wait_until
 
 ENGINE = Engine(64, 100_000, 1, 1000.0)
 PARTS = (PromptPart("front", 4_000), PromptPart("own", 100))
@@ -58,19 +58,19 @@
         async def work(cluster: Cluster) -> None:
             cluster.list_server(cluster.backend, "ready", born=1_000)
             node = await cluster.start("n1")
-            await until(ready(node))
-            await until(lambda: list(node.balancer.views) == ["s1#1000"])
+            await wait_until(ready(node))
+            await wait_until(lambda: list(node.balancer.views) == ["s1#1000"])
             self.assertEqual((await cluster.ask("n1")).status, 200)
             self.assertTrue(node.pool.has_idle("s1#1000"))
             cluster.list_server(cluster.backend, "ready", born=2_000)
-            await until(lambda: list(node.balancer.views) == ["s1#2000"], 2.0)
+            await wait_until(lambda: list(node.balancer.views) == ["s1#2000"], 2.0)
             self.assertFalse(node.pool.has_idle("s1#1000"))
             got = await ask(node.settings.node.callers, request_bytes("/check/"))
             self.assertEqual(got.status, 200)
             asked = [each.get("expect-instance") for each in cluster.backend.arrivals]
             self.assertEqual(asked, ["s1", "s1"])
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_half_of_a_list_that_can_not_be_read_hides_no_server(self) -> None:
         async def work(cluster: Cluster) -> None:
@@ -81,14 +81,14 @@
                 await other.start()
                 cluster.list_server(other, "ready")
             node = await cluster.start("n1")
-            await until(ready(node))
-            await until(lambda: len(node.balancer.views) == 3)
+            await wait_until(ready(node))
+            await wait_until(lambda: len(node.balancer.views) == 3)
             answers = await asyncio.gather(*(cluster.ask("n1") for _ in range(6)))
             self.assertEqual([each.status for each in answers], [200] * 6)
             for other in others:
                 other.stop()
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 if __name__ == "__main__":
--- a/tests/test_rows_of_others.py
+++ b/tests/test_rows_of_others.py
@@ -16,7 +16,7 @@
 from standins.rows import RowsPlatform, StoreMode
 from tests.gateway_world import quietly
 from tests.test_gateway_lease import OneRow, keeper
-from tests.test_gateway_nodes import Cluster, config, on_cluster, ready, until
+from tests.test_gateway_nodes import Cluster, make_config, ready, run_on_cluster, wait_until
 
 NO_OBJECT = b'["not an object"]'
 NO_BASE64 = "a"
@@ -47,16 +47,16 @@
     def _plan_outlives(self, spoilt: Callable[[RowsPlatform], object]) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
-            await until(ready(node))
+            await wait_until(ready(node))
             spoilt(cluster.platform)
             calls = cluster.platform.calls
-            await until(lambda: cluster.platform.calls > calls + 3)
+            await wait_until(lambda: cluster.platform.calls > calls + 3)
             self.assertEqual((await cluster.ask("n1")).status, 200)
-            cluster.platform.put("op", "config", config(3))
-            await until(lambda: plan_of(node) == 3)
+            cluster.platform.put("op", "config", make_config(3))
+            await wait_until(lambda: plan_of(node) == 3)
             self.assertEqual(failures(node), {})
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_plan_that_is_no_object_leaves_the_one_before_in_force(self) -> None:
         self._plan_outlives(lambda platform: spoil(platform, "op", "config", NO_OBJECT))
@@ -67,7 +67,7 @@
     def test_plan_with_a_kind_of_route_that_is_not_known_leaves_the_one_before_in_force(
         self,
     ) -> None:
-        plan = config(2)
+        plan = make_config(2)
         assert isinstance(plan, dict)
         plan["routes"][0]["kind"] = "strange"
         self._plan_outlives(lambda platform: platform.put("op", "config", plan))
@@ -79,11 +79,11 @@
             spoil(cluster.platform, "leases", "duties", NO_OBJECT)
             began = monotonic()
             node = await cluster.start("n1")
-            await until(lambda: node.keeper.grant() is not None, 10.0)
+            await wait_until(lambda: node.keeper.grant() is not None, 10.0)
             self.assertGreater(monotonic() - began, cluster.bounds.lease_s)
             self.assertEqual(failures(node), {})
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_candidate_that_never_wrote_takes_no_spoilt_lease_for_its_own(self) -> None:
         async def work() -> None:
@@ -100,7 +100,7 @@
     def test_holder_whose_lease_is_spoilt_goes_on(self) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
-            await until(lambda: node.keeper.grant() is not None)
+            await wait_until(lambda: node.keeper.grant() is not None)
             held = node.keeper.grant()
             assert held is not None
             spoil(cluster.platform, "leases", "duties", NO_OBJECT)
@@ -114,24 +114,24 @@
             self.assertEqual((row.holder, row.epoch), ("n1", held.epoch))
             self.assertEqual(failures(node), {})
 
-        on_cluster(work, LONG_LEASE)
+        run_on_cluster(work, LONG_LEASE)
 
 
 class AnswersTest(unittest.TestCase):
     def test_answers_of_the_store_that_can_not_be_read_are_an_outage_of_it(self) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
-            await until(lambda: node.keeper.grant() is not None)
+            await wait_until(lambda: node.keeper.grant() is not None)
             cluster.platform.mode = StoreMode.UNREADABLE
             await asyncio.sleep(3.0)
             self.assertEqual((await cluster.ask("n1")).status, 200)
             cluster.platform.mode = StoreMode.HEALTHY
-            cluster.platform.put("op", "config", config(3))
-            await until(lambda: plan_of(node) == 3)
-            await until(lambda: node.keeper.grant() is not None)
+            cluster.platform.put("op", "config", make_config(3))
+            await wait_until(lambda: plan_of(node) == 3)
+            await wait_until(lambda: node.keeper.grant() is not None)
             self.assertEqual(failures(node), {})
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 class MembersOfOthersTest(unittest.TestCase):
@@ -142,12 +142,12 @@
             ):
                 spoil(cluster.platform, "members", f"spoilt-{number}", value)
             one, two = await cluster.start("n1"), await cluster.start("n2")
-            await until(lambda: "n2" in one.members.members and "n1" in two.members.members)
-            await until(ready(one))
+            await wait_until(lambda: "n2" in one.members.members and "n1" in two.members.members)
+            await wait_until(ready(one))
             self.assertEqual((await cluster.ask("n1")).status, 200)
             self.assertEqual((failures(one), failures(two)), ({}, {}))
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 if __name__ == "__main__":
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -33,7 +33,7 @@
     set_long_timeouts,
     start_nodes,
 )
-from tests.test_gateway_nodes import Cluster, on_cluster
+from tests.test_gateway_nodes import Cluster, run_on_cluster
 from tests.test_server_notices import make_rejection_head
 
 
@@ -53,7 +53,7 @@
     def test_requests_of_all_nodes_stay_within_a_limit(self) -> None:
         for limit_per_s in (1.0, 0.4):
             with self.subTest(limit_per_s=limit_per_s):
-                on_cluster(
+                run_on_cluster(
                     lambda cluster, limit=limit_per_s: self._check_total_limit(cluster, limit)
                 )
 
@@ -77,7 +77,7 @@
 
     def test_limited_servers_are_used_when_no_other_is_free(self) -> None:
         """At least half of each limit is used, and what can't be served is rejected at once."""
-        on_cluster(self._check_limited_servers_are_used)
+        run_on_cluster(self._check_limited_servers_are_used)
 
     async def _check_limited_servers_are_used(self, cluster: Cluster) -> None:
         servers = [make_limited_server("s1", 4.0), make_limited_server("s2", 2.0)]
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -31,7 +31,7 @@
     request_bytes,
 )
 from tests.test_gateway_evacuation import EnginePair
-from tests.test_gateway_nodes import Cluster, ask, on_cluster, ready, until
+from tests.test_gateway_nodes import Cluster, ask, ready, run_on_cluster, wait_until
 
 LEAVES = b"Server-Leaving: 1\r\n"
 RETRY_AFTER_S = 1.2
@@ -87,8 +87,8 @@
     first = await cluster.start("n1")
     second = await cluster.start("n2", (first.settings.node.control,))
     for node in (first, second):
-        await until(ready(node))
-        await until(lambda node=node: bool(node.members.members))
+        await wait_until(ready(node))
+        await wait_until(lambda node=node: bool(node.members.members))
     return first, second
 
 
@@ -428,11 +428,11 @@
             cluster.platform.mode = StoreMode.SILENT
             self.assertEqual((await ask_node(first)).status, 200)
             arrived = len(cluster.backend.arrivals)
-            await until(lambda: second.balancer.views["s1"].server.leaving)
+            await wait_until(lambda: second.balancer.views["s1"].server.leaving)
             self.assertEqual((await ask_node(second)).status, 503)
             self.assertEqual(len(cluster.backend.arrivals), arrived)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_other_nodes_retry_a_declining_server_later(self) -> None:
         async def work(cluster: Cluster) -> None:
@@ -440,7 +440,9 @@
             cluster.backend.script = decline_with_retry_time
             self.assertEqual((await ask_node(first)).status, 503)
             now = monotonic()
-            await until(lambda: second.balancer.views["s1"].standing.peers_declined_until > now)
+            await wait_until(
+                lambda: second.balancer.views["s1"].standing.peers_declined_until > now
+            )
             view = second.balancer.views["s1"]
             self.assertGreater(view.standing.peers_declined_until, now + RETRY_AFTER_S)
             latest = monotonic() + RETRY_AFTER_S + PEER_RETRY_DELAY_S
@@ -449,7 +451,7 @@
             cluster.backend.script = fine
             self.assertEqual((await ask_node(second)).status, 200)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_a_state_holds_a_bounded_number_of_servers(self) -> None:
         balancer = LoadBalancer("a")
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -7,7 +7,7 @@
 from moledale.log import Event
 from moledale.platform.store import PlatformStore
 from standins.rows import RowsPlatform
-from tests.test_gateway_nodes import config
+from tests.test_gateway_nodes import make_config
 from tests.test_platform_store import entry, on_store, read
 
 
@@ -68,7 +68,7 @@
                 platform.put("other", "row", {})
             position = (await store.plan(1.0)).unwrap().position
             platform.restore(copy)
-            platform.put("op", "config", config(2))
+            platform.put("op", "config", make_config(2))
             for _ in range(40):
                 platform.put("other", "row", {})
             self.assertTrue((await store.watch_plan(position, 0.1)).unwrap_err().history_gone)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -6,7 +6,7 @@
 from moledale.clock import monotonic
 from moledale.core.quarantine import Block
 from standins.rows import StoreMode, StoreSnapshot
-from tests.test_gateway_nodes import BOUNDS, Cluster, config, on_cluster, ready, until
+from tests.test_gateway_nodes import BOUNDS, Cluster, make_config, ready, run_on_cluster, wait_until
 
 NODES = ("n1", "n2", "n3")
 LOST_CHANGES = 200
@@ -22,7 +22,7 @@
     """Start the nodes, and let the store take changes that the returned copy lacks."""
     nodes = [await cluster.start(name) for name in NODES]
     for node in nodes:
-        await until(ready(node))
+        await wait_until(ready(node))
     await asyncio.sleep(0.3)
     copy = cluster.platform.snapshot()
     for _ in range(LOST_CHANGES):
@@ -38,7 +38,7 @@
     cluster.platform.restore(copy)
     cluster.platform.mode = StoreMode.HEALTHY
     await asyncio.sleep(0.1)
-    cluster.platform.put("op", "config", config(1))
+    cluster.platform.put("op", "config", make_config(1))
     cluster.list_backend("ready")
 
 
@@ -53,7 +53,7 @@
                 await cluster.ask(name)
             self.assertEqual(len(cluster.backend.arrivals) - before, 0)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_nodes_do_not_storm_the_store_after_its_return(self) -> None:
         async def work(cluster: Cluster) -> None:
@@ -66,7 +66,7 @@
                 await asyncio.sleep(0.02)
             self.assertLess(cluster.platform.calls - before, MOST_CALLS_PER_S)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 class RestoredRowsTest(unittest.TestCase):
@@ -78,9 +78,9 @@
             await started(cluster)
             await restore(cluster, empty)
             names = [("members", "", name) for name in NODES]
-            await until(lambda: all(name in cluster.platform.rows for name in names))
+            await wait_until(lambda: all(name in cluster.platform.rows for name in names))
 
-        on_cluster(work)
+        run_on_cluster(work)
 
     def test_blocks_of_requests_are_kept_again(self) -> None:
         async def work(cluster: Cluster) -> None:
@@ -88,12 +88,12 @@
             node = cluster.nodes[NODES[0]]
             name = ("blocks", "", b"guilty".hex())
             node.forwarder.guard.on_block(Block(b"guilty", monotonic() + 60.0, 1))
-            await until(lambda: name in cluster.platform.rows)
+            await wait_until(lambda: name in cluster.platform.rows)
             await restore(cluster, copy)
             self.assertNotIn(name, copy.rows)
-            await until(lambda: name in cluster.platform.rows)
+            await wait_until(lambda: name in cluster.platform.rows)
 
-        on_cluster(work)
+        run_on_cluster(work)
 
 
 if __name__ == "__main__":
