--- a/tests/test_gateway_lease.py
+++ b/tests/test_gateway_lease.py
@@ -21,14 +21,14 @@
 TTL_S = 0.42
 
 
-class OneRow:
+class SingleRowStore:
     """A store with one row and a clock; it may lose answers or fail."""
 
     def __init__(self) -> None:
         self.row: StateRow | None = None
         self.version = 10
         self.era = StoreEra()
-        self.loses = False
+        self.loses_answers = False
         self.down = False
         self.reads = 0
         self.writes = 0
@@ -62,26 +62,26 @@
             return Ok(WriteResult(self.version, False, self.row, self.clock(), self.era.number))
         self.version += 1
         self.row = StateRow(key, value, self.version)
-        if self.loses:
+        if self.loses_answers:
             return Err(Failure("lost"))
         return Ok(WriteResult(self.version, True, None, self.clock(), self.era.number))
 
-    def holds(self) -> LeaseRow:
+    def stored_lease(self) -> LeaseRow:
         """Return what the row says."""
         assert self.row is not None
         return msgspec.json.decode(self.row.value, type=LeaseRow)
 
 
-def keeper(store: OneRow, name: str, life: int = 1) -> LeaseKeeper:
+def make_keeper(store: SingleRowStore, name: str, incarnation: int = 1) -> LeaseKeeper:
     """Return a node's keeper."""
-    return LeaseKeeper(name, store, BOUNDS, f"{name}/{life}")  # type: ignore[arg-type]
+    return LeaseKeeper(name, store, BOUNDS, f"{name}/{incarnation}")  # type: ignore[arg-type]
 
 
 class LeaseKeeperTest(unittest.TestCase):
-    def test_first_one_takes_it_and_others_wait(self) -> None:
+    def test_first_candidate_acquires_the_lease_and_others_wait(self) -> None:
         async def work() -> None:
-            store = OneRow()
-            one, two = keeper(store, "one"), keeper(store, "two")
+            store = SingleRowStore()
+            one, two = make_keeper(store, "one"), make_keeper(store, "two")
             await one.step(0)
             await two.step(1)
             self.assertIsNotNone(one.grant())
@@ -90,10 +90,10 @@
 
         quietly(work())
 
-    def test_news_of_the_holder_save_reads(self) -> None:
+    def test_candidate_that_gets_renewals_does_not_read_the_row(self) -> None:
         async def work() -> None:
-            store = OneRow()
-            one, two = keeper(store, "one"), keeper(store, "two")
+            store = SingleRowStore()
+            one, two = make_keeper(store, "one"), make_keeper(store, "two")
             await one.step(0)
             news = one.lease_update()
             assert news is not None
@@ -104,12 +104,12 @@
 
         quietly(work())
 
-    def test_many_that_start_at_once_leave_the_lease_to_those_that_serve(self) -> None:
+    def test_nodes_in_reserve_that_start_together_leave_the_lease_to_serving_nodes(self) -> None:
         async def work() -> None:
-            store = OneRow()
+            store = SingleRowStore()
             row = LeaseRow("gone", 7, "gone/1/1", store.clock() - TTL_S - 1.0)
             store.row = StateRow(LEASE_KEY, msgspec.json.encode(row), 9)
-            keepers = [keeper(store, f"n{number}") for number in range(195)]
+            keepers = [make_keeper(store, f"n{number}") for number in range(195)]
             for _ in range(3):
                 for number, each in enumerate(keepers):
                     serving = number < 6
@@ -121,12 +121,12 @@
 
         quietly(work())
 
-    def test_one_of_a_crowd_takes_the_lease_of_a_holder_that_nobody_hears(self) -> None:
+    def test_node_of_a_large_cluster_acquires_the_lease_of_a_silent_holder(self) -> None:
         async def work() -> None:
-            store = OneRow()
+            store = SingleRowStore()
             row = LeaseRow("gone", 7, "gone/1/1", store.clock())
             store.row = StateRow(LEASE_KEY, msgspec.json.encode(row), 9)
-            one = keeper(store, "one")
+            one = make_keeper(store, "one")
             await one.step(1, 12.0)
             self.assertEqual(store.reads, 0)
             await asyncio.sleep(TTL_S + 0.3)
@@ -136,10 +136,10 @@
 
         quietly(work())
 
-    def test_told_renewal_counts_until_the_time_to_live_and_no_shorter(self) -> None:
+    def test_received_renewal_counts_for_the_whole_ttl_and_no_longer(self) -> None:
         async def work() -> None:
-            store = OneRow()
-            one, two = keeper(store, "one"), keeper(store, "two")
+            store = SingleRowStore()
+            one, two = make_keeper(store, "one"), make_keeper(store, "two")
             await one.step(0)
             version = store.version
             now = monotonic()
@@ -150,35 +150,35 @@
 
         quietly(work())
 
-    def test_node_that_starts_takes_an_old_row_at_once_and_a_fresh_one_later(self) -> None:
+    def test_starting_node_acquires_an_expired_lease_at_once_and_no_valid_one(self) -> None:
         async def work() -> None:
             for age, taken in ((TTL_S + 0.1, True), (0.1, False)):
-                store = OneRow()
+                store = SingleRowStore()
                 row = LeaseRow("gone", 7, "gone/1/1", store.clock() - age)
                 store.row = StateRow(LEASE_KEY, msgspec.json.encode(row), 9)
-                one = keeper(store, "one")
+                one = make_keeper(store, "one")
                 await one.step(0)
                 await one.step(0)
                 self.assertEqual(one.grant() is not None, taken)
                 if taken:
-                    self.assertEqual(store.holds().epoch, 8)
+                    self.assertEqual(store.stored_lease().epoch, 8)
 
         quietly(work())
 
-    def test_row_states_no_earlier_renewal_than_the_holder_counts_from(self) -> None:
+    def test_renewal_time_in_the_row_is_not_before_the_holders_own(self) -> None:
         clock = StoreClock()
         self.assertIsNone(clock.upper_bound(0.0))
         clock.record_answer(100.0, sent_at=50.0)
         self.assertEqual(clock.upper_bound(53.0), 103.0)
 
-    def test_lease_given_back_is_free_at_once_with_a_higher_fence(self) -> None:
+    def test_released_lease_is_acquired_at_once_with_a_higher_fence(self) -> None:
         async def work() -> None:
-            store = OneRow()
-            one, two = keeper(store, "one"), keeper(store, "two")
+            store = SingleRowStore()
+            one, two = make_keeper(store, "one"), make_keeper(store, "two")
             await one.step(0)
             await one.release()
             self.assertIsNone(one.grant())
-            self.assertEqual(store.holds().holder, NO_HOLDER)
+            self.assertEqual(store.stored_lease().holder, NO_HOLDER)
             await two.step(0)
             await two.step(0)
             grant = two.grant()
@@ -187,23 +187,23 @@
 
         quietly(work())
 
-    def test_write_whose_answer_was_lost_is_known_as_own(self) -> None:
+    def test_own_write_is_recognised_although_its_answer_was_lost(self) -> None:
         async def work() -> None:
-            store = OneRow()
-            store.loses = True
-            one = keeper(store, "one")
+            store = SingleRowStore()
+            store.loses_answers = True
+            one = make_keeper(store, "one")
             await one.step(0)
             self.assertIsNotNone(one.grant())
-            other_life = keeper(store, "one", life=2)
+            other_life = make_keeper(store, "one", incarnation=2)
             await other_life.step(0)
             self.assertIsNone(other_life.grant())
 
         quietly(work())
 
-    def test_holder_that_the_store_refuses_stops_in_time(self) -> None:
+    def test_holder_that_cannot_renew_stops_before_the_ttl_ends(self) -> None:
         async def work() -> None:
-            store = OneRow()
-            one = keeper(store, "one")
+            store = SingleRowStore()
+            one = make_keeper(store, "one")
             await one.step(0)
             store.down = True
             held = one.grant()
@@ -218,13 +218,13 @@
     """Nodes that do not hear the holder are told of its lease by nodes that do."""
 
     def setUp(self) -> None:
-        self.store = OneRow()
+        self.store = SingleRowStore()
         names = ("holder", "serving", "reserve")
         self.holder, self.serving, self.reserve = (
             LeaseKeeper(name, self.store, BOUNDS, f"{name}/1") for name in names
         )
 
-    async def _held(self) -> float:
+    async def _acquire_lease(self) -> float:
         await self.holder.step(0)
         news = self.holder.lease_update()
         assert news is not None
@@ -232,9 +232,9 @@
         self.serving.on_renewal("holder", news, now)
         return now
 
-    def test_node_that_is_told_does_not_ask_the_store(self) -> None:
+    def test_node_that_gets_a_relayed_renewal_does_not_read_the_store(self) -> None:
         async def scenario() -> None:
-            now = await self._held()
+            now = await self._acquire_lease()
             relayed = self.serving.lease_to_relay(now)
             assert relayed is not None
             self.reserve.on_renewal(relayed.holder, relayed.news, now, relayed=True)
@@ -245,9 +245,9 @@
 
         quietly(scenario())
 
-    def test_what_was_passed_on_is_not_passed_on_again(self) -> None:
+    def test_relayed_renewal_is_not_relayed_again(self) -> None:
         async def scenario() -> None:
-            now = await self._held()
+            now = await self._acquire_lease()
             relayed = self.serving.lease_to_relay(now)
             assert relayed is not None
             self.reserve.on_renewal(relayed.holder, relayed.news, now, relayed=True)
@@ -255,9 +255,9 @@
 
         quietly(scenario())
 
-    def test_lease_of_a_silent_holder_ends_though_it_is_passed_on(self) -> None:
+    def test_lease_of_a_silent_holder_expires_although_it_is_relayed(self) -> None:
         async def scenario() -> None:
-            now = await self._held()
+            now = await self._acquire_lease()
             self.assertIsNone(self.serving.lease_to_relay(now + TTL_S))
             late = self.serving.lease_to_relay(now + TTL_S / 2)
             assert late is not None
@@ -272,15 +272,15 @@
     """The store came back from a copy that lacks the last renewals, holders and fences."""
 
     def setUp(self) -> None:
-        self.store = OneRow()
+        self.store = SingleRowStore()
         self.store.era.observe(1)
-        self.one, self.two = keeper(self.store, "one"), keeper(self.store, "two")
+        self.one, self.two = make_keeper(self.store, "one"), make_keeper(self.store, "two")
         # Times of the test are shorter than those of nodes.
         short = mock.patch.object(lease_keeper, "RESTORE_GRACE_S", 0.02)
         short.start()
         self.addCleanup(short.stop)
 
-    async def _held_by_one_after(self, age_s: float) -> None:
+    async def _acquire_and_restore(self, age_s: float) -> None:
         """Let one take the lease of a row that was renewed long ago; the store then forgets it."""
         old = LeaseRow("gone", 7, "gone/1/1", self.store.clock() - age_s, era=1)
         copy = StateRow(LEASE_KEY, msgspec.json.encode(old), 9)
@@ -290,27 +290,27 @@
         self.assertIsNotNone(self.one.grant())
         self.store.restore(copy, 9)
 
-    async def _two_waits_until(self, end: float) -> None:
+    async def _assert_not_acquired_before(self, end: float) -> None:
         while monotonic() < end:
             await self.two.step(0)
             self.assertIsNone(self.two.grant())
             await asyncio.sleep(0.02)
 
-    def test_no_lease_is_taken_while_a_grant_of_the_former_era_may_run(self) -> None:
+    def test_no_lease_is_acquired_while_a_grant_of_the_previous_era_may_be_valid(self) -> None:
         async def work() -> None:
-            await self._held_by_one_after(TTL_S + 0.1)
+            await self._acquire_and_restore(TTL_S + 0.1)
             held = self.one.grant()
             assert held is not None
-            await self._two_waits_until(held.until)
+            await self._assert_not_acquired_before(held.until)
 
         quietly(work())
 
-    def test_next_holder_has_a_higher_fence_than_one_that_the_store_forgot(self) -> None:
+    def test_next_holder_has_a_higher_fence_than_one_that_the_store_lost(self) -> None:
         async def work() -> None:
-            await self._held_by_one_after(TTL_S + 0.1)
+            await self._acquire_and_restore(TTL_S + 0.1)
             forgotten = self.one.grant()
             assert forgotten is not None
-            stranger = keeper(self.store, "stranger")
+            stranger = make_keeper(self.store, "stranger")
             while stranger.grant() is None:
                 await stranger.step(0)
                 await asyncio.sleep(0.02)
@@ -320,9 +320,9 @@
 
         quietly(work())
 
-    def test_holder_goes_on_without_a_gap(self) -> None:
+    def test_holder_keeps_the_lease_without_a_gap(self) -> None:
         async def work() -> None:
-            await self._held_by_one_after(TTL_S + 0.1)
+            await self._acquire_and_restore(TTL_S + 0.1)
             held = self.one.grant()
             assert held is not None
             for _ in range(30):
@@ -331,7 +331,9 @@
                 assert grant is not None
                 self.assertEqual(grant.epoch, held.epoch)
                 await asyncio.sleep(0.02)
-            self.assertEqual((self.store.holds().holder, self.store.holds().era), ("one", 2))
+            self.assertEqual(
+                (self.store.stored_lease().holder, self.store.stored_lease().era), ("one", 2)
+            )
 
         quietly(work())
 
@@ -355,18 +357,18 @@
 
         quietly(work())
 
-    def test_missing_row_is_no_free_lease_once_the_store_came_back(self) -> None:
+    def test_lease_without_a_row_is_not_free_after_a_restore(self) -> None:
         async def work() -> None:
             await self.one.step(0)
             await self.two.step(0)
             self.store.restore(None, 3)
             held = self.one.grant()
             assert held is not None
-            await self._two_waits_until(held.until)
+            await self._assert_not_acquired_before(held.until)
 
         quietly(work())
 
-    def test_holder_tells_a_version_with_the_era_that_it_is_of(self) -> None:
+    def test_holder_broadcasts_a_version_with_the_era_in_which_it_was_assigned(self) -> None:
         async def work() -> None:
             await self.one.step(0)
             version = self.store.version
@@ -379,7 +381,7 @@
 
         quietly(work())
 
-    def test_holder_goes_on_though_the_copy_has_no_row(self) -> None:
+    def test_holder_keeps_the_lease_although_the_restored_copy_has_no_row(self) -> None:
         async def work() -> None:
             await self.one.step(0)
             held = self.one.grant()
@@ -389,11 +391,13 @@
                 await self.one.step(0)
                 self.assertIsNotNone(self.one.grant())
                 await asyncio.sleep(0.02)
-            self.assertEqual((self.store.holds().epoch, self.store.holds().era), (held.epoch, 2))
+            self.assertEqual(
+                (self.store.stored_lease().epoch, self.store.stored_lease().era), (held.epoch, 2)
+            )
 
         quietly(work())
 
-    def test_news_of_the_former_era_do_not_pass_for_newer(self) -> None:
+    def test_renewal_of_the_previous_era_is_ignored(self) -> None:
         async def work() -> None:
             await self.one.step(0)
             await self.two.step(0)
--- a/tests/test_lease_over_restores.py
+++ b/tests/test_lease_over_restores.py
@@ -14,7 +14,7 @@
 from moledale.gateway.settings import Bounds
 from moledale.gateway.store_era import StoreEra
 from tests.gateway_world import quietly
-from tests.test_gateway_lease import OneRow
+from tests.test_gateway_lease import SingleRowStore
 
 BOUNDS = Bounds(lease_s=0.15)
 KEEPERS = 4
@@ -23,7 +23,7 @@
 SEEDS = (1, 2, 3)
 
 
-class ForgetfulStore(OneRow):
+class ForgetfulStore(SingleRowStore):
     """A store that may come back as it was at any moment of the last second."""
 
     def __init__(self, chance: random.Random) -> None:
--- a/tests/test_rows_of_others.py
+++ b/tests/test_rows_of_others.py
@@ -15,7 +15,7 @@
 from moledale.gateway.settings import Bounds
 from standins.rows import RowsPlatform, StoreMode
 from tests.gateway_world import quietly
-from tests.test_gateway_lease import OneRow, keeper
+from tests.test_gateway_lease import SingleRowStore, make_keeper
 from tests.test_gateway_nodes import Cluster, make_config, ready, run_on_cluster, wait_until
 
 NO_OBJECT = b'["not an object"]'
@@ -87,9 +87,9 @@
 
     def test_candidate_that_never_wrote_takes_no_spoilt_lease_for_its_own(self) -> None:
         async def work() -> None:
-            store = OneRow()
+            store = SingleRowStore()
             store.row = StateRow(LEASE_KEY, NO_OBJECT, 9)
-            candidate = keeper(store, "n1")
+            candidate = make_keeper(store, "n1")
             for _ in range(3):
                 await candidate.step(0)
                 self.assertIsNone(candidate.grant())
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -16,7 +16,7 @@
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.store_era import StoreEra
 from tests.gateway_world import quietly
-from tests.test_gateway_lease import OneRow
+from tests.test_gateway_lease import SingleRowStore
 
 
 class FakeLeaseKeeper:
@@ -72,7 +72,7 @@
 def make_duties(
     node: str,
     keeper: FakeLeaseKeeper,
-    store: OneRow,
+    store: SingleRowStore,
     orders: FakeOrders,
     sharing: Sharing,
     now: Callable[[], float] = monotonic,
@@ -107,7 +107,7 @@
 
     def __init__(self) -> None:
         self.at = 1_000.0
-        self.store = OneRow()
+        self.store = SingleRowStore()
         self.store.era = StoreEra(self.now)
         self.store.era.observe(1)
         self.orders = FakeOrders()
@@ -250,7 +250,7 @@
             orders, keeper = FakeOrders(), FakeLeaseKeeper()
             wall = 1_002.0
             sharing = Sharing(Membership("n1", 1), Bounds(usage_window_s=5.0), wall=lambda: wall)
-            duties = make_duties("n1", keeper, OneRow(), orders, sharing)
+            duties = make_duties("n1", keeper, SingleRowStore(), orders, sharing)
             sharing.record_started("north")
             wall = 1_005.1 + SETTLE_S
             started = monotonic()
