--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -31,7 +31,7 @@
 
 
 class MembershipTest(unittest.TestCase):
-    def test_silent_node_is_left_out_and_its_counts_are_kept(self) -> None:
+    def test_silent_node_is_left_out_but_its_counts_are_kept(self) -> None:
         members = Membership("n1", 1)
         members.merge(state("n2"), 0.0)
         self.assertEqual([each.id for each in members.alive(0.9)], ["n2"])
@@ -54,7 +54,7 @@
             ]
         return nodes
 
-    def test_one_node_in_each_hall_serves_and_the_holder_last(self) -> None:
+    def test_one_node_in_each_hall_serves_and_the_lease_holder_comes_last(self) -> None:
         nodes = self.settle([state(f"n{n}", hall=HALLS[n % 3]) for n in range(9)])
         chosen = serving_nodes(nodes)
         self.assertEqual(sorted(node.hall for node in chosen), ["a", "b", "c"])
@@ -67,15 +67,15 @@
         self.assertEqual(len(without), 3)
         self.assertNotIn(chosen[0].id, [node.id for node in without])
 
-    def test_holder_serves_where_it_is_alone(self) -> None:
+    def test_lease_holder_serves_if_it_is_alone(self) -> None:
         alone = self.settle([state("n1", lease=LeaseNews(1, 1, 0.0))])
         self.assertTrue(alone[0].serving)
 
-    def test_strong_nodes_serve_first(self) -> None:
+    def test_nodes_with_more_capacity_serve_first(self) -> None:
         nodes = [state(f"n{n}", power=power_of(1.0, 5.0 if n else 100.0)) for n in range(6)]
         self.assertEqual([node.id for node in serving_nodes(self.settle(nodes))], ["n0"])
 
-    def test_nodes_that_leave_or_start_are_not_told(self) -> None:
+    def test_leaving_and_starting_nodes_are_not_in_the_directory(self) -> None:
         nodes = [
             state("n1", standing=int(Standing.LEAVING), serving=True),
             state("n2", standing=int(Standing.STARTING), serving=True),
@@ -83,7 +83,7 @@
         self.assertEqual(serving_nodes(nodes), [])
         self.assertFalse(should_serve(nodes[0], []))
 
-    def test_place_of_a_silent_node_is_taken(self) -> None:
+    def test_silent_serving_node_is_replaced(self) -> None:
         members = Membership("n1", 1)
         neighbours = Neighbours(members, "n1:2", 0.0)
         own = state("n1")
@@ -96,21 +96,21 @@
 
 
 class ServingByDemandTest(unittest.TestCase):
-    def serving(self, number: int, per_s: float, power: float = 10.0) -> list[NodeState]:
+    def make_serving_nodes(self, number: int, per_s: float, power: float = 10.0) -> list[NodeState]:
         """Return a hall's serving nodes that have `per_s` requests a second together."""
         return [
             state(f"s{n}", serving=True, power=power, requests_per_s=per_s / number)
             for n in range(number)
         ]
 
-    def test_played_days_need_one_node_a_hall(self) -> None:
+    def test_light_load_needs_one_node_per_hall(self) -> None:
         own = state("n1", power=5.0)
-        self.assertEqual(wanted_nodes(own, self.serving(1, 40.0, power=5.0)), 1)
+        self.assertEqual(wanted_nodes(own, self.make_serving_nodes(1, 40.0, power=5.0)), 1)
         self.assertEqual(wanted_nodes(own, []), 1)
 
-    def test_target_has_as_many_serve_as_its_requests_need(self) -> None:
+    def test_heavy_load_has_as_many_nodes_serve_as_it_needs(self) -> None:
         own = state("n1", power=10.0)
-        wanted = wanted_nodes(own, self.serving(1, 7_400 / 7))
+        wanted = wanted_nodes(own, self.make_serving_nodes(1, 7_400 / 7))
         self.assertGreaterEqual(wanted * MAX_LOAD_SHARE / CORE_S_PER_REQUEST, 7_400 / 7)
         self.assertLessEqual(wanted, 7)
 
@@ -120,14 +120,14 @@
             state("x", hall="b", serving=True, power=10.0, requests_per_s=5_000.0),
             state("y", serving=False, power=10.0, requests_per_s=5_000.0),
         ]
-        self.assertEqual(wanted_nodes(own, [*others, *self.serving(1, 10.0)]), 1)
+        self.assertEqual(wanted_nodes(own, [*others, *self.make_serving_nodes(1, 10.0)]), 1)
 
-    def test_small_changes_of_load_change_nothing(self) -> None:
+    def test_small_changes_of_load_do_not_change_the_number_of_serving_nodes(self) -> None:
         own = state("n1", power=10.0)
         most_of_two = 2 * MAX_LOAD_SHARE / CORE_S_PER_REQUEST
         for share in (1.0, 0.9, 0.8, 0.7):
-            self.assertEqual(wanted_nodes(own, self.serving(2, share * most_of_two)), 2)
-        self.assertEqual(wanted_nodes(own, self.serving(2, 0.2 * most_of_two)), 1)
+            self.assertEqual(wanted_nodes(own, self.make_serving_nodes(2, share * most_of_two)), 2)
+        self.assertEqual(wanted_nodes(own, self.make_serving_nodes(2, 0.2 * most_of_two)), 1)
 
     def test_hall_settles_on_the_number_that_its_requests_need(self) -> None:
         total = 700.0
@@ -159,7 +159,7 @@
 
 
 class NeighboursTest(unittest.TestCase):
-    def backoff_scale(self, serving: bool) -> tuple[Neighbours, NodeState]:
+    def make_large_cluster(self, serving: bool) -> tuple[Neighbours, NodeState]:
         members = Membership("n0", 1)
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 390):
@@ -169,19 +169,19 @@
         neighbours.serving = serving
         return neighbours, state("n0")
 
-    def test_few_nodes_all_tell_all(self) -> None:
+    def test_small_cluster_gossips_in_full_mesh(self) -> None:
         neighbours = Neighbours(Membership("n0", 1), "n0:2", 0.0)
         for number in range(8):
             neighbours.addresses.add(f"n{number}:2", 0.0)
         self.assertEqual(len(neighbours.state_targets(state("n0"), 1.0)), 7)
 
-    def test_node_in_reserve_tells_few_and_seldom(self) -> None:
-        neighbours, own = self.backoff_scale(serving=False)
+    def test_node_in_reserve_sends_few_states(self) -> None:
+        neighbours, own = self.make_large_cluster(serving=False)
         told = [len(neighbours.state_targets(own, 10.0 + n * GOSSIP_INTERVAL_S)) for n in range(50)]
         self.assertLessEqual(sum(told) / (50 * GOSSIP_INTERVAL_S), 5.0)
 
-    def test_serving_nodes_tell_each_other_each_round(self) -> None:
-        neighbours, own = self.backoff_scale(serving=True)
+    def test_serving_nodes_send_full_states_to_each_other_each_round(self) -> None:
+        neighbours, own = self.make_large_cluster(serving=True)
         brief = 0
         for number in range(5):
             targets = neighbours.state_targets(own, 10.0 + number * GOSSIP_INTERVAL_S)
@@ -189,7 +189,7 @@
             brief += len(neighbours.brief_targets(own, targets, 10.0))
         self.assertEqual(brief, 389 - 8)
 
-    def test_change_that_all_pass_on_is_told_to_each_node_by_others(self) -> None:
+    def test_relayed_change_reaches_each_node_from_several_others(self) -> None:
         names = [f"n{number}:2" for number in range(390)]
         tellers: Counter[str] = Counter()
         for name in names:
@@ -199,7 +199,7 @@
             tellers.update(neighbours.relay_targets(state(name), 10.0))
         self.assertEqual([name for name in names if tellers[name] < RING_SUCCESSORS], [])
 
-    def test_placements_go_to_all_that_serve_or_to_the_halls_own_of_many(self) -> None:
+    def test_placements_go_to_all_serving_nodes_or_if_many_serve_to_those_of_the_hall(self) -> None:
         members = Membership("n0", 1)
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 41):
@@ -211,7 +211,7 @@
             )
         self.assertEqual(len(neighbours.placement_targets("a", 10.0)), 10)
 
-    def test_one_serving_node_that_reaches_the_store_is_enough_for_those_in_reserve(self) -> None:
+    def test_nodes_in_reserve_do_not_watch_while_a_serving_node_reaches_the_store(self) -> None:
         members = Membership("n0", 1)
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 40):
@@ -223,7 +223,7 @@
         members.merge(state("n1", serving=True, sequence=2, store_age_s=60.0), 10.0)
         self.assertEqual(neighbours.watch_rank(own, 10.0), 0)
 
-    def test_shortened_state_changes_no_counts(self) -> None:
+    def test_brief_state_changes_no_counts(self) -> None:
         members = Membership("n1", 1)
         full = state("n2", sequence=1, started={2: {"north": 4}}, spent={"north": 900.0})
         short = msgspec.structs.replace(full, sequence=2).without_counts()
@@ -237,7 +237,7 @@
         self.assertEqual(members.all_states()[0].started, {2: {"north": 4}})
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_950.0, delta=1.0)
 
-    def test_node_that_hears_shortened_states_only_counts_what_others_spend(self) -> None:
+    def test_node_that_gets_only_brief_states_counts_the_spending_of_peers(self) -> None:
         sharing = Sharing(Membership("n1", 1), Bounds())
         limits = AccountLimits(True)
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
@@ -247,7 +247,7 @@
             sharing.merge_state(told, limits)
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_100.0, delta=1.0)
 
-    def test_what_a_new_life_spent_before_it_was_heard_counts(self) -> None:
+    def test_spending_of_a_new_incarnation_before_its_first_state_counts(self) -> None:
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         for age_s, level in ((0.5, 1_100.0), (60.0, 2_000.0)):
             sharing = Sharing(Membership("n1", 1), Bounds(limit_window_s=8.0))
@@ -256,7 +256,7 @@
             sharing.merge_state(state("n2", spent={"north": 900.0}, age_s=age_s), limits)
             self.assertAlmostEqual(limits.level(account, monotonic()), level, delta=1.0)
 
-    def test_shortened_state_first_draws_nothing(self) -> None:
+    def test_spending_before_a_first_brief_state_is_not_counted(self) -> None:
         sharing = Sharing(Membership("n1", 1), Bounds())
         limits = AccountLimits(True)
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
