--- a/tests/test_rows_of_others.py
+++ b/tests/test_rows_of_others.py
@@ -18,33 +18,33 @@
 from tests.test_gateway_lease import SingleRowStore, make_keeper
 from tests.test_gateway_nodes import Cluster, make_config, ready, run_on_cluster, wait_until
 
-NO_OBJECT = b'["not an object"]'
-NO_BASE64 = "a"
+NOT_AN_OBJECT = b'["not an object"]'
+NOT_BASE64 = "a"
 
 LONG_LEASE = Bounds(stop_s=3.0, lease_s=2.0, usage_window_s=1.0)
 """Renewals of such a lease come long before its end, also on a slow machine."""
 
 
-def spoil(platform: RowsPlatform, table: str, key: str, value: bytes | str) -> None:
+def put_corrupt_row(platform: RowsPlatform, table: str, key: str, value: bytes | str) -> None:
     """Write a row of any bytes, or with a value that is not even base64."""
     platform.put(table, key, {})
     text = value if isinstance(value, str) else base64.b64encode(value).decode()
     platform.rows[(table, "", key)].value = text
 
 
-def failures(node: GatewayNode) -> dict[str, int]:
+def task_failures(node: GatewayNode) -> dict[str, int]:
     """Return how often tasks of a node failed."""
     return {each.name: len(each.failures) for each in node.supervisor._children if each.failures}
 
 
-def plan_of(node: GatewayNode) -> int:
+def current_plan_version(node: GatewayNode) -> int:
     """Return the version of a node's plan."""
     index = node.forwarder.index
     return -1 if index is None else index.version
 
 
 class PlanOfOthersTest(unittest.TestCase):
-    def _plan_outlives(self, spoilt: Callable[[RowsPlatform], object]) -> None:
+    def _assert_plan_survives(self, spoilt: Callable[[RowsPlatform], object]) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
             await wait_until(ready(node))
@@ -53,42 +53,46 @@
             await wait_until(lambda: cluster.platform.calls > calls + 3)
             self.assertEqual((await cluster.ask("n1")).status, 200)
             cluster.platform.put("op", "config", make_config(3))
-            await wait_until(lambda: plan_of(node) == 3)
-            self.assertEqual(failures(node), {})
+            await wait_until(lambda: current_plan_version(node) == 3)
+            self.assertEqual(task_failures(node), {})
 
         run_on_cluster(work)
 
-    def test_plan_that_is_no_object_leaves_the_one_before_in_force(self) -> None:
-        self._plan_outlives(lambda platform: spoil(platform, "op", "config", NO_OBJECT))
+    def test_plan_that_is_not_an_object_leaves_the_previous_one_in_force(self) -> None:
+        self._assert_plan_survives(
+            lambda platform: put_corrupt_row(platform, "op", "config", NOT_AN_OBJECT)
+        )
 
-    def test_plan_that_is_not_base64_leaves_the_one_before_in_force(self) -> None:
-        self._plan_outlives(lambda platform: spoil(platform, "op", "config", NO_BASE64))
+    def test_plan_that_is_not_base64_leaves_the_previous_one_in_force(self) -> None:
+        self._assert_plan_survives(
+            lambda platform: put_corrupt_row(platform, "op", "config", NOT_BASE64)
+        )
 
-    def test_plan_with_a_kind_of_route_that_is_not_known_leaves_the_one_before_in_force(
+    def test_plan_with_an_unknown_kind_of_route_leaves_the_previous_one_in_force(
         self,
     ) -> None:
         plan = make_config(2)
         assert isinstance(plan, dict)
         plan["routes"][0]["kind"] = "strange"
-        self._plan_outlives(lambda platform: platform.put("op", "config", plan))
+        self._assert_plan_survives(lambda platform: platform.put("op", "config", plan))
 
 
 class LeaseOfOthersTest(unittest.TestCase):
-    def test_lease_that_can_not_be_read_is_taken_once_its_time_has_passed(self) -> None:
+    def test_unreadable_lease_is_acquired_after_the_ttl(self) -> None:
         async def work(cluster: Cluster) -> None:
-            spoil(cluster.platform, "leases", "duties", NO_OBJECT)
+            put_corrupt_row(cluster.platform, "leases", "duties", NOT_AN_OBJECT)
             began = monotonic()
             node = await cluster.start("n1")
             await wait_until(lambda: node.keeper.grant() is not None, 10.0)
             self.assertGreater(monotonic() - began, cluster.bounds.lease_s)
-            self.assertEqual(failures(node), {})
+            self.assertEqual(task_failures(node), {})
 
         run_on_cluster(work)
 
-    def test_candidate_that_never_wrote_takes_no_spoilt_lease_for_its_own(self) -> None:
+    def test_candidate_does_not_mistake_a_corrupt_lease_for_its_own(self) -> None:
         async def work() -> None:
             store = SingleRowStore()
-            store.row = StateRow(LEASE_KEY, NO_OBJECT, 9)
+            store.row = StateRow(LEASE_KEY, NOT_AN_OBJECT, 9)
             candidate = make_keeper(store, "n1")
             for _ in range(3):
                 await candidate.step(0)
@@ -97,13 +101,13 @@
 
         quietly(work())
 
-    def test_holder_whose_lease_is_spoilt_goes_on(self) -> None:
+    def test_holder_keeps_the_lease_when_its_row_is_corrupted(self) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
             await wait_until(lambda: node.keeper.grant() is not None)
             held = node.keeper.grant()
             assert held is not None
-            spoil(cluster.platform, "leases", "duties", NO_OBJECT)
+            put_corrupt_row(cluster.platform, "leases", "duties", NOT_AN_OBJECT)
             spoilt = cluster.platform.rows[("leases", "", "duties")].ver
             while cluster.platform.rows[("leases", "", "duties")].ver == spoilt:
                 grant = node.keeper.grant()
@@ -112,13 +116,13 @@
                 await asyncio.sleep(0.05)
             row = msgspec.convert(cluster.platform.body("leases", "duties"), LeaseRow)
             self.assertEqual((row.holder, row.epoch), ("n1", held.epoch))
-            self.assertEqual(failures(node), {})
+            self.assertEqual(task_failures(node), {})
 
         run_on_cluster(work, LONG_LEASE)
 
 
 class AnswersTest(unittest.TestCase):
-    def test_answers_of_the_store_that_can_not_be_read_are_an_outage_of_it(self) -> None:
+    def test_unreadable_answers_of_the_store_count_as_an_outage(self) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
             await wait_until(lambda: node.keeper.grant() is not None)
@@ -127,25 +131,25 @@
             self.assertEqual((await cluster.ask("n1")).status, 200)
             cluster.platform.mode = StoreMode.HEALTHY
             cluster.platform.put("op", "config", make_config(3))
-            await wait_until(lambda: plan_of(node) == 3)
+            await wait_until(lambda: current_plan_version(node) == 3)
             await wait_until(lambda: node.keeper.grant() is not None)
-            self.assertEqual(failures(node), {})
+            self.assertEqual(task_failures(node), {})
 
         run_on_cluster(work)
 
 
 class MembersOfOthersTest(unittest.TestCase):
-    def test_registrations_that_can_not_be_read_hide_no_other_node(self) -> None:
+    def test_unreadable_registrations_hide_no_other_node(self) -> None:
         async def work(cluster: Cluster) -> None:
             for number, value in enumerate(
-                (b"\xff\xfe", b"word", b"host:7", b"1.2.3.4:0", NO_BASE64)
+                (b"\xff\xfe", b"word", b"host:7", b"1.2.3.4:0", NOT_BASE64)
             ):
-                spoil(cluster.platform, "members", f"spoilt-{number}", value)
+                put_corrupt_row(cluster.platform, "members", f"spoilt-{number}", value)
             one, two = await cluster.start("n1"), await cluster.start("n2")
             await wait_until(lambda: "n2" in one.members.members and "n1" in two.members.members)
             await wait_until(ready(one))
             self.assertEqual((await cluster.ask("n1")).status, 200)
-            self.assertEqual((failures(one), failures(two)), ({}, {}))
+            self.assertEqual((task_failures(one), task_failures(two)), ({}, {}))
 
         run_on_cluster(work)
 
