--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -11,13 +11,13 @@
 from tests.test_platform_store import entry, on_store, read
 
 
-def lines_of(handler: logbook.TestHandler, event: Event) -> list[str]:
+def log_messages_of(handler: logbook.TestHandler, event: Event) -> list[str]:
     """Return the log lines of an event."""
     return [each.message for each in handler.records if f"E{event.value.number} " in each.message]
 
 
 class EraIsToldTest(unittest.TestCase):
-    def test_return_from_an_older_copy_is_logged_once(self) -> None:
+    def test_each_restore_is_logged_once(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
             await read(store)
             copy = platform.snapshot()
@@ -28,22 +28,22 @@
 
         with logbook.TestHandler().applicationbound() as handler:
             on_store(work)
-        self.assertEqual(len(lines_of(handler, Event.STORE_RESTORED)), 2)
+        self.assertEqual(len(log_messages_of(handler, Event.STORE_RESTORED)), 2)
 
-    def test_first_era_that_a_node_hears_of_is_no_return(self) -> None:
+    def test_first_known_era_is_not_logged_as_a_restore(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
             platform.era = 7
             await read(store)
 
         with logbook.TestHandler().applicationbound() as handler:
             on_store(work)
-        self.assertEqual(lines_of(handler, Event.STORE_RESTORED), [])
+        self.assertEqual(log_messages_of(handler, Event.STORE_RESTORED), [])
 
 
 class PositionTest(unittest.TestCase):
     """A position in the history of one era says nothing in that of another."""
 
-    def test_changes_after_a_position_of_the_former_era_make_no_list(self) -> None:
+    def test_list_is_not_updated_from_a_position_of_the_previous_era(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
             copy = platform.snapshot()
             for _ in range(20):
@@ -61,7 +61,7 @@
 
         on_store(work)
 
-    def test_plan_written_at_a_version_that_was_passed_before_is_not_overlooked(self) -> None:
+    def test_plan_with_a_version_that_was_assigned_before_the_restore_is_found(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
             copy = platform.snapshot()
             for _ in range(20):
