--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -12,13 +12,13 @@
 LOST_CHANGES = 200
 """Changes that a copy lacks; none of the tests makes as many after the store's return."""
 
-AWAY_S = 0.3
-LEAST_ASKED = 6
-MOST_CALLS_PER_S = 60
+STORE_OUTAGE_S = 0.3
+MIN_REQUESTS = 6
+MAX_STORE_CALLS_PER_S = 60
 """Three nodes that are well make some 20 calls a second, and a few more after an outage."""
 
 
-async def started(cluster: Cluster) -> StoreSnapshot:
+async def start_and_copy(cluster: Cluster) -> StoreSnapshot:
     """Start the nodes, and let the store take changes that the returned copy lacks."""
     nodes = [await cluster.start(name) for name in NODES]
     for node in nodes:
@@ -34,7 +34,7 @@
 async def restore(cluster: Cluster, copy: StoreSnapshot) -> None:
     """Let the store be away and come back from a copy; the operator and the server write again."""
     cluster.platform.mode = StoreMode.RESET
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(STORE_OUTAGE_S)
     cluster.platform.restore(copy)
     cluster.platform.mode = StoreMode.HEALTHY
     await asyncio.sleep(0.1)
@@ -43,9 +43,9 @@
 
 
 class RestoredListTest(unittest.TestCase):
-    def test_server_that_leaves_after_the_stores_return_gets_no_new_work(self) -> None:
+    def test_server_that_leaves_after_a_restore_gets_no_new_requests(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await restore(cluster, await started(cluster))
+            await restore(cluster, await start_and_copy(cluster))
             cluster.list_backend("draining")
             await asyncio.sleep(BOUNDS.leave_s)
             before = len(cluster.backend.arrivals)
@@ -55,16 +55,16 @@
 
         run_on_cluster(work)
 
-    def test_nodes_do_not_storm_the_store_after_its_return(self) -> None:
+    def test_nodes_do_not_overload_the_store_after_a_restore(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await restore(cluster, await started(cluster))
+            await restore(cluster, await start_and_copy(cluster))
             before, began = cluster.platform.calls, monotonic()
             asked = 0
-            while monotonic() - began < 1.0 or asked < LEAST_ASKED:
+            while monotonic() - began < 1.0 or asked < MIN_REQUESTS:
                 await cluster.ask(NODES[0])
                 asked += 1
                 await asyncio.sleep(0.02)
-            self.assertLess(cluster.platform.calls - before, MOST_CALLS_PER_S)
+            self.assertLess(cluster.platform.calls - before, MAX_STORE_CALLS_PER_S)
 
         run_on_cluster(work)
 
@@ -72,19 +72,19 @@
 class RestoredRowsTest(unittest.TestCase):
     """Rows that the copy lacks are written again by the node that wrote them."""
 
-    def test_nodes_register_again(self) -> None:
+    def test_nodes_register_again_after_a_restore(self) -> None:
         async def work(cluster: Cluster) -> None:
             empty = cluster.platform.snapshot()
-            await started(cluster)
+            await start_and_copy(cluster)
             await restore(cluster, empty)
             names = [("members", "", name) for name in NODES]
             await wait_until(lambda: all(name in cluster.platform.rows for name in names))
 
         run_on_cluster(work)
 
-    def test_blocks_of_requests_are_kept_again(self) -> None:
+    def test_request_blocks_are_stored_again_after_a_restore(self) -> None:
         async def work(cluster: Cluster) -> None:
-            copy = await started(cluster)
+            copy = await start_and_copy(cluster)
             node = cluster.nodes[NODES[0]]
             name = ("blocks", "", b"guilty".hex())
             node.forwarder.guard.on_block(Block(b"guilty", monotonic() + 60.0, 1))
