--- a/tests/test_lease_over_restores.py
+++ b/tests/test_lease_over_restores.py
@@ -18,47 +18,47 @@
 
 BOUNDS = Bounds(lease_s=0.15)
 KEEPERS = 4
-PLAYED_S = 6.0
-STEP_S = 0.02
+RUN_S = 6.0
+STEP_INTERVAL_S = 0.02
 SEEDS = (1, 2, 3)
 
 
-class ForgetfulStore(SingleRowStore):
+class RestoringStore(SingleRowStore):
     """A store that may come back as it was at any moment of the last second."""
 
-    def __init__(self, chance: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         super().__init__()
-        self._chance = chance
+        self._rng = rng
         self._copies: list[tuple[float, StateRow | None, int]] = []
 
-    def note(self) -> None:
+    def take_copy(self) -> None:
         """Take a copy."""
         now = monotonic()
         self._copies.append((now, self.row, self.version))
         self._copies = [each for each in self._copies if now - each[0] < 1.0]
 
-    def go_back(self) -> None:
+    def restore_random_copy(self) -> None:
         """Come back from a copy, and give some versions out to rows of others."""
-        _, row, version = self._chance.choice(self._copies)
+        _, row, version = self._rng.choice(self._copies)
         self.restore(row, version)
-        self.version += self._chance.choice((0, 0, 1, 2))
+        self.version += self._rng.choice((0, 0, 1, 2))
         self._copies.clear()
-        self.note()
+        self.take_copy()
 
 
-class NodesStore:
+class UnreliableStore:
     """The store as one node reaches it: slow, cut off, and with answers that get lost."""
 
-    def __init__(self, store: ForgetfulStore, chance: random.Random) -> None:
+    def __init__(self, store: RestoringStore, rng: random.Random) -> None:
         self.era = StoreEra()
-        self.cut_until = 0.0
+        self.unreachable_until = 0.0
         self._store = store
-        self._chance = chance
+        self._rng = rng
 
     async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, Failure]:
         """Return the row."""
-        await asyncio.sleep(0.005 * self._chance.random())
-        if monotonic() < self.cut_until:
+        await asyncio.sleep(0.005 * self._rng.random())
+        if monotonic() < self.unreachable_until:
             return Err(Failure("cut off"))
         answer = await self._store.read(table, timeout_s)
         self.era.observe(self._store.era.number)
@@ -68,12 +68,12 @@
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
     ) -> Result[WriteResult, Failure]:
         """Put the row; at times much later, or with an answer that is lost."""
-        late_s = 0.2 if self._chance.random() < 0.05 else 0.005
-        await asyncio.sleep(late_s * self._chance.random())
-        if monotonic() < self.cut_until:
+        late_s = 0.2 if self._rng.random() < 0.05 else 0.005
+        await asyncio.sleep(late_s * self._rng.random())
+        if monotonic() < self.unreachable_until:
             return Err(Failure("cut off"))
         answer = await self._store.write(table, key, value, expected, timeout_s)
-        if self._chance.random() < 0.05:
+        if self._rng.random() < 0.05:
             return Err(Failure("lost"))
         self.era.observe(self._store.era.number)
         return answer
@@ -81,70 +81,70 @@
 
 class LeaseOverRestoresTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.chance = random.Random()
-        self.held: list[tuple[int, int]] = []
-        self.wrong: list[str] = []
+        self.rng = random.Random()
+        self.grants_seen: list[tuple[int, int]] = []
+        self.violations: list[str] = []
 
-    def look(self, keepers: list[LeaseKeeper]) -> None:
+    def check_grants(self, keepers: list[LeaseKeeper]) -> None:
         """Note who may act now, with which fence."""
         grants = [(number, keeper.grant()) for number, keeper in enumerate(keepers)]
         acting = [(number, grant.epoch) for number, grant in grants if grant is not None]
         if len(acting) > 1:
-            self.wrong.append(f"several hold it: {acting}")
+            self.violations.append(f"several hold it: {acting}")
         for now in acting:
-            if not self.held or self.held[-1] != now:
-                self.held.append(now)
+            if not self.grants_seen or self.grants_seen[-1] != now:
+                self.grants_seen.append(now)
 
-    async def keep(self, number: int, keepers: list[LeaseKeeper]) -> None:
+    async def run_keeper(self, number: int, keepers: list[LeaseKeeper]) -> None:
         keeper = keepers[number]
         while True:
             await keeper.step(number)
             news = keeper.lease_update()
             for other in keepers:
-                if news is not None and other is not keeper and self.chance.random() < 0.8:
+                if news is not None and other is not keeper and self.rng.random() < 0.8:
                     other.on_renewal(str(number), news, monotonic())
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
-    async def disturb(self, store: ForgetfulStore, nodes: list[NodesStore]) -> None:
+    async def inject_faults(self, store: RestoringStore, nodes: list[UnreliableStore]) -> None:
         """Cut nodes off, holders above all, and let the store come back at bad moments."""
         while True:
             await asyncio.sleep(0.05)
-            store.note()
-            if self.chance.random() < 0.05:
-                store.go_back()
-            if self.chance.random() < 0.15:
-                cut = nodes[self.held[-1][0]] if self.held else self.chance.choice(nodes)
-                cut.cut_until = monotonic() + 0.4 * self.chance.random()
+            store.take_copy()
+            if self.rng.random() < 0.05:
+                store.restore_random_copy()
+            if self.rng.random() < 0.15:
+                cut = nodes[self.grants_seen[-1][0]] if self.grants_seen else self.rng.choice(nodes)
+                cut.unreachable_until = monotonic() + 0.4 * self.rng.random()
 
     @mock.patch.object(lease_keeper, "RESTORE_GRACE_S", 0.02)
-    async def play(self, seed: int) -> None:
-        self.chance.seed(seed)
-        store = ForgetfulStore(self.chance)
+    async def run_keepers(self, seed: int) -> None:
+        self.rng.seed(seed)
+        store = RestoringStore(self.rng)
         store.era.observe(1)
-        store.note()
-        nodes = [NodesStore(store, self.chance) for _ in range(KEEPERS)]
+        store.take_copy()
+        nodes = [UnreliableStore(store, self.rng) for _ in range(KEEPERS)]
         keepers = [
             LeaseKeeper(str(number), node, BOUNDS, f"{number}/1")  # type: ignore[arg-type]
             for number, node in enumerate(nodes)
         ]
-        work = [asyncio.create_task(self.keep(n, keepers)) for n in range(KEEPERS)]
-        work.append(asyncio.create_task(self.disturb(store, nodes)))
-        ends = monotonic() + PLAYED_S
+        work = [asyncio.create_task(self.run_keeper(n, keepers)) for n in range(KEEPERS)]
+        work.append(asyncio.create_task(self.inject_faults(store, nodes)))
+        ends = monotonic() + RUN_S
         while monotonic() < ends:
-            self.look(keepers)
+            self.check_grants(keepers)
             await asyncio.sleep(0.001)
         for task in work:
             task.cancel()
         self.assertEqual([task for task in work if task.done() and not task.cancelled()], [])
 
-    def test_fences_only_rise_and_name_one_holder_whatever_the_store_forgets(self) -> None:
+    def test_fences_increase_and_name_one_holder_whatever_the_store_loses(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.setUp()
-                quietly(self.play(seed))
-                self.assertEqual(self.wrong, [])
-                fences = [fence for _, fence in self.held]
-                self.assertEqual(fences, sorted(set(fences)), self.held)
+                quietly(self.run_keepers(seed))
+                self.assertEqual(self.violations, [])
+                fences = [fence for _, fence in self.grants_seen]
+                self.assertEqual(fences, sorted(set(fences)), self.grants_seen)
                 self.assertGreater(len(fences), 1)
 
 
