--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -8,7 +8,7 @@
 from moledale.platform.store import PlatformStore
 from standins.rows import RowsPlatform
 from tests.test_gateway_nodes import make_config
-from tests.test_platform_store import entry, on_store, read
+from tests.test_platform_store import make_entry, read_servers, run_on_store
 
 
 def log_messages_of(handler: logbook.TestHandler, event: Event) -> list[str]:
@@ -19,24 +19,24 @@
 class EraIsToldTest(unittest.TestCase):
     def test_each_restore_is_logged_once(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
-            await read(store)
+            await read_servers(store)
             copy = platform.snapshot()
             for _ in range(2):
                 platform.restore(copy)
-                await read(store)
-                await read(store)
+                await read_servers(store)
+                await read_servers(store)
 
         with logbook.TestHandler().applicationbound() as handler:
-            on_store(work)
+            run_on_store(work)
         self.assertEqual(len(log_messages_of(handler, Event.STORE_RESTORED)), 2)
 
     def test_first_known_era_is_not_logged_as_a_restore(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
             platform.era = 7
-            await read(store)
+            await read_servers(store)
 
         with logbook.TestHandler().applicationbound() as handler:
-            on_store(work)
+            run_on_store(work)
         self.assertEqual(log_messages_of(handler, Event.STORE_RESTORED), [])
 
 
@@ -48,18 +48,18 @@
             copy = platform.snapshot()
             for _ in range(20):
                 platform.put("other", "row", {})
-            platform.put("servers", "s1", entry())
-            before = await read(store)
+            platform.put("servers", "s1", make_entry())
+            before = await read_servers(store)
             platform.restore(copy)
-            platform.put("servers", "s2", entry())
+            platform.put("servers", "s2", make_entry())
             for _ in range(40):
                 platform.put("other", "row", {})
-            platform.put("servers", "s3", entry())
-            got = await read(store, before)
+            platform.put("servers", "s3", make_entry())
+            got = await read_servers(store, before)
             self.assertEqual({each.id for each in got.servers}, {"s2", "s3"})
             self.assertEqual((got.era, got.changed), (before.era + 1, True))
 
-        on_store(work)
+        run_on_store(work)
 
     def test_plan_with_a_version_that_was_assigned_before_the_restore_is_found(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
@@ -75,7 +75,7 @@
             news = (await store.plan(1.0)).unwrap()
             self.assertEqual(news.plan and news.plan.version, 2)
 
-        on_store(work)
+        run_on_store(work)
 
 
 if __name__ == "__main__":
