--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -14,7 +14,7 @@
 from tests.gateway_world import Arrival, GatewayWorld, a_plan, fine, quietly, reset
 
 
-class OwnClock:
+class FakeClock:
     """A clock that a test moves."""
 
     def __init__(self) -> None:
@@ -25,8 +25,8 @@
 
 
 class SuspensionWatchTest(unittest.TestCase):
-    def test_each_suspension_is_told_once_and_short_ones_add_up(self) -> None:
-        counting, standing_still = OwnClock(), OwnClock()
+    def test_each_suspension_is_reported_once_and_short_ones_add_up(self) -> None:
+        counting, standing_still = FakeClock(), FakeClock()
         watch = SuspensionWatch(counting, standing_still)
         told = []
         for slept_s in (0.0, 5.0, 0.0, MIN_SUSPENSION_S / 2, MIN_SUSPENSION_S / 2 + 0.01, 0.0):
@@ -36,13 +36,13 @@
         self.assertEqual(told, [0.0, 5.0, 0.0, 0.0, round(MIN_SUSPENSION_S + 0.01, 3), 0.0])
 
     @unittest.skipUnless(hasattr(time, "CLOCK_BOOTTIME"), "the system has no such clock")
-    def test_durations_are_measured_by_the_clock_that_counts_suspended_time(self) -> None:
+    def test_durations_include_suspended_time(self) -> None:
         expected = time.clock_gettime(time.CLOCK_BOOTTIME)
         self.assertAlmostEqual(monotonic(), expected, delta=0.05)
         self.assertAlmostEqual(SystemClock().monotonic(), expected, delta=0.05)
 
     @unittest.skipUnless(hasattr(time, "CLOCK_BOOTTIME"), "the system has no such clock")
-    def test_clock_of_durations_is_not_the_one_that_stands_still(self) -> None:
+    def test_durations_are_read_from_the_boot_clock(self) -> None:
         """Both show the same on a machine that never was, so the clock is asked by its number."""
         with mock.patch.object(time, "clock_gettime", return_value=123.0) as asked:
             self.assertEqual(monotonic(), 123.0)
@@ -50,7 +50,7 @@
 
 
 class DeadlineTest(unittest.TestCase):
-    def test_nothing_is_sent_again_after_a_deadline_that_passed_while_suspended(self) -> None:
+    def test_request_is_not_retried_after_its_deadline_passed_while_suspended(self) -> None:
         """The timer of the request stood still; the server that broke off is the only one asked."""
         clock_ahead_s = 0.0
 
@@ -72,7 +72,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    def test_lease_that_ran_out_while_suspended_is_not_held(self) -> None:
+    def test_lease_that_expired_while_suspended_is_not_held(self) -> None:
         keeper = LeaseKeeper("n1", PlatformStore("127.0.0.1:1"), Bounds(lease_s=3.0), "nonce")
         slept_since = monotonic() - 5.0
         keeper.lease.record_write(LeaseRow("n1", 1, "nonce/1"), 1, slept_since)
