--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -14,7 +14,7 @@
 FACTS = RequestFacts("r1", prompt_tokens=4_100, parts=PARTS)
 
 
-def started(at: int) -> Server:
+def make_server(at: int) -> Server:
     return Server(f"a#{at}", "model", "h:1", "hall-a", 64)
 
 
@@ -23,12 +23,12 @@
 
     def setUp(self) -> None:
         self.balancer = LoadBalancer("hall-a")
-        self.balancer.apply([started(1)])
+        self.balancer.apply([make_server(1)])
         self.before = self.balancer.place("model", FACTS, ENGINE, 0.0)
         assert self.before is not None
-        self.gone = self.balancer.apply([started(2)])
+        self.gone = self.balancer.apply([make_server(2)])
 
-    def test_nothing_of_the_life_before_holds(self) -> None:
+    def test_load_and_cache_of_the_previous_incarnation_are_dropped(self) -> None:
         self.assertEqual([server.id for server in self.gone], ["a#1"])
         view = self.balancer.views["a#2"]
         self.assertEqual(
@@ -37,12 +37,12 @@
         self.assertEqual(self.balancer.group("model").holders(PARTS), [])
         self.assertEqual(self.balancer.running("model"), 0)
 
-    def test_end_of_a_request_of_the_life_before_changes_nothing(self) -> None:
+    def test_end_of_a_request_of_the_previous_incarnation_changes_nothing(self) -> None:
         self.before.end()
         self.assertEqual(self.balancer.views["a#2"].running, 0)
         self.assertEqual(self.balancer.running("model"), 0)
 
-    def test_late_news_of_the_life_before_changes_nothing(self) -> None:
+    def test_late_updates_about_the_previous_incarnation_change_nothing(self) -> None:
         self.balancer.apply_peer_placement("n2", {}, Placed("a#1", 3, 4_000, PARTS, 4_000), ENGINE)
         self.balancer.apply_peer_loads("n3", {"a#1": (5, 9_000)})
         view = self.balancer.views["a#2"]
@@ -52,7 +52,7 @@
 
 
 class NodeTest(unittest.TestCase):
-    def test_server_that_was_never_seen_gone_is_used_anew(self) -> None:
+    def test_server_that_restarts_between_two_reads_of_the_list_gets_new_connections(self) -> None:
         """It ends and starts again at its address between two readings of the list."""
 
         async def work(cluster: Cluster) -> None:
@@ -72,7 +72,7 @@
 
         run_on_cluster(work)
 
-    def test_half_of_a_list_that_can_not_be_read_hides_no_server(self) -> None:
+    def test_unreadable_half_of_a_list_hides_no_server(self) -> None:
         async def work(cluster: Cluster) -> None:
             for number in range(4):
                 cluster.platform.put("servers", f"bad{number}", {"service": "plain"})
