--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -9,17 +9,17 @@
 from moledale.gateway.neighbours import MAX_MESH_PEERS
 from tests.gateway_world import quietly
 
-STORE_S = 0.02
-FETCH_S = 0.05
+STORE_READ_S = 0.02
+PEER_FETCH_S = 0.05
 
 
-class StartTogether:
+class SimultaneousStart:
     """Nodes that start at the same moment; word of the first document ends the others' waiting."""
 
     def __init__(self, nodes: int, peers_have_it: bool = False) -> None:
         self.nodes = nodes
-        self.asked = 0
-        self.heard_at = monotonic() + 0.005 if peers_have_it else float("inf")
+        self.store_reads = 0
+        self.announced_at = monotonic() + 0.005 if peers_have_it else float("inf")
 
     async def run(self) -> float:
         """Return how long it took until the last one had the document."""
@@ -29,42 +29,42 @@
 
     async def _start(self) -> None:
         start = ColdStart(lambda: max(1.0, (self.nodes - 1) / MAX_MESH_PEERS))
-        await start.wait(self._passed(FETCH_S), self._passed(0.0))
-        if not self._passed(FETCH_S)():
-            self.asked += 1
-            await asyncio.sleep(STORE_S)
-            self.heard_at = min(self.heard_at, monotonic())
+        await start.wait(self._announced_for(PEER_FETCH_S), self._announced_for(0.0))
+        if not self._announced_for(PEER_FETCH_S)():
+            self.store_reads += 1
+            await asyncio.sleep(STORE_READ_S)
+            self.announced_at = min(self.announced_at, monotonic())
 
-    def _passed(self, after_s: float) -> Callable[[], bool]:
-        return lambda: monotonic() >= self.heard_at + after_s
+    def _announced_for(self, after_s: float) -> Callable[[], bool]:
+        return lambda: monotonic() >= self.announced_at + after_s
 
 
 class ColdStartTest(unittest.TestCase):
-    def test_nodes_that_are_not_many_ask_the_store_at_once_where_nobody_answers(self) -> None:
+    def test_nodes_of_a_small_cluster_read_the_store_soon_if_no_peer_answers(self) -> None:
         async def work() -> None:
             for nodes in (9, 81):
-                world = StartTogether(nodes)
+                world = SimultaneousStart(nodes)
                 self.assertLess(await world.run(), 3 * PEER_ANSWER_TIMEOUT_S)
-                self.assertEqual(world.asked, nodes)
+                self.assertEqual(world.store_reads, nodes)
 
         quietly(work())
 
-    def test_of_many_that_start_at_once_few_ask_the_store(self) -> None:
+    def test_few_of_many_nodes_that_start_together_read_the_store(self) -> None:
         async def work() -> None:
             for nodes in (195, 390):
-                world = StartTogether(nodes)
+                world = SimultaneousStart(nodes)
                 self.assertLess(await world.run(), PEER_ANSWER_TIMEOUT_S + 0.5)
-                self.assertLess(world.asked, 30)
-                self.assertGreater(world.asked, 0)
+                self.assertLess(world.store_reads, 30)
+                self.assertGreater(world.store_reads, 0)
 
         quietly(work())
 
-    def test_node_that_starts_among_others_does_not_ask(self) -> None:
+    def test_starting_node_does_not_read_the_store_if_peers_have_the_document(self) -> None:
         async def work() -> None:
             for nodes in (9, 81):
-                world = StartTogether(nodes, peers_have_it=True)
+                world = SimultaneousStart(nodes, peers_have_it=True)
                 await world.run()
-                self.assertEqual(world.asked, 0)
+                self.assertEqual(world.store_reads, 0)
 
         quietly(work())
 
