--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -7,17 +7,17 @@
 from moledale.gateway.calls import HttpCaller
 from tests.gateway_world import Arrival, GatewayWorld, ScriptedServer, a_plan, answer, quietly
 
-KEPT = 4
+IDLE_CONNECTIONS = 4
 """Connections at rest when they go silent."""
 
 
-class Silenced:
+class SilencingScript:
     """A script that says nothing any more on connections that were there at some moment."""
 
     def __init__(self) -> None:
         self.seen: set[int] = set()
         self.silent: set[int] = set()
-        self.asked_in_vain = 0
+        self.unanswered_count = 0
 
     def silence(self) -> None:
         """Make all connections that were seen silent."""
@@ -29,19 +29,19 @@
         """Answer, but on a silent connection."""
         self.seen.add(arrival.connection)
         if arrival.connection in self.silent:
-            self.asked_in_vain += 1
+            self.unanswered_count += 1
             await asyncio.sleep(60.0)
         await asyncio.sleep(0.02)
         writer.write(answer(arrival))
 
 
 class ServerConnectionsTest(unittest.TestCase):
-    def silenced_world(self, path: str, servers: int) -> tuple[int, list[float]]:
+    def run_with_silent_connections(self, path: str, servers: int) -> tuple[int, list[float]]:
         """Silence what is kept to one server; return requests lost, and times of answers.
 
         Other servers look slower than that one, so that it is chosen first.
         """
-        silenced = Silenced()
+        silenced = SilencingScript()
         served: list[float] = []
         lost = 0
 
@@ -49,13 +49,15 @@
             nonlocal lost
             async with GatewayWorld(a_plan()) as world:
                 await world.server("s1", "plain", silenced)
-                ticking = asyncio.create_task(tick(world))
-                await asyncio.gather(*(world.ask(path, request_id=f"w{n}") for n in range(KEPT)))
+                ticking = asyncio.create_task(run_ticks(world))
+                await asyncio.gather(
+                    *(world.ask(path, request_id=f"w{n}") for n in range(IDLE_CONNECTIONS))
+                )
                 silenced.silence()
                 for number in range(1, servers):
-                    await world.server(f"s{number + 1}", "plain", Silenced())
+                    await world.server(f"s{number + 1}", "plain", SilencingScript())
                     world.balancer.views[f"s{number + 1}"].answer_s = 0.2
-                for number in range(KEPT + 2):
+                for number in range(IDLE_CONNECTIONS + 2):
                     began = monotonic()
                     got = await world.ask(path, request_id=f"r{number}")
                     served.append(monotonic() - began)
@@ -63,21 +65,21 @@
                 ticking.cancel()
 
         quietly(run())
-        self.in_vain = silenced.asked_in_vain
+        self.unanswered = silenced.unanswered_count
         return lost, served
 
-    def test_one_request_at_most_is_lost_to_kept_connections(self) -> None:
-        lost, served = self.silenced_world("/order/", servers=1)
-        self.assertEqual((lost, self.in_vain), (1, 1))
+    def test_silent_idle_connections_lose_at_most_one_request(self) -> None:
+        lost, served = self.run_with_silent_connections("/order/", servers=1)
+        self.assertEqual((lost, self.unanswered), (1, 1))
         self.assertTrue(all(took_s < 0.3 for took_s in served[1:]), served)
 
-    def test_safe_requests_are_served_elsewhere_and_the_rest_on_new_connections(self) -> None:
-        lost, served = self.silenced_world("/check/", servers=2)
-        self.assertEqual((lost, self.in_vain), (0, 1))
+    def test_safe_request_is_retried_elsewhere_and_later_ones_use_new_connections(self) -> None:
+        lost, served = self.run_with_silent_connections("/check/", servers=2)
+        self.assertEqual((lost, self.unanswered), (0, 1))
         self.assertLess(sum(served), 1.0)
 
 
-async def tick(world: GatewayWorld) -> None:
+async def run_ticks(world: GatewayWorld) -> None:
     """Follow the time as a node does."""
     while True:
         await asyncio.sleep(0.1)
@@ -85,21 +87,21 @@
 
 
 class CallsTest(unittest.TestCase):
-    def test_calls_work_again_after_one_that_failed(self) -> None:
+    def test_only_one_call_fails_on_silent_connections(self) -> None:
         """The store's connections go silent: the others at rest are not tried one by one."""
 
         async def run() -> None:
-            silenced = Silenced()
+            silenced = SilencingScript()
             server = ScriptedServer("store", silenced)
             await server.start()
             caller = HttpCaller(server.address)
-            await asyncio.gather(*(caller.call("GET", "/x") for _ in range(KEPT)))
+            await asyncio.gather(*(caller.call("GET", "/x") for _ in range(IDLE_CONNECTIONS)))
             silenced.silence()
             first = await caller.call("GET", "/x", timeout_s=0.3)
             self.assertTrue(first.is_err())
             second = await caller.call("GET", "/x", timeout_s=0.3)
             self.assertEqual(second.unwrap().status, 200)
-            self.assertEqual(silenced.asked_in_vain, 1)
+            self.assertEqual(silenced.unanswered_count, 1)
             server.stop()
 
         asyncio.run(run())
