--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Where a starting node gets its first documents."""
+"""Tests whether a starting node gets its first documents from peers or from the store."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 class SimultaneousStart:
-    """Nodes that start at the same moment; word of the first document ends the others' waiting."""
+    """Starts nodes at the same time; once one has the document, the others fetch it from peers."""
 
     def __init__(self, nodes: int, peers_have_it: bool = False) -> None:
         self.nodes = nodes
@@ -22,14 +22,14 @@
         self.announced_at = monotonic() + 0.005 if peers_have_it else float("inf")
 
     async def run(self) -> float:
-        """Return how long it took until the last one had the document."""
+        """Start the nodes; return the seconds until the last one had the document."""
         began_at = monotonic()
         await asyncio.gather(*(self._start() for _ in range(self.nodes)))
         return monotonic() - began_at
 
     async def _start(self) -> None:
-        start = ColdStart(lambda: max(1.0, (self.nodes - 1) / MAX_MESH_PEERS))
-        await start.wait(self._announced_for(PEER_FETCH_S), self._announced_for(0.0))
+        cold_start = ColdStart(lambda: max(1.0, (self.nodes - 1) / MAX_MESH_PEERS))
+        await cold_start.wait(self._announced_for(PEER_FETCH_S), self._announced_for(0.0))
         if not self._announced_for(PEER_FETCH_S)():
             self.store_reads += 1
             await asyncio.sleep(STORE_READ_S)
