--- a/tests/test_gateway_lease.py
+++ b/tests/test_gateway_lease.py
@@ -1,4 +1,4 @@
-"""The lease of the duties: how soon it passes on, and that it never has two holders."""
+"""Tests that the lease of the duties is handed over in time and never has two holders."""
 
 import asyncio
 import unittest
@@ -22,7 +22,7 @@
 
 
 class SingleRowStore:
-    """A store with one row and a clock; it may lose answers or fail."""
+    """A fake store with one row and a clock; it may lose the answers to writes or be down."""
 
     def __init__(self) -> None:
         self.row: StateRow | None = None
@@ -34,16 +34,16 @@
         self.writes = 0
 
     def restore(self, row: StateRow | None, version: int) -> None:
-        """Come back from an older copy."""
+        """Restore the store from an older copy, which starts a new era."""
         self.row, self.version = row, version
         self.era.observe(self.era.number + 1)
 
     def clock(self) -> float:
-        """Return the store's clock, whose start is its own."""
+        """Return the time of the store's clock, which has an offset from the nodes' clocks."""
         return monotonic() + 5_000.0
 
     async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, Failure]:
-        """Return the row."""
+        """Return the row, if there is one."""
         self.reads += 1
         if self.down:
             return Err(Failure("down"))
@@ -53,7 +53,7 @@
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
     ) -> Result[WriteResult, Failure]:
-        """Put the row under its condition."""
+        """Put the row if its version is `expected`."""
         self.writes += 1
         if self.down:
             return Err(Failure("down", uncertain=False))
@@ -67,13 +67,13 @@
         return Ok(WriteResult(self.version, True, None, self.clock(), self.era.number))
 
     def stored_lease(self) -> LeaseRow:
-        """Return what the row says."""
+        """Return the stored lease."""
         assert self.row is not None
         return msgspec.json.decode(self.row.value, type=LeaseRow)
 
 
 def make_keeper(store: SingleRowStore, name: str, incarnation: int = 1) -> LeaseKeeper:
-    """Return a node's keeper."""
+    """Return the lease keeper of one incarnation of a node."""
     return LeaseKeeper(name, store, BOUNDS, f"{name}/{incarnation}")  # type: ignore[arg-type]
 
 
@@ -95,9 +95,9 @@
             store = SingleRowStore()
             one, two = make_keeper(store, "one"), make_keeper(store, "two")
             await one.step(0)
-            news = one.lease_update()
-            assert news is not None
-            two.on_renewal("one", news, monotonic())
+            update = one.lease_update()
+            assert update is not None
+            two.on_renewal("one", update, monotonic())
             for _ in range(5):
                 await two.step(0)
             self.assertEqual(store.reads, 1)
@@ -114,8 +114,8 @@
                 for number, each in enumerate(keepers):
                     serving = number < 6
                     await each.step(number if serving else 6, 1.0 if serving else 12.0)
-                    if (news := keepers[0].lease_update()) is not None:
-                        each.on_renewal("n0", news, monotonic())
+                    if (update := keepers[0].lease_update()) is not None:
+                        each.on_renewal("n0", update, monotonic())
             self.assertIsNotNone(keepers[0].grant())
             self.assertLessEqual(store.reads + store.writes, 13)
 
@@ -194,9 +194,9 @@
             one = make_keeper(store, "one")
             await one.step(0)
             self.assertIsNotNone(one.grant())
-            other_life = make_keeper(store, "one", incarnation=2)
-            await other_life.step(0)
-            self.assertIsNone(other_life.grant())
+            restarted = make_keeper(store, "one", incarnation=2)
+            await restarted.step(0)
+            self.assertIsNone(restarted.grant())
 
         quietly(work())
 
@@ -215,7 +215,7 @@
 
 
 class PassedOnLeaseTest(unittest.TestCase):
-    """Nodes that do not hear the holder are told of its lease by nodes that do."""
+    """Nodes that get no renewals from the holder get them relayed by nodes that do."""
 
     def setUp(self) -> None:
         self.store = SingleRowStore()
@@ -226,10 +226,10 @@
 
     async def _acquire_lease(self) -> float:
         await self.holder.step(0)
-        news = self.holder.lease_update()
-        assert news is not None
+        update = self.holder.lease_update()
+        assert update is not None
         now = monotonic()
-        self.serving.on_renewal("holder", news, now)
+        self.serving.on_renewal("holder", update, now)
         return now
 
     def test_node_that_gets_a_relayed_renewal_does_not_read_the_store(self) -> None:
@@ -269,19 +269,19 @@
 
 
 class RestoredLeaseTest(unittest.TestCase):
-    """The store came back from a copy that lacks the last renewals, holders and fences."""
+    """The store was restored from a copy that lacks the last renewals, holders and fences."""
 
     def setUp(self) -> None:
         self.store = SingleRowStore()
         self.store.era.observe(1)
         self.one, self.two = make_keeper(self.store, "one"), make_keeper(self.store, "two")
-        # Times of the test are shorter than those of nodes.
+        # The lease of this test is shorter than that of nodes, so the grace is too.
         short = mock.patch.object(lease_keeper, "RESTORE_GRACE_S", 0.02)
         short.start()
         self.addCleanup(short.stop)
 
     async def _acquire_and_restore(self, age_s: float) -> None:
-        """Let one take the lease of a row that was renewed long ago; the store then forgets it."""
+        """Let `one` acquire a lease last renewed `age_s` ago, then restore the store without it."""
         old = LeaseRow("gone", 7, "gone/1/1", self.store.clock() - age_s, era=1)
         copy = StateRow(LEASE_KEY, msgspec.json.encode(old), 9)
         self.store.row = copy
@@ -310,11 +310,11 @@
             await self._acquire_and_restore(TTL_S + 0.1)
             forgotten = self.one.grant()
             assert forgotten is not None
-            stranger = make_keeper(self.store, "stranger")
-            while stranger.grant() is None:
-                await stranger.step(0)
+            candidate = make_keeper(self.store, "stranger")
+            while candidate.grant() is None:
+                await candidate.step(0)
                 await asyncio.sleep(0.02)
-            grant = stranger.grant()
+            grant = candidate.grant()
             assert grant is not None
             self.assertGreater(grant.epoch, forgotten.epoch)
 
@@ -340,15 +340,15 @@
     def test_write_whose_condition_was_read_in_another_era_grants_nothing(self) -> None:
         async def work() -> None:
             await self.one.step(0)
-            news = self.one.lease_update()
-            assert news is not None
-            self.two.on_renewal("one", news, monotonic())
+            update = self.one.lease_update()
+            assert update is not None
+            self.two.on_renewal("one", update, monotonic())
             await asyncio.sleep(TTL_S)
             version = self.two.lease.version
-            others = LeaseRow("other", 9, "other/1", self.store.clock(), era=2)
+            foreign = LeaseRow("other", 9, "other/1", self.store.clock(), era=2)
             era = self.two._store.era = StoreEra()
             era.observe(1)
-            self.store.restore(StateRow(LEASE_KEY, msgspec.json.encode(others), version), version)
+            self.store.restore(StateRow(LEASE_KEY, msgspec.json.encode(foreign), version), version)
             await self.two.step(0)
             self.assertIsNone(self.two.grant())
             await asyncio.sleep(TTL_S / 2)
@@ -375,9 +375,9 @@
             self.store.restore(None, 3)
             self.store.down = True
             await self.one.step(0)
-            news = self.one.lease_update()
-            assert news is not None
-            self.assertEqual((news.era, news.version), (1, version))
+            update = self.one.lease_update()
+            assert update is not None
+            self.assertEqual((update.era, update.version), (1, version))
 
         quietly(work())
 
