--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -1,4 +1,4 @@
-"""Who is there, who serves, and whom a node tells what."""
+"""Tests which nodes count as alive, which serve callers, and the targets of their gossip."""
 
 import unittest
 from collections import Counter
@@ -44,7 +44,7 @@
 
 class DirectoryTest(unittest.TestCase):
     def settle(self, nodes: list[NodeState]) -> list[NodeState]:
-        """Let each node decide from what all others say, round by round."""
+        """Let each node decide from the states of all others whether it serves, for four rounds."""
         for _ in range(4):
             nodes = [
                 msgspec.structs.replace(
@@ -97,7 +97,7 @@
 
 class ServingByDemandTest(unittest.TestCase):
     def make_serving_nodes(self, number: int, per_s: float, power: float = 10.0) -> list[NodeState]:
-        """Return a hall's serving nodes that have `per_s` requests a second together."""
+        """Return serving nodes of a hall that together get `per_s` requests per second."""
         return [
             state(f"s{n}", serving=True, power=power, requests_per_s=per_s / number)
             for n in range(number)
@@ -116,18 +116,20 @@
 
     def test_other_halls_and_nodes_in_reserve_do_not_count(self) -> None:
         own = state("n1", power=10.0)
-        others = [
+        peers = [
             state("x", hall="b", serving=True, power=10.0, requests_per_s=5_000.0),
             state("y", serving=False, power=10.0, requests_per_s=5_000.0),
         ]
-        self.assertEqual(wanted_nodes(own, [*others, *self.make_serving_nodes(1, 10.0)]), 1)
+        self.assertEqual(wanted_nodes(own, [*peers, *self.make_serving_nodes(1, 10.0)]), 1)
 
     def test_small_changes_of_load_do_not_change_the_number_of_serving_nodes(self) -> None:
         own = state("n1", power=10.0)
-        most_of_two = 2 * MAX_LOAD_SHARE / CORE_S_PER_REQUEST
+        max_load_of_two = 2 * MAX_LOAD_SHARE / CORE_S_PER_REQUEST
         for share in (1.0, 0.9, 0.8, 0.7):
-            self.assertEqual(wanted_nodes(own, self.make_serving_nodes(2, share * most_of_two)), 2)
-        self.assertEqual(wanted_nodes(own, self.make_serving_nodes(2, 0.2 * most_of_two)), 1)
+            self.assertEqual(
+                wanted_nodes(own, self.make_serving_nodes(2, share * max_load_of_two)), 2
+            )
+        self.assertEqual(wanted_nodes(own, self.make_serving_nodes(2, 0.2 * max_load_of_two)), 1)
 
     def test_hall_settles_on_the_number_that_its_requests_need(self) -> None:
         total = 700.0
@@ -142,14 +144,14 @@
                 for node in nodes
             ]
             for index, node in enumerate(nodes):
-                heard = nodes[:index] + nodes[index + 1 :]
-                serves = should_serve(node, heard, wanted_nodes(node, heard))
+                peers = nodes[:index] + nodes[index + 1 :]
+                serves = should_serve(node, peers, wanted_nodes(node, peers))
                 nodes[index] = msgspec.structs.replace(node, serving=serves)
                 settled.append(sum(node.serving for node in nodes))
         needed = ceil(total * CORE_S_PER_REQUEST / MAX_LOAD_SHARE)
         self.assertGreaterEqual(settled[-1], needed)
         self.assertLessEqual(settled[-1], needed + 1)
-        self.assertEqual(len(set(settled[-10 * len(nodes) :])), 1, "they take turns")
+        self.assertEqual(len(set(settled[-10 * len(nodes) :])), 1, "serving nodes flap")
 
     def test_rate_follows_a_counter(self) -> None:
         rate = Rate()
@@ -177,27 +179,27 @@
 
     def test_node_in_reserve_sends_few_states(self) -> None:
         neighbours, own = self.make_large_cluster(serving=False)
-        told = [len(neighbours.state_targets(own, 10.0 + n * GOSSIP_INTERVAL_S)) for n in range(50)]
-        self.assertLessEqual(sum(told) / (50 * GOSSIP_INTERVAL_S), 5.0)
+        sent = [len(neighbours.state_targets(own, 10.0 + n * GOSSIP_INTERVAL_S)) for n in range(50)]
+        self.assertLessEqual(sum(sent) / (50 * GOSSIP_INTERVAL_S), 5.0)
 
     def test_serving_nodes_send_full_states_to_each_other_each_round(self) -> None:
         neighbours, own = self.make_large_cluster(serving=True)
-        brief = 0
+        brief_count = 0
         for number in range(5):
             targets = neighbours.state_targets(own, 10.0 + number * GOSSIP_INTERVAL_S)
             self.assertEqual({f"n{number}:2" for number in range(1, 9)}, set(targets))
-            brief += len(neighbours.brief_targets(own, targets, 10.0))
-        self.assertEqual(brief, 389 - 8)
+            brief_count += len(neighbours.brief_targets(own, targets, 10.0))
+        self.assertEqual(brief_count, 389 - 8)
 
     def test_relayed_change_reaches_each_node_from_several_others(self) -> None:
         names = [f"n{number}:2" for number in range(390)]
-        tellers: Counter[str] = Counter()
+        received: Counter[str] = Counter()
         for name in names:
             neighbours = Neighbours(Membership(name, 1), name, 0.0)
             for other in names:
                 neighbours.addresses.add(other, 10.0)
-            tellers.update(neighbours.relay_targets(state(name), 10.0))
-        self.assertEqual([name for name in names if tellers[name] < RING_SUCCESSORS], [])
+            received.update(neighbours.relay_targets(state(name), 10.0))
+        self.assertEqual([name for name in names if received[name] < RING_SUCCESSORS], [])
 
     def test_placements_go_to_all_serving_nodes_or_if_many_serve_to_those_of_the_hall(self) -> None:
         members = Membership("n0", 1)
@@ -226,14 +228,14 @@
     def test_brief_state_changes_no_counts(self) -> None:
         members = Membership("n1", 1)
         full = state("n2", sequence=1, started={2: {"north": 4}}, spent={"north": 900.0})
-        short = msgspec.structs.replace(full, sequence=2).without_counts()
-        more = msgspec.structs.replace(full, sequence=3, spent={"north": 950.0})
+        brief = msgspec.structs.replace(full, sequence=2).without_counts()
+        later = msgspec.structs.replace(full, sequence=3, spent={"north": 950.0})
         sharing = Sharing(members, Bounds())
         limits = AccountLimits(True)
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         limits.configure([account], monotonic())
-        for news in (full, short, more):
-            self.assertTrue(sharing.merge_state(news, limits))
+        for update in (full, brief, later):
+            self.assertTrue(sharing.merge_state(update, limits))
         self.assertEqual(members.all_states()[0].started, {2: {"north": 4}})
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_950.0, delta=1.0)
 
@@ -243,8 +245,8 @@
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         limits.configure([account], monotonic())
         for sequence, spent in enumerate((0.0, 400.0, 900.0), start=1):
-            told = state("n2", sequence=sequence, spent={"north": spent}).without_counts()
-            sharing.merge_state(told, limits)
+            brief = state("n2", sequence=sequence, spent={"north": spent}).without_counts()
+            sharing.merge_state(brief, limits)
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_100.0, delta=1.0)
 
     def test_spending_of_a_new_incarnation_before_its_first_state_counts(self) -> None:
