--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -1,4 +1,4 @@
-"""Whole gateway nodes in one process, over real sockets, with a store that fails as told."""
+"""Tests whole gateway nodes in one process, over real sockets, with a fault-injecting store."""
 
 import asyncio
 import random
@@ -36,7 +36,7 @@
 
 
 def make_config(version: int, prefix: str = "/check/", keys: tuple[str, ...] = (KEY,)) -> object:
-    """Return a configuration as the operator writes it."""
+    """Return a configuration in the format that operators write."""
     return {
         "version": version,
         "routes": [
@@ -67,12 +67,12 @@
 
 
 def random_loopback_address() -> str:
-    """Return an address of loopback that no other node of this machine is likely to have."""
+    """Return a random loopback address; all nodes of the machine use the same ports."""
     return f"127.{random.randint(1, 254)}.{random.randint(0, 254)}.{random.randint(1, 254)}"
 
 
 class Cluster:
-    """Nodes, a store and one backend server."""
+    """Runs nodes, a store and one backend server."""
 
     def __init__(self, bounds: Bounds = BOUNDS) -> None:
         self.platform = RowsPlatform()
@@ -97,11 +97,11 @@
         self.backend.stop()
 
     def list_backend(self, state: str) -> None:
-        """Write the entry of the server that is always there."""
+        """Write the list entry of the cluster's own backend server."""
         self.list_server(self.backend, state)
 
     def list_server(self, server: ScriptedServer, state: str, **more: object) -> None:
-        """Write a server's entry of the list."""
+        """Write a server's entry in the list."""
         entry = {
             "service": "plain",
             "address": server.address,
@@ -115,7 +115,7 @@
         self.platform.put("servers", server.id, entry)
 
     async def start(self, name: str, seeds: tuple[str, ...] = ()) -> GatewayNode:
-        """Start a node."""
+        """Start a node; any start after the first one of a name counts as a restart."""
         address = random_loopback_address()
         callers, control, directory, readiness, peers = (
             f"{address}:{FIRST_PORT + number}" for number in range(5)
@@ -150,12 +150,12 @@
         return node
 
     def stop(self, name: str) -> asyncio.Task[int]:
-        """Begin a planned stop."""
+        """Begin a planned stop; return the task, which ends with the exit code."""
         self._stops[name].set()
         return self._tasks[name]
 
     def kill(self, name: str) -> None:
-        """End a node without any word."""
+        """Kill a node: it sends nothing more and closes its sockets."""
         node = self.nodes[name]
         if node._gossip is not None:
             node._gossip.close()
@@ -170,14 +170,14 @@
                 child.task.cancel()
 
     async def ask(self, name: str, path: str = "/check/", key: str = KEY) -> CallerAnswer:
-        """Send a request to a node."""
+        """Send a request to a node and return its answer."""
         return await ask(
             self.nodes[name].settings.node.callers,
             request_bytes(path, headers={"Authorization": f"Bearer {key}"}),
         )
 
     async def addresses(self, name: str) -> list[str]:
-        """Ask a node's directory."""
+        """Return the addresses from a node's directory, none on an error."""
         data = b"GET /v1/resolve?name=x&region=r&zone=hall-a HTTP/1.1\r\nHost: d\r\n\r\n"
         got = await ask(self.nodes[name].settings.node.directory, data)
         if got.status != 200:
@@ -187,7 +187,7 @@
 
 
 NODE_FAILURES: list[str] = []
-"""What ended nodes by itself, over all tests of this module."""
+"""Exceptions that ended nodes, over all tests of the process."""
 
 
 def _record_failure(task: "asyncio.Task[int]") -> None:
@@ -196,7 +196,7 @@
 
 
 async def ask(address: str, data: bytes) -> CallerAnswer:
-    """Send bytes to an address and read one answer."""
+    """Send bytes to an address on a new connection and read one answer."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -206,21 +206,21 @@
 
 
 async def wait_until(condition: Callable[[], bool], within_s: float = 5.0) -> None:
-    """Wait until something holds; a node that ended by itself is told as the cause."""
+    """Wait until a condition holds; the error after the timeout names nodes that failed."""
     ends = monotonic() + within_s
     while not condition():
         if monotonic() > ends:
-            raise AssertionError(f"it never came true; nodes that ended: {NODE_FAILURES}")
+            raise AssertionError(f"condition did not hold in time; failed nodes: {NODE_FAILURES}")
         await asyncio.sleep(0.02)
 
 
 def ready(node: GatewayNode) -> Callable[[], bool]:
-    """Return a condition: the node is ready."""
+    """Return a condition that holds while the node is ready."""
     return lambda: node.standing is Standing.READY
 
 
 def plan_version_of(node: GatewayNode) -> int:
-    """Return the plan version in force at a node."""
+    """Return the version of the plan in force at a node, 0 without a plan."""
     return node.forwarder.index.version if node.forwarder.index is not None else 0
 
 
@@ -363,7 +363,7 @@
 
 class DutyTest(unittest.TestCase):
     def reported_counts(self, cluster: Cluster) -> dict[int, list[dict[str, int]]]:
-        """Return the counts that were reported of each window."""
+        """Return the counts of all reports, by window."""
         found: dict[int, list[dict[str, int]]] = {}
         for call in cluster.platform.duty_calls:
             if call.path == "/usage":
@@ -445,8 +445,8 @@
             await wait_until(lambda: any(node.keeper.grant() for node in nodes.values()))
             holder = next(name for name, node in nodes.items() if node.keeper.grant())
             cluster.stop(holder)
-            others = [node for name, node in nodes.items() if name != holder]
-            await wait_until(lambda: any(node.keeper.grant() for node in others), 2.5)
+            peers = [node for name, node in nodes.items() if name != holder]
+            await wait_until(lambda: any(node.keeper.grant() for node in peers), 2.5)
 
         run_on_cluster(work)
 
@@ -482,20 +482,20 @@
                 await wait_until(
                     lambda node=node: [n.serving for n in node.serving_nodes()] == [True]
                 )  # type: ignore[misc]
-            told = (await cluster.addresses("n1"))[0]
-            first = next(n for n, node in nodes.items() if node.settings.node.callers == told)
+            address = (await cluster.addresses("n1"))[0]
+            first = next(n for n, node in nodes.items() if node.settings.node.callers == address)
             second = next(name for name in nodes if name != first)
-            host, port = told.split(":")
+            host, port = address.split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(request_bytes("/check/"))
             await asyncio.sleep(0.1)
             stopping = cluster.stop(first)
             await asyncio.sleep(0.4)
-            self.assertNotIn(told, await cluster.addresses(second))
+            self.assertNotIn(address, await cluster.addresses(second))
             got = await read_answer(reader)
             self.assertEqual((got.status, got.whole), (200, True))
             writer.close()
-            late = await ask(told, request_bytes("/check/", request_id="r2"))
+            late = await ask(address, request_bytes("/check/", request_id="r2"))
             self.assertEqual((late.status, late.headers["connection"]), (200, "close"))
             self.assertEqual(await stopping, 0)
 
