--- a/tests/test_lease_over_restores.py
+++ b/tests/test_lease_over_restores.py
@@ -1,4 +1,4 @@
-"""The lease of the duties while the store comes back from older copies again and again."""
+"""Tests the lease of the duties while the store is restored from older copies repeatedly."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class RestoringStore(SingleRowStore):
-    """A store that may come back as it was at any moment of the last second."""
+    """A fake store that may be restored to its state at any time within the last second."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__()
@@ -32,13 +32,13 @@
         self._copies: list[tuple[float, StateRow | None, int]] = []
 
     def take_copy(self) -> None:
-        """Take a copy."""
+        """Take a copy; drop those older than a second."""
         now = monotonic()
         self._copies.append((now, self.row, self.version))
         self._copies = [each for each in self._copies if now - each[0] < 1.0]
 
     def restore_random_copy(self) -> None:
-        """Come back from a copy, and give some versions out to rows of others."""
+        """Restore a random copy, and assign some versions to rows of other writers."""
         _, row, version = self._rng.choice(self._copies)
         self.restore(row, version)
         self.version += self._rng.choice((0, 0, 1, 2))
@@ -47,7 +47,7 @@
 
 
 class UnreliableStore:
-    """The store as one node reaches it: slow, cut off, and with answers that get lost."""
+    """The store as one node reaches it: with delays, lost connections and lost answers."""
 
     def __init__(self, store: RestoringStore, rng: random.Random) -> None:
         self.era = StoreEra()
@@ -56,10 +56,10 @@
         self._rng = rng
 
     async def read(self, table: str, timeout_s: float) -> Result[TableSnapshot, Failure]:
-        """Return the row."""
+        """Return the row, if there is one."""
         await asyncio.sleep(0.005 * self._rng.random())
         if monotonic() < self.unreachable_until:
-            return Err(Failure("cut off"))
+            return Err(Failure("unreachable"))
         answer = await self._store.read(table, timeout_s)
         self.era.observe(self._store.era.number)
         return answer
@@ -67,11 +67,11 @@
     async def write(
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
     ) -> Result[WriteResult, Failure]:
-        """Put the row; at times much later, or with an answer that is lost."""
-        late_s = 0.2 if self._rng.random() < 0.05 else 0.005
-        await asyncio.sleep(late_s * self._rng.random())
+        """Put the row; sometimes much later, or with a lost answer."""
+        max_delay_s = 0.2 if self._rng.random() < 0.05 else 0.005
+        await asyncio.sleep(max_delay_s * self._rng.random())
         if monotonic() < self.unreachable_until:
-            return Err(Failure("cut off"))
+            return Err(Failure("unreachable"))
         answer = await self._store.write(table, key, value, expected, timeout_s)
         if self._rng.random() < 0.05:
             return Err(Failure("lost"))
@@ -82,31 +82,32 @@
 class LeaseOverRestoresTest(unittest.TestCase):
     def setUp(self) -> None:
         self.rng = random.Random()
+        # Number of the holder and its fence, at each change.
         self.grants_seen: list[tuple[int, int]] = []
         self.violations: list[str] = []
 
     def check_grants(self, keepers: list[LeaseKeeper]) -> None:
-        """Note who may act now, with which fence."""
+        """Record who holds the lease now and its fence; two holders are a violation."""
         grants = [(number, keeper.grant()) for number, keeper in enumerate(keepers)]
         acting = [(number, grant.epoch) for number, grant in grants if grant is not None]
         if len(acting) > 1:
-            self.violations.append(f"several hold it: {acting}")
-        for now in acting:
-            if not self.grants_seen or self.grants_seen[-1] != now:
-                self.grants_seen.append(now)
+            self.violations.append(f"several holders: {acting}")
+        for each in acting:
+            if not self.grants_seen or self.grants_seen[-1] != each:
+                self.grants_seen.append(each)
 
     async def run_keeper(self, number: int, keepers: list[LeaseKeeper]) -> None:
         keeper = keepers[number]
         while True:
             await keeper.step(number)
-            news = keeper.lease_update()
+            update = keeper.lease_update()
             for other in keepers:
-                if news is not None and other is not keeper and self.rng.random() < 0.8:
-                    other.on_renewal(str(number), news, monotonic())
+                if update is not None and other is not keeper and self.rng.random() < 0.8:
+                    other.on_renewal(str(number), update, monotonic())
             await asyncio.sleep(STEP_INTERVAL_S)
 
     async def inject_faults(self, store: RestoringStore, nodes: list[UnreliableStore]) -> None:
-        """Cut nodes off, holders above all, and let the store come back at bad moments."""
+        """Cut nodes off from the store, mostly the holder, and restore it at random times."""
         while True:
             await asyncio.sleep(0.05)
             store.take_copy()
@@ -127,15 +128,15 @@
             LeaseKeeper(str(number), node, BOUNDS, f"{number}/1")  # type: ignore[arg-type]
             for number, node in enumerate(nodes)
         ]
-        work = [asyncio.create_task(self.run_keeper(n, keepers)) for n in range(KEEPERS)]
-        work.append(asyncio.create_task(self.inject_faults(store, nodes)))
-        ends = monotonic() + RUN_S
-        while monotonic() < ends:
+        tasks = [asyncio.create_task(self.run_keeper(n, keepers)) for n in range(KEEPERS)]
+        tasks.append(asyncio.create_task(self.inject_faults(store, nodes)))
+        ends_at = monotonic() + RUN_S
+        while monotonic() < ends_at:
             self.check_grants(keepers)
             await asyncio.sleep(0.001)
-        for task in work:
+        for task in tasks:
             task.cancel()
-        self.assertEqual([task for task in work if task.done() and not task.cancelled()], [])
+        self.assertEqual([task for task in tasks if task.done() and not task.cancelled()], [])
 
     def test_fences_increase_and_name_one_holder_whatever_the_store_loses(self) -> None:
         for seed in SEEDS:
