--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The adapter of the platform's store against a stand-in: lists from what changed."""
+"""Tests the adapter for the platform's store against a stand-in for the store."""
 
 import asyncio
 import base64
@@ -34,7 +34,7 @@
 
 
 def run_on_store(work: Callable[[RowsPlatform, PlatformStore], Awaitable[None]]) -> None:
-    """Run a test against a store on loopback."""
+    """Run a test with a stand-in for the store on loopback and an adapter for it."""
 
     async def run() -> None:
         platform = RowsPlatform()
@@ -48,12 +48,12 @@
 
 
 async def read_servers(store: PlatformStore, before: ServerList | None = None) -> ServerList:
-    """Read the list; an error fails the test."""
+    """Read the list of servers; an error fails the test."""
     return (await store.servers(1.0, before)).unwrap()
 
 
 class EntriesOfOthersTest(unittest.TestCase):
-    """An entry that can't be read names no server, and the others hold."""
+    """An unreadable entry of another writer is skipped, and the others still count."""
 
     BAD: tuple[object, ...] = (
         {},
@@ -132,7 +132,7 @@
 
 
 class OrdersOfOthersTest(unittest.TestCase):
-    """An order or a status that can't be read hides neither the plan nor other orders."""
+    """An unreadable order or status hides neither the plan nor other orders."""
 
     def test_unreadable_rows_hide_neither_the_plan_nor_a_valid_order(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
@@ -142,34 +142,34 @@
             platform.put("op", "rollout/plain", {"service": 7})
             platform.put("op", "rollout/other", [])
             platform.put("status", "rollout/model", {"state": 1})
-            news = (await store.plan(1.0)).unwrap()
-            assert news.plan is not None
-            self.assertEqual(news.plan.version, 3)
-            self.assertEqual([each.order.service for each in news.rollouts], ["model"])
+            update = (await store.plan(1.0)).unwrap()
+            assert update.plan is not None
+            self.assertEqual(update.plan.version, 3)
+            self.assertEqual([each.order.service for each in update.rollouts], ["model"])
 
         with logbook.TestHandler().applicationbound() as handler:
             run_on_store(work)
-        told = [each.message for each in handler.records if each.message.startswith("E303")]
-        self.assertEqual(len(told), 3)
+        logged = [each.message for each in handler.records if each.message.startswith("E303")]
+        self.assertEqual(len(logged), 3)
 
 
 class KeptRolloutsOfOthersTest(unittest.TestCase):
     def test_unreadable_rows_hide_no_valid_one(self) -> None:
-        news = RolloutNews(RolloutOrder("model", 3, "v2", 12.0, 1.0), Phase.TRIAL)
+        rollout = RolloutNews(RolloutOrder("model", 3, "v2", 12.0, 1.0), Phase.TRIAL)
 
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
-            platform.put("rollouts", "model", msgspec.to_builtins(news))
+            platform.put("rollouts", "model", msgspec.to_builtins(rollout))
             platform.put("rollouts", "plain", ["no roll-out"])
             platform.put("rollouts", "spoilt", {})
             platform.rows[("rollouts", "", "spoilt")].value = "a"
-            self.assertEqual((await store.load_rollouts(1.0)).unwrap(), (news,))
+            self.assertEqual((await store.load_rollouts(1.0)).unwrap(), (rollout,))
 
         with logbook.NullHandler().applicationbound():
             run_on_store(work)
 
 
 class StartedAgainTest(unittest.TestCase):
-    """A server that starts again under its id is another server."""
+    """A server that restarts under the same id counts as a different server."""
 
     def test_new_incarnation_replaces_the_previous_one(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
@@ -241,8 +241,8 @@
         run_on_store(work)
 
     def test_list_of_many_pages_is_a_consistent_snapshot(self) -> None:
-        class Changing(RowsPlatform):
-            """A store in which a server of the first page leaves while the next is read."""
+        class ChangingPlatform(RowsPlatform):
+            """A store in which a server of the first page starts to leave during the next read."""
 
             def _get(self, query: dict[str, str]) -> tuple[int, dict[str, object]]:
                 if query.get("from"):
@@ -250,7 +250,7 @@
                 return super()._get(query)
 
         async def run() -> None:
-            platform = Changing()
+            platform = ChangingPlatform()
             await platform.start()
             for number in range(700):
                 platform.put("servers", f"s{number:04}", make_entry())
