--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -1,4 +1,4 @@
-"""A server that starts again under its id holds nothing of before, and is taken for another."""
+"""Tests that a server that restarts under the same id counts as a different, empty server."""
 
 import asyncio
 import unittest
@@ -14,12 +14,12 @@
 FACTS = RequestFacts("r1", prompt_tokens=4_100, parts=PARTS)
 
 
-def make_server(at: int) -> Server:
-    return Server(f"a#{at}", "model", "h:1", "hall-a", 64)
+def make_server(born_ms: int) -> Server:
+    return Server(f"a#{born_ms}", "model", "h:1", "hall-a", 64)
 
 
 class BookTest(unittest.TestCase):
-    """What was known of the life before ends at once, and can't come back."""
+    """What was known of the previous incarnation is dropped at once and never restored."""
 
     def setUp(self) -> None:
         self.balancer = LoadBalancer("hall-a")
@@ -53,7 +53,7 @@
 
 class NodeTest(unittest.TestCase):
     def test_server_that_restarts_between_two_reads_of_the_list_gets_new_connections(self) -> None:
-        """It ends and starts again at its address between two readings of the list."""
+        """It restarts at the same address, so the list never shows it as gone."""
 
         async def work(cluster: Cluster) -> None:
             cluster.list_server(cluster.backend, "ready", born=1_000)
