--- a/tests/test_rows_of_others.py
+++ b/tests/test_rows_of_others.py
@@ -1,4 +1,4 @@
-"""Rows of the store that other writers spoilt: nodes serve on, and good rows after them count."""
+"""Tests that nodes keep serving when other writers corrupt rows, and apply later valid rows."""
 
 import asyncio
 import base64
@@ -22,33 +22,33 @@
 NOT_BASE64 = "a"
 
 LONG_LEASE = Bounds(stop_s=3.0, lease_s=2.0, usage_window_s=1.0)
-"""Renewals of such a lease come long before its end, also on a slow machine."""
+"""With a lease this long, renewals come well before it expires even on a slow machine."""
 
 
 def put_corrupt_row(platform: RowsPlatform, table: str, key: str, value: bytes | str) -> None:
-    """Write a row of any bytes, or with a value that is not even base64."""
+    """Write a row with these bytes, or with a text that need not be valid base64."""
     platform.put(table, key, {})
     text = value if isinstance(value, str) else base64.b64encode(value).decode()
     platform.rows[(table, "", key)].value = text
 
 
 def task_failures(node: GatewayNode) -> dict[str, int]:
-    """Return how often tasks of a node failed."""
+    """Return the number of failures of each task of a node that failed."""
     return {each.name: len(each.failures) for each in node.supervisor._children if each.failures}
 
 
 def current_plan_version(node: GatewayNode) -> int:
-    """Return the version of a node's plan."""
+    """Return the version of a node's plan, -1 without a plan."""
     index = node.forwarder.index
     return -1 if index is None else index.version
 
 
 class PlanOfOthersTest(unittest.TestCase):
-    def _assert_plan_survives(self, spoilt: Callable[[RowsPlatform], object]) -> None:
+    def _assert_plan_survives(self, corrupt: Callable[[RowsPlatform], object]) -> None:
         async def work(cluster: Cluster) -> None:
             node = await cluster.start("n1")
             await wait_until(ready(node))
-            spoilt(cluster.platform)
+            corrupt(cluster.platform)
             calls = cluster.platform.calls
             await wait_until(lambda: cluster.platform.calls > calls + 3)
             self.assertEqual((await cluster.ask("n1")).status, 200)
@@ -108,8 +108,8 @@
             held = node.keeper.grant()
             assert held is not None
             put_corrupt_row(cluster.platform, "leases", "duties", NOT_AN_OBJECT)
-            spoilt = cluster.platform.rows[("leases", "", "duties")].ver
-            while cluster.platform.rows[("leases", "", "duties")].ver == spoilt:
+            corrupt_version = cluster.platform.rows[("leases", "", "duties")].ver
+            while cluster.platform.rows[("leases", "", "duties")].ver == corrupt_version:
                 grant = node.keeper.grant()
                 assert grant is not None
                 self.assertEqual(grant.epoch, held.epoch)
