--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections that go silent for good, without a reset, while new ones work."""
+"""Tests for connections that become silent for good, without a reset, while new ones work."""
 
 import asyncio
 import unittest
@@ -8,11 +8,11 @@
 from tests.gateway_world import Arrival, GatewayWorld, ScriptedServer, a_plan, answer, quietly
 
 IDLE_CONNECTIONS = 4
-"""Connections at rest when they go silent."""
+"""Idle connections at the time when they become silent."""
 
 
 class SilencingScript:
-    """A script that says nothing any more on connections that were there at some moment."""
+    """A server script that no longer answers on the connections that `silence` marked."""
 
     def __init__(self) -> None:
         self.seen: set[int] = set()
@@ -20,13 +20,13 @@
         self.unanswered_count = 0
 
     def silence(self) -> None:
-        """Make all connections that were seen silent."""
+        """Stop answering on all connections seen so far."""
         self.silent = set(self.seen)
 
     async def __call__(
         self, arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer, but on a silent connection."""
+        """Answer the request, unless its connection is silent."""
         self.seen.add(arrival.connection)
         if arrival.connection in self.silent:
             self.unanswered_count += 1
@@ -37,23 +37,23 @@
 
 class ServerConnectionsTest(unittest.TestCase):
     def run_with_silent_connections(self, path: str, servers: int) -> tuple[int, list[float]]:
-        """Silence what is kept to one server; return requests lost, and times of answers.
+        """Silence the idle connections to one server; return the lost requests and all latencies.
 
-        Other servers look slower than that one, so that it is chosen first.
+        The other servers look slower than that one, so that it is chosen first.
         """
-        silenced = SilencingScript()
+        script = SilencingScript()
         served: list[float] = []
         lost = 0
 
         async def run() -> None:
             nonlocal lost
             async with GatewayWorld(a_plan()) as world:
-                await world.server("s1", "plain", silenced)
+                await world.server("s1", "plain", script)
                 ticking = asyncio.create_task(run_ticks(world))
                 await asyncio.gather(
                     *(world.ask(path, request_id=f"w{n}") for n in range(IDLE_CONNECTIONS))
                 )
-                silenced.silence()
+                script.silence()
                 for number in range(1, servers):
                     await world.server(f"s{number + 1}", "plain", SilencingScript())
                     world.balancer.views[f"s{number + 1}"].answer_s = 0.2
@@ -65,7 +65,7 @@
                 ticking.cancel()
 
         quietly(run())
-        self.unanswered = silenced.unanswered_count
+        self.unanswered = script.unanswered_count
         return lost, served
 
     def test_silent_idle_connections_lose_at_most_one_request(self) -> None:
@@ -80,7 +80,7 @@
 
 
 async def run_ticks(world: GatewayWorld) -> None:
-    """Follow the time as a node does."""
+    """Call the balancer's periodic update as a node does."""
     while True:
         await asyncio.sleep(0.1)
         world.balancer.tick(monotonic())
@@ -88,20 +88,20 @@
 
 class CallsTest(unittest.TestCase):
     def test_only_one_call_fails_on_silent_connections(self) -> None:
-        """The store's connections go silent: the others at rest are not tried one by one."""
+        """After the first failure the other idle connections are not tried one by one."""
 
         async def run() -> None:
-            silenced = SilencingScript()
-            server = ScriptedServer("store", silenced)
+            script = SilencingScript()
+            server = ScriptedServer("store", script)
             await server.start()
             caller = HttpCaller(server.address)
             await asyncio.gather(*(caller.call("GET", "/x") for _ in range(IDLE_CONNECTIONS)))
-            silenced.silence()
+            script.silence()
             first = await caller.call("GET", "/x", timeout_s=0.3)
             self.assertTrue(first.is_err())
             second = await caller.call("GET", "/x", timeout_s=0.3)
             self.assertEqual(second.unwrap().status, 200)
-            self.assertEqual(silenced.unanswered_count, 1)
+            self.assertEqual(script.unanswered_count, 1)
             server.stop()
 
         asyncio.run(run())
