--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy: what nodes and the platform see of it."""
+"""Tests that a restore of the store is noticed, and that positions of earlier eras are not used."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 def log_messages_of(handler: logbook.TestHandler, event: Event) -> list[str]:
-    """Return the log lines of an event."""
+    """Return the messages that were logged for an event."""
     return [each.message for each in handler.records if f"E{event.value.number} " in each.message]
 
 
@@ -41,7 +41,7 @@
 
 
 class PositionTest(unittest.TestCase):
-    """A position in the history of one era says nothing in that of another."""
+    """A position in the history of one era is not valid in another."""
 
     def test_list_is_not_updated_from_a_position_of_the_previous_era(self) -> None:
         async def work(platform: RowsPlatform, store: PlatformStore) -> None:
@@ -72,8 +72,8 @@
             for _ in range(40):
                 platform.put("other", "row", {})
             self.assertTrue((await store.watch_plan(position, 0.1)).unwrap_err().history_gone)
-            news = (await store.plan(1.0)).unwrap()
-            self.assertEqual(news.plan and news.plan.version, 2)
+            update = (await store.plan(1.0)).unwrap()
+            self.assertEqual(update.plan and update.plan.version, 2)
 
         run_on_store(work)
 
