--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -1,4 +1,4 @@
-"""Whole nodes whose store comes back from an older copy."""
+"""Tests whole nodes whose store is restored from an older copy."""
 
 import asyncio
 import unittest
@@ -10,16 +10,16 @@
 
 NODES = ("n1", "n2", "n3")
 LOST_CHANGES = 200
-"""Changes that a copy lacks; none of the tests makes as many after the store's return."""
+"""Changes that the copy lacks; no test makes as many after the restore."""
 
 STORE_OUTAGE_S = 0.3
 MIN_REQUESTS = 6
 MAX_STORE_CALLS_PER_S = 60
-"""Three nodes that are well make some 20 calls a second, and a few more after an outage."""
+"""Three healthy nodes make about 20 calls per second, and a few more after an outage."""
 
 
 async def start_and_copy(cluster: Cluster) -> StoreSnapshot:
-    """Start the nodes, and let the store take changes that the returned copy lacks."""
+    """Start the nodes, copy the store, and make changes that the returned copy lacks."""
     nodes = [await cluster.start(name) for name in NODES]
     for node in nodes:
         await wait_until(ready(node))
@@ -32,7 +32,7 @@
 
 
 async def restore(cluster: Cluster, copy: StoreSnapshot) -> None:
-    """Let the store be away and come back from a copy; the operator and the server write again."""
+    """Restore the store from a copy after an outage; the operator and the server write again."""
     cluster.platform.mode = StoreMode.RESET
     await asyncio.sleep(STORE_OUTAGE_S)
     cluster.platform.restore(copy)
@@ -58,19 +58,19 @@
     def test_nodes_do_not_overload_the_store_after_a_restore(self) -> None:
         async def work(cluster: Cluster) -> None:
             await restore(cluster, await start_and_copy(cluster))
-            before, began = cluster.platform.calls, monotonic()
-            asked = 0
-            while monotonic() - began < 1.0 or asked < MIN_REQUESTS:
+            calls_before, began_at = cluster.platform.calls, monotonic()
+            request_count = 0
+            while monotonic() - began_at < 1.0 or request_count < MIN_REQUESTS:
                 await cluster.ask(NODES[0])
-                asked += 1
+                request_count += 1
                 await asyncio.sleep(0.02)
-            self.assertLess(cluster.platform.calls - before, MAX_STORE_CALLS_PER_S)
+            self.assertLess(cluster.platform.calls - calls_before, MAX_STORE_CALLS_PER_S)
 
         run_on_cluster(work)
 
 
 class RestoredRowsTest(unittest.TestCase):
-    """Rows that the copy lacks are written again by the node that wrote them."""
+    """Nodes write their own rows again if the copy lacks them."""
 
     def test_nodes_register_again_after_a_restore(self) -> None:
         async def work(cluster: Cluster) -> None:
