--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Machines that are suspended: durations go on, and nothing is done by what is over meanwhile."""
+"""Tests that suspended time counts, and that nodes do not act on what expired meanwhile."""
 
 import asyncio
 import time
@@ -15,7 +15,7 @@
 
 
 class FakeClock:
-    """A clock that a test moves."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.at = 100.0
@@ -26,32 +26,32 @@
 
 class SuspensionWatchTest(unittest.TestCase):
     def test_each_suspension_is_reported_once_and_short_ones_add_up(self) -> None:
-        counting, standing_still = FakeClock(), FakeClock()
-        watch = SuspensionWatch(counting, standing_still)
-        told = []
+        boot_clock, monotonic_clock = FakeClock(), FakeClock()
+        watch = SuspensionWatch(boot_clock, monotonic_clock)
+        reported = []
         for slept_s in (0.0, 5.0, 0.0, MIN_SUSPENSION_S / 2, MIN_SUSPENSION_S / 2 + 0.01, 0.0):
-            counting.at += 0.2 + slept_s
-            standing_still.at += 0.2
-            told.append(round(watch.slept_s(), 3))
-        self.assertEqual(told, [0.0, 5.0, 0.0, 0.0, round(MIN_SUSPENSION_S + 0.01, 3), 0.0])
+            boot_clock.at += 0.2 + slept_s
+            monotonic_clock.at += 0.2
+            reported.append(round(watch.slept_s(), 3))
+        self.assertEqual(reported, [0.0, 5.0, 0.0, 0.0, round(MIN_SUSPENSION_S + 0.01, 3), 0.0])
 
-    @unittest.skipUnless(hasattr(time, "CLOCK_BOOTTIME"), "the system has no such clock")
+    @unittest.skipUnless(hasattr(time, "CLOCK_BOOTTIME"), "this system has no CLOCK_BOOTTIME")
     def test_durations_include_suspended_time(self) -> None:
         expected = time.clock_gettime(time.CLOCK_BOOTTIME)
         self.assertAlmostEqual(monotonic(), expected, delta=0.05)
         self.assertAlmostEqual(SystemClock().monotonic(), expected, delta=0.05)
 
-    @unittest.skipUnless(hasattr(time, "CLOCK_BOOTTIME"), "the system has no such clock")
+    @unittest.skipUnless(hasattr(time, "CLOCK_BOOTTIME"), "this system has no CLOCK_BOOTTIME")
     def test_durations_are_read_from_the_boot_clock(self) -> None:
-        """Both show the same on a machine that never was, so the clock is asked by its number."""
-        with mock.patch.object(time, "clock_gettime", return_value=123.0) as asked:
+        """Both clocks agree on a machine that was never suspended, so the clock id is checked."""
+        with mock.patch.object(time, "clock_gettime", return_value=123.0) as clock_gettime:
             self.assertEqual(monotonic(), 123.0)
-        asked.assert_called_once_with(time.CLOCK_BOOTTIME)
+        clock_gettime.assert_called_once_with(time.CLOCK_BOOTTIME)
 
 
 class DeadlineTest(unittest.TestCase):
     def test_request_is_not_retried_after_its_deadline_passed_while_suspended(self) -> None:
-        """The timer of the request stood still; the server that broke off is the only one asked."""
+        """The request's timer stopped meanwhile; only the server that reset it got the request."""
         clock_ahead_s = 0.0
 
         async def suspends(_: Arrival, __: object, writer: asyncio.StreamWriter) -> None:
