--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -145,7 +145,7 @@
     writer.write(answer(arrival))
 
 
-def a_plan(version: int = 1, **changes: object) -> Plan:
+def make_plan(version: int = 1, **changes: object) -> Plan:
     """Return a plan with a route of each kind."""
     routes = (
         Route("check", HOST, "/check/", Kind.SAFE, (Share("plain"),), 1.0, 0.2, max_servers=2),
@@ -330,7 +330,7 @@
     return result
 
 
-def quietly(work: Awaitable[None]) -> None:
+def run_quietly(work: Awaitable[None]) -> None:
     """Run a test's coroutine without its logs, within 20 s."""
 
     async def bounded() -> None:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -18,7 +18,7 @@
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.usage import TrueTime
 from moledale.platform.records import read_config
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 from tests.plan_world import config_bytes
 
 MANY = 5.0
@@ -131,7 +131,7 @@
                 self.assertLess(asked[1], 7, make)
                 self.assertLess(asked[1], asked[0], make)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_plan_of_a_peer_ends_the_wait(self) -> None:
         async def story() -> None:
@@ -145,7 +145,7 @@
             self.assertGreater(store.calls, asked)
             task.cancel()
 
-        quietly(story())
+        run_quietly(story())
 
     def test_nodes_in_reserve_read_a_late_list_one_after_the_other(self) -> None:
         watches = [fleet_watch(DeadStore(), MANY) for _ in range(40)]
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -7,7 +7,7 @@
 from moledale.clock import monotonic
 from moledale.gateway.cold_start import PEER_ANSWER_TIMEOUT_S, ColdStart
 from moledale.gateway.neighbours import MAX_MESH_PEERS
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 
 STORE_READ_S = 0.02
 PEER_FETCH_S = 0.05
@@ -47,7 +47,7 @@
                 self.assertLess(await world.run(), 3 * PEER_ANSWER_TIMEOUT_S)
                 self.assertEqual(world.store_reads, nodes)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_few_of_many_nodes_that_start_together_read_the_store(self) -> None:
         async def work() -> None:
@@ -57,7 +57,7 @@
                 self.assertLess(world.store_reads, 30)
                 self.assertGreater(world.store_reads, 0)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_starting_node_does_not_read_the_store_if_peers_have_the_document(self) -> None:
         async def work() -> None:
@@ -66,7 +66,7 @@
                 await world.run()
                 self.assertEqual(world.store_reads, 0)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_node_whose_peer_has_a_document_waits_for_it(self) -> None:
         async def work() -> None:
@@ -74,7 +74,7 @@
             await ColdStart(lambda: 1.0).wait(lambda: monotonic() >= known_at, lambda: True)
             self.assertGreaterEqual(monotonic(), known_at)
 
-        quietly(work())
+        run_quietly(work())
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_evacuation.py
+++ b/tests/test_gateway_evacuation.py
@@ -10,12 +10,12 @@
     Arrival,
     GatewayWorld,
     ScriptedServer,
-    a_plan,
     chunk,
     event,
-    quietly,
+    make_plan,
     read_answer,
     request_bytes,
+    run_quietly,
     stream_head,
 )
 
@@ -93,7 +93,7 @@
         async def work() -> None:
             for leave in (True, False):
                 pair = EnginePair()
-                async with GatewayWorld(a_plan()) as world:
+                async with GatewayWorld(make_plan()) as world:
                     first, reader, writer = await self.begin(world, pair)
                     if leave:
                         world.list_as("s1", leaving=True)
@@ -110,24 +110,24 @@
                     self.assertEqual(pair.released, [])
                     self.assertEqual(world.balancer.views["s2"].running, 0)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_stream_that_ends_in_time_is_left_alone(self) -> None:
         async def work() -> None:
             pair = EnginePair(pause_s=0.005)
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 _, reader, writer = await self.begin(world, pair)
                 world.list_as("s1", leaving=True)
                 got = await read_answer(reader)
                 writer.close()
                 self.assertEqual((got.body, got.whole, pair.copies), (ALL, True, []))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_refused_move_leaves_the_stream_where_it_is(self) -> None:
         async def work() -> None:
             pair = EnginePair(refuses=True)
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 _, reader, writer = await self.begin(world, pair)
                 world.list_as("s1", leaving=True)
                 got = await read_answer(reader)
@@ -135,12 +135,12 @@
                 self.assertEqual((got.body, got.whole), (ALL, True))
                 self.assertEqual(world.balancer.views["s2"].running, 0)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_copy_whose_caller_left_is_released(self) -> None:
         async def work() -> None:
             pair = EnginePair()
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 _, _, writer = await self.begin(world, pair)
                 world.list_as("s1", leaving=True)
                 await pair.stopped.wait()
@@ -150,7 +150,7 @@
                 self.assertEqual(pair.continued, [])
                 self.assertEqual(world.balancer.views["s2"].running, 0)
 
-        quietly(work())
+        run_quietly(work())
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -14,15 +14,15 @@
     STAMP,
     Arrival,
     GatewayWorld,
-    a_plan,
     answer,
     chunk,
     event,
     fine,
-    quietly,
+    make_plan,
     read_answer,
     request_bytes,
     reset,
+    run_quietly,
     stream_head,
 )
 
@@ -90,7 +90,7 @@
 
     def test_request_and_answer_pass_unchanged(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", fine)
                 body = bytes(range(256)) * 10
                 got = await world.ask(
@@ -106,14 +106,14 @@
                 self.assertEqual([v for k, v in arrival.headers if k == "Tenant"], ["north"])
                 self.assertNotIn(KEY, str(arrival.headers))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_answers_to_head_end_with_their_first_lines(self) -> None:
         async def lengthy(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival, b"x" * 70)[:-70])
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", lengthy)
                 reader, writer = await world.connect()
                 for number, key in ((1, KEY), (2, "unknown"), (3, KEY)):
@@ -126,11 +126,11 @@
                 writer.close()
                 self.assertEqual([each.connection for each in server.arrivals], [1, 1])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_chunked_body_reaches_the_server_whole(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", fine)
                 reader, writer = await world.connect()
                 head = request_bytes(
@@ -142,17 +142,17 @@
                 self.assertEqual(got.status, 200)
                 self.assertEqual(server.arrivals[0].body, b"one two")
 
-        quietly(work())
+        run_quietly(work())
 
     def test_cut_answer_never_looks_whole(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", breaks_off)
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn("server-stamp", got.headers)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_answer_without_length_ends_with_its_connection(self) -> None:
         async def closes(arrival: Arrival, _: Reader, writer: Writer) -> None:
@@ -169,7 +169,7 @@
             reset(writer)
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", closes)
                 got = await world.ask("/order/")
                 self.assertEqual((got.status, got.body, got.whole), (200, b"all", True))
@@ -177,7 +177,7 @@
                 got = await world.ask("/order/", request_id="r2")
                 self.assertEqual(got.status, 502)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_long_answer_is_passed_on_while_it_comes(self) -> None:
         body = bytes(3_000_000)
@@ -191,7 +191,7 @@
             writer.close()
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", long)
                 got = await world.ask("/order/")
                 self.assertEqual((got.status, got.whole, len(got.body)), (200, True, len(body)))
@@ -199,7 +199,7 @@
                 got = await world.ask("/order/", request_id="r2")
                 self.assertEqual((got.status, got.whole), (200, False))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_surplus_bytes_belong_to_no_request(self) -> None:
         async def answers_twice(arrival: Arrival, _: Reader, writer: Writer) -> None:
@@ -213,7 +213,7 @@
 
         async def work() -> None:
             for script in (answers_twice, answers_late):
-                async with GatewayWorld(a_plan()) as world:
+                async with GatewayWorld(make_plan()) as world:
                     server = await world.server("s1", "plain", script)
                     for number in range(4):
                         got = await world.ask("/order/", request_id=f"r{number}")
@@ -221,7 +221,7 @@
                         await asyncio.sleep(0.1)
                     self.assertEqual(server.connections, 4)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_answer_with_another_id_is_not_passed_on(self) -> None:
         async def crossed(arrival: Arrival, _: Reader, writer: Writer) -> None:
@@ -229,7 +229,7 @@
             writer.write(answer(arrival, b"not yours"))
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", crossed)
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 502)
@@ -238,31 +238,31 @@
                 self.assertEqual((await world.ask("/order/", request_id="r2")).status, 200)
                 self.assertEqual(server.connections, 2)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_bytes_that_are_no_answer_give_a_failure(self) -> None:
         async def garbage(_: Arrival, __: Reader, writer: Writer) -> None:
             writer.write(b"\x00\x01 this is no answer\r\n\r\n")
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", garbage)
                 self.assertEqual((await world.ask("/order/")).status, 502)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_early_answer_is_passed_on_and_its_connection_not_used_again(self) -> None:
         async def early(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival, b"too long", 413))
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", early)
                 got = await world.ask("/order/", body=b"x" * 100)
                 self.assertEqual((got.status, got.body), (413, b"too long"))
                 self.assertEqual(server.arrivals[0].body, b"x" * 100)
 
-        quietly(work())
+        run_quietly(work())
 
 
 class RunsTest(unittest.TestCase):
@@ -271,18 +271,18 @@
     def test_not_repeatable_request_is_sent_once_when_its_server_breaks_off(self) -> None:
         async def work() -> None:
             for script in (resets, breaks_off, fails):
-                async with GatewayWorld(a_plan()) as world:
+                async with GatewayWorld(make_plan()) as world:
                     first = await world.server("s1", "plain", script)
                     second = await world.server("s2", "plain", script)
                     got = await world.ask("/order/")
                     self.assertIn(got.status, (500, 502))
                     self.assertEqual(len(first.arrivals) + len(second.arrivals), 1)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_not_repeatable_request_goes_on_where_it_did_not_run(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 servers = [await world.server(f"s{n}", "plain", sheds) for n in (1, 2)]
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 503)
@@ -291,42 +291,42 @@
                 servers[0].script = servers[1].script = fine
                 self.assertEqual((await world.ask("/order/", request_id="r2")).status, 200)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_kept_connection_that_is_reset_does_not_send_a_second_time(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", fine)
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 server.script = resets
                 self.assertEqual((await world.ask("/order/", request_id="r2")).status, 502)
                 self.assertEqual(len(server.arrivals), 2)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_servers_busy_that_may_have_run_is_not_passed_on_as_a_promise(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", says_busy)
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn("server-stamp", got.headers)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_safe_request_is_tried_at_a_second_server_and_no_third(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 servers = [await world.server(f"s{n}", "plain", fails) for n in (1, 2, 3)]
                 got = await world.ask("/check/")
                 self.assertEqual((got.status, got.body), (500, b"bad"))
                 self.assertEqual(sum(len(server.arrivals) for server in servers), 2)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_retry_budget_bounds_repeats(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 servers = [await world.server(f"s{n}", "plain", fails) for n in (1, 2)]
                 for number in range(100):
                     await world.ask("/check/", request_id=f"r{number}")
@@ -335,11 +335,11 @@
                 allowed = 100 * world.bounds.retry_ratio + world.bounds.retry_slack
                 self.assertLessEqual(arrivals - 100, allowed)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_no_connection_counts_as_no_send(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 gone = await world.server("s1", "plain", fine)
                 gone.stop()
                 await world.server("s2", "plain", fine)
@@ -347,21 +347,21 @@
                     got = await world.ask("/order/", request_id=f"r{number}")
                     self.assertEqual(got.status, 200)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_several_servers_that_are_down_do_not_end_a_request(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 for number in range(5):
                     (await world.server(f"a{number}", "plain", fine)).stop()
                 await world.server("b", "plain", fine)
                 self.assertEqual((await world.ask("/order/")).status, 200)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_leaving_server_gets_no_new_work(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 leaving = await world.server("s1", "plain", fine)
                 await world.server("s2", "plain", fine)
                 world.list_as("s1", leaving=True)
@@ -369,7 +369,7 @@
                     await world.ask("/check/", request_id=f"r{number}")
                 self.assertEqual(leaving.arrivals, [])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_address_given_to_another_service_is_asked_for_the_right_server(self) -> None:
         async def another(arrival: Arrival, _: Reader, writer: Writer) -> None:
@@ -377,12 +377,12 @@
             writer.write(answer(arrival, b"", 421, b"Instance-Id: other\r\n"))
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", another)
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 503)
 
-        quietly(work())
+        run_quietly(work())
 
 
 class TimeTest(unittest.TestCase):
@@ -394,18 +394,18 @@
             await sheds(arrival, _, writer)
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 servers = [await world.server(f"s{n}", "plain", slow_then_sheds) for n in (1, 2)]
                 await world.ask("/order/", headers={"Deadline-Ms": "900"})
                 left = sorted(int(s.arrivals[0].get("deadline-ms") or 0) for s in servers)
                 self.assertLessEqual(left[1], 900)
                 self.assertLessEqual(left[0], 600)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_safe_request_goes_elsewhere_when_its_server_is_silent(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 silent = await world.server("s1", "plain", hangs)
                 await world.server("s2", "plain", fine)
                 for number in range(4):
@@ -417,7 +417,7 @@
                 await asyncio.sleep(0.1)
                 self.assertEqual(silent.closed, len(silent.arrivals))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_safe_request_stays_where_it_is_if_there_is_no_other_server(self) -> None:
         async def slow(arrival: Arrival, reader: Reader, writer: Writer) -> None:
@@ -425,16 +425,16 @@
             await fine(arrival, reader, writer)
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", slow)
                 self.assertEqual((await world.ask("/check/")).status, 200)
                 self.assertEqual(len(server.arrivals), 1)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_time_limit_of_the_route_brings_the_final_answer(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", hangs)
                 began = monotonic()
                 got = await world.ask("/order/")
@@ -444,22 +444,22 @@
                 await asyncio.sleep(0.05)
                 self.assertEqual(server.closed, 1)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_request_that_found_no_server_is_refused_at_once(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 began = monotonic()
                 got = await world.ask("/order/")
                 self.assertLess(monotonic() - began, 0.2)
                 self.assertEqual(got.status, 503)
                 self.assertGreater(float(got.headers["retry-after"]), 0)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_caller_that_leaves_before_the_answer_stops_the_server(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", hangs)
                 _, writer = await world.connect()
                 writer.write(request_bytes("/order/"))
@@ -470,7 +470,7 @@
                 self.assertEqual(server.closed, 1)
                 self.assertEqual(world.balancer.views["s1"].running, 0)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_caller_that_leaves_in_the_middle_of_a_stream_stops_the_server(self) -> None:
         async def endless(arrival: Arrival, _: Reader, writer: Writer) -> None:
@@ -481,7 +481,7 @@
                 await asyncio.sleep(0.01)
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "model", endless)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/draft/"))
@@ -490,7 +490,7 @@
                 await asyncio.sleep(0.2)
                 self.assertEqual(server.closed, 1)
 
-        quietly(work())
+        run_quietly(work())
 
 
 async def one_event_then_silence(arrival: Arrival, reader: Reader, writer: Writer) -> None:
@@ -514,12 +514,12 @@
 
     def test_events_pass_as_they_come(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "model", streams)
                 got = await world.ask("/draft/")
                 self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_resumable_stream_goes_on_elsewhere_within_one_answer(self) -> None:
         async def other_stamp(arrival: Arrival, reader: Reader, writer: Writer) -> None:
@@ -527,7 +527,7 @@
             await streams(arrival, reader, writer)
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "model", streams_torn)
                 world.list_as("s1")
                 task = asyncio.create_task(world.ask("/review/"))
@@ -536,11 +536,11 @@
                 got = await task
                 self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_resumable_streams_leave_a_server_that_fell_silent(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 silent = await world.server("s1", "model", one_event_then_silence, slots=16)
                 began = monotonic()
                 tasks = [asyncio.create_task(world.ask("/review/", request_id=r)) for r in "ab"]
@@ -555,11 +555,11 @@
                 await asyncio.sleep(0.05)
                 self.assertEqual(silent.closed, 2)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_stream_that_may_not_be_resumed_stays_at_a_silent_server(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 silent = await world.server("s1", "model", one_event_then_silence, slots=16)
                 tasks = [asyncio.create_task(world.ask("/draft/", request_id=r)) for r in "ab"]
                 await silent.arrived.wait()
@@ -571,16 +571,16 @@
                     self.assertEqual((got.body, got.whole), (event(1), False))
                 self.assertEqual(other.arrivals, [])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_a_node_that_stood_still_reads_first_what_came_meanwhile(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "model", streams, slots=16)
                 await world.server("s2", "model", streams, slots=16)
                 view = world.balancer.views["s1"]
                 view.running, view.last_data_at, view.busy_since = 2, -100.0, -100.0
-                route = next(each for each in a_plan().routes if each.name == "review")
+                route = next(each for each in make_plan().routes if each.name == "review")
                 waits = 0
 
                 async def wait() -> bytes:
@@ -594,11 +594,11 @@
                 reader = world.forwarder._answers
                 self.assertEqual(await reader._read_unless_silent(job, view, wait), b"came")
 
-        quietly(work())
+        run_quietly(work())
 
     def test_stream_that_may_not_be_resumed_is_cut_visibly(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "model", streams_torn)
                 second = await world.server("s2", "model", streams_torn)
                 got = await world.ask("/draft/")
@@ -606,7 +606,7 @@
                 self.assertEqual(got.body, event(1) + event(2))
                 self.assertEqual(len(first.arrivals) + len(second.arrivals), 1)
 
-        quietly(work())
+        run_quietly(work())
 
 
 class AdmissionTest(unittest.TestCase):
@@ -616,7 +616,7 @@
         async def work() -> None:
             async with GatewayWorld() as world:
                 self.assertEqual((await world.ask("/check/")).status, 503)
-                world.forwarder.adopt(a_plan())
+                world.forwarder.adopt(make_plan())
                 server = await world.server("s1", "plain", fine)
                 self.assertEqual((await world.ask("/nothing/")).status, 404)
                 self.assertEqual((await world.ask("/checks")).status, 404)
@@ -628,40 +628,40 @@
                 self.assertEqual((await world.ask("/open/", headers=none)).status, 200)
                 self.assertIsNone(server.arrivals[0].get("tenant"))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_key_taken_away_counts_on_open_connections(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", fine)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/check/"))
                 self.assertEqual((await read_answer(reader)).status, 200)
-                plan = a_plan()
+                plan = make_plan()
                 account = plan.accounts[0]
                 world.forwarder.adopt(
-                    a_plan(2, accounts=(type(account)(account.name, ("other",)),))
+                    make_plan(2, accounts=(type(account)(account.name, ("other",)),))
                 )
                 writer.write(request_bytes("/check/", request_id="r2"))
                 self.assertEqual((await read_answer(reader)).status, 401)
                 writer.close()
 
-        quietly(work())
+        run_quietly(work())
 
     def test_older_plan_is_never_adopted(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan(5)) as world:
-                self.assertFalse(world.forwarder.adopt(a_plan(4)))
-                self.assertFalse(world.forwarder.adopt(a_plan(5)))
+            async with GatewayWorld(make_plan(5)) as world:
+                self.assertFalse(world.forwarder.adopt(make_plan(4)))
+                self.assertFalse(world.forwarder.adopt(make_plan(5)))
                 assert world.forwarder.index is not None
                 self.assertEqual(world.forwarder.index.version, 5)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_limits_on_heads_and_bodies(self) -> None:
         async def work() -> None:
             limits = Limits(header_bytes=2_000, body_bytes=3_000, header_timeout_s=0.4)
-            async with GatewayWorld(a_plan(limits=limits)) as world:
+            async with GatewayWorld(make_plan(limits=limits)) as world:
                 server = await world.server("s1", "plain", fine)
                 long_head = {"X-Long": "y" * 3_000}
                 self.assertEqual((await world.ask("/check/", headers=long_head)).status, 431)
@@ -676,11 +676,11 @@
                 writer.close()
                 self.assertEqual(server.arrivals, [])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_smuggled_requests_are_refused(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", fine)
                 both = {"Content-Length": "4", "Transfer-Encoding": "chunked"}
                 reader, writer = await world.connect()
@@ -689,11 +689,11 @@
                 writer.close()
                 self.assertEqual(server.arrivals, [])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_account_over_its_limit_is_told_when_to_come_back(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", fine)
                 tokens = {"Token-Count": "20000,10000"}
                 answers = [
@@ -706,27 +706,27 @@
                 self.assertGreater(float(answers[-1].headers["retry-after"]), 0)
                 self.assertEqual(len(server.arrivals), statuses.count(200))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_idle_connections_end_by_the_limit_in_force(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", fine)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/check/"))
                 await read_answer(reader)
-                world.forwarder.adopt(a_plan(2, limits=Limits(idle_timeout_s=0.3)))
+                world.forwarder.adopt(make_plan(2, limits=Limits(idle_timeout_s=0.3)))
                 async with asyncio.timeout(1.5):
                     self.assertEqual(await reader.read(), b"")
                 writer.close()
 
-        quietly(work())
+        run_quietly(work())
 
 
 class ListTest(unittest.TestCase):
     def test_node_whose_list_is_too_old_sends_callers_to_others_at_once(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", fine)
                 world.list_current = False
                 got = await world.ask("/check/")
@@ -735,17 +735,17 @@
                 world.list_current = True
                 self.assertEqual((await world.ask("/check/")).status, 200)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_server_that_is_gone_from_the_list_gets_nothing(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", fine)
                 gone = world.balancer.apply([Server("s9", "other", "127.0.0.1:1", "hall-a", 1)])
                 self.assertEqual([server.id for server in gone], ["s1"])
                 self.assertEqual((await world.ask("/check/")).status, 503)
 
-        quietly(work())
+        run_quietly(work())
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_lease.py
+++ b/tests/test_gateway_lease.py
@@ -15,7 +15,7 @@
 from moledale.gateway.peers import LeaseNews
 from moledale.gateway.settings import Bounds
 from moledale.gateway.store_era import StoreEra
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 
 BOUNDS = Bounds(lease_s=0.4)
 TTL_S = 0.42
@@ -88,7 +88,7 @@
             self.assertIsNone(two.grant())
             self.assertEqual(two.holder, "one")
 
-        quietly(work())
+        run_quietly(work())
 
     def test_candidate_that_gets_renewals_does_not_read_the_row(self) -> None:
         async def work() -> None:
@@ -102,7 +102,7 @@
                 await two.step(0)
             self.assertEqual(store.reads, 1)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_nodes_in_reserve_that_start_together_leave_the_lease_to_serving_nodes(self) -> None:
         async def work() -> None:
@@ -119,7 +119,7 @@
             self.assertIsNotNone(keepers[0].grant())
             self.assertLessEqual(store.reads + store.writes, 13)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_node_of_a_large_cluster_acquires_the_lease_of_a_silent_holder(self) -> None:
         async def work() -> None:
@@ -134,7 +134,7 @@
             await one.step(1, 12.0)
             self.assertIsNotNone(one.grant())
 
-        quietly(work())
+        run_quietly(work())
 
     def test_received_renewal_counts_for_the_whole_ttl_and_no_longer(self) -> None:
         async def work() -> None:
@@ -148,7 +148,7 @@
             self.assertEqual(two.lease.decide(now + TTL_S - 0.15).value, "read")
             self.assertEqual(two.lease.decide(now + TTL_S - 0.05).value, "take")
 
-        quietly(work())
+        run_quietly(work())
 
     def test_starting_node_acquires_an_expired_lease_at_once_and_no_valid_one(self) -> None:
         async def work() -> None:
@@ -163,7 +163,7 @@
                 if taken:
                     self.assertEqual(store.stored_lease().epoch, 8)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_renewal_time_in_the_row_is_not_before_the_holders_own(self) -> None:
         clock = StoreClock()
@@ -185,7 +185,7 @@
             assert grant is not None
             self.assertEqual(grant.epoch, 2)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_own_write_is_recognised_although_its_answer_was_lost(self) -> None:
         async def work() -> None:
@@ -198,7 +198,7 @@
             await restarted.step(0)
             self.assertIsNone(restarted.grant())
 
-        quietly(work())
+        run_quietly(work())
 
     def test_holder_that_cannot_renew_stops_before_the_ttl_ends(self) -> None:
         async def work() -> None:
@@ -211,7 +211,7 @@
             self.assertLess(held.until, monotonic() + TTL_S)
             self.assertIsNone(one.lease.grant(monotonic() + TTL_S))
 
-        quietly(work())
+        run_quietly(work())
 
 
 class PassedOnLeaseTest(unittest.TestCase):
@@ -243,7 +243,7 @@
             self.assertEqual(self.store.reads, reads)
             self.assertIsNone(self.reserve.grant())
 
-        quietly(scenario())
+        run_quietly(scenario())
 
     def test_relayed_renewal_is_not_relayed_again(self) -> None:
         async def scenario() -> None:
@@ -253,7 +253,7 @@
             self.reserve.on_renewal(relayed.holder, relayed.news, now, relayed=True)
             self.assertIsNone(self.reserve.lease_to_relay(now))
 
-        quietly(scenario())
+        run_quietly(scenario())
 
     def test_lease_of_a_silent_holder_expires_although_it_is_relayed(self) -> None:
         async def scenario() -> None:
@@ -265,7 +265,7 @@
             self.serving.on_renewal(late.holder, late.news, now + TTL_S / 2, relayed=True)
             self.assertIsNone(self.serving.lease_to_relay(now + TTL_S))
 
-        quietly(scenario())
+        run_quietly(scenario())
 
 
 class RestoredLeaseTest(unittest.TestCase):
@@ -303,7 +303,7 @@
             assert held is not None
             await self._assert_not_acquired_before(held.until)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_next_holder_has_a_higher_fence_than_one_that_the_store_lost(self) -> None:
         async def work() -> None:
@@ -318,7 +318,7 @@
             assert grant is not None
             self.assertGreater(grant.epoch, forgotten.epoch)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_holder_keeps_the_lease_without_a_gap(self) -> None:
         async def work() -> None:
@@ -335,7 +335,7 @@
                 (self.store.stored_lease().holder, self.store.stored_lease().era), ("one", 2)
             )
 
-        quietly(work())
+        run_quietly(work())
 
     def test_write_whose_condition_was_read_in_another_era_grants_nothing(self) -> None:
         async def work() -> None:
@@ -355,7 +355,7 @@
             await self.two.step(0)
             self.assertIsNone(self.two.grant())
 
-        quietly(work())
+        run_quietly(work())
 
     def test_lease_without_a_row_is_not_free_after_a_restore(self) -> None:
         async def work() -> None:
@@ -366,7 +366,7 @@
             assert held is not None
             await self._assert_not_acquired_before(held.until)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_holder_broadcasts_a_version_with_the_era_in_which_it_was_assigned(self) -> None:
         async def work() -> None:
@@ -379,7 +379,7 @@
             assert update is not None
             self.assertEqual((update.era, update.version), (1, version))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_holder_keeps_the_lease_although_the_restored_copy_has_no_row(self) -> None:
         async def work() -> None:
@@ -395,7 +395,7 @@
                 (self.store.stored_lease().epoch, self.store.stored_lease().era), (held.epoch, 2)
             )
 
-        quietly(work())
+        run_quietly(work())
 
     def test_renewal_of_the_previous_era_is_ignored(self) -> None:
         async def work() -> None:
@@ -408,7 +408,7 @@
             self.two.on_renewal("one", former, monotonic())
             self.assertIsNone(self.two.lease.row)
 
-        quietly(work())
+        run_quietly(work())
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -27,9 +27,9 @@
     CallerAnswer,
     ScriptedServer,
     fine,
-    quietly,
     read_answer,
     request_bytes,
+    run_quietly,
 )
 
 BOUNDS = Bounds(stop_s=3.0, lease_s=0.6, usage_window_s=1.0)
@@ -231,7 +231,7 @@
         async with Cluster(bounds) as cluster:
             await work(cluster)
 
-    quietly(run())
+    run_quietly(run())
 
 
 class PlanTest(unittest.TestCase):
--- a/tests/test_gateway_renting.py
+++ b/tests/test_gateway_renting.py
@@ -18,7 +18,7 @@
 from moledale.gateway.server_model import Speed
 from moledale.gateway.work import OWN_INCARNATION, WorkMeter
 from tests.gateway_states import HALLS, state
-from tests.gateway_world import a_plan
+from tests.gateway_world import make_plan
 
 THREE = Need(3, 3)
 BOOT_S = 4.0
@@ -68,15 +68,15 @@
 
     def need(self, work_per_s: float, waiting: float) -> int:
         load = Load(work_per_s, waiting, 20)
-        return servers_for_load(PlanIndex(a_plan()), "model", 64, BOOT_S, load, self.speed)
+        return servers_for_load(PlanIndex(make_plan()), "model", 64, BOOT_S, load, self.speed)
 
     def test_work_that_is_in_time_changes_nothing(self) -> None:
-        target_s = shortest_target_s(PlanIndex(a_plan()), "model")
+        target_s = shortest_target_s(PlanIndex(make_plan()), "model")
         self.assertEqual(self.need(200_000.0, 200_000.0 * target_s), self.need(200_000.0, 0.0))
 
     def test_late_work_is_worked_off_besides(self) -> None:
         late = 400_000.0 * BACKLOG_DRAIN_BOOTS * BOOT_S
-        target_s = shortest_target_s(PlanIndex(a_plan()), "model")
+        target_s = shortest_target_s(PlanIndex(make_plan()), "model")
         waiting = 200_000.0 * target_s + late
         self.assertEqual(self.need(200_000.0, waiting), self.need(600_000.0, 0.0))
 
@@ -188,7 +188,7 @@
             self.assertEqual(demand.need(4, BOOT_S), FOUR)
 
     def test_shortest_target_of_the_service_counts(self) -> None:
-        index = PlanIndex(a_plan())
+        index = PlanIndex(make_plan())
         self.assertEqual(shortest_target_s(index, "model"), 0.5)
         self.assertEqual(shortest_target_s(index, "plain"), 0.2)
 
--- a/tests/test_lease_over_restores.py
+++ b/tests/test_lease_over_restores.py
@@ -13,7 +13,7 @@
 from moledale.gateway.outside import Failure, StateRow, TableSnapshot, WriteResult
 from moledale.gateway.settings import Bounds
 from moledale.gateway.store_era import StoreEra
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 from tests.test_gateway_lease import SingleRowStore
 
 BOUNDS = Bounds(lease_s=0.15)
@@ -142,7 +142,7 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.setUp()
-                quietly(self.run_keepers(seed))
+                run_quietly(self.run_keepers(seed))
                 self.assertEqual(self.violations, [])
                 fences = [fence for _, fence in self.grants_seen]
                 self.assertEqual(fences, sorted(set(fences)), self.grants_seen)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -23,7 +23,7 @@
 from moledale.gateway.server_view import ServerView
 from moledale.gateway.stated_limit import REMOVAL_BROADCAST_S, LimitNews, StatedLimit
 from tests.gateway_states import state
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 
 SERVERS = [Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(3)]
 
@@ -113,7 +113,7 @@
 
 def run_async(work: Callable[[], Awaitable[None]]) -> None:
     """Run the coroutine of a test."""
-    quietly(work())
+    run_quietly(work())
 
 
 class SumTest(unittest.TestCase):
--- a/tests/test_plan_spread.py
+++ b/tests/test_plan_spread.py
@@ -21,7 +21,7 @@
 from moledale.gateway.messages import InboundRequest, Refusal, RequestHead
 from moledale.gateway.store_era import EraVersion
 from moledale.platform.headers import PlatformHeaders
-from tests.gateway_world import HOST, a_plan, quietly
+from tests.gateway_world import HOST, make_plan, run_quietly
 from tests.plan_world import PlanWorld, config_bytes, request_piece
 
 SMALL = config_bytes(7, 20)
@@ -119,7 +119,7 @@
                 self.assertEqual(sum(node.store_reads for node in world.nodes), 0)
                 self.assertLess(took, IN_FORCE_S)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_one_thin_node_alone_has_it_first(self) -> None:
         async def story() -> None:
@@ -130,7 +130,7 @@
                 world.publish(LARGE, [first])
                 await world.wait_for_version(9, IN_FORCE_S)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_four_versions_within_a_second_never_go_back(self) -> None:
         async def story() -> None:
@@ -146,7 +146,7 @@
                     versions = sorted(node.adopted_at, key=lambda each: node.adopted_at[each])
                     self.assertEqual(versions, sorted(versions))
 
-        quietly(story())
+        run_quietly(story())
 
     def test_dark_and_breaking_sources_are_left_for_others(self) -> None:
         async def story() -> None:
@@ -159,7 +159,7 @@
                 world.publish(LARGE, watchers)
                 await world.wait_for_version(9, IN_FORCE_S)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_a_transfer_that_breaks_off_is_taken_up_where_it_was(self) -> None:
         async def story() -> None:
@@ -180,7 +180,7 @@
                 await world.wait_for_version(9, IN_FORCE_S)
                 self.assertEqual(sound.piece_requests, pieces - 1)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_a_node_that_starts_meanwhile_gets_the_whole_plan(self) -> None:
         async def story() -> None:
@@ -191,7 +191,7 @@
                 late.on_announcement(watchers[0])
                 await world.wait_for_version(9, IN_FORCE_S)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_a_base_that_is_wrong_leads_to_the_whole_plan(self) -> None:
         async def story() -> None:
@@ -203,7 +203,7 @@
                 await world.wait_for_version(9, IN_FORCE_S)
                 self.assertEqual(node.archive.raw(digest_of(LARGE)), LARGE)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_a_plan_that_can_not_be_read_is_not_asked_for_all_the_time(self) -> None:
         async def story() -> None:
@@ -217,7 +217,7 @@
                 self.assertGreater(source.piece_requests, 1)
                 self.assertLess(source.piece_requests, 10)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_the_store_is_asked_once_where_no_node_delivers(self) -> None:
         async def story() -> None:
@@ -231,7 +231,7 @@
                 reads = [node.store_reads for node in world.nodes]
                 self.assertLessEqual(max(reads), 1)
 
-        quietly(story())
+        run_quietly(story())
 
     def test_word_of_a_plan_that_nobody_has_ends(self) -> None:
         async def story() -> None:
@@ -246,7 +246,7 @@
                 self.assertTrue(node.fetch.is_behind(now))
                 self.assertFalse(node.fetch.is_behind(now + NEWER_VERSION_TTL_S + 0.1))
 
-        quietly(story())
+        run_quietly(story())
 
     def test_a_question_that_can_not_be_read_is_refused(self) -> None:
         async def story() -> None:
@@ -258,13 +258,13 @@
                 empty = await world.add(100.0)
                 self.assertEqual(await request_piece(empty.address), 503)
 
-        quietly(story())
+        run_quietly(story())
 
 
 class BehindTest(unittest.TestCase):
     def _status(self, path: bytes, key: bytes, newer: bool) -> tuple[int, float | None]:
         admission = Admission(PlatformHeaders(), monotonic, lambda: newer)
-        admission.adopt(a_plan())
+        admission.adopt(make_plan())
         head = RequestHead(
             b"POST",
             path,
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -14,10 +14,10 @@
     Arrival,
     CallerAnswer,
     GatewayWorld,
-    a_plan,
-    quietly,
+    make_plan,
     request_bytes,
     reset,
+    run_quietly,
 )
 from tests.test_gateway_nodes import Cluster, ask, ready, run_on_cluster, wait_until
 
@@ -61,7 +61,7 @@
         lines: list[str] = []
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "model", reset_connection)
                 await world.server("s2", "model", reset_connection)
                 await world.ask("/draft/", body=b"one", request_id="r1")
@@ -97,10 +97,10 @@
         """This holds for repeatable requests, requests that run at most once, and streams."""
         for path in ("/check/", "/order/", "/draft/"):
             with self.subTest(path=path):
-                quietly(self.check_one_node(path))
+                run_quietly(self.check_one_node(path))
 
     async def check_one_node(self, path: str) -> None:
-        async with GatewayWorld(a_plan()) as world:
+        async with GatewayWorld(make_plan()) as world:
             servers = await self.add_servers(world, "model" if path == "/draft/" else "plain")
             answers = [
                 await world.ask(path, body=GUILTY, request_id=f"r{number}")
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -19,7 +19,7 @@
 from moledale.gateway.request_guard import ObservedCrash, RequestGuard
 from standins.rows import StoreMode
 from tests.fragile_server import GUILTY, FragileServer, fragile_server
-from tests.gateway_world import Arrival, GatewayWorld, a_plan, answer, quietly, reset
+from tests.gateway_world import Arrival, GatewayWorld, answer, make_plan, reset, run_quietly
 from tests.test_gateway_nodes import Cluster, ask, ready, request_bytes, run_on_cluster, wait_until
 
 DECISION_WAIT_S = 0.4
@@ -37,7 +37,7 @@
                 writer.write(answer(arrival))
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 for number in range(4):
                     await world.server(f"s{number}", "plain", reset_guilty)
                 for number in range(6):
@@ -47,7 +47,7 @@
                 guard.block_suspects()
                 self.assertFalse(guard.quarantine.has_suspects)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_probe_of_a_running_server_leaves_a_connection_for_the_next_request(self) -> None:
         async def reset_first(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
@@ -57,18 +57,18 @@
                 writer.write(answer(arrival))
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", reset_first)
                 await world.ask("/order/")
                 await asyncio.sleep(0.1)
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(server.connections, 2)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_termination_of_a_leaving_server_raises_no_suspicion(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 for number in range(3):
                     server = fragile_server(f"s{number}")
                     server.answer_s = 5.0
@@ -81,13 +81,13 @@
                 await asyncio.sleep(0.1)
                 self.assertFalse(world.forwarder.guard.quarantine.has_suspects)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_other_requests_cut_off_by_a_crash_are_served_on_retry(self) -> None:
         """Three others run on each server that crashes; a retry of each of them is served."""
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 for number in range(6):
                     await world.add(fragile_server(f"s{number}"), "plain")
                 bodies = [b"other %d" % number for number in range(18)]
@@ -103,11 +103,11 @@
                     self.assertEqual((await world.ask("/order/", body=body)).status, 200)
                 self.assertEqual(len(world.forwarder.guard.quarantine.blocks), 1)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_blocked_request_does_not_count_against_the_account_limit(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 for number in range(4):
                     await world.add(fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
@@ -118,11 +118,11 @@
                     self.assertEqual((await world.ask("/order/", body=GUILTY)).status, 503)
                 self.assertEqual(world.forwarder.limits.spent, spent)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_crash_and_block_are_logged(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 for number in range(3):
                     await world.add(fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
@@ -166,18 +166,18 @@
 
     def test_crash_is_one_failure_and_none_under_a_suspect(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 self.assertEqual(await self.failures_at_crash(world, "s1", 3), 1)
                 self.assertEqual(await self.failures_at_crash(world, "s2", 3), 0)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_each_answer_that_a_running_server_breaks_off_is_a_failure(self) -> None:
         async def break_off(_: Arrival, __: object, writer: asyncio.StreamWriter) -> None:
             reset(writer)
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 failed: list[bool] = []
                 world.balancer.on_outcome = lambda _, __, bad, ___: failed.append(bad)
                 await world.server("s1", "plain", break_off)
@@ -186,7 +186,7 @@
                 await asyncio.sleep(0.1)
                 self.assertEqual(failed, [True] * 3)
 
-        quietly(work())
+        run_quietly(work())
 
 
 class Network:
@@ -232,7 +232,7 @@
     async def run() -> None:
         await work(Network(("n1", "n2", "n3")))
 
-    quietly(run())
+    run_quietly(run())
 
 
 class ToldTest(unittest.TestCase):
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -23,7 +23,7 @@
     ServiceAnswer,
     ServiceCall,
 )
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 from tests.world import World, in_world
 
 RETRY_AFTER_S = 3.0
@@ -117,7 +117,7 @@
                 await router.call(CALL)
             self.assertEqual(services.called.count("http://a:1"), 2)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_a_shorter_time_does_not_take_a_longer_one_back(self) -> None:
         router = self.router(Declining())
@@ -140,7 +140,7 @@
             self.assertEqual(refused.retry_after, 2)
             self.assertEqual(len(services.called), called)
 
-        quietly(work())
+        run_quietly(work())
 
 
 class OnTheWireTest(unittest.TestCase):
@@ -155,7 +155,7 @@
             (500, b"Retry-After: 2.5\r\n", None),
         ):
             with self.subTest(status=status, more=more):
-                quietly(self.read(status, more, expected))
+                run_quietly(self.read(status, more, expected))
 
     async def read(self, status: int, more: bytes, expected: float | None) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -19,7 +19,7 @@
 from moledale.gateway.peers import Membership
 from moledale.gateway.rollout_duty import RolloutDuty
 from moledale.gateway.rollouts import Rollouts
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 
 POLL_DELAY_S = 0.02
 """Delay of each of the holder's polls, caused by the duration of the previous one."""
@@ -30,7 +30,7 @@
         for duration_s in (8.0, 10.0, 12.0, 20.0):
             for phase_ms in range(0, 200, 20):
                 with self.subTest(duration_s=duration_s, phase_ms=phase_ms):
-                    quietly(self.assert_adopted_in_time(duration_s, phase_ms / 1000))
+                    run_quietly(self.assert_adopted_in_time(duration_s, phase_ms / 1000))
 
     async def assert_adopted_in_time(self, duration_s: float, first_poll_s: float) -> None:
         self.now = first_poll_s
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -34,7 +34,7 @@
 from moledale.gateway.server_group import UNORDERED_VERSION_DELAY_S
 from moledale.gateway.store_era import StoreEra
 from standins.rows import StoreMode
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 from tests.rollout_world import NEW, OLD, SERVICE, Defect, RolloutWorld
 
 EXPOSURE_SHARE = 0.1
@@ -509,7 +509,7 @@
         async with world:
             await work(world)
 
-    quietly(run())
+    run_quietly(run())
     return world
 
 
--- a/tests/test_rows_of_others.py
+++ b/tests/test_rows_of_others.py
@@ -14,7 +14,7 @@
 from moledale.gateway.outside import StateRow
 from moledale.gateway.settings import Bounds
 from standins.rows import RowsPlatform, StoreMode
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 from tests.test_gateway_lease import SingleRowStore, make_keeper
 from tests.test_gateway_nodes import Cluster, make_config, ready, run_on_cluster, wait_until
 
@@ -99,7 +99,7 @@
                 self.assertIsNone(candidate.grant())
                 self.assertNotEqual(candidate.holder, "n1")
 
-        quietly(work())
+        run_quietly(work())
 
     def test_holder_keeps_the_lease_when_its_row_is_corrupted(self) -> None:
         async def work(cluster: Cluster) -> None:
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -25,7 +25,7 @@
 from moledale.gateway.upstream import UpstreamConnection
 from moledale.platform.headers import PlatformHeaders
 from tests.gateway_states import state
-from tests.gateway_world import HOST, GatewayWorld, a_plan, fine, quietly
+from tests.gateway_world import HOST, GatewayWorld, fine, make_plan, run_quietly
 from tests.limit_world import (
     Callers,
     make_limited_server,
@@ -109,14 +109,14 @@
     """Requests wait for a permit of the only server as long as their target allows."""
 
     def test_waiting_requests_are_served_one_after_the_other(self) -> None:
-        quietly(self._check_queued_requests())
+        run_quietly(self._check_queued_requests())
 
     async def _check_queued_requests(self) -> None:
         routes = (
             Route("now", HOST, "/now/", Kind.SAFE, (Share("plain"),), 1.0, 2.0, priority=0),
             Route("later", HOST, "/later/", Kind.SAFE, (Share("plain"),), 1.0, 2.0, priority=4),
         )
-        async with GatewayWorld(a_plan(routes=routes)) as world:
+        async with GatewayWorld(make_plan(routes=routes)) as world:
             server = make_limited_server("s1", 5.0)
             await world.add(server, "plain")
             # The first answer states the limit, which applies from the second request on.
@@ -140,7 +140,7 @@
         """A retry there would end in a 502, though the slow server answers."""
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = make_limited_server("s1", None)
                 first.answer_s = 0.5
                 await world.add(first, "plain")
@@ -150,11 +150,11 @@
                 self.assertEqual((await world.ask("/check/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_limit_received_during_a_connect_counts(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "plain", fine)
                 await world.server("s2", "plain", fine)
                 acquire = world.pool.acquire
@@ -170,7 +170,7 @@
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(first.arrivals, [])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_queue_wait_depends_on_rank_and_target_and_restarts_with_each_event(self) -> None:
         route = Route("r", HOST, "/r/", Kind.STREAM, (Share("model"),), 9.0, 2.0)
@@ -213,7 +213,7 @@
                 self.assertEqual(placement.view.server.id, "s3")
                 self.assertLessEqual(grant.call_count, 6)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_streams_are_not_moved_to_a_server_without_permits(self) -> None:
         async def work() -> None:
@@ -229,7 +229,7 @@
                 assert placement is not None
                 self.assertEqual(placement.view.server.id, "s2")
 
-        quietly(work())
+        run_quietly(work())
 
 
 class RentingTest(unittest.TestCase):
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -31,7 +31,7 @@
 )
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.usage import TrueTime
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 from tests.list_world import HALLS, ListWorld, make_server, run_to_completion, unfreeze
 
 TARGET_NODES = 390
@@ -481,7 +481,7 @@
         async def ask() -> None:
             result.append(await self.watch.ensure_current())
 
-        quietly(ask())
+        run_quietly(ask())
         return result[0]
 
     def test_node_in_reserve_with_an_old_list_reads_before_it_sends(self) -> None:
@@ -546,13 +546,13 @@
             task.cancel()
             self.assertLess(self.store.reads - reads, 5)
 
-        quietly(watch())
+        run_quietly(watch())
 
     def test_concurrent_requests_share_one_read(self) -> None:
         async def ask() -> None:
             await asyncio.gather(*(self.watch.ensure_current() for _ in range(20)))
 
-        quietly(ask())
+        run_quietly(ask())
         self.assertEqual(self.store.reads, 1)
 
     def test_nodes_in_reserve_read_late_and_with_jitter(self) -> None:
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -23,12 +23,12 @@
     CallerAnswer,
     GatewayWorld,
     ScriptedServer,
-    a_plan,
     answer,
     fine,
-    quietly,
+    make_plan,
     read_answer,
     request_bytes,
+    run_quietly,
 )
 from tests.test_gateway_evacuation import EnginePair
 from tests.test_gateway_nodes import Cluster, ask, ready, run_on_cluster, wait_until
@@ -107,10 +107,10 @@
             ("states when to retry", decline_with_retry_time),
         ):
             with self.subTest(name):
-                quietly(self._ask_after(script))
+                run_quietly(self._ask_after(script))
 
     async def _ask_after(self, script: object) -> None:
-        async with GatewayWorld(a_plan()) as world:
+        async with GatewayWorld(make_plan()) as world:
             first = await world.server("s1", "plain", script)  # type: ignore[arg-type]
             other = await world.server("s2", "plain", answer_slowly)
             await world.ask("/check/")
@@ -168,7 +168,7 @@
 
     def test_list_does_not_override_a_leaving_statement(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "plain", answer_leaving)
                 await world.server("s2", "plain", answer_slowly)
                 await world.ask("/order/")
@@ -180,7 +180,7 @@
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
 
-        quietly(work())
+        run_quietly(work())
 
     async def relist_as_ready(self, world: GatewayWorld, server: ScriptedServer) -> None:
         """List a server as ready again after its entry lapsed."""
@@ -198,10 +198,10 @@
     def test_another_incarnation_gets_requests(self) -> None:
         for name, same_id in (("another address", True), ("another id", False)):
             with self.subTest(name):
-                quietly(self._check_next_incarnation(same_id))
+                run_quietly(self._check_next_incarnation(same_id))
 
     async def _check_next_incarnation(self, same_id: bool) -> None:
-        async with GatewayWorld(a_plan()) as world:
+        async with GatewayWorld(make_plan()) as world:
             first = await world.server("s1", "plain", answer_leaving)
             await world.ask("/order/")
             self.assertEqual((await world.ask("/order/")).status, 503)
@@ -219,7 +219,7 @@
         """The server gets no requests for a while, but does not count as leaving."""
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "plain", answer_misdirected)
                 await world.server("s2", "plain", answer_slowly)
                 for _ in range(4):
@@ -228,23 +228,23 @@
                 self.assertFalse(world.balancer.views["s1"].server.leaving)
                 self.assertEqual(world.balancer.notices.leaving_ahead_of_list(), [])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_leaving_statement_of_an_invalid_answer_is_ignored(self) -> None:
         async def unsigned(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(arrival, more=LEAVES))
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", unsigned)
                 self.assertEqual((await world.ask("/order/")).status, 502)
                 self.assertFalse(world.balancer.views["s1"].server.leaving)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_leaving_statement_during_a_connect_counts(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "plain", fine)
                 await world.server("s2", "plain", answer_slowly)
                 acquire = world.pool.acquire
@@ -259,7 +259,7 @@
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(first.arrivals, [])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_streams_of_a_leaving_server_are_moved(self) -> None:
         """An answer states it while a stream is in flight there; the stream continues elsewhere."""
@@ -277,7 +277,7 @@
                 else:
                     await pair.script(arrival, reader, writer)
 
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "model", first)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/draft/", headers={"Token-Count": "100,600"}))
@@ -292,7 +292,7 @@
                 self.assertTrue(got.whole)
                 self.assertEqual(len(pair.continued), 1)
 
-        quietly(work())
+        run_quietly(work())
 
 
 class RetryAfterTest(unittest.TestCase):
@@ -300,7 +300,7 @@
 
     def test_requests_are_rejected_at_once_while_all_servers_back_off(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "plain", decline_with_retry_time)
                 await world.ask("/open/")
                 began = monotonic()
@@ -315,23 +315,23 @@
                 await asyncio.sleep(RETRY_AFTER_S)
                 self.assertEqual((await world.ask("/check/")).status, 200)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_retry_time_of_one_server_is_not_returned_while_others_are_free(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", decline_with_retry_time)
                 await world.server("s2", "plain", answer_slowly)
                 routes = tuple(
-                    msgspec.structs.replace(each, max_servers=1) for each in a_plan().routes
+                    msgspec.structs.replace(each, max_servers=1) for each in make_plan().routes
                 )
-                world.forwarder.adopt(a_plan(2, routes=routes))
+                world.forwarder.adopt(make_plan(2, routes=routes))
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 503)
                 self.assertLess(float(got.headers["retry-after"]), 0.5)
                 self.assertEqual((await world.ask("/order/")).status, 200)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_zero_retry_time_is_no_backoff(self) -> None:
         async def decline_with_zero_retry_time(
@@ -340,17 +340,17 @@
             writer.write(answer(arrival, b"", 503, b"Not-Executed: 1\r\nRetry-After: 0\r\n"))
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "plain", decline_with_zero_retry_time)
                 for _ in range(3):
                     await world.ask("/order/")
                 self.assertEqual(len(first.arrivals), 3)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_declining_server_is_the_last_choice_but_stays_one(self) -> None:
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "plain", decline_without_retry_time)
                 other = await world.server("s2", "plain", answer_slowly)
                 for _ in range(4):
@@ -360,7 +360,7 @@
                 got = await world.ask("/order/")
                 self.assertEqual((got.status, len(first.arrivals)), (503, 2))
 
-        quietly(work())
+        run_quietly(work())
 
     def test_decline_pauses_grow_and_end_with_an_accepted_request(self) -> None:
         view = ServerView(Server("s1", "plain", "h:1", "a", 4))
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -5,7 +5,14 @@
 
 from moledale.clock import monotonic
 from moledale.gateway.calls import HttpCaller
-from tests.gateway_world import Arrival, GatewayWorld, ScriptedServer, a_plan, answer, quietly
+from tests.gateway_world import (
+    Arrival,
+    GatewayWorld,
+    ScriptedServer,
+    answer,
+    make_plan,
+    run_quietly,
+)
 
 IDLE_CONNECTIONS = 4
 """Idle connections at the time when they become silent."""
@@ -47,7 +54,7 @@
 
         async def run() -> None:
             nonlocal lost
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 await world.server("s1", "plain", script)
                 ticking = asyncio.create_task(run_ticks(world))
                 await asyncio.gather(
@@ -64,7 +71,7 @@
                     lost += got.status != 200
                 ticking.cancel()
 
-        quietly(run())
+        run_quietly(run())
         self.unanswered = script.unanswered_count
         return lost, served
 
--- a/tests/test_stated_bounds.py
+++ b/tests/test_stated_bounds.py
@@ -19,7 +19,7 @@
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.usage import TrueTime, UsageCounts
 from moledale.platform.engines import PlatformEngines
-from tests.gateway_world import a_plan
+from tests.gateway_world import make_plan
 
 FACTORS = (0.5, 1.0, 2.0)
 NOT_SCALED = frozenset({"retry_ratio", "limit_share", "exposure_share"})
@@ -101,7 +101,7 @@
             self.assertAlmostEqual(exposure.free, factor * 7.5)
 
     def test_shortest_target_for_renting_follows_the_targets(self) -> None:
-        plan = a_plan()
+        plan = make_plan()
         for factor in FACTORS:
             routes = tuple(
                 msgspec.structs.replace(each, target_s=factor * each.target_s)
@@ -111,7 +111,7 @@
             self.assertAlmostEqual(shortest_target_s(index, "model"), factor * 0.5)
 
     def test_renting_follows_boot_times(self) -> None:
-        plan = a_plan()
+        plan = make_plan()
         speed = Speed(50_000.0, 0.02, 0.5, 4_000.0, 100)
         queued_tokens = 900_000.0
         needs = [
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -11,7 +11,7 @@
 from moledale.gateway.settings import Bounds
 from moledale.gateway.suspension import MIN_SUSPENSION_S, SuspensionWatch
 from moledale.platform.store import PlatformStore
-from tests.gateway_world import Arrival, GatewayWorld, a_plan, fine, quietly, reset
+from tests.gateway_world import Arrival, GatewayWorld, fine, make_plan, reset, run_quietly
 
 
 class FakeClock:
@@ -60,7 +60,7 @@
             reset(writer)
 
         async def work() -> None:
-            async with GatewayWorld(a_plan()) as world:
+            async with GatewayWorld(make_plan()) as world:
                 world.forwarder._now = lambda: monotonic() + clock_ahead_s
                 first = await world.server("s1", "plain", suspends)
                 second = await world.server("s2", "plain", fine)
@@ -68,7 +68,7 @@
                 self.assertEqual((len(first.arrivals), len(second.arrivals)), (1, 0))
                 self.assertEqual(got.status, 504)
 
-        quietly(work())
+        run_quietly(work())
 
 
 class LeaseTest(unittest.TestCase):
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -15,7 +15,7 @@
 from moledale.gateway.settings import Bounds
 from moledale.gateway.sharing import Sharing
 from moledale.gateway.store_era import StoreEra
-from tests.gateway_world import quietly
+from tests.gateway_world import run_quietly
 from tests.test_gateway_lease import SingleRowStore
 
 
@@ -155,7 +155,7 @@
             await world.run(self.second, 1_012.0)
             self.assertEqual(self.counts_of_first_window(), [{"north": 3}])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_holder_reports_unreported_windows_after_a_restore(self) -> None:
         async def work() -> None:
@@ -165,7 +165,7 @@
             await world.run(self.first, 1_008.0)
             self.assertEqual(self.counts_of_first_window(), [{"north": 3}])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_window_whose_row_is_corrupt_is_skipped_and_the_next_is_reported(self) -> None:
         async def work() -> None:
@@ -177,7 +177,7 @@
             await world.run(self.second, 1_014.0)
             self.assertEqual(world.orders.reported, [201])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_holder_whose_row_is_corrupt_reports_its_frozen_counts(self) -> None:
         async def work() -> None:
@@ -189,7 +189,7 @@
             await world.run(self.first, 1_008.0)
             self.assertEqual(self.counts_of_first_window(), [{"north": 3}])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_window_that_ends_after_a_restore_is_counted_by_the_next_holder(self) -> None:
         async def work() -> None:
@@ -199,7 +199,7 @@
             await world.run(self.second, 1_008.0)
             self.assertEqual(self.counts_of_first_window(), [{"north": 2}])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_counts_in_the_restored_copy_are_reported_again_unchanged(self) -> None:
         async def work() -> None:
@@ -209,7 +209,7 @@
             await world.run(self.second, 1_012.0)
             self.assertEqual(self.counts_of_first_window(), [{"north": 3}] * 2)
 
-        quietly(work())
+        run_quietly(work())
 
     def test_starting_node_learns_from_peers_that_no_counts_were_lost(self) -> None:
         async def work() -> None:
@@ -224,7 +224,7 @@
             await world.run(restarted, 1_009.0)
             self.assertEqual(self.counts_of_first_window(), [{"north": 2}])
 
-        quietly(work())
+        run_quietly(work())
 
     def test_counts_stored_during_a_restore_are_voided(self) -> None:
         async def work() -> None:
@@ -241,7 +241,7 @@
             await world.run(self.second, 1_012.0)
             self.assertEqual(self.counts_of_first_window(), [])
 
-        quietly(work())
+        run_quietly(work())
 
 
 class NewHolderTest(unittest.TestCase):
@@ -270,7 +270,7 @@
             await duties.step()
             self.assertEqual(len(orders.reported), 2)
 
-        quietly(work())
+        run_quietly(work())
 
 
 if __name__ == "__main__":
