--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -248,7 +248,7 @@
         self._listed.append(Server(server.id, service, server.address, "hall-a", slots))
         self.balancer.apply(self._listed)
 
-    def list_as(self, name: str, **changes: object) -> None:
+    def update_listed(self, name: str, **changes: object) -> None:
         """Change what the list says of a server."""
         self._listed = [
             Server(**{**{f: getattr(s, f) for f in Server.__struct_fields__}, **changes})  # type: ignore[arg-type]
--- a/tests/test_gateway_evacuation.py
+++ b/tests/test_gateway_evacuation.py
@@ -96,7 +96,7 @@
                 async with GatewayWorld(make_plan()) as world:
                     first, reader, writer = await self.begin(world, pair)
                     if leave:
-                        world.list_as("s1", leaving=True)
+                        world.update_listed("s1", leaving=True)
                     else:
                         world.unlist("s1")
                     got = await read_answer(reader)
@@ -117,7 +117,7 @@
             pair = EnginePair(pause_s=0.005)
             async with GatewayWorld(make_plan()) as world:
                 _, reader, writer = await self.begin(world, pair)
-                world.list_as("s1", leaving=True)
+                world.update_listed("s1", leaving=True)
                 got = await read_answer(reader)
                 writer.close()
                 self.assertEqual((got.body, got.whole, pair.copies), (ALL, True, []))
@@ -129,7 +129,7 @@
             pair = EnginePair(refuses=True)
             async with GatewayWorld(make_plan()) as world:
                 _, reader, writer = await self.begin(world, pair)
-                world.list_as("s1", leaving=True)
+                world.update_listed("s1", leaving=True)
                 got = await read_answer(reader)
                 writer.close()
                 self.assertEqual((got.body, got.whole), (ALL, True))
@@ -142,7 +142,7 @@
             pair = EnginePair()
             async with GatewayWorld(make_plan()) as world:
                 _, _, writer = await self.begin(world, pair)
-                world.list_as("s1", leaving=True)
+                world.update_listed("s1", leaving=True)
                 await pair.stopped.wait()
                 writer.close()
                 await asyncio.sleep(0.3)
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -364,7 +364,7 @@
             async with GatewayWorld(make_plan()) as world:
                 leaving = await world.server("s1", "plain", fine)
                 await world.server("s2", "plain", fine)
-                world.list_as("s1", leaving=True)
+                world.update_listed("s1", leaving=True)
                 for number in range(6):
                     await world.ask("/check/", request_id=f"r{number}")
                 self.assertEqual(leaving.arrivals, [])
@@ -529,7 +529,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 first = await world.server("s1", "model", streams_torn)
-                world.list_as("s1")
+                world.update_listed("s1")
                 task = asyncio.create_task(world.ask("/review/"))
                 await first.arrived.wait()
                 await world.server("s2", "model", other_stamp)
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -75,7 +75,7 @@
                     await world.add(server, "plain")
                     asked = asyncio.create_task(world.ask("/order/", body=b"long"))
                     await server.arrived.wait()
-                    world.list_as(server.id, leaving=True)
+                    world.update_listed(server.id, leaving=True)
                     server.end()
                     await asked
                 await asyncio.sleep(0.1)
