--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -32,9 +32,9 @@
 from moledale.platform.headers import PlatformHeaders
 
 HOST = "quotes.example"
-KEY = "key-of-north"
-FIRST_CHOICE = "s1"
-STAMP = b"Server-Stamp: s1\r\n"
+API_KEY = "key-of-north"
+PREFERRED_SERVER_ID = "s1"
+STAMP_HEADER = b"Server-Stamp: s1\r\n"
 
 Script = Callable[["Arrival", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -108,17 +108,17 @@
 
 
 def answer(
-    arrival: Arrival, body: bytes = b"fine", status: int = 200, more: bytes = STAMP
+    arrival: Arrival, body: bytes = b"fine", status: int = 200, extra_headers: bytes = STAMP_HEADER
 ) -> bytes:
     """Return a server's whole answer with a length."""
     request_id = (arrival.get("request-id") or "").encode()
     return (
         b"HTTP/1.1 %d X\r\nRequest-Id: %b\r\nContent-Type: text/plain\r\n%b"
-        b"Content-Length: %d\r\n\r\n%b" % (status, request_id, more, len(body), body)
+        b"Content-Length: %d\r\n\r\n%b" % (status, request_id, extra_headers, len(body), body)
     )
 
 
-def stream_head(arrival: Arrival, stamp: bytes = STAMP) -> bytes:
+def stream_head(arrival: Arrival, stamp: bytes = STAMP_HEADER) -> bytes:
     """Return the first lines of a stream of events in chunks."""
     request_id = (arrival.get("request-id") or "").encode()
     return (
@@ -140,7 +140,9 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-async def fine(arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def answer_ok(
+    arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """A script that answers whole."""
     writer.write(answer(arrival))
 
@@ -168,7 +170,7 @@
         Service("plain"),
         Service("model", engine=Engine(4, 100_000, 1, 1000.0, moves=True, event_tokens=3)),
     )
-    accounts = (Account("north", (KEY,), None, TOKENS, 200, 100_000.0, 100_000.0),)
+    accounts = (Account("north", (API_KEY,), None, TOKENS, 200, 100_000.0, 100_000.0),)
     plan = Plan(version, routes, services, accounts, Limits())
     values = {name: getattr(plan, name) for name in Plan.__struct_fields__}
     return Plan(**{**values, **changes})  # type: ignore[arg-type]
@@ -193,7 +195,7 @@
         self.sharing = Sharing(self.members, self.bounds)
         self.balancer = LoadBalancer("hall-a")
         # Nearly equal servers are chosen by chance; tests say what the first choice does.
-        self.balancer.has_connection = lambda server: server == FIRST_CHOICE
+        self.balancer.has_connection = lambda server: server == PREFERRED_SERVER_ID
         self.pool = ConnectionPool(monotonic)
         self.list_current = True
         self.forwarder = Forwarder(
@@ -295,7 +297,7 @@
     lines = {
         "Host": HOST,
         "Request-Id": request_id,
-        "Authorization": f"Bearer {KEY}",
+        "Authorization": f"Bearer {API_KEY}",
         "Deadline-Ms": "3000",
         "Content-Length": str(len(body)),
         **(headers or {}),
--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -6,7 +6,7 @@
 
 from moledale.clock import monotonic
 from moledale.gateway.node import GatewayNode
-from tests.gateway_world import STAMP, Arrival, ScriptedServer, answer, request_bytes
+from tests.gateway_world import STAMP_HEADER, Arrival, ScriptedServer, answer, request_bytes
 from tests.test_gateway_nodes import Cluster, ask, make_config, ready, wait_until
 
 WINDOW_S = 4.0
@@ -35,7 +35,7 @@
         limit = self.limit_per_s
         await asyncio.sleep(self.answer_s)
         limit_header = b"" if limit is None else b"Server-Limit: %.3f\r\n" % limit
-        writer.write(answer(arrival, more=STAMP + limit_header))
+        writer.write(answer(arrival, extra_headers=STAMP_HEADER + limit_header))
 
 
 def make_limited_server(name: str, limit_per_s: float | None) -> LimitedServer:
--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -12,7 +12,7 @@
 from moledale.clock import monotonic
 from moledale.gateway.node import GatewayNode
 from moledale.gateway.settings import Bounds
-from tests.gateway_world import KEY, Arrival, ScriptedServer, answer, read_answer, request_bytes
+from tests.gateway_world import API_KEY, Arrival, ScriptedServer, answer, read_answer, request_bytes
 from tests.test_gateway_nodes import HOST, Cluster
 
 SERVICE = "plain"
@@ -44,7 +44,7 @@
         "version": version,
         "routes": routes,
         "services": [{"name": SERVICE, "healthPath": "/health", "maxConns": 100}],
-        "tenants": [{"name": "north", "apiKeys": [KEY]}],
+        "tenants": [{"name": "north", "apiKeys": [API_KEY]}],
     }
 
 
@@ -234,7 +234,7 @@
         node = self.cluster.nodes[names[number % len(names)]]
         route = ROUTES[number % 3 == 0]
         self.counts.requests += 1
-        head = {"Authorization": f"Bearer {KEY}", "Request-Id": f"r{number}"}
+        head = {"Authorization": f"Bearer {API_KEY}", "Request-Id": f"r{number}"}
         data = request_bytes(f"/{route}/", headers=head)
         host, port = node.settings.node.callers.split(":")
         try:
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -9,15 +9,15 @@
 from moledale.gateway.messages import Server
 from moledale.gateway.plan import Limits
 from tests.gateway_world import (
-    KEY,
+    API_KEY,
     LAST_CHUNK,
-    STAMP,
+    STAMP_HEADER,
     Arrival,
     GatewayWorld,
     answer,
+    answer_ok,
     chunk,
     event,
-    fine,
     make_plan,
     read_answer,
     request_bytes,
@@ -91,7 +91,7 @@
     def test_request_and_answer_pass_unchanged(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", fine)
+                server = await world.server("s1", "plain", answer_ok)
                 body = bytes(range(256)) * 10
                 got = await world.ask(
                     "/check/a%2Fb?x=1&y=%20", body=body, headers={"X-Own": "v", "Tenant": "fake"}
@@ -104,7 +104,7 @@
                 self.assertEqual(arrival.get("x-own"), "v")
                 self.assertEqual(arrival.get("expect-instance"), "s1")
                 self.assertEqual([v for k, v in arrival.headers if k == "Tenant"], ["north"])
-                self.assertNotIn(KEY, str(arrival.headers))
+                self.assertNotIn(API_KEY, str(arrival.headers))
 
         run_quietly(work())
 
@@ -116,12 +116,12 @@
             async with GatewayWorld(make_plan()) as world:
                 server = await world.server("s1", "plain", lengthy)
                 reader, writer = await world.connect()
-                for number, key in ((1, KEY), (2, "unknown"), (3, KEY)):
+                for number, key in ((1, API_KEY), (2, "unknown"), (3, API_KEY)):
                     headers = {"Authorization": f"Bearer {key}", "Content-Length": ""}
                     writer.write(request_bytes("/check/", "HEAD", b"", headers, f"r{number}"))
                     async with asyncio.timeout(0.5):
                         head = await reader.readuntil(b"\r\n\r\n")
-                    expected = b"HTTP/1.1 200 " if key == KEY else b"HTTP/1.1 401 "
+                    expected = b"HTTP/1.1 200 " if key == API_KEY else b"HTTP/1.1 401 "
                     self.assertTrue(head.startswith(expected), head)
                 writer.close()
                 self.assertEqual([each.connection for each in server.arrivals], [1, 1])
@@ -131,7 +131,7 @@
     def test_chunked_body_reaches_the_server_whole(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", fine)
+                server = await world.server("s1", "plain", answer_ok)
                 reader, writer = await world.connect()
                 head = request_bytes(
                     "/order/", headers={"Content-Length": "", "Transfer-Encoding": "chunked"}
@@ -157,13 +157,17 @@
     def test_answer_without_length_ends_with_its_connection(self) -> None:
         async def closes(arrival: Arrival, _: Reader, writer: Writer) -> None:
             request_id = (arrival.get("request-id") or "").encode()
-            writer.write(b"HTTP/1.1 200 X\r\nRequest-Id: %b\r\n%b\r\nall" % (request_id, STAMP))
+            writer.write(
+                b"HTTP/1.1 200 X\r\nRequest-Id: %b\r\n%b\r\nall" % (request_id, STAMP_HEADER)
+            )
             await writer.drain()
             writer.close()
 
         async def resets_after(arrival: Arrival, _: Reader, writer: Writer) -> None:
             request_id = (arrival.get("request-id") or "").encode()
-            writer.write(b"HTTP/1.1 200 X\r\nRequest-Id: %b\r\n%b\r\nhalf" % (request_id, STAMP))
+            writer.write(
+                b"HTTP/1.1 200 X\r\nRequest-Id: %b\r\n%b\r\nhalf" % (request_id, STAMP_HEADER)
+            )
             await writer.drain()
             await asyncio.sleep(0.05)
             reset(writer)
@@ -234,7 +238,7 @@
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn(b"not yours", got.body)
-                server.script = fine
+                server.script = answer_ok
                 self.assertEqual((await world.ask("/order/", request_id="r2")).status, 200)
                 self.assertEqual(server.connections, 2)
 
@@ -288,7 +292,7 @@
                 self.assertEqual(got.status, 503)
                 self.assertGreater(float(got.headers["retry-after"]), 0)
                 self.assertEqual([len(server.arrivals) for server in servers], [1, 1])
-                servers[0].script = servers[1].script = fine
+                servers[0].script = servers[1].script = answer_ok
                 self.assertEqual((await world.ask("/order/", request_id="r2")).status, 200)
 
         run_quietly(work())
@@ -296,7 +300,7 @@
     def test_kept_connection_that_is_reset_does_not_send_a_second_time(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", fine)
+                server = await world.server("s1", "plain", answer_ok)
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 server.script = resets
                 self.assertEqual((await world.ask("/order/", request_id="r2")).status, 502)
@@ -340,9 +344,9 @@
     def test_no_connection_counts_as_no_send(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                gone = await world.server("s1", "plain", fine)
+                gone = await world.server("s1", "plain", answer_ok)
                 gone.stop()
-                await world.server("s2", "plain", fine)
+                await world.server("s2", "plain", answer_ok)
                 for number in range(6):
                     got = await world.ask("/order/", request_id=f"r{number}")
                     self.assertEqual(got.status, 200)
@@ -353,8 +357,8 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(5):
-                    (await world.server(f"a{number}", "plain", fine)).stop()
-                await world.server("b", "plain", fine)
+                    (await world.server(f"a{number}", "plain", answer_ok)).stop()
+                await world.server("b", "plain", answer_ok)
                 self.assertEqual((await world.ask("/order/")).status, 200)
 
         run_quietly(work())
@@ -362,8 +366,8 @@
     def test_leaving_server_gets_no_new_work(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                leaving = await world.server("s1", "plain", fine)
-                await world.server("s2", "plain", fine)
+                leaving = await world.server("s1", "plain", answer_ok)
+                await world.server("s2", "plain", answer_ok)
                 world.update_listed("s1", leaving=True)
                 for number in range(6):
                     await world.ask("/check/", request_id=f"r{number}")
@@ -407,7 +411,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 silent = await world.server("s1", "plain", hangs)
-                await world.server("s2", "plain", fine)
+                await world.server("s2", "plain", answer_ok)
                 for number in range(4):
                     began = monotonic()
                     got = await world.ask("/check/", request_id=f"r{number}")
@@ -422,7 +426,7 @@
     def test_safe_request_stays_where_it_is_if_there_is_no_other_server(self) -> None:
         async def slow(arrival: Arrival, reader: Reader, writer: Writer) -> None:
             await asyncio.sleep(0.4)
-            await fine(arrival, reader, writer)
+            await answer_ok(arrival, reader, writer)
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
@@ -617,7 +621,7 @@
             async with GatewayWorld() as world:
                 self.assertEqual((await world.ask("/check/")).status, 503)
                 world.forwarder.adopt(make_plan())
-                server = await world.server("s1", "plain", fine)
+                server = await world.server("s1", "plain", answer_ok)
                 self.assertEqual((await world.ask("/nothing/")).status, 404)
                 self.assertEqual((await world.ask("/checks")).status, 404)
                 bad = {"Authorization": "Bearer wrong"}
@@ -633,7 +637,7 @@
     def test_key_taken_away_counts_on_open_connections(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", fine)
+                await world.server("s1", "plain", answer_ok)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/check/"))
                 self.assertEqual((await read_answer(reader)).status, 200)
@@ -662,7 +666,7 @@
         async def work() -> None:
             limits = Limits(header_bytes=2_000, body_bytes=3_000, header_timeout_s=0.4)
             async with GatewayWorld(make_plan(limits=limits)) as world:
-                server = await world.server("s1", "plain", fine)
+                server = await world.server("s1", "plain", answer_ok)
                 long_head = {"X-Long": "y" * 3_000}
                 self.assertEqual((await world.ask("/check/", headers=long_head)).status, 431)
                 self.assertEqual((await world.ask("/check/", body=b"z" * 4_000)).status, 413)
@@ -681,7 +685,7 @@
     def test_smuggled_requests_are_refused(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", fine)
+                server = await world.server("s1", "plain", answer_ok)
                 both = {"Content-Length": "4", "Transfer-Encoding": "chunked"}
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/order/", headers=both) + b"0\r\n\r\nGET /x HTTP/1.1")
@@ -694,7 +698,7 @@
     def test_account_over_its_limit_is_told_when_to_come_back(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", fine)
+                server = await world.server("s1", "plain", answer_ok)
                 tokens = {"Token-Count": "20000,10000"}
                 answers = [
                     await world.ask("/check/", headers=tokens, request_id=f"r{n}") for n in range(6)
@@ -711,7 +715,7 @@
     def test_idle_connections_end_by_the_limit_in_force(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", fine)
+                await world.server("s1", "plain", answer_ok)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/check/"))
                 await read_answer(reader)
@@ -727,7 +731,7 @@
     def test_node_whose_list_is_too_old_sends_callers_to_others_at_once(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", fine)
+                server = await world.server("s1", "plain", answer_ok)
                 world.list_current = False
                 got = await world.ask("/check/")
                 self.assertEqual((got.status, server.arrivals), (503, []))
@@ -740,7 +744,7 @@
     def test_server_that_is_gone_from_the_list_gets_nothing(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", fine)
+                await world.server("s1", "plain", answer_ok)
                 gone = world.balancer.apply([Server("s9", "other", "127.0.0.1:1", "hall-a", 1)])
                 self.assertEqual([server.id for server in gone], ["s1"])
                 self.assertEqual((await world.ask("/check/")).status, 503)
--- a/tests/test_gateway_nodes.py
+++ b/tests/test_gateway_nodes.py
@@ -22,11 +22,11 @@
 from moledale.platform.store import PlatformStore
 from standins.rows import RowsPlatform, StoreMode
 from tests.gateway_world import (
+    API_KEY,
     HOST,
-    KEY,
     CallerAnswer,
     ScriptedServer,
-    fine,
+    answer_ok,
     read_answer,
     request_bytes,
     run_quietly,
@@ -35,7 +35,9 @@
 BOUNDS = Bounds(stop_s=3.0, lease_s=0.6, usage_window_s=1.0)
 
 
-def make_config(version: int, prefix: str = "/check/", keys: tuple[str, ...] = (KEY,)) -> object:
+def make_config(
+    version: int, prefix: str = "/check/", keys: tuple[str, ...] = (API_KEY,)
+) -> object:
     """Return a configuration in the format that operators write."""
     return {
         "version": version,
@@ -76,7 +78,7 @@
 
     def __init__(self, bounds: Bounds = BOUNDS) -> None:
         self.platform = RowsPlatform()
-        self.backend = ScriptedServer("s1", fine)
+        self.backend = ScriptedServer("s1", answer_ok)
         self.nodes: dict[str, GatewayNode] = {}
         self.bounds = bounds
         self._stops: dict[str, asyncio.Event] = {}
@@ -169,7 +171,7 @@
             if child.task is not None:
                 child.task.cancel()
 
-    async def ask(self, name: str, path: str = "/check/", key: str = KEY) -> CallerAnswer:
+    async def ask(self, name: str, path: str = "/check/", key: str = API_KEY) -> CallerAnswer:
         """Send a request to a node and return its answer."""
         return await ask(
             self.nodes[name].settings.node.callers,
@@ -470,7 +472,7 @@
     def test_planned_stop_finishes_requests_and_removes_the_node_from_the_directory(self) -> None:
         async def slow(arrival, reader, writer) -> None:  # type: ignore[no-untyped-def]
             await asyncio.sleep(0.7)
-            await fine(arrival, reader, writer)
+            await answer_ok(arrival, reader, writer)
 
         async def work(cluster: Cluster) -> None:
             cluster.backend.script = slow
--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -6,7 +6,7 @@
 from moledale.gateway.balance import LoadBalancer
 from moledale.gateway.messages import Placed, PromptPart, RequestFacts, Server
 from moledale.gateway.plan import Engine
-from tests.gateway_world import fine, request_bytes
+from tests.gateway_world import answer_ok, request_bytes
 from tests.test_gateway_nodes import Cluster, ScriptedServer, ask, ready, run_on_cluster, wait_until
 
 ENGINE = Engine(64, 100_000, 1, 1000.0)
@@ -76,7 +76,7 @@
         async def work(cluster: Cluster) -> None:
             for number in range(4):
                 cluster.platform.put("servers", f"bad{number}", {"service": "plain"})
-            others = [ScriptedServer(f"s{number}", fine) for number in (2, 3)]
+            others = [ScriptedServer(f"s{number}", answer_ok) for number in (2, 3)]
             for other in others:
                 await other.start()
                 cluster.list_server(other, "ready")
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -25,7 +25,7 @@
 from moledale.gateway.upstream import UpstreamConnection
 from moledale.platform.headers import PlatformHeaders
 from tests.gateway_states import state
-from tests.gateway_world import HOST, GatewayWorld, fine, make_plan, run_quietly
+from tests.gateway_world import HOST, GatewayWorld, answer_ok, make_plan, run_quietly
 from tests.limit_world import (
     Callers,
     make_limited_server,
@@ -155,8 +155,8 @@
     def test_limit_received_during_a_connect_counts(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", fine)
-                await world.server("s2", "plain", fine)
+                first = await world.server("s1", "plain", answer_ok)
+                await world.server("s2", "plain", answer_ok)
                 acquire = world.pool.acquire
 
                 async def acquire_slowly(server: str, address: str) -> UpstreamConnection:
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -18,13 +18,13 @@
 from moledale.platform.headers import PlatformHeaders
 from standins.rows import StoreMode
 from tests.gateway_world import (
-    STAMP,
+    STAMP_HEADER,
     Arrival,
     CallerAnswer,
     GatewayWorld,
     ScriptedServer,
     answer,
-    fine,
+    answer_ok,
     make_plan,
     read_answer,
     request_bytes,
@@ -45,7 +45,7 @@
     arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     """Answer completely and state that the server is leaving."""
-    writer.write(answer(arrival, more=STAMP + LEAVES))
+    writer.write(answer(arrival, extra_headers=STAMP_HEADER + LEAVES))
 
 
 async def answer_slowly(
@@ -232,7 +232,7 @@
 
     def test_leaving_statement_of_an_invalid_answer_is_ignored(self) -> None:
         async def unsigned(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(arrival, more=LEAVES))
+            writer.write(answer(arrival, extra_headers=LEAVES))
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
@@ -245,7 +245,7 @@
     def test_leaving_statement_during_a_connect_counts(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", fine)
+                first = await world.server("s1", "plain", answer_ok)
                 await world.server("s2", "plain", answer_slowly)
                 acquire = world.pool.acquire
 
@@ -273,7 +273,7 @@
             ) -> None:
                 if arrival.body == b"short":
                     await may_answer.wait()
-                    writer.write(answer(arrival, b"", 400, STAMP + LEAVES))
+                    writer.write(answer(arrival, b"", 400, STAMP_HEADER + LEAVES))
                 else:
                     await pair.script(arrival, reader, writer)
 
@@ -311,7 +311,7 @@
                 self.assertGreater(retry_after_s, RETRY_AFTER_S - 0.2)
                 self.assertLess(retry_after_s, RETRY_AFTER_S * 1.5 + 0.01)
                 self.assertEqual(len(first.arrivals), 1)
-                first.script = fine
+                first.script = answer_ok
                 await asyncio.sleep(RETRY_AFTER_S)
                 self.assertEqual((await world.ask("/check/")).status, 200)
 
@@ -448,7 +448,7 @@
             latest = monotonic() + RETRY_AFTER_S + PEER_RETRY_DELAY_S
             self.assertLessEqual(view.standing.peers_declined_until, latest)
             # It is the only server, and this node got no retry time from it.
-            cluster.backend.script = fine
+            cluster.backend.script = answer_ok
             self.assertEqual((await ask_node(second)).status, 200)
 
         run_on_cluster(work)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -11,7 +11,7 @@
 from moledale.gateway.settings import Bounds
 from moledale.gateway.suspension import MIN_SUSPENSION_S, SuspensionWatch
 from moledale.platform.store import PlatformStore
-from tests.gateway_world import Arrival, GatewayWorld, fine, make_plan, reset, run_quietly
+from tests.gateway_world import Arrival, GatewayWorld, answer_ok, make_plan, reset, run_quietly
 
 
 class FakeClock:
@@ -63,7 +63,7 @@
             async with GatewayWorld(make_plan()) as world:
                 world.forwarder._now = lambda: monotonic() + clock_ahead_s
                 first = await world.server("s1", "plain", suspends)
-                second = await world.server("s2", "plain", fine)
+                second = await world.server("s2", "plain", answer_ok)
                 got = await world.ask("/check/")
                 self.assertEqual((len(first.arrivals), len(second.arrivals)), (1, 0))
                 self.assertEqual(got.status, 504)
