--- a/tests/test_gateway_evacuation.py
+++ b/tests/test_gateway_evacuation.py
@@ -81,12 +81,12 @@
         self, world: GatewayWorld, pair: EnginePair
     ) -> tuple[ScriptedServer, asyncio.StreamReader, asyncio.StreamWriter]:
         """Start a stream that may not be resumed, and a second server."""
-        first = await world.server("s1", "model", pair.script)
+        first = await world.start_server("s1", "model", pair.script)
         reader, writer = await world.connect()
         writer.write(request_bytes("/draft/", headers=TOKENS))
         await first.arrived.wait()
         await asyncio.sleep(0.1)
-        await world.server("s2", "model", pair.script)
+        await world.start_server("s2", "model", pair.script)
         return first, reader, writer
 
     def test_stream_goes_on_at_another_server_and_counts_as_the_same_run(self) -> None:
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -91,7 +91,7 @@
     def test_request_and_answer_pass_unchanged(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", answer_ok)
+                server = await world.start_server("s1", "plain", answer_ok)
                 body = bytes(range(256)) * 10
                 got = await world.ask(
                     "/check/a%2Fb?x=1&y=%20", body=body, headers={"X-Own": "v", "Tenant": "fake"}
@@ -114,7 +114,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", lengthy)
+                server = await world.start_server("s1", "plain", lengthy)
                 reader, writer = await world.connect()
                 for number, key in ((1, API_KEY), (2, "unknown"), (3, API_KEY)):
                     headers = {"Authorization": f"Bearer {key}", "Content-Length": ""}
@@ -131,7 +131,7 @@
     def test_chunked_body_reaches_the_server_whole(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", answer_ok)
+                server = await world.start_server("s1", "plain", answer_ok)
                 reader, writer = await world.connect()
                 head = request_bytes(
                     "/order/", headers={"Content-Length": "", "Transfer-Encoding": "chunked"}
@@ -147,7 +147,7 @@
     def test_cut_answer_never_looks_whole(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", breaks_off)
+                await world.start_server("s1", "plain", breaks_off)
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn("server-stamp", got.headers)
@@ -174,7 +174,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", closes)
+                server = await world.start_server("s1", "plain", closes)
                 got = await world.ask("/order/")
                 self.assertEqual((got.status, got.body, got.whole), (200, b"all", True))
                 server.script = resets_after
@@ -196,7 +196,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", long)
+                server = await world.start_server("s1", "plain", long)
                 got = await world.ask("/order/")
                 self.assertEqual((got.status, got.whole, len(got.body)), (200, True, len(body)))
                 server.script = long_and_cut
@@ -218,7 +218,7 @@
         async def work() -> None:
             for script in (answers_twice, answers_late):
                 async with GatewayWorld(make_plan()) as world:
-                    server = await world.server("s1", "plain", script)
+                    server = await world.start_server("s1", "plain", script)
                     for number in range(4):
                         got = await world.ask("/order/", request_id=f"r{number}")
                         self.assertEqual((got.status, got.body), (200, b"fine"))
@@ -234,7 +234,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", crossed)
+                server = await world.start_server("s1", "plain", crossed)
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn(b"not yours", got.body)
@@ -250,7 +250,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", garbage)
+                await world.start_server("s1", "plain", garbage)
                 self.assertEqual((await world.ask("/order/")).status, 502)
 
         run_quietly(work())
@@ -261,7 +261,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", early)
+                server = await world.start_server("s1", "plain", early)
                 got = await world.ask("/order/", body=b"x" * 100)
                 self.assertEqual((got.status, got.body), (413, b"too long"))
                 self.assertEqual(server.arrivals[0].body, b"x" * 100)
@@ -276,8 +276,8 @@
         async def work() -> None:
             for script in (resets, breaks_off, fails):
                 async with GatewayWorld(make_plan()) as world:
-                    first = await world.server("s1", "plain", script)
-                    second = await world.server("s2", "plain", script)
+                    first = await world.start_server("s1", "plain", script)
+                    second = await world.start_server("s2", "plain", script)
                     got = await world.ask("/order/")
                     self.assertIn(got.status, (500, 502))
                     self.assertEqual(len(first.arrivals) + len(second.arrivals), 1)
@@ -287,7 +287,7 @@
     def test_not_repeatable_request_goes_on_where_it_did_not_run(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                servers = [await world.server(f"s{n}", "plain", sheds) for n in (1, 2)]
+                servers = [await world.start_server(f"s{n}", "plain", sheds) for n in (1, 2)]
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 503)
                 self.assertGreater(float(got.headers["retry-after"]), 0)
@@ -300,7 +300,7 @@
     def test_kept_connection_that_is_reset_does_not_send_a_second_time(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", answer_ok)
+                server = await world.start_server("s1", "plain", answer_ok)
                 self.assertEqual((await world.ask("/order/")).status, 200)
                 server.script = resets
                 self.assertEqual((await world.ask("/order/", request_id="r2")).status, 502)
@@ -311,7 +311,7 @@
     def test_servers_busy_that_may_have_run_is_not_passed_on_as_a_promise(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", says_busy)
+                await world.start_server("s1", "plain", says_busy)
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn("server-stamp", got.headers)
@@ -321,7 +321,7 @@
     def test_safe_request_is_tried_at_a_second_server_and_no_third(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                servers = [await world.server(f"s{n}", "plain", fails) for n in (1, 2, 3)]
+                servers = [await world.start_server(f"s{n}", "plain", fails) for n in (1, 2, 3)]
                 got = await world.ask("/check/")
                 self.assertEqual((got.status, got.body), (500, b"bad"))
                 self.assertEqual(sum(len(server.arrivals) for server in servers), 2)
@@ -331,7 +331,7 @@
     def test_retry_budget_bounds_repeats(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                servers = [await world.server(f"s{n}", "plain", fails) for n in (1, 2)]
+                servers = [await world.start_server(f"s{n}", "plain", fails) for n in (1, 2)]
                 for number in range(100):
                     await world.ask("/check/", request_id=f"r{number}")
                 arrivals = sum(len(server.arrivals) for server in servers)
@@ -344,9 +344,9 @@
     def test_no_connection_counts_as_no_send(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                gone = await world.server("s1", "plain", answer_ok)
+                gone = await world.start_server("s1", "plain", answer_ok)
                 gone.stop()
-                await world.server("s2", "plain", answer_ok)
+                await world.start_server("s2", "plain", answer_ok)
                 for number in range(6):
                     got = await world.ask("/order/", request_id=f"r{number}")
                     self.assertEqual(got.status, 200)
@@ -357,8 +357,8 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(5):
-                    (await world.server(f"a{number}", "plain", answer_ok)).stop()
-                await world.server("b", "plain", answer_ok)
+                    (await world.start_server(f"a{number}", "plain", answer_ok)).stop()
+                await world.start_server("b", "plain", answer_ok)
                 self.assertEqual((await world.ask("/order/")).status, 200)
 
         run_quietly(work())
@@ -366,8 +366,8 @@
     def test_leaving_server_gets_no_new_work(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                leaving = await world.server("s1", "plain", answer_ok)
-                await world.server("s2", "plain", answer_ok)
+                leaving = await world.start_server("s1", "plain", answer_ok)
+                await world.start_server("s2", "plain", answer_ok)
                 world.update_listed("s1", leaving=True)
                 for number in range(6):
                     await world.ask("/check/", request_id=f"r{number}")
@@ -382,7 +382,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", another)
+                await world.start_server("s1", "plain", another)
                 got = await world.ask("/order/")
                 self.assertEqual(got.status, 503)
 
@@ -399,7 +399,9 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                servers = [await world.server(f"s{n}", "plain", slow_then_sheds) for n in (1, 2)]
+                servers = [
+                    await world.start_server(f"s{n}", "plain", slow_then_sheds) for n in (1, 2)
+                ]
                 await world.ask("/order/", headers={"Deadline-Ms": "900"})
                 left = sorted(int(s.arrivals[0].get("deadline-ms") or 0) for s in servers)
                 self.assertLessEqual(left[1], 900)
@@ -410,8 +412,8 @@
     def test_safe_request_goes_elsewhere_when_its_server_is_silent(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                silent = await world.server("s1", "plain", hangs)
-                await world.server("s2", "plain", answer_ok)
+                silent = await world.start_server("s1", "plain", hangs)
+                await world.start_server("s2", "plain", answer_ok)
                 for number in range(4):
                     began = monotonic()
                     got = await world.ask("/check/", request_id=f"r{number}")
@@ -430,7 +432,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", slow)
+                server = await world.start_server("s1", "plain", slow)
                 self.assertEqual((await world.ask("/check/")).status, 200)
                 self.assertEqual(len(server.arrivals), 1)
 
@@ -439,7 +441,7 @@
     def test_time_limit_of_the_route_brings_the_final_answer(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", hangs)
+                server = await world.start_server("s1", "plain", hangs)
                 began = monotonic()
                 got = await world.ask("/order/")
                 took = monotonic() - began
@@ -464,7 +466,7 @@
     def test_caller_that_leaves_before_the_answer_stops_the_server(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", hangs)
+                server = await world.start_server("s1", "plain", hangs)
                 _, writer = await world.connect()
                 writer.write(request_bytes("/order/"))
                 await asyncio.sleep(0.1)
@@ -486,7 +488,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "model", endless)
+                server = await world.start_server("s1", "model", endless)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/draft/"))
                 await reader.readuntil(b"piece 3")
@@ -519,7 +521,7 @@
     def test_events_pass_as_they_come(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "model", streams)
+                await world.start_server("s1", "model", streams)
                 got = await world.ask("/draft/")
                 self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
 
@@ -532,11 +534,11 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "model", streams_torn)
+                first = await world.start_server("s1", "model", streams_torn)
                 world.update_listed("s1")
                 task = asyncio.create_task(world.ask("/review/"))
                 await first.arrived.wait()
-                await world.server("s2", "model", other_stamp)
+                await world.start_server("s2", "model", other_stamp)
                 got = await task
                 self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
 
@@ -545,13 +547,13 @@
     def test_resumable_streams_leave_a_server_that_fell_silent(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                silent = await world.server("s1", "model", one_event_then_silence, slots=16)
+                silent = await world.start_server("s1", "model", one_event_then_silence, slots=16)
                 began = monotonic()
                 tasks = [asyncio.create_task(world.ask("/review/", request_id=r)) for r in "ab"]
                 await silent.arrived.wait()
                 await asyncio.sleep(0.1)
                 self.assertEqual(len(silent.arrivals), 2)
-                await world.server("s2", "model", streams_after, slots=16)
+                await world.start_server("s2", "model", streams_after, slots=16)
                 for task in tasks:
                     got = await task
                     self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
@@ -564,12 +566,12 @@
     def test_stream_that_may_not_be_resumed_stays_at_a_silent_server(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                silent = await world.server("s1", "model", one_event_then_silence, slots=16)
+                silent = await world.start_server("s1", "model", one_event_then_silence, slots=16)
                 tasks = [asyncio.create_task(world.ask("/draft/", request_id=r)) for r in "ab"]
                 await silent.arrived.wait()
                 await asyncio.sleep(0.1)
                 self.assertEqual(len(silent.arrivals), 2)
-                other = await world.server("s2", "model", streams_after, slots=16)
+                other = await world.start_server("s2", "model", streams_after, slots=16)
                 for task in tasks:
                     got = await task
                     self.assertEqual((got.body, got.whole), (event(1), False))
@@ -580,8 +582,8 @@
     def test_a_node_that_stood_still_reads_first_what_came_meanwhile(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "model", streams, slots=16)
-                await world.server("s2", "model", streams, slots=16)
+                await world.start_server("s1", "model", streams, slots=16)
+                await world.start_server("s2", "model", streams, slots=16)
                 view = world.balancer.views["s1"]
                 view.running, view.last_data_at, view.busy_since = 2, -100.0, -100.0
                 route = next(each for each in make_plan().routes if each.name == "review")
@@ -603,8 +605,8 @@
     def test_stream_that_may_not_be_resumed_is_cut_visibly(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "model", streams_torn)
-                second = await world.server("s2", "model", streams_torn)
+                first = await world.start_server("s1", "model", streams_torn)
+                second = await world.start_server("s2", "model", streams_torn)
                 got = await world.ask("/draft/")
                 self.assertEqual((got.status, got.whole), (200, False))
                 self.assertEqual(got.body, event(1) + event(2))
@@ -621,7 +623,7 @@
             async with GatewayWorld() as world:
                 self.assertEqual((await world.ask("/check/")).status, 503)
                 world.forwarder.adopt(make_plan())
-                server = await world.server("s1", "plain", answer_ok)
+                server = await world.start_server("s1", "plain", answer_ok)
                 self.assertEqual((await world.ask("/nothing/")).status, 404)
                 self.assertEqual((await world.ask("/checks")).status, 404)
                 bad = {"Authorization": "Bearer wrong"}
@@ -637,7 +639,7 @@
     def test_key_taken_away_counts_on_open_connections(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", answer_ok)
+                await world.start_server("s1", "plain", answer_ok)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/check/"))
                 self.assertEqual((await read_answer(reader)).status, 200)
@@ -666,7 +668,7 @@
         async def work() -> None:
             limits = Limits(header_bytes=2_000, body_bytes=3_000, header_timeout_s=0.4)
             async with GatewayWorld(make_plan(limits=limits)) as world:
-                server = await world.server("s1", "plain", answer_ok)
+                server = await world.start_server("s1", "plain", answer_ok)
                 long_head = {"X-Long": "y" * 3_000}
                 self.assertEqual((await world.ask("/check/", headers=long_head)).status, 431)
                 self.assertEqual((await world.ask("/check/", body=b"z" * 4_000)).status, 413)
@@ -685,7 +687,7 @@
     def test_smuggled_requests_are_refused(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", answer_ok)
+                server = await world.start_server("s1", "plain", answer_ok)
                 both = {"Content-Length": "4", "Transfer-Encoding": "chunked"}
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/order/", headers=both) + b"0\r\n\r\nGET /x HTTP/1.1")
@@ -698,7 +700,7 @@
     def test_account_over_its_limit_is_told_when_to_come_back(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", answer_ok)
+                server = await world.start_server("s1", "plain", answer_ok)
                 tokens = {"Token-Count": "20000,10000"}
                 answers = [
                     await world.ask("/check/", headers=tokens, request_id=f"r{n}") for n in range(6)
@@ -715,7 +717,7 @@
     def test_idle_connections_end_by_the_limit_in_force(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", answer_ok)
+                await world.start_server("s1", "plain", answer_ok)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/check/"))
                 await read_answer(reader)
@@ -731,7 +733,7 @@
     def test_node_whose_list_is_too_old_sends_callers_to_others_at_once(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", answer_ok)
+                server = await world.start_server("s1", "plain", answer_ok)
                 world.list_current = False
                 got = await world.ask("/check/")
                 self.assertEqual((got.status, server.arrivals), (503, []))
@@ -744,7 +746,7 @@
     def test_server_that_is_gone_from_the_list_gets_nothing(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", answer_ok)
+                await world.start_server("s1", "plain", answer_ok)
                 gone = world.balancer.apply([Server("s9", "other", "127.0.0.1:1", "hall-a", 1)])
                 self.assertEqual([server.id for server in gone], ["s1"])
                 self.assertEqual((await world.ask("/check/")).status, 503)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -62,8 +62,8 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "model", reset_connection)
-                await world.server("s2", "model", reset_connection)
+                await world.start_server("s1", "model", reset_connection)
+                await world.start_server("s2", "model", reset_connection)
                 await world.ask("/draft/", body=b"one", request_id="r1")
                 await world.ask("/draft/", body=b"one", request_id="r2")
                 await world.ask("/draft/", body=b"two", request_id="r3")
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -39,7 +39,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(4):
-                    await world.server(f"s{number}", "plain", reset_guilty)
+                    await world.start_server(f"s{number}", "plain", reset_guilty)
                 for number in range(6):
                     await world.ask("/order/", body=GUILTY, request_id=f"r{number}")
                     await asyncio.sleep(0.1)
@@ -58,7 +58,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "plain", reset_first)
+                server = await world.start_server("s1", "plain", reset_first)
                 await world.ask("/order/")
                 await asyncio.sleep(0.1)
                 self.assertEqual((await world.ask("/order/")).status, 200)
@@ -180,7 +180,7 @@
             async with GatewayWorld(make_plan()) as world:
                 failed: list[bool] = []
                 world.balancer.on_outcome = lambda _, __, bad, ___: failed.append(bad)
-                await world.server("s1", "plain", break_off)
+                await world.start_server("s1", "plain", break_off)
                 for number in range(3):
                     await world.ask("/order/", body=b"%d" % number)
                 await asyncio.sleep(0.1)
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -155,8 +155,8 @@
     def test_limit_received_during_a_connect_counts(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", answer_ok)
-                await world.server("s2", "plain", answer_ok)
+                first = await world.start_server("s1", "plain", answer_ok)
+                await world.start_server("s2", "plain", answer_ok)
                 acquire = world.pool.acquire
 
                 async def acquire_slowly(server: str, address: str) -> UpstreamConnection:
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -111,8 +111,8 @@
 
     async def _ask_after(self, script: object) -> None:
         async with GatewayWorld(make_plan()) as world:
-            first = await world.server("s1", "plain", script)  # type: ignore[arg-type]
-            other = await world.server("s2", "plain", answer_slowly)
+            first = await world.start_server("s1", "plain", script)  # type: ignore[arg-type]
+            other = await world.start_server("s2", "plain", answer_slowly)
             await world.ask("/check/")
             for number in range(4):
                 got = await world.ask("/order/", request_id=f"r{number}")
@@ -169,8 +169,8 @@
     def test_list_does_not_override_a_leaving_statement(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", answer_leaving)
-                await world.server("s2", "plain", answer_slowly)
+                first = await world.start_server("s1", "plain", answer_leaving)
+                await world.start_server("s2", "plain", answer_slowly)
                 await world.ask("/order/")
                 world.update_listed("s1", slots=5)
                 self.assertEqual((await world.ask("/order/")).status, 200)
@@ -202,7 +202,7 @@
 
     async def _check_next_incarnation(self, same_id: bool) -> None:
         async with GatewayWorld(make_plan()) as world:
-            first = await world.server("s1", "plain", answer_leaving)
+            first = await world.start_server("s1", "plain", answer_leaving)
             await world.ask("/order/")
             self.assertEqual((await world.ask("/order/")).status, 503)
             world.unlist("s1")
@@ -220,8 +220,8 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", answer_misdirected)
-                await world.server("s2", "plain", answer_slowly)
+                first = await world.start_server("s1", "plain", answer_misdirected)
+                await world.start_server("s2", "plain", answer_slowly)
                 for _ in range(4):
                     self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
@@ -236,7 +236,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", unsigned)
+                await world.start_server("s1", "plain", unsigned)
                 self.assertEqual((await world.ask("/order/")).status, 502)
                 self.assertFalse(world.balancer.views["s1"].server.leaving)
 
@@ -245,8 +245,8 @@
     def test_leaving_statement_during_a_connect_counts(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", answer_ok)
-                await world.server("s2", "plain", answer_slowly)
+                first = await world.start_server("s1", "plain", answer_ok)
+                await world.start_server("s2", "plain", answer_slowly)
                 acquire = world.pool.acquire
 
                 async def acquire_slowly(server: str, address: str) -> UpstreamConnection:
@@ -278,13 +278,13 @@
                     await pair.script(arrival, reader, writer)
 
             async with GatewayWorld(make_plan()) as world:
-                server = await world.server("s1", "model", first)
+                server = await world.start_server("s1", "model", first)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/draft/", headers={"Token-Count": "100,600"}))
                 await server.arrived.wait()
                 short = asyncio.create_task(world.ask("/draft/", body=b"short", request_id="r2"))
                 await asyncio.sleep(0.1)
-                await world.server("s2", "model", pair.script)
+                await world.start_server("s2", "model", pair.script)
                 may_answer.set()
                 self.assertEqual((await short).status, 400)
                 got = await read_answer(reader)
@@ -301,7 +301,7 @@
     def test_requests_are_rejected_at_once_while_all_servers_back_off(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", decline_with_retry_time)
+                first = await world.start_server("s1", "plain", decline_with_retry_time)
                 await world.ask("/open/")
                 began = monotonic()
                 got = await world.ask("/check/")
@@ -320,8 +320,8 @@
     def test_retry_time_of_one_server_is_not_returned_while_others_are_free(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", decline_with_retry_time)
-                await world.server("s2", "plain", answer_slowly)
+                await world.start_server("s1", "plain", decline_with_retry_time)
+                await world.start_server("s2", "plain", answer_slowly)
                 routes = tuple(
                     msgspec.structs.replace(each, max_servers=1) for each in make_plan().routes
                 )
@@ -341,7 +341,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", decline_with_zero_retry_time)
+                first = await world.start_server("s1", "plain", decline_with_zero_retry_time)
                 for _ in range(3):
                     await world.ask("/order/")
                 self.assertEqual(len(first.arrivals), 3)
@@ -351,8 +351,8 @@
     def test_declining_server_is_the_last_choice_but_stays_one(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.server("s1", "plain", decline_without_retry_time)
-                other = await world.server("s2", "plain", answer_slowly)
+                first = await world.start_server("s1", "plain", decline_without_retry_time)
+                other = await world.start_server("s2", "plain", answer_slowly)
                 for _ in range(4):
                     self.assertEqual((await world.ask("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -55,14 +55,14 @@
         async def run() -> None:
             nonlocal lost
             async with GatewayWorld(make_plan()) as world:
-                await world.server("s1", "plain", script)
+                await world.start_server("s1", "plain", script)
                 ticking = asyncio.create_task(run_ticks(world))
                 await asyncio.gather(
                     *(world.ask(path, request_id=f"w{n}") for n in range(IDLE_CONNECTIONS))
                 )
                 script.silence()
                 for number in range(1, servers):
-                    await world.server(f"s{number + 1}", "plain", SilencingScript())
+                    await world.start_server(f"s{number + 1}", "plain", SilencingScript())
                     world.balancer.views[f"s{number + 1}"].answer_s = 0.2
                 for number in range(IDLE_CONNECTIONS + 2):
                     began = monotonic()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -62,8 +62,8 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 world.forwarder._now = lambda: monotonic() + clock_ahead_s
-                first = await world.server("s1", "plain", suspends)
-                second = await world.server("s2", "plain", answer_ok)
+                first = await world.start_server("s1", "plain", suspends)
+                second = await world.start_server("s2", "plain", answer_ok)
                 got = await world.ask("/check/")
                 self.assertEqual((len(first.arrivals), len(second.arrivals)), (1, 0))
                 self.assertEqual(got.status, 504)
