--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -240,10 +240,10 @@
     ) -> ScriptedServer:
         """Start a server and list it."""
         server = ScriptedServer(name, script)
-        await self.add(server, service, slots)
+        await self.add_server(server, service, slots)
         return server
 
-    async def add(self, server: ScriptedServer, service: str, slots: int = 4) -> None:
+    async def add_server(self, server: ScriptedServer, service: str, slots: int = 4) -> None:
         """Start a server that a test made, and list it."""
         await server.start()
         self.servers[server.id] = server
@@ -269,7 +269,7 @@
         """Open a caller's connection."""
         return await asyncio.open_connection(*self.address[:2])
 
-    async def ask(
+    async def send_request(
         self,
         path: str,
         method: str = "POST",
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -117,7 +117,7 @@
         servers = []
         for number in range(self.SERVERS):
             server = fragile_server(f"s{number}")
-            await world.add(server, service)
+            await world.add_server(server, service)
             servers.append(server)
         return servers
 
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -72,7 +72,7 @@
                 for number in range(3):
                     server = fragile_server(f"s{number}")
                     server.answer_s = 5.0
-                    await world.add(server, "plain")
+                    await world.add_server(server, "plain")
                     asked = asyncio.create_task(world.ask("/order/", body=b"long"))
                     await server.arrived.wait()
                     world.update_listed(server.id, leaving=True)
@@ -89,7 +89,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(6):
-                    await world.add(fragile_server(f"s{number}"), "plain")
+                    await world.add_server(fragile_server(f"s{number}"), "plain")
                 bodies = [b"other %d" % number for number in range(18)]
                 asked = [asyncio.create_task(world.ask("/order/", body=each)) for each in bodies]
                 await asyncio.sleep(0.1)
@@ -109,7 +109,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(4):
-                    await world.add(fragile_server(f"s{number}"), "plain")
+                    await world.add_server(fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
                     await world.ask("/order/", body=GUILTY)
                 await asyncio.sleep(DECISION_WAIT_S)
@@ -124,7 +124,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(3):
-                    await world.add(fragile_server(f"s{number}"), "plain")
+                    await world.add_server(fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
                     await world.ask("/order/", body=GUILTY)
                     await asyncio.sleep(DECISION_WAIT_S)
@@ -153,7 +153,7 @@
             nonlocal failures
             failures += failed
 
-        await world.add(fragile_server(name), "plain")
+        await world.add_server(fragile_server(name), "plain")
         world.balancer.on_outcome = count_failure
         bodies = [b"%s beside %d" % (name.encode(), number) for number in range(others)]
         asked = [asyncio.create_task(world.ask("/order/", body=each)) for each in bodies]
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -118,7 +118,7 @@
         )
         async with GatewayWorld(make_plan(routes=routes)) as world:
             server = make_limited_server("s1", 5.0)
-            await world.add(server, "plain")
+            await world.add_server(server, "plain")
             # The first answer states the limit, which applies from the second request on.
             for _ in range(2):
                 await world.ask("/now/")
@@ -143,8 +143,8 @@
             async with GatewayWorld(make_plan()) as world:
                 first = make_limited_server("s1", None)
                 first.answer_s = 0.5
-                await world.add(first, "plain")
-                await world.add(make_limited_server("s2", 0.1), "plain")
+                await world.add_server(first, "plain")
+                await world.add_server(make_limited_server("s2", 0.1), "plain")
                 limit = {"s2": LimitNews(0.1, 0.0)}
                 world.balancer.notices.merge_peer_limits(limit, "n2", monotonic())
                 self.assertEqual((await world.ask("/check/")).status, 200)
