--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -93,7 +93,7 @@
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", answer_ok)
                 body = bytes(range(256)) * 10
-                got = await world.ask(
+                got = await world.send_request(
                     "/check/a%2Fb?x=1&y=%20", body=body, headers={"X-Own": "v", "Tenant": "fake"}
                 )
                 arrival = server.arrivals[0]
@@ -148,7 +148,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "plain", breaks_off)
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn("server-stamp", got.headers)
 
@@ -175,10 +175,10 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", closes)
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual((got.status, got.body, got.whole), (200, b"all", True))
                 server.script = resets_after
-                got = await world.ask("/order/", request_id="r2")
+                got = await world.send_request("/order/", request_id="r2")
                 self.assertEqual(got.status, 502)
 
         run_quietly(work())
@@ -197,10 +197,10 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", long)
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual((got.status, got.whole, len(got.body)), (200, True, len(body)))
                 server.script = long_and_cut
-                got = await world.ask("/order/", request_id="r2")
+                got = await world.send_request("/order/", request_id="r2")
                 self.assertEqual((got.status, got.whole), (200, False))
 
         run_quietly(work())
@@ -220,7 +220,7 @@
                 async with GatewayWorld(make_plan()) as world:
                     server = await world.start_server("s1", "plain", script)
                     for number in range(4):
-                        got = await world.ask("/order/", request_id=f"r{number}")
+                        got = await world.send_request("/order/", request_id=f"r{number}")
                         self.assertEqual((got.status, got.body), (200, b"fine"))
                         await asyncio.sleep(0.1)
                     self.assertEqual(server.connections, 4)
@@ -235,11 +235,11 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", crossed)
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn(b"not yours", got.body)
                 server.script = answer_ok
-                self.assertEqual((await world.ask("/order/", request_id="r2")).status, 200)
+                self.assertEqual((await world.send_request("/order/", request_id="r2")).status, 200)
                 self.assertEqual(server.connections, 2)
 
         run_quietly(work())
@@ -251,7 +251,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "plain", garbage)
-                self.assertEqual((await world.ask("/order/")).status, 502)
+                self.assertEqual((await world.send_request("/order/")).status, 502)
 
         run_quietly(work())
 
@@ -262,7 +262,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", early)
-                got = await world.ask("/order/", body=b"x" * 100)
+                got = await world.send_request("/order/", body=b"x" * 100)
                 self.assertEqual((got.status, got.body), (413, b"too long"))
                 self.assertEqual(server.arrivals[0].body, b"x" * 100)
 
@@ -278,7 +278,7 @@
                 async with GatewayWorld(make_plan()) as world:
                     first = await world.start_server("s1", "plain", script)
                     second = await world.start_server("s2", "plain", script)
-                    got = await world.ask("/order/")
+                    got = await world.send_request("/order/")
                     self.assertIn(got.status, (500, 502))
                     self.assertEqual(len(first.arrivals) + len(second.arrivals), 1)
 
@@ -288,12 +288,12 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 servers = [await world.start_server(f"s{n}", "plain", sheds) for n in (1, 2)]
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual(got.status, 503)
                 self.assertGreater(float(got.headers["retry-after"]), 0)
                 self.assertEqual([len(server.arrivals) for server in servers], [1, 1])
                 servers[0].script = servers[1].script = answer_ok
-                self.assertEqual((await world.ask("/order/", request_id="r2")).status, 200)
+                self.assertEqual((await world.send_request("/order/", request_id="r2")).status, 200)
 
         run_quietly(work())
 
@@ -301,9 +301,9 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", answer_ok)
-                self.assertEqual((await world.ask("/order/")).status, 200)
+                self.assertEqual((await world.send_request("/order/")).status, 200)
                 server.script = resets
-                self.assertEqual((await world.ask("/order/", request_id="r2")).status, 502)
+                self.assertEqual((await world.send_request("/order/", request_id="r2")).status, 502)
                 self.assertEqual(len(server.arrivals), 2)
 
         run_quietly(work())
@@ -312,7 +312,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "plain", says_busy)
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn("server-stamp", got.headers)
 
@@ -322,7 +322,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 servers = [await world.start_server(f"s{n}", "plain", fails) for n in (1, 2, 3)]
-                got = await world.ask("/check/")
+                got = await world.send_request("/check/")
                 self.assertEqual((got.status, got.body), (500, b"bad"))
                 self.assertEqual(sum(len(server.arrivals) for server in servers), 2)
 
@@ -333,7 +333,7 @@
             async with GatewayWorld(make_plan()) as world:
                 servers = [await world.start_server(f"s{n}", "plain", fails) for n in (1, 2)]
                 for number in range(100):
-                    await world.ask("/check/", request_id=f"r{number}")
+                    await world.send_request("/check/", request_id=f"r{number}")
                 arrivals = sum(len(server.arrivals) for server in servers)
                 self.assertGreater(arrivals, 100)
                 allowed = 100 * world.bounds.retry_ratio + world.bounds.retry_slack
@@ -348,7 +348,7 @@
                 gone.stop()
                 await world.start_server("s2", "plain", answer_ok)
                 for number in range(6):
-                    got = await world.ask("/order/", request_id=f"r{number}")
+                    got = await world.send_request("/order/", request_id=f"r{number}")
                     self.assertEqual(got.status, 200)
 
         run_quietly(work())
@@ -359,7 +359,7 @@
                 for number in range(5):
                     (await world.start_server(f"a{number}", "plain", answer_ok)).stop()
                 await world.start_server("b", "plain", answer_ok)
-                self.assertEqual((await world.ask("/order/")).status, 200)
+                self.assertEqual((await world.send_request("/order/")).status, 200)
 
         run_quietly(work())
 
@@ -370,7 +370,7 @@
                 await world.start_server("s2", "plain", answer_ok)
                 world.update_listed("s1", leaving=True)
                 for number in range(6):
-                    await world.ask("/check/", request_id=f"r{number}")
+                    await world.send_request("/check/", request_id=f"r{number}")
                 self.assertEqual(leaving.arrivals, [])
 
         run_quietly(work())
@@ -383,7 +383,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "plain", another)
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual(got.status, 503)
 
         run_quietly(work())
@@ -402,7 +402,7 @@
                 servers = [
                     await world.start_server(f"s{n}", "plain", slow_then_sheds) for n in (1, 2)
                 ]
-                await world.ask("/order/", headers={"Deadline-Ms": "900"})
+                await world.send_request("/order/", headers={"Deadline-Ms": "900"})
                 left = sorted(int(s.arrivals[0].get("deadline-ms") or 0) for s in servers)
                 self.assertLessEqual(left[1], 900)
                 self.assertLessEqual(left[0], 600)
@@ -416,7 +416,7 @@
                 await world.start_server("s2", "plain", answer_ok)
                 for number in range(4):
                     began = monotonic()
-                    got = await world.ask("/check/", request_id=f"r{number}")
+                    got = await world.send_request("/check/", request_id=f"r{number}")
                     self.assertEqual(got.status, 200)
                     self.assertLess(monotonic() - began, 0.25)
                 self.assertGreater(len(silent.arrivals), 0)
@@ -433,7 +433,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", slow)
-                self.assertEqual((await world.ask("/check/")).status, 200)
+                self.assertEqual((await world.send_request("/check/")).status, 200)
                 self.assertEqual(len(server.arrivals), 1)
 
         run_quietly(work())
@@ -443,7 +443,7 @@
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", hangs)
                 began = monotonic()
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 took = monotonic() - began
                 self.assertEqual(got.status, 504)
                 self.assertTrue(0.9 < took < 1.3, took)
@@ -456,7 +456,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 began = monotonic()
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertLess(monotonic() - began, 0.2)
                 self.assertEqual(got.status, 503)
                 self.assertGreater(float(got.headers["retry-after"]), 0)
@@ -522,7 +522,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "model", streams)
-                got = await world.ask("/draft/")
+                got = await world.send_request("/draft/")
                 self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
 
         run_quietly(work())
@@ -536,7 +536,7 @@
             async with GatewayWorld(make_plan()) as world:
                 first = await world.start_server("s1", "model", streams_torn)
                 world.update_listed("s1")
-                task = asyncio.create_task(world.ask("/review/"))
+                task = asyncio.create_task(world.send_request("/review/"))
                 await first.arrived.wait()
                 await world.start_server("s2", "model", other_stamp)
                 got = await task
@@ -549,7 +549,9 @@
             async with GatewayWorld(make_plan()) as world:
                 silent = await world.start_server("s1", "model", one_event_then_silence, slots=16)
                 began = monotonic()
-                tasks = [asyncio.create_task(world.ask("/review/", request_id=r)) for r in "ab"]
+                tasks = [
+                    asyncio.create_task(world.send_request("/review/", request_id=r)) for r in "ab"
+                ]
                 await silent.arrived.wait()
                 await asyncio.sleep(0.1)
                 self.assertEqual(len(silent.arrivals), 2)
@@ -567,7 +569,9 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 silent = await world.start_server("s1", "model", one_event_then_silence, slots=16)
-                tasks = [asyncio.create_task(world.ask("/draft/", request_id=r)) for r in "ab"]
+                tasks = [
+                    asyncio.create_task(world.send_request("/draft/", request_id=r)) for r in "ab"
+                ]
                 await silent.arrived.wait()
                 await asyncio.sleep(0.1)
                 self.assertEqual(len(silent.arrivals), 2)
@@ -607,7 +611,7 @@
             async with GatewayWorld(make_plan()) as world:
                 first = await world.start_server("s1", "model", streams_torn)
                 second = await world.start_server("s2", "model", streams_torn)
-                got = await world.ask("/draft/")
+                got = await world.send_request("/draft/")
                 self.assertEqual((got.status, got.whole), (200, False))
                 self.assertEqual(got.body, event(1) + event(2))
                 self.assertEqual(len(first.arrivals) + len(second.arrivals), 1)
@@ -621,17 +625,17 @@
     def test_unknown_routes_keys_and_plans(self) -> None:
         async def work() -> None:
             async with GatewayWorld() as world:
-                self.assertEqual((await world.ask("/check/")).status, 503)
+                self.assertEqual((await world.send_request("/check/")).status, 503)
                 world.forwarder.adopt(make_plan())
                 server = await world.start_server("s1", "plain", answer_ok)
-                self.assertEqual((await world.ask("/nothing/")).status, 404)
-                self.assertEqual((await world.ask("/checks")).status, 404)
+                self.assertEqual((await world.send_request("/nothing/")).status, 404)
+                self.assertEqual((await world.send_request("/checks")).status, 404)
                 bad = {"Authorization": "Bearer wrong"}
-                self.assertEqual((await world.ask("/check/", headers=bad)).status, 401)
+                self.assertEqual((await world.send_request("/check/", headers=bad)).status, 401)
                 none = {"Authorization": ""}
-                self.assertEqual((await world.ask("/check/", headers=none)).status, 401)
+                self.assertEqual((await world.send_request("/check/", headers=none)).status, 401)
                 self.assertEqual(server.arrivals, [])
-                self.assertEqual((await world.ask("/open/", headers=none)).status, 200)
+                self.assertEqual((await world.send_request("/open/", headers=none)).status, 200)
                 self.assertIsNone(server.arrivals[0].get("tenant"))
 
         run_quietly(work())
@@ -670,8 +674,12 @@
             async with GatewayWorld(make_plan(limits=limits)) as world:
                 server = await world.start_server("s1", "plain", answer_ok)
                 long_head = {"X-Long": "y" * 3_000}
-                self.assertEqual((await world.ask("/check/", headers=long_head)).status, 431)
-                self.assertEqual((await world.ask("/check/", body=b"z" * 4_000)).status, 413)
+                self.assertEqual(
+                    (await world.send_request("/check/", headers=long_head)).status, 431
+                )
+                self.assertEqual(
+                    (await world.send_request("/check/", body=b"z" * 4_000)).status, 413
+                )
                 reader, writer = await world.connect()
                 writer.write(b"GET /check/ HTTP/1.1\r\nHost: quo")
                 self.assertEqual((await read_answer(reader)).status, 408)
@@ -703,7 +711,8 @@
                 server = await world.start_server("s1", "plain", answer_ok)
                 tokens = {"Token-Count": "20000,10000"}
                 answers = [
-                    await world.ask("/check/", headers=tokens, request_id=f"r{n}") for n in range(6)
+                    await world.send_request("/check/", headers=tokens, request_id=f"r{n}")
+                    for n in range(6)
                 ]
                 statuses = [got.status for got in answers]
                 self.assertEqual(statuses[0], 200)
@@ -735,11 +744,11 @@
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", answer_ok)
                 world.list_current = False
-                got = await world.ask("/check/")
+                got = await world.send_request("/check/")
                 self.assertEqual((got.status, server.arrivals), (503, []))
                 self.assertLess(float(got.headers["retry-after"]), 0.1)
                 world.list_current = True
-                self.assertEqual((await world.ask("/check/")).status, 200)
+                self.assertEqual((await world.send_request("/check/")).status, 200)
 
         run_quietly(work())
 
@@ -749,7 +758,7 @@
                 await world.start_server("s1", "plain", answer_ok)
                 gone = world.balancer.apply([Server("s9", "other", "127.0.0.1:1", "hall-a", 1)])
                 self.assertEqual([server.id for server in gone], ["s1"])
-                self.assertEqual((await world.ask("/check/")).status, 503)
+                self.assertEqual((await world.send_request("/check/")).status, 503)
 
         run_quietly(work())
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -64,9 +64,9 @@
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "model", reset_connection)
                 await world.start_server("s2", "model", reset_connection)
-                await world.ask("/draft/", body=b"one", request_id="r1")
-                await world.ask("/draft/", body=b"one", request_id="r2")
-                await world.ask("/draft/", body=b"two", request_id="r3")
+                await world.send_request("/draft/", body=b"one", request_id="r1")
+                await world.send_request("/draft/", body=b"one", request_id="r2")
+                await world.send_request("/draft/", body=b"two", request_id="r3")
 
         with logbook.TestHandler().applicationbound() as handler:
             asyncio.run(work())
@@ -103,14 +103,14 @@
         async with GatewayWorld(make_plan()) as world:
             servers = await self.add_servers(world, "model" if path == "/draft/" else "plain")
             answers = [
-                await world.ask(path, body=GUILTY, request_id=f"r{number}")
+                await world.send_request(path, body=GUILTY, request_id=f"r{number}")
                 for number in range(self.ARRIVALS)
             ]
             self.assertIn(sum(server.ended for server in servers), self.ALLOWED_CRASHES)
             self.assertEqual([each.status for each in answers[-3:]], [503] * 3)
             self.assertGreater(float(answers[-1].headers["retry-after"]), 0.0)
             if path != "/draft/":
-                other = await world.ask(path, body=b"another", request_id="other")
+                other = await world.send_request(path, body=b"another", request_id="other")
                 self.assertEqual(other.status, 200)
 
     async def add_servers(self, world: GatewayWorld, service: str) -> list[FragileServer]:
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -41,7 +41,7 @@
                 for number in range(4):
                     await world.start_server(f"s{number}", "plain", reset_guilty)
                 for number in range(6):
-                    await world.ask("/order/", body=GUILTY, request_id=f"r{number}")
+                    await world.send_request("/order/", body=GUILTY, request_id=f"r{number}")
                     await asyncio.sleep(0.1)
                 guard = world.forwarder.guard
                 guard.block_suspects()
@@ -59,9 +59,9 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", reset_first)
-                await world.ask("/order/")
+                await world.send_request("/order/")
                 await asyncio.sleep(0.1)
-                self.assertEqual((await world.ask("/order/")).status, 200)
+                self.assertEqual((await world.send_request("/order/")).status, 200)
                 self.assertEqual(server.connections, 2)
 
         run_quietly(work())
@@ -73,7 +73,7 @@
                     server = fragile_server(f"s{number}")
                     server.answer_s = 5.0
                     await world.add_server(server, "plain")
-                    asked = asyncio.create_task(world.ask("/order/", body=b"long"))
+                    asked = asyncio.create_task(world.send_request("/order/", body=b"long"))
                     await server.arrived.wait()
                     world.update_listed(server.id, leaving=True)
                     server.end()
@@ -91,16 +91,18 @@
                 for number in range(6):
                     await world.add_server(fragile_server(f"s{number}"), "plain")
                 bodies = [b"other %d" % number for number in range(18)]
-                asked = [asyncio.create_task(world.ask("/order/", body=each)) for each in bodies]
+                asked = [
+                    asyncio.create_task(world.send_request("/order/", body=each)) for each in bodies
+                ]
                 await asyncio.sleep(0.1)
-                await world.ask("/order/", body=GUILTY)
-                await world.ask("/order/", body=GUILTY)
+                await world.send_request("/order/", body=GUILTY)
+                await world.send_request("/order/", body=GUILTY)
                 answers = await asyncio.gather(*asked)
                 self.assertGreaterEqual([each.status for each in answers].count(502), 3)
                 await asyncio.sleep(DECISION_WAIT_S)
-                self.assertEqual((await world.ask("/order/", body=GUILTY)).status, 503)
+                self.assertEqual((await world.send_request("/order/", body=GUILTY)).status, 503)
                 for body in bodies:
-                    self.assertEqual((await world.ask("/order/", body=body)).status, 200)
+                    self.assertEqual((await world.send_request("/order/", body=body)).status, 200)
                 self.assertEqual(len(world.forwarder.guard.quarantine.blocks), 1)
 
         run_quietly(work())
@@ -111,11 +113,11 @@
                 for number in range(4):
                     await world.add_server(fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
-                    await world.ask("/order/", body=GUILTY)
+                    await world.send_request("/order/", body=GUILTY)
                 await asyncio.sleep(DECISION_WAIT_S)
                 spent = dict(world.forwarder.limits.spent)
                 for _ in range(5):
-                    self.assertEqual((await world.ask("/order/", body=GUILTY)).status, 503)
+                    self.assertEqual((await world.send_request("/order/", body=GUILTY)).status, 503)
                 self.assertEqual(world.forwarder.limits.spent, spent)
 
         run_quietly(work())
@@ -126,7 +128,7 @@
                 for number in range(3):
                     await world.add_server(fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
-                    await world.ask("/order/", body=GUILTY)
+                    await world.send_request("/order/", body=GUILTY)
                     await asyncio.sleep(DECISION_WAIT_S)
 
         with logbook.TestHandler().applicationbound() as handler:
@@ -156,9 +158,9 @@
         await world.add_server(fragile_server(name), "plain")
         world.balancer.on_outcome = count_failure
         bodies = [b"%s beside %d" % (name.encode(), number) for number in range(others)]
-        asked = [asyncio.create_task(world.ask("/order/", body=each)) for each in bodies]
+        asked = [asyncio.create_task(world.send_request("/order/", body=each)) for each in bodies]
         await asyncio.sleep(0.1)
-        await world.ask("/order/", body=GUILTY)
+        await world.send_request("/order/", body=GUILTY)
         await asyncio.gather(*asked)
         await asyncio.sleep(0.1)
         world.unlist(name)
@@ -182,7 +184,7 @@
                 world.balancer.on_outcome = lambda _, __, bad, ___: failed.append(bad)
                 await world.start_server("s1", "plain", break_off)
                 for number in range(3):
-                    await world.ask("/order/", body=b"%d" % number)
+                    await world.send_request("/order/", body=b"%d" % number)
                 await asyncio.sleep(0.1)
                 self.assertEqual(failed, [True] * 3)
 
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -121,11 +121,11 @@
             await world.add_server(server, "plain")
             # The first answer states the limit, which applies from the second request on.
             for _ in range(2):
-                await world.ask("/now/")
+                await world.send_request("/now/")
             await asyncio.sleep(0.5)
-            later = [asyncio.create_task(world.ask("/later/")) for _ in range(8)]
+            later = [asyncio.create_task(world.send_request("/later/")) for _ in range(8)]
             await asyncio.sleep(0.02)
-            now = [asyncio.create_task(world.ask("/now/")) for _ in range(3)]
+            now = [asyncio.create_task(world.send_request("/now/")) for _ in range(3)]
             answers = [await each for each in now]
             self.assertEqual([each.status for each in answers], [200, 200, 200])
             later_answers = [await each for each in later]
@@ -147,7 +147,7 @@
                 await world.add_server(make_limited_server("s2", 0.1), "plain")
                 limit = {"s2": LimitNews(0.1, 0.0)}
                 world.balancer.notices.merge_peer_limits(limit, "n2", monotonic())
-                self.assertEqual((await world.ask("/check/")).status, 200)
+                self.assertEqual((await world.send_request("/check/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
 
         run_quietly(work())
@@ -167,7 +167,7 @@
                     return connection
 
                 world.pool.acquire = acquire_slowly  # type: ignore[method-assign]
-                self.assertEqual((await world.ask("/order/")).status, 200)
+                self.assertEqual((await world.send_request("/order/")).status, 200)
                 self.assertEqual(first.arrivals, [])
 
         run_quietly(work())
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -113,9 +113,9 @@
         async with GatewayWorld(make_plan()) as world:
             first = await world.start_server("s1", "plain", script)  # type: ignore[arg-type]
             other = await world.start_server("s2", "plain", answer_slowly)
-            await world.ask("/check/")
+            await world.send_request("/check/")
             for number in range(4):
-                got = await world.ask("/order/", request_id=f"r{number}")
+                got = await world.send_request("/order/", request_id=f"r{number}")
                 self.assertEqual(got.status, 200)
             self.assertEqual(len(first.arrivals), 1)
             self.assertGreaterEqual(len(other.arrivals), 4)
@@ -171,13 +171,13 @@
             async with GatewayWorld(make_plan()) as world:
                 first = await world.start_server("s1", "plain", answer_leaving)
                 await world.start_server("s2", "plain", answer_slowly)
-                await world.ask("/order/")
+                await world.send_request("/order/")
                 world.update_listed("s1", slots=5)
-                self.assertEqual((await world.ask("/order/")).status, 200)
+                self.assertEqual((await world.send_request("/order/")).status, 200)
                 world.unlist("s1")
                 world.update_listed("s2", slots=5)
                 await self.relist_as_ready(world, first)
-                self.assertEqual((await world.ask("/order/")).status, 200)
+                self.assertEqual((await world.send_request("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
 
         run_quietly(work())
@@ -203,8 +203,8 @@
     async def _check_next_incarnation(self, same_id: bool) -> None:
         async with GatewayWorld(make_plan()) as world:
             first = await world.start_server("s1", "plain", answer_leaving)
-            await world.ask("/order/")
-            self.assertEqual((await world.ask("/order/")).status, 503)
+            await world.send_request("/order/")
+            self.assertEqual((await world.send_request("/order/")).status, 503)
             world.unlist("s1")
             if same_id:
                 first.stop()
@@ -213,7 +213,7 @@
             else:
                 incarnation = Server("s1#2", "plain", first.address, "hall-a", 4)
             world.balancer.apply([incarnation])
-            self.assertEqual((await world.ask("/order/")).status, 200)
+            self.assertEqual((await world.send_request("/order/")).status, 200)
 
     def test_leaving_statement_of_another_server_at_the_address_is_ignored(self) -> None:
         """The server gets no requests for a while, but does not count as leaving."""
@@ -223,7 +223,7 @@
                 first = await world.start_server("s1", "plain", answer_misdirected)
                 await world.start_server("s2", "plain", answer_slowly)
                 for _ in range(4):
-                    self.assertEqual((await world.ask("/order/")).status, 200)
+                    self.assertEqual((await world.send_request("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
                 self.assertFalse(world.balancer.views["s1"].server.leaving)
                 self.assertEqual(world.balancer.notices.leaving_ahead_of_list(), [])
@@ -237,7 +237,7 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "plain", unsigned)
-                self.assertEqual((await world.ask("/order/")).status, 502)
+                self.assertEqual((await world.send_request("/order/")).status, 502)
                 self.assertFalse(world.balancer.views["s1"].server.leaving)
 
         run_quietly(work())
@@ -256,7 +256,7 @@
                     return connection
 
                 world.pool.acquire = acquire_slowly  # type: ignore[method-assign]
-                self.assertEqual((await world.ask("/order/")).status, 200)
+                self.assertEqual((await world.send_request("/order/")).status, 200)
                 self.assertEqual(first.arrivals, [])
 
         run_quietly(work())
@@ -282,7 +282,9 @@
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/draft/", headers={"Token-Count": "100,600"}))
                 await server.arrived.wait()
-                short = asyncio.create_task(world.ask("/draft/", body=b"short", request_id="r2"))
+                short = asyncio.create_task(
+                    world.send_request("/draft/", body=b"short", request_id="r2")
+                )
                 await asyncio.sleep(0.1)
                 await world.start_server("s2", "model", pair.script)
                 may_answer.set()
@@ -302,9 +304,9 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 first = await world.start_server("s1", "plain", decline_with_retry_time)
-                await world.ask("/open/")
+                await world.send_request("/open/")
                 began = monotonic()
-                got = await world.ask("/check/")
+                got = await world.send_request("/check/")
                 self.assertEqual(got.status, 503)
                 self.assertLess(monotonic() - began, 0.1)
                 retry_after_s = float(got.headers["retry-after"])
@@ -313,7 +315,7 @@
                 self.assertEqual(len(first.arrivals), 1)
                 first.script = answer_ok
                 await asyncio.sleep(RETRY_AFTER_S)
-                self.assertEqual((await world.ask("/check/")).status, 200)
+                self.assertEqual((await world.send_request("/check/")).status, 200)
 
         run_quietly(work())
 
@@ -326,10 +328,10 @@
                     msgspec.structs.replace(each, max_servers=1) for each in make_plan().routes
                 )
                 world.forwarder.adopt(make_plan(2, routes=routes))
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual(got.status, 503)
                 self.assertLess(float(got.headers["retry-after"]), 0.5)
-                self.assertEqual((await world.ask("/order/")).status, 200)
+                self.assertEqual((await world.send_request("/order/")).status, 200)
 
         run_quietly(work())
 
@@ -343,7 +345,7 @@
             async with GatewayWorld(make_plan()) as world:
                 first = await world.start_server("s1", "plain", decline_with_zero_retry_time)
                 for _ in range(3):
-                    await world.ask("/order/")
+                    await world.send_request("/order/")
                 self.assertEqual(len(first.arrivals), 3)
 
         run_quietly(work())
@@ -354,10 +356,10 @@
                 first = await world.start_server("s1", "plain", decline_without_retry_time)
                 other = await world.start_server("s2", "plain", answer_slowly)
                 for _ in range(4):
-                    self.assertEqual((await world.ask("/order/")).status, 200)
+                    self.assertEqual((await world.send_request("/order/")).status, 200)
                 self.assertEqual(len(first.arrivals), 1)
                 other.script = decline_without_retry_time
-                got = await world.ask("/order/")
+                got = await world.send_request("/order/")
                 self.assertEqual((got.status, len(first.arrivals)), (503, 2))
 
         run_quietly(work())
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -58,7 +58,7 @@
                 await world.start_server("s1", "plain", script)
                 ticking = asyncio.create_task(run_ticks(world))
                 await asyncio.gather(
-                    *(world.ask(path, request_id=f"w{n}") for n in range(IDLE_CONNECTIONS))
+                    *(world.send_request(path, request_id=f"w{n}") for n in range(IDLE_CONNECTIONS))
                 )
                 script.silence()
                 for number in range(1, servers):
@@ -66,7 +66,7 @@
                     world.balancer.views[f"s{number + 1}"].answer_s = 0.2
                 for number in range(IDLE_CONNECTIONS + 2):
                     began = monotonic()
-                    got = await world.ask(path, request_id=f"r{number}")
+                    got = await world.send_request(path, request_id=f"r{number}")
                     served.append(monotonic() - began)
                     lost += got.status != 200
                 ticking.cancel()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -64,7 +64,7 @@
                 world.forwarder._now = lambda: monotonic() + clock_ahead_s
                 first = await world.start_server("s1", "plain", suspends)
                 second = await world.start_server("s2", "plain", answer_ok)
-                got = await world.ask("/check/")
+                got = await world.send_request("/check/")
                 self.assertEqual((len(first.arrivals), len(second.arrivals)), (1, 0))
                 self.assertEqual(got.status, 504)
 
