--- a/tests/gateway_states.py
+++ b/tests/gateway_states.py
@@ -5,7 +5,7 @@
 HALLS = ("a", "b", "c", "d")
 
 
-def state(name: str, life: int = 1, sequence: int = 1, **changes: object) -> NodeState:
+def make_state(name: str, life: int = 1, sequence: int = 1, **changes: object) -> NodeState:
     """Return what a node tells."""
     values: dict[str, object] = {
         "id": name,
