--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -24,7 +24,7 @@
 from moledale.gateway.server_list import ServerChange
 from moledale.gateway.store_era import EraVersion
 from moledale.gateway.usage import TrueTime
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 
 HALLS = 7
 LINK_BYTES_PER_S = 10 * 125_000
@@ -170,7 +170,7 @@
     def state(self) -> NodeState:
         """Return the next state that this node broadcasts."""
         self.sequence += 1
-        return state(
+        return make_state(
             self.name,
             sequence=self.sequence,
             hall=self.hall,
--- a/tests/plan_world.py
+++ b/tests/plan_world.py
@@ -16,7 +16,7 @@
 from moledale.gateway.reply import Reply
 from moledale.gateway.store_era import EraVersion
 from moledale.platform.records import read_config
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 
 FANOUT = 6
 SEED = 5
@@ -104,7 +104,7 @@
             return
         await asyncio.sleep(self.reply_delay_s)
         questions = ControlHandler(None, None, self.archive, self.archive, None, 1.0)  # type: ignore[arg-type]
-        questions.answer(request, reply, state("n"), None)  # type: ignore[arg-type]
+        questions.answer(request, reply, make_state("n"), None)  # type: ignore[arg-type]
 
     async def _read_store(self) -> bool:
         self.store_reads += 1
--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -13,7 +13,7 @@
 from moledale.edge.operators import NodeStatus
 from moledale.gateway.builds import FORMATS, BuildWatch
 from moledale.gateway.gossip import MAX_UNREADABLE_KINDS, OTHER_KINDS, GossipSocket, Message
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 from tests.test_gateway_nodes import Cluster, ask, ready, run_on_cluster, wait_until
 
 
@@ -76,10 +76,18 @@
 class BuildsTest(unittest.TestCase):
     def test_other_build_is_logged_once_for_each_node_and_build(self) -> None:
         watch = BuildWatch()
-        same = state("n1", formats=FORMATS)
-        older, newer = state("n2"), state("n2", formats="f00")
+        same = make_state("n1", formats=FORMATS)
+        older, newer = make_state("n2"), make_state("n2", formats="f00")
         with logbook.TestHandler().applicationbound() as handler:
-            for each in (same, older, older, newer, newer, state("n2", formats=FORMATS), older):
+            for each in (
+                same,
+                older,
+                older,
+                newer,
+                newer,
+                make_state("n2", formats=FORMATS),
+                older,
+            ):
                 watch.check(each)
         # The way back to this build is told as well: nobody is left who runs the other one.
         self.assertEqual(events(handler), ["E603"] * 4)
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -17,7 +17,7 @@
 from moledale.platform.entries import EntryReader
 from moledale.platform.headers import PlatformHeaders
 from moledale.platform.records import RowRecord, read_config, read_phase, read_rollout
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 
 FUZZ = settings(max_examples=400, deadline=None, derandomize=True)
 HEADER_NAMES = (
@@ -139,7 +139,7 @@
         self.socket = GossipSocket(self.heard.append)
 
     def test_whole_ones_are_heard(self) -> None:
-        packed = pack_snapshot(StateNews(state("n1"), []))
+        packed = pack_snapshot(StateNews(make_state("n1"), []))
         self.socket.datagram_received(msgspec.msgpack.encode(packed), ("", 0))
         self.assertEqual((len(self.heard), self.socket.unreadable.total()), (1, 0))
 
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -12,7 +12,7 @@
 from moledale.gateway.retries import RetryBudget
 from moledale.gateway.settings import Bounds
 from moledale.gateway.sharing import Sharing
-from tests.gateway_states import HALLS, state
+from tests.gateway_states import HALLS, make_state
 
 
 class AccountLimitsTest(unittest.TestCase):
@@ -216,7 +216,7 @@
         """Return what this node tells."""
         self._sequence += 1
         spent = dict(self.limits.spent)
-        return state(self.name, sequence=self._sequence, spent=spent, age_s=self.now)
+        return make_state(self.name, sequence=self._sequence, spent=spent, age_s=self.now)
 
     def tell(self, now: float, nodes: dict[str, "StartingNode"]) -> None:
         """Tell in one round whom this node tells, who hear it at once."""
--- a/tests/test_gateway_membership.py
+++ b/tests/test_gateway_membership.py
@@ -27,13 +27,13 @@
 from moledale.gateway.rate import Rate
 from moledale.gateway.settings import Bounds
 from moledale.gateway.sharing import Sharing
-from tests.gateway_states import HALLS, state
+from tests.gateway_states import HALLS, make_state
 
 
 class MembershipTest(unittest.TestCase):
     def test_silent_node_is_left_out_but_its_counts_are_kept(self) -> None:
         members = Membership("n1", 1)
-        members.merge(state("n2"), 0.0)
+        members.merge(make_state("n2"), 0.0)
         self.assertEqual([each.id for each in members.alive(0.9)], ["n2"])
         self.assertEqual(members.alive(ALIVE_TIMEOUT_S + 0.1), [])
         members.forget_old(ALIVE_TIMEOUT_S + 0.1)
@@ -55,7 +55,7 @@
         return nodes
 
     def test_one_node_in_each_hall_serves_and_the_lease_holder_comes_last(self) -> None:
-        nodes = self.settle([state(f"n{n}", hall=HALLS[n % 3]) for n in range(9)])
+        nodes = self.settle([make_state(f"n{n}", hall=HALLS[n % 3]) for n in range(9)])
         chosen = serving_nodes(nodes)
         self.assertEqual(sorted(node.hall for node in chosen), ["a", "b", "c"])
         lease = LeaseNews(1, 1, 0.0)
@@ -68,17 +68,17 @@
         self.assertNotIn(chosen[0].id, [node.id for node in without])
 
     def test_lease_holder_serves_if_it_is_alone(self) -> None:
-        alone = self.settle([state("n1", lease=LeaseNews(1, 1, 0.0))])
+        alone = self.settle([make_state("n1", lease=LeaseNews(1, 1, 0.0))])
         self.assertTrue(alone[0].serving)
 
     def test_nodes_with_more_capacity_serve_first(self) -> None:
-        nodes = [state(f"n{n}", power=power_of(1.0, 5.0 if n else 100.0)) for n in range(6)]
+        nodes = [make_state(f"n{n}", power=power_of(1.0, 5.0 if n else 100.0)) for n in range(6)]
         self.assertEqual([node.id for node in serving_nodes(self.settle(nodes))], ["n0"])
 
     def test_leaving_and_starting_nodes_are_not_in_the_directory(self) -> None:
         nodes = [
-            state("n1", standing=int(Standing.LEAVING), serving=True),
-            state("n2", standing=int(Standing.STARTING), serving=True),
+            make_state("n1", standing=int(Standing.LEAVING), serving=True),
+            make_state("n2", standing=int(Standing.STARTING), serving=True),
         ]
         self.assertEqual(serving_nodes(nodes), [])
         self.assertFalse(should_serve(nodes[0], []))
@@ -86,9 +86,11 @@
     def test_silent_serving_node_is_replaced(self) -> None:
         members = Membership("n1", 1)
         neighbours = Neighbours(members, "n1:2", 0.0)
-        own = state("n1")
-        better = next(name for name in map(str, range(99)) if rank_of(state(name)) < rank_of(own))
-        members.merge(state(better, serving=True), 1.0)
+        own = make_state("n1")
+        better = next(
+            name for name in map(str, range(99)) if rank_of(make_state(name)) < rank_of(own)
+        )
+        members.merge(make_state(better, serving=True), 1.0)
         self.assertFalse(neighbours.update_serving(own, 1.0))
         self.assertFalse(neighbours.serving)
         self.assertTrue(neighbours.update_serving(own, 1.0 + ALIVE_TIMEOUT_S + 0.1))
@@ -99,31 +101,31 @@
     def make_serving_nodes(self, number: int, per_s: float, power: float = 10.0) -> list[NodeState]:
         """Return serving nodes of a hall that together get `per_s` requests per second."""
         return [
-            state(f"s{n}", serving=True, power=power, requests_per_s=per_s / number)
+            make_state(f"s{n}", serving=True, power=power, requests_per_s=per_s / number)
             for n in range(number)
         ]
 
     def test_light_load_needs_one_node_per_hall(self) -> None:
-        own = state("n1", power=5.0)
+        own = make_state("n1", power=5.0)
         self.assertEqual(wanted_nodes(own, self.make_serving_nodes(1, 40.0, power=5.0)), 1)
         self.assertEqual(wanted_nodes(own, []), 1)
 
     def test_heavy_load_has_as_many_nodes_serve_as_it_needs(self) -> None:
-        own = state("n1", power=10.0)
+        own = make_state("n1", power=10.0)
         wanted = wanted_nodes(own, self.make_serving_nodes(1, 7_400 / 7))
         self.assertGreaterEqual(wanted * MAX_LOAD_SHARE / CORE_S_PER_REQUEST, 7_400 / 7)
         self.assertLessEqual(wanted, 7)
 
     def test_other_halls_and_nodes_in_reserve_do_not_count(self) -> None:
-        own = state("n1", power=10.0)
+        own = make_state("n1", power=10.0)
         peers = [
-            state("x", hall="b", serving=True, power=10.0, requests_per_s=5_000.0),
-            state("y", serving=False, power=10.0, requests_per_s=5_000.0),
+            make_state("x", hall="b", serving=True, power=10.0, requests_per_s=5_000.0),
+            make_state("y", serving=False, power=10.0, requests_per_s=5_000.0),
         ]
         self.assertEqual(wanted_nodes(own, [*peers, *self.make_serving_nodes(1, 10.0)]), 1)
 
     def test_small_changes_of_load_do_not_change_the_number_of_serving_nodes(self) -> None:
-        own = state("n1", power=10.0)
+        own = make_state("n1", power=10.0)
         max_load_of_two = 2 * MAX_LOAD_SHARE / CORE_S_PER_REQUEST
         for share in (1.0, 0.9, 0.8, 0.7):
             self.assertEqual(
@@ -133,7 +135,7 @@
 
     def test_hall_settles_on_the_number_that_its_requests_need(self) -> None:
         total = 700.0
-        nodes = [state(f"n{n}", power=10.0) for n in range(12)]
+        nodes = [make_state(f"n{n}", power=10.0) for n in range(12)]
         settled: list[int] = []
         for _ in range(40):
             number = max(1, sum(node.serving for node in nodes))
@@ -165,17 +167,17 @@
         members = Membership("n0", 1)
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 390):
-            other = state(f"n{number}", hall=HALLS[number % 4], serving=number <= 8)
+            other = make_state(f"n{number}", hall=HALLS[number % 4], serving=number <= 8)
             members.merge(other, 10.0)
             neighbours.addresses.add(other.peer, 10.0)
         neighbours.serving = serving
-        return neighbours, state("n0")
+        return neighbours, make_state("n0")
 
     def test_small_cluster_gossips_in_full_mesh(self) -> None:
         neighbours = Neighbours(Membership("n0", 1), "n0:2", 0.0)
         for number in range(8):
             neighbours.addresses.add(f"n{number}:2", 0.0)
-        self.assertEqual(len(neighbours.state_targets(state("n0"), 1.0)), 7)
+        self.assertEqual(len(neighbours.state_targets(make_state("n0"), 1.0)), 7)
 
     def test_node_in_reserve_sends_few_states(self) -> None:
         neighbours, own = self.make_large_cluster(serving=False)
@@ -198,18 +200,20 @@
             neighbours = Neighbours(Membership(name, 1), name, 0.0)
             for other in names:
                 neighbours.addresses.add(other, 10.0)
-            received.update(neighbours.relay_targets(state(name), 10.0))
+            received.update(neighbours.relay_targets(make_state(name), 10.0))
         self.assertEqual([name for name in names if received[name] < RING_SUCCESSORS], [])
 
     def test_placements_go_to_all_serving_nodes_or_if_many_serve_to_those_of_the_hall(self) -> None:
         members = Membership("n0", 1)
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 41):
-            members.merge(state(f"n{number}", hall=HALLS[number % 4], serving=number <= 8), 10.0)
+            members.merge(
+                make_state(f"n{number}", hall=HALLS[number % 4], serving=number <= 8), 10.0
+            )
         self.assertEqual(len(neighbours.placement_targets("a", 10.0)), 8)
         for number in range(1, 41):
             members.merge(
-                state(f"n{number}", sequence=2, hall=HALLS[number % 4], serving=True), 10.0
+                make_state(f"n{number}", sequence=2, hall=HALLS[number % 4], serving=True), 10.0
             )
         self.assertEqual(len(neighbours.placement_targets("a", 10.0)), 10)
 
@@ -218,16 +222,16 @@
         neighbours = Neighbours(members, "n0:2", 0.0)
         for number in range(1, 40):
             neighbours.addresses.add(f"n{number}:2", 10.0)
-        own = state("n0")
+        own = make_state("n0")
         self.assertEqual(neighbours.watch_rank(own, 10.0), 0)
-        members.merge(state("n1", serving=True, store_age_s=0.2), 10.0)
+        members.merge(make_state("n1", serving=True, store_age_s=0.2), 10.0)
         self.assertGreaterEqual(neighbours.watch_rank(own, 10.0), WATCHER_COUNT)
-        members.merge(state("n1", serving=True, sequence=2, store_age_s=60.0), 10.0)
+        members.merge(make_state("n1", serving=True, sequence=2, store_age_s=60.0), 10.0)
         self.assertEqual(neighbours.watch_rank(own, 10.0), 0)
 
     def test_brief_state_changes_no_counts(self) -> None:
         members = Membership("n1", 1)
-        full = state("n2", sequence=1, started={2: {"north": 4}}, spent={"north": 900.0})
+        full = make_state("n2", sequence=1, started={2: {"north": 4}}, spent={"north": 900.0})
         brief = msgspec.structs.replace(full, sequence=2).without_counts()
         later = msgspec.structs.replace(full, sequence=3, spent={"north": 950.0})
         sharing = Sharing(members, Bounds())
@@ -245,7 +249,7 @@
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         limits.configure([account], monotonic())
         for sequence, spent in enumerate((0.0, 400.0, 900.0), start=1):
-            brief = state("n2", sequence=sequence, spent={"north": spent}).without_counts()
+            brief = make_state("n2", sequence=sequence, spent={"north": spent}).without_counts()
             sharing.merge_state(brief, limits)
         self.assertAlmostEqual(limits.level(account, monotonic()), 1_100.0, delta=1.0)
 
@@ -255,7 +259,7 @@
             sharing = Sharing(Membership("n1", 1), Bounds(limit_window_s=8.0))
             limits = AccountLimits(True)
             limits.configure([account], monotonic())
-            sharing.merge_state(state("n2", spent={"north": 900.0}, age_s=age_s), limits)
+            sharing.merge_state(make_state("n2", spent={"north": 900.0}, age_s=age_s), limits)
             self.assertAlmostEqual(limits.level(account, monotonic()), level, delta=1.0)
 
     def test_spending_before_a_first_brief_state_is_not_counted(self) -> None:
@@ -263,7 +267,7 @@
         limits = AccountLimits(True)
         account = Account("north", (), None, TOKENS, 200, 0.001, 2_000.0)
         limits.configure([account], monotonic())
-        full = state("n2", sequence=2, spent={"north": 900.0})
+        full = make_state("n2", sequence=2, spent={"north": 900.0})
         sharing.merge_state(msgspec.structs.replace(full, sequence=1).without_counts(), limits)
         sharing.merge_state(full, limits)
         sharing.merge_state(
--- a/tests/test_gateway_renting.py
+++ b/tests/test_gateway_renting.py
@@ -17,7 +17,7 @@
 )
 from moledale.gateway.server_model import Speed
 from moledale.gateway.work import OWN_INCARNATION, WorkMeter
-from tests.gateway_states import HALLS, state
+from tests.gateway_states import HALLS, make_state
 from tests.gateway_world import make_plan
 
 THREE = Need(3, 3)
@@ -29,25 +29,28 @@
     def test_past_of_a_node_first_heard_now_is_no_demand(self) -> None:
         meter = WorkMeter()
         meter.record(OWN_INCARNATION, {})
-        meter.merge_peers([state("n1", work={"model": 3_000_000})])
+        meter.merge_peers([make_state("n1", work={"model": 3_000_000})])
         meter.record(OWN_INCARNATION, {"model": 700})
-        meter.merge_peers([state("n1", sequence=2, work={"model": 3_000_500})])
+        meter.merge_peers([make_state("n1", sequence=2, work={"model": 3_000_500})])
         self.assertEqual(meter.total, {"model": 1_200})
 
     def test_each_life_counts_for_itself(self) -> None:
         meter = WorkMeter()
-        meter.merge_peers([state("n1", life=1, work={"model": 100})])
-        meter.merge_peers([state("n1", life=1, work={"model": 150}), state("n1", life=2)])
+        meter.merge_peers([make_state("n1", life=1, work={"model": 100})])
+        meter.merge_peers([make_state("n1", life=1, work={"model": 150}), make_state("n1", life=2)])
         meter.merge_peers(
-            [state("n1", life=1, work={"model": 160}), state("n1", life=2, work={"model": 40})]
+            [
+                make_state("n1", life=1, work={"model": 160}),
+                make_state("n1", life=2, work={"model": 40}),
+            ]
         )
         self.assertEqual(meter.total, {"model": 100})
 
     def test_life_that_was_forgotten_begins_anew(self) -> None:
         meter = WorkMeter()
-        meter.merge_peers([state("n1", work={"model": 100})])
+        meter.merge_peers([make_state("n1", work={"model": 100})])
         meter.merge_peers([])
-        meter.merge_peers([state("n1", work={"model": 900})])
+        meter.merge_peers([make_state("n1", work={"model": 900})])
         self.assertEqual(meter.total, {})
 
     def test_demand_of_a_holder_that_just_started_is_that_of_the_moment(self) -> None:
@@ -55,7 +58,7 @@
         demand = Demand()
         for step in range(12):
             placed = 5_000_000 + step * 50_000 if step >= 2 else 0
-            states = [state("n1", sequence=step + 1, work={"model": placed})] if placed else []
+            states = [make_state("n1", sequence=step + 1, work={"model": placed})] if placed else []
             meter.merge_peers(states)
             demand.record_total(meter.total.get("model", 0), step * 0.5)
         self.assertLess(demand.work_per_s, 1.1 * 100_000)
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -23,7 +23,7 @@
 from moledale.gateway.server_list import ServerChange
 from moledale.gateway.server_view import record_silence
 from moledale.gateway.usage import TrueTime, UsageCounts, total_counts
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 from tests.list_world import run_to_completion
 
 
@@ -49,19 +49,19 @@
         usage = UsageCounts(5.0)
         usage.count("north", 12.0)
         members = Membership("n1", 1)
-        members.merge(state("n2", started={2: {"north": 4}}), 0.0)
-        members.merge(state("n2", life=2, started={2: {"north": 1}}), 1.0)
-        members.merge(state("n1", life=9, started={2: {"north": 7}}), 1.0)
+        members.merge(make_state("n2", started={2: {"north": 4}}), 0.0)
+        members.merge(make_state("n2", life=2, started={2: {"north": 1}}), 1.0)
+        members.merge(make_state("n1", life=9, started={2: {"north": 7}}), 1.0)
         self.assertEqual(total_counts(2, usage, members.all_states()), {"north": 13})
 
     def test_doubled_and_late_news_count_once(self) -> None:
         members = Membership("n1", 1)
-        new = state("n2", sequence=5, started={2: {"north": 4}})
+        new = make_state("n2", sequence=5, started={2: {"north": 4}})
         members.merge(new, 0.0)
         self.assertIsNone(members.merge(new, 0.1))
-        self.assertIsNone(members.merge(state("n2", sequence=4), 0.1))
-        members.merge(state("n2", life=2), 0.2)
-        self.assertIsNone(members.merge(state("n2", life=1, sequence=9), 0.3))
+        self.assertIsNone(members.merge(make_state("n2", sequence=4), 0.1))
+        members.merge(make_state("n2", life=2), 0.2)
+        self.assertIsNone(members.merge(make_state("n2", life=1, sequence=9), 0.3))
         self.assertEqual(total_counts(2, UsageCounts(5.0), members.all_states()), {"north": 4})
 
 
@@ -132,7 +132,7 @@
         assert home is not None
         home.end()
         name = home.view.server.id
-        balancer.apply_peer_states([state("n2", loads={name: (4, 90_000)})])
+        balancer.apply_peer_states([make_state("n2", loads={name: (4, 90_000)})])
         other = balancer.place("model", self.facts("subject", "y"), self.engine, 0.0)
         assert other is not None
         self.assertNotEqual(other.view.server.id, name)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -22,7 +22,7 @@
 from moledale.gateway.server_standing import ServerStanding
 from moledale.gateway.server_view import ServerView
 from moledale.gateway.stated_limit import REMOVAL_BROADCAST_S, LimitNews, StatedLimit
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 from tests.gateway_world import run_quietly
 
 SERVERS = [Server(f"s{each}", "plain", f"h:{each}", "a", 4) for each in range(3)]
@@ -48,7 +48,7 @@
     def receive_states(self, *names: str, now: float = 0.0, **more: object) -> None:
         """Let the node receive states of serving peers."""
         for name in names:
-            peer_state = state(name, serving=True, **{"limits": {}, **more})
+            peer_state = make_state(name, serving=True, **{"limits": {}, **more})
             self.members.merge(peer_state, now)
         self.sharing.refresh(serving=True)
 
@@ -250,7 +250,7 @@
                 for name in half:
                     others = [each for each in half if each != name]
                     for other in others:
-                        peer_state = state(other, sequence=9, serving=True, limits={})
+                        peer_state = make_state(other, sequence=9, serving=True, limits={})
                         world.nodes[name].members.merge(peer_state, 2.0)
                     world.nodes[name].sharing.refresh(serving=True)
             granted = 0
@@ -303,7 +303,7 @@
         for node in world.asking_nodes():
             for name in world.nodes:
                 if name not in (before.name, node.name):
-                    peer_state = state(name, sequence=9, serving=True, limits={})
+                    peer_state = make_state(name, sequence=9, serving=True, limits={})
                     node.members.merge(peer_state, 5.0)
             node.sharing.refresh(serving=True)
         view = before.view()
@@ -339,8 +339,8 @@
             "a",
             True,
             [
-                state("n1", serving=True, limits=None),
-                state("n2", serving=False, limits={}),
+                make_state("n1", serving=True, limits=None),
+                make_state("n2", serving=False, limits={}),
             ],
         )
         for server in SERVERS:
@@ -348,14 +348,14 @@
 
     def test_node_that_does_not_serve_asks_one_that_does(self) -> None:
         grantors = GrantorSelector("n0")
-        grantors.refresh("a", False, [state("n1", serving=True, limits={})])
+        grantors.refresh("a", False, [make_state("n1", serving=True, limits={})])
         self.assertEqual(grantors.address(ServerView(SERVERS[0])), "n1:2")
         grantors.refresh("a", False, [])
         self.assertIsNone(grantors.address(ServerView(SERVERS[0])))
 
     def test_nodes_of_the_servers_hall_come_first(self) -> None:
         grantors = GrantorSelector("n0")
-        near = [state(f"m{each}", serving=True, limits={}, hall="b") for each in range(3)]
+        near = [make_state(f"m{each}", serving=True, limits={}, hall="b") for each in range(3)]
         grantors.refresh("a", True, near)
         for each in range(20):
             server = Server(f"t{each}", "plain", "h:1", "b", 4)
@@ -368,8 +368,8 @@
 
     def test_leaving_nodes_do_not_count_as_partitioned(self) -> None:
         members = Membership("n0", 1)
-        members.merge(state("n1", serving=True), 0.0)
-        members.merge(state("n2", serving=True, standing=int(Standing.LEAVING)), 0.0)
+        members.merge(make_state("n1", serving=True), 0.0)
+        members.merge(make_state("n2", serving=True, standing=int(Standing.LEAVING)), 0.0)
         self.assertEqual(members.reachable_share(0.5), 1.0)
         self.assertEqual(members.reachable_share(5.0), 0.5)
 
@@ -377,8 +377,8 @@
         """With many nodes, those in reserve in other halls send their states rarely."""
         members = Membership("n0", 1)
         for number in range(300):
-            members.merge(state(f"r{number}"), 0.0)
-        members.merge(state("n1", serving=True), 5.0)
+            members.merge(make_state(f"r{number}"), 0.0)
+        members.merge(make_state("n1", serving=True), 5.0)
         self.assertEqual(members.reachable_share(5.5), 1.0)
 
     def test_requests_of_builds_without_permits_use_up_the_limit(self) -> None:
--- a/tests/test_server_group.py
+++ b/tests/test_server_group.py
@@ -21,7 +21,7 @@
 )
 from moledale.gateway.server_order import HashRing, quantize
 from moledale.gateway.server_view import Placement, ServerView, record_silence
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 
 ENGINE = Engine(64, 500_000, 327_680, 270_000.0, moves=True)
 HALLS = 4
@@ -207,12 +207,12 @@
             elif what == "state":
                 peer_loads[peer] = {name: (server, server * 100)}
                 balancer.apply_peer_states(
-                    [state(each, loads=loads) for each, loads in peer_loads.items()]
+                    [make_state(each, loads=loads) for each, loads in peer_loads.items()]
                 )
             elif what == "silent":
                 peer_loads.pop(peer, None)
                 balancer.apply_peer_states(
-                    [state(each, loads=loads) for each, loads in peer_loads.items()]
+                    [make_state(each, loads=loads) for each, loads in peer_loads.items()]
                 )
             elif what == "news" and peer in peer_loads:
                 loads = peer_loads[peer]
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -24,7 +24,7 @@
 from moledale.gateway.turns import max_queue_wait_s
 from moledale.gateway.upstream import UpstreamConnection
 from moledale.platform.headers import PlatformHeaders
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 from tests.gateway_world import HOST, GatewayWorld, answer_ok, make_plan, run_quietly
 from tests.limit_world import (
     Callers,
@@ -254,7 +254,7 @@
         sharing = Sharing(members, Bounds(), now=lambda: 1.0)
         for _ in range(20):
             sharing.record_request("model", 1.0)
-        members.merge(state("n1", sends={"model": (30, 2)}), 1.0)
+        members.merge(make_state("n1", sends={"model": (30, 2)}), 1.0)
         self.assertEqual(sharing.requests_per_s("model", 1.0), 5.0)
 
 
--- a/tests/test_state_packing.py
+++ b/tests/test_state_packing.py
@@ -14,7 +14,7 @@
     StateUnpacker,
     pack_snapshot,
 )
-from tests.gateway_states import state
+from tests.gateway_states import make_state
 
 ACCOUNTS = [f"account{number}" for number in range(19)]
 SERVERS = [f"i-{number:010x}" for number in range(39)]
@@ -28,7 +28,7 @@
     started = {window: dict.fromkeys(ACCOUNTS, 90 + window) for window in range(6)}
     started[5] = {name: sequence + place for place, name in enumerate(ACCOUNTS)}
     return StateNews(
-        state(
+        make_state(
             node,
             life=life,
             sequence=sequence,
@@ -79,7 +79,7 @@
 
     def test_state_that_can_not_be_read_still_shows_that_its_node_lives(self) -> None:
         members = Membership("n1", 1)
-        members.merge(state("n2", life=7), 0.0)
+        members.merge(make_state("n2", life=7), 0.0)
         members.record_alive("n2", 7, 2.0)
         members.record_alive("n2", 8, 9.0)
         self.assertEqual([each.id for each in members.alive(2.5)], ["n2"])
