--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -30,39 +30,39 @@
 Writer = asyncio.StreamWriter
 
 
-async def breaks_off(arrival: Arrival, _: Reader, writer: Writer) -> None:
+async def cut_answer(arrival: Arrival, _: Reader, writer: Writer) -> None:
     """Send half an answer and reset."""
     writer.write(answer(arrival, b"x" * 1000)[:-500])
     await writer.drain()
     reset(writer)
 
 
-async def resets(_: Arrival, __: Reader, writer: Writer) -> None:
+async def reset_at_once(_: Arrival, __: Reader, writer: Writer) -> None:
     """Reset without an answer."""
     reset(writer)
 
 
-async def fails(arrival: Arrival, _: Reader, writer: Writer) -> None:
+async def answer_500(arrival: Arrival, _: Reader, writer: Writer) -> None:
     """Answer with the server's own failure."""
     writer.write(answer(arrival, b"bad", 500))
 
 
-async def sheds(arrival: Arrival, _: Reader, writer: Writer) -> None:
+async def answer_not_executed(arrival: Arrival, _: Reader, writer: Writer) -> None:
     """Say that the request did not run."""
     writer.write(answer(arrival, b"", 503, b"Not-Executed: 1\r\n"))
 
 
-async def says_busy(arrival: Arrival, _: Reader, writer: Writer) -> None:
+async def answer_503(arrival: Arrival, _: Reader, writer: Writer) -> None:
     """Answer 503 without saying that the request did not run."""
     writer.write(answer(arrival, b"busy", 503))
 
 
-async def hangs(_: Arrival, reader: Reader, __: Writer) -> None:
+async def never_answer(_: Arrival, reader: Reader, __: Writer) -> None:
     """Say nothing until the other side closes."""
     await reader.read()
 
 
-async def streams(arrival: Arrival, _: Reader, writer: Writer) -> None:
+async def stream_events(arrival: Arrival, _: Reader, writer: Writer) -> None:
     """Send five events and end whole."""
     after = int(arrival.get("last-event-id") or 0)
     writer.write(stream_head(arrival))
@@ -73,7 +73,7 @@
     writer.write(LAST_CHUNK)
 
 
-async def streams_torn(arrival: Arrival, _: Reader, writer: Writer) -> None:
+async def stream_and_reset(arrival: Arrival, _: Reader, writer: Writer) -> None:
     """Send two events and half of the third, then reset."""
     writer.write(stream_head(arrival))
     writer.write(chunk(event(1)) + chunk(event(2)) + chunk(event(3)[:7]))
@@ -108,7 +108,7 @@
 
         run_quietly(work())
 
-    def test_answers_to_head_end_with_their_first_lines(self) -> None:
+    def test_answers_to_head_requests_have_no_body(self) -> None:
         async def lengthy(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival, b"x" * 70)[:-70])
 
@@ -144,10 +144,10 @@
 
         run_quietly(work())
 
-    def test_cut_answer_never_looks_whole(self) -> None:
+    def test_truncated_answer_becomes_a_502(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.start_server("s1", "plain", breaks_off)
+                await world.start_server("s1", "plain", cut_answer)
                 got = await world.send_request("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn("server-stamp", got.headers)
@@ -183,7 +183,7 @@
 
         run_quietly(work())
 
-    def test_long_answer_is_passed_on_while_it_comes(self) -> None:
+    def test_long_answer_is_relayed_while_it_arrives(self) -> None:
         body = bytes(3_000_000)
 
         async def long(arrival: Arrival, _: Reader, writer: Writer) -> None:
@@ -205,7 +205,7 @@
 
         run_quietly(work())
 
-    def test_surplus_bytes_belong_to_no_request(self) -> None:
+    def test_connection_with_surplus_bytes_is_not_reused(self) -> None:
         async def answers_twice(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival) + answer(arrival, b"not yours"))
 
@@ -227,7 +227,7 @@
 
         run_quietly(work())
 
-    def test_answer_with_another_id_is_not_passed_on(self) -> None:
+    def test_answer_with_another_request_id_is_not_relayed(self) -> None:
         async def crossed(arrival: Arrival, _: Reader, writer: Writer) -> None:
             arrival.headers = [("Request-Id", "someone-else")]
             writer.write(answer(arrival, b"not yours"))
@@ -244,7 +244,7 @@
 
         run_quietly(work())
 
-    def test_bytes_that_are_no_answer_give_a_failure(self) -> None:
+    def test_invalid_answer_becomes_a_502(self) -> None:
         async def garbage(_: Arrival, __: Reader, writer: Writer) -> None:
             writer.write(b"\x00\x01 this is no answer\r\n\r\n")
 
@@ -255,7 +255,7 @@
 
         run_quietly(work())
 
-    def test_early_answer_is_passed_on_and_its_connection_not_used_again(self) -> None:
+    def test_early_answer_is_relayed(self) -> None:
         async def early(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival, b"too long", 413))
 
@@ -272,9 +272,9 @@
 class RunsTest(unittest.TestCase):
     """What may run once runs once; what the system says of runs is true."""
 
-    def test_not_repeatable_request_is_sent_once_when_its_server_breaks_off(self) -> None:
+    def test_non_repeatable_request_is_not_retried_after_it_may_have_run(self) -> None:
         async def work() -> None:
-            for script in (resets, breaks_off, fails):
+            for script in (reset_at_once, cut_answer, answer_500):
                 async with GatewayWorld(make_plan()) as world:
                     first = await world.start_server("s1", "plain", script)
                     second = await world.start_server("s2", "plain", script)
@@ -284,10 +284,12 @@
 
         run_quietly(work())
 
-    def test_not_repeatable_request_goes_on_where_it_did_not_run(self) -> None:
+    def test_non_repeatable_request_is_retried_if_it_did_not_run(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                servers = [await world.start_server(f"s{n}", "plain", sheds) for n in (1, 2)]
+                servers = [
+                    await world.start_server(f"s{n}", "plain", answer_not_executed) for n in (1, 2)
+                ]
                 got = await world.send_request("/order/")
                 self.assertEqual(got.status, 503)
                 self.assertGreater(float(got.headers["retry-after"]), 0)
@@ -297,21 +299,21 @@
 
         run_quietly(work())
 
-    def test_kept_connection_that_is_reset_does_not_send_a_second_time(self) -> None:
+    def test_reset_of_a_pooled_connection_causes_no_retry(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", answer_ok)
                 self.assertEqual((await world.send_request("/order/")).status, 200)
-                server.script = resets
+                server.script = reset_at_once
                 self.assertEqual((await world.send_request("/order/", request_id="r2")).status, 502)
                 self.assertEqual(len(server.arrivals), 2)
 
         run_quietly(work())
 
-    def test_servers_busy_that_may_have_run_is_not_passed_on_as_a_promise(self) -> None:
+    def test_503_that_may_have_run_is_relayed_as_502(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.start_server("s1", "plain", says_busy)
+                await world.start_server("s1", "plain", answer_503)
                 got = await world.send_request("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn("server-stamp", got.headers)
@@ -321,17 +323,19 @@
     def test_safe_request_is_tried_at_a_second_server_and_no_third(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                servers = [await world.start_server(f"s{n}", "plain", fails) for n in (1, 2, 3)]
+                servers = [
+                    await world.start_server(f"s{n}", "plain", answer_500) for n in (1, 2, 3)
+                ]
                 got = await world.send_request("/check/")
                 self.assertEqual((got.status, got.body), (500, b"bad"))
                 self.assertEqual(sum(len(server.arrivals) for server in servers), 2)
 
         run_quietly(work())
 
-    def test_retry_budget_bounds_repeats(self) -> None:
+    def test_retry_budget_limits_retries(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                servers = [await world.start_server(f"s{n}", "plain", fails) for n in (1, 2)]
+                servers = [await world.start_server(f"s{n}", "plain", answer_500) for n in (1, 2)]
                 for number in range(100):
                     await world.send_request("/check/", request_id=f"r{number}")
                 arrivals = sum(len(server.arrivals) for server in servers)
@@ -341,7 +345,7 @@
 
         run_quietly(work())
 
-    def test_no_connection_counts_as_no_send(self) -> None:
+    def test_failed_connection_does_not_count_as_a_send(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 gone = await world.start_server("s1", "plain", answer_ok)
@@ -353,7 +357,7 @@
 
         run_quietly(work())
 
-    def test_several_servers_that_are_down_do_not_end_a_request(self) -> None:
+    def test_request_survives_several_unreachable_servers(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(5):
@@ -375,7 +379,7 @@
 
         run_quietly(work())
 
-    def test_address_given_to_another_service_is_asked_for_the_right_server(self) -> None:
+    def test_request_names_the_instance_it_expects_at_an_address(self) -> None:
         async def another(arrival: Arrival, _: Reader, writer: Writer) -> None:
             self.assertEqual(arrival.get("expect-instance"), "s1")
             writer.write(answer(arrival, b"", 421, b"Instance-Id: other\r\n"))
@@ -392,10 +396,10 @@
 class TimeTest(unittest.TestCase):
     """One deadline is carried through; callers that leave are heeded at once."""
 
-    def test_servers_get_what_is_left_of_the_deadline(self) -> None:
+    def test_retry_gets_the_remaining_deadline(self) -> None:
         async def slow_then_sheds(arrival: Arrival, _: Reader, writer: Writer) -> None:
             await asyncio.sleep(0.3)
-            await sheds(arrival, _, writer)
+            await answer_not_executed(arrival, _, writer)
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
@@ -412,7 +416,7 @@
     def test_safe_request_goes_elsewhere_when_its_server_is_silent(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                silent = await world.start_server("s1", "plain", hangs)
+                silent = await world.start_server("s1", "plain", never_answer)
                 await world.start_server("s2", "plain", answer_ok)
                 for number in range(4):
                     began = monotonic()
@@ -438,10 +442,10 @@
 
         run_quietly(work())
 
-    def test_time_limit_of_the_route_brings_the_final_answer(self) -> None:
+    def test_route_timeout_returns_504_and_closes_the_upstream_connection(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "plain", hangs)
+                server = await world.start_server("s1", "plain", never_answer)
                 began = monotonic()
                 got = await world.send_request("/order/")
                 took = monotonic() - began
@@ -452,7 +456,7 @@
 
         run_quietly(work())
 
-    def test_request_that_found_no_server_is_refused_at_once(self) -> None:
+    def test_request_without_a_server_is_refused_at_once(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 began = monotonic()
@@ -463,10 +467,10 @@
 
         run_quietly(work())
 
-    def test_caller_that_leaves_before_the_answer_stops_the_server(self) -> None:
+    def test_disconnect_before_the_answer_cancels_the_request(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "plain", hangs)
+                server = await world.start_server("s1", "plain", never_answer)
                 _, writer = await world.connect()
                 writer.write(request_bytes("/order/"))
                 await asyncio.sleep(0.1)
@@ -478,7 +482,7 @@
 
         run_quietly(work())
 
-    def test_caller_that_leaves_in_the_middle_of_a_stream_stops_the_server(self) -> None:
+    def test_disconnect_during_a_stream_cancels_the_request(self) -> None:
         async def endless(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(stream_head(arrival))
             for number in range(10_000):
@@ -499,14 +503,14 @@
         run_quietly(work())
 
 
-async def one_event_then_silence(arrival: Arrival, reader: Reader, writer: Writer) -> None:
+async def stream_one_event_then_hang(arrival: Arrival, reader: Reader, writer: Writer) -> None:
     """A script of a server that goes dark after its first event."""
     writer.write(stream_head(arrival) + chunk(event(1)))
     await writer.drain()
     await reader.read()
 
 
-async def streams_after(arrival: Arrival, _: Reader, writer: Writer) -> None:
+async def stream_after_last_event(arrival: Arrival, _: Reader, writer: Writer) -> None:
     """A script that streams the events after the one that the request names."""
     events = ALL_EVENTS.split(END_OF_EVENT)[int(arrival.get("last-event-id") or 0) : -1]
     writer.write(stream_head(arrival))
@@ -518,23 +522,23 @@
 class StreamTest(unittest.TestCase):
     """Streams pass whole events in order, from one run or from runs that continue."""
 
-    def test_events_pass_as_they_come(self) -> None:
+    def test_events_are_relayed_unchanged(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.start_server("s1", "model", streams)
+                await world.start_server("s1", "model", stream_events)
                 got = await world.send_request("/draft/")
                 self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
 
         run_quietly(work())
 
-    def test_resumable_stream_goes_on_elsewhere_within_one_answer(self) -> None:
+    def test_resumable_stream_continues_at_another_server_within_one_answer(self) -> None:
         async def other_stamp(arrival: Arrival, reader: Reader, writer: Writer) -> None:
             self.assertEqual(arrival.get("last-event-id"), "2")
-            await streams(arrival, reader, writer)
+            await stream_events(arrival, reader, writer)
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.start_server("s1", "model", streams_torn)
+                first = await world.start_server("s1", "model", stream_and_reset)
                 world.update_listed("s1")
                 task = asyncio.create_task(world.send_request("/review/"))
                 await first.arrived.wait()
@@ -544,10 +548,12 @@
 
         run_quietly(work())
 
-    def test_resumable_streams_leave_a_server_that_fell_silent(self) -> None:
+    def test_resumable_streams_leave_a_silent_server(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                silent = await world.start_server("s1", "model", one_event_then_silence, slots=16)
+                silent = await world.start_server(
+                    "s1", "model", stream_one_event_then_hang, slots=16
+                )
                 began = monotonic()
                 tasks = [
                     asyncio.create_task(world.send_request("/review/", request_id=r)) for r in "ab"
@@ -555,7 +561,7 @@
                 await silent.arrived.wait()
                 await asyncio.sleep(0.1)
                 self.assertEqual(len(silent.arrivals), 2)
-                await world.start_server("s2", "model", streams_after, slots=16)
+                await world.start_server("s2", "model", stream_after_last_event, slots=16)
                 for task in tasks:
                     got = await task
                     self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
@@ -565,17 +571,19 @@
 
         run_quietly(work())
 
-    def test_stream_that_may_not_be_resumed_stays_at_a_silent_server(self) -> None:
+    def test_non_resumable_stream_stays_at_a_silent_server(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                silent = await world.start_server("s1", "model", one_event_then_silence, slots=16)
+                silent = await world.start_server(
+                    "s1", "model", stream_one_event_then_hang, slots=16
+                )
                 tasks = [
                     asyncio.create_task(world.send_request("/draft/", request_id=r)) for r in "ab"
                 ]
                 await silent.arrived.wait()
                 await asyncio.sleep(0.1)
                 self.assertEqual(len(silent.arrivals), 2)
-                other = await world.start_server("s2", "model", streams_after, slots=16)
+                other = await world.start_server("s2", "model", stream_after_last_event, slots=16)
                 for task in tasks:
                     got = await task
                     self.assertEqual((got.body, got.whole), (event(1), False))
@@ -583,11 +591,11 @@
 
         run_quietly(work())
 
-    def test_a_node_that_stood_still_reads_first_what_came_meanwhile(self) -> None:
+    def test_stalled_node_reads_pending_data_before_it_reports_silence(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.start_server("s1", "model", streams, slots=16)
-                await world.start_server("s2", "model", streams, slots=16)
+                await world.start_server("s1", "model", stream_events, slots=16)
+                await world.start_server("s2", "model", stream_events, slots=16)
                 view = world.balancer.views["s1"]
                 view.running, view.last_data_at, view.busy_since = 2, -100.0, -100.0
                 route = next(each for each in make_plan().routes if each.name == "review")
@@ -606,11 +614,11 @@
 
         run_quietly(work())
 
-    def test_stream_that_may_not_be_resumed_is_cut_visibly(self) -> None:
+    def test_non_resumable_stream_is_cut_visibly(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                first = await world.start_server("s1", "model", streams_torn)
-                second = await world.start_server("s2", "model", streams_torn)
+                first = await world.start_server("s1", "model", stream_and_reset)
+                second = await world.start_server("s2", "model", stream_and_reset)
                 got = await world.send_request("/draft/")
                 self.assertEqual((got.status, got.whole), (200, False))
                 self.assertEqual(got.body, event(1) + event(2))
@@ -622,7 +630,7 @@
 class AdmissionTest(unittest.TestCase):
     """Bad input gets a clear answer at once, and nothing of it reaches a server."""
 
-    def test_unknown_routes_keys_and_plans(self) -> None:
+    def test_requests_without_a_plan_route_or_key_are_rejected(self) -> None:
         async def work() -> None:
             async with GatewayWorld() as world:
                 self.assertEqual((await world.send_request("/check/")).status, 503)
@@ -640,7 +648,7 @@
 
         run_quietly(work())
 
-    def test_key_taken_away_counts_on_open_connections(self) -> None:
+    def test_revoked_key_is_rejected_on_open_connections(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "plain", answer_ok)
@@ -705,7 +713,7 @@
 
         run_quietly(work())
 
-    def test_account_over_its_limit_is_told_when_to_come_back(self) -> None:
+    def test_account_over_its_limit_gets_a_retry_time(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", answer_ok)
@@ -723,7 +731,7 @@
 
         run_quietly(work())
 
-    def test_idle_connections_end_by_the_limit_in_force(self) -> None:
+    def test_new_idle_timeout_applies_to_open_connections(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "plain", answer_ok)
@@ -739,7 +747,7 @@
 
 
 class ListTest(unittest.TestCase):
-    def test_node_whose_list_is_too_old_sends_callers_to_others_at_once(self) -> None:
+    def test_node_with_an_outdated_list_refuses_with_a_short_retry_time(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 server = await world.start_server("s1", "plain", answer_ok)
@@ -752,7 +760,7 @@
 
         run_quietly(work())
 
-    def test_server_that_is_gone_from_the_list_gets_nothing(self) -> None:
+    def test_removed_server_gets_no_requests(self) -> None:
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 await world.start_server("s1", "plain", answer_ok)
