--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -24,18 +24,18 @@
         self.assertLess(taken, 20)
         self.assertGreater(taken, 4)
 
-    def test_first_start_of_all_begins_with_a_full_bucket(self) -> None:
+    def test_first_start_of_the_system_begins_with_a_full_bucket(self) -> None:
         limits = AccountLimits(True)
         taken = sum(1 for _ in range(50) if limits.take(self.account, 100, 0.0) == 0.0)
         self.assertEqual(taken, 20)
 
-    def test_what_others_spent_before_a_nodes_first_request_counts(self) -> None:
+    def test_spending_of_peers_before_a_nodes_first_request_counts(self) -> None:
         limits = AccountLimits(True)
         limits.configure([self.account], 0.0)
         limits.record_peer_spending({}, {"north": 1_900.0}, 0.1)
         self.assertGreater(limits.take(self.account, 500, 0.1), 0.0)
 
-    def test_nodes_together_keep_the_limit(self) -> None:
+    def test_all_nodes_together_stay_within_the_limit(self) -> None:
         nodes = [AccountLimits() for _ in range(4)]
         admitted = 0.0
         for step in range(400):
@@ -61,7 +61,7 @@
     def admitted_in(self, limits: AccountLimits, times: list[float]) -> list[float]:
         return [now for now in times if limits.take(self.account, 100, now) == 0.0]
 
-    def test_each_window_has_the_burst_anew(self) -> None:
+    def test_burst_is_available_once_per_window(self) -> None:
         window_s = 8.0
         times = [step * 0.01 for step in range(4_000)]
         admitted = self.admitted_in(AccountLimits(True, window_s), times)
@@ -70,7 +70,7 @@
             self.assertLessEqual(inside, 8 * 1_000 + 2_000)
         self.assertGreater(100 * len(admitted), 0.95 * 5 * (8 * 1_000 + 2_000))
 
-    def test_window_counts_what_others_admitted(self) -> None:
+    def test_window_counts_admissions_of_peers(self) -> None:
         limits = AccountLimits(True, 8.0)
         limits.configure([self.account], 0.0)
         limits.record_peer_spending({}, {"north": 10_000.0}, 0.1)
@@ -103,7 +103,7 @@
             inside = 100 * sum(1 for now in admitted if first <= now < first + 8.0)
             self.assertLessEqual(inside, allowed, first)
 
-    def test_end_of_all_nodes_under_a_hot_account_stays_within_the_tolerance(self) -> None:
+    def test_crash_of_all_nodes_under_a_busy_account_stays_within_the_tolerance(self) -> None:
         """Five serve, an account takes all it can; all end and start again, with no memory."""
         limit = 8 * 1_000 + 2_000
         before = [AccountLimits(True, 8.0) for _ in range(5)]
@@ -117,7 +117,7 @@
         late = [now for now in admitted if now > 28.2]
         self.assertGreater(100 * len(late), 0.8 * (35.1 - 28.2) * limit / 8.0)
 
-    def test_what_starting_nodes_hold_follows_the_tolerance_and_their_number(self) -> None:
+    def test_start_levels_follow_the_tolerance_and_the_number_of_nodes(self) -> None:
         tolerance = Tolerance(0.1, 1_000.0)
         limit = 8 * 1_000 + 2_000
         for nodes in (1, 5, 40):
@@ -125,13 +125,13 @@
             admitted = self.spent_by_many(after, [20.0])
             self.assertLessEqual(100 * len(admitted), 0.1 * limit + 1_000.0)
 
-    def test_single_prompt_of_a_small_account_is_served_at_a_start(self) -> None:
+    def test_prompt_of_a_small_account_is_admitted_at_a_start(self) -> None:
         small = Account("small", (), None, TOKENS, 200, 13_000.0, 13_000.0)
         told = AccountLimits(False, 8.0, Tolerance(0.1, 190_000.0), lambda: 5)
         self.assertEqual(told.take(small, 17_000.0, 0.0), 0.0)
         self.assertGreater(AccountLimits(False, 8.0).take(small, 17_000.0, 0.0), 0.8)
 
-    def test_end_of_all_nodes_with_a_tolerance_stays_within_it(self) -> None:
+    def test_crash_of_all_nodes_with_a_configured_tolerance_stays_within_it(self) -> None:
         """As above, where nodes hold what the stated tolerance leaves them."""
         tolerance = Tolerance(0.1, 1_000.0)
         before = [AccountLimits(True, 8.0) for _ in range(5)]
@@ -143,7 +143,7 @@
         limit = 8 * 1_000 + 2_000
         self.assert_window_holds(admitted, 1.1 * limit + 1_000.0 + 1.5 * 1_000)
 
-    def test_nodes_that_take_the_place_of_serving_ones_do_not_begin_with_a_full_bucket(
+    def test_node_that_replaces_a_serving_one_does_not_begin_with_a_full_bucket(
         self,
     ) -> None:
         reserve = AccountLimits(True, 8.0)
@@ -152,27 +152,27 @@
         admitted = self.admitted_in(reserve, [50.0 + step * 0.01 for step in range(100)])
         self.assertLessEqual(100 * len(admitted), 0.1 * 2_000 + 1_000 + 100)
 
-    def test_wait_is_the_time_until_the_amount_is_there(self) -> None:
+    def test_wait_is_the_time_until_the_amount_is_available(self) -> None:
         limits = AccountLimits()
         while (wait := limits.take(self.account, 500, 0.0)) == 0.0:
             pass
         self.assertGreater(limits.take(self.account, 500, wait / 2), 0.0)
         self.assertEqual(limits.take(self.account, 500, wait + 0.001), 0.0)
 
-    def test_lower_limit_counts_at_once(self) -> None:
+    def test_lower_limit_applies_at_once(self) -> None:
         limits = AccountLimits()
         limits.take(self.account, 1, 0.0)
         lower = Account("north", (), None, TOKENS, 200, 10.0, 100.0)
         self.assertGreater(limits.take(lower, 101, 1.0) + limits.take(lower, 100, 1.0), 0.0)
 
-    def test_requests_without_tokens_cost_what_the_account_says(self) -> None:
+    def test_requests_without_tokens_cost_the_accounts_default(self) -> None:
         self.assertEqual(self.account.price(0), 200)
         self.assertEqual(self.account.price(70), 70)
         self.assertEqual(Account("x", rate_per_s=1.0).price(70), 1.0)
 
 
 class RetryBudgetTest(unittest.TestCase):
-    def test_all_nodes_together_stay_inside(self) -> None:
+    def test_all_nodes_together_stay_within_the_budget(self) -> None:
         budgets = [RetryBudget(0.2, 20.0, 10.0) for _ in range(9)]
         requests = repeats = 0
         for step in range(200):
@@ -188,7 +188,7 @@
         self.assertLessEqual(repeats, 0.2 * requests + 20)
         self.assertGreater(repeats, 0.05 * requests)
 
-    def test_old_requests_give_no_room(self) -> None:
+    def test_requests_before_the_window_allow_no_retries(self) -> None:
         budget = RetryBudget(0.2, 0.0, 10.0)
         for _ in range(100):
             budget.record_request(0.0)
