--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -28,7 +28,7 @@
 
 
 class TrueTimeTest(unittest.TestCase):
-    def test_jumps_on_fewer_than_half_of_the_machines_change_nothing(self) -> None:
+    def test_clock_jumps_on_a_minority_of_machines_are_ignored(self) -> None:
         clock = TrueTime()
         clock.record_store_clock(100.0, 10.0, 10.0)
         clock.set_peer_offsets([1_000.0, 1_000.01, 1_000.02, 1_000.0])
@@ -54,7 +54,7 @@
         members.merge(make_state("n1", life=9, started={2: {"north": 7}}), 1.0)
         self.assertEqual(total_counts(2, usage, members.all_states()), {"north": 13})
 
-    def test_doubled_and_late_news_count_once(self) -> None:
+    def test_duplicate_and_late_states_are_ignored(self) -> None:
         members = Membership("n1", 1)
         new = make_state("n2", sequence=5, started={2: {"north": 4}})
         members.merge(new, 0.0)
@@ -108,7 +108,7 @@
         parts = (PromptPart(subject, 8_000), PromptPart(own, 1_000))
         return RequestFacts(prompt_tokens=9_000, parts=parts)
 
-    def test_requests_of_one_subject_meet_on_one_server_on_all_nodes(self) -> None:
+    def test_all_nodes_place_a_shared_prefix_on_the_same_server(self) -> None:
         places = set()
         for node in range(3):
             balancer = self.balancer()
@@ -119,14 +119,14 @@
             places.add(placement.view.server.id)
         self.assertEqual(len(places), 1)
 
-    def test_crowded_server_gives_way(self) -> None:
+    def test_shared_prefix_spreads_when_its_server_is_crowded(self) -> None:
         balancer = self.balancer()
         for number in range(12):
             balancer.place("model", self.facts("subject", f"own{number}"), self.engine, 0.0)
         running = sorted(view.running for view in balancer.views.values())
         self.assertLess(running[-1], 6)
 
-    def test_load_of_peers_counts_and_ends_with_them(self) -> None:
+    def test_load_of_peers_counts_until_they_are_gone(self) -> None:
         balancer = self.balancer(2)
         home = balancer.place("model", self.facts("subject", "x"), self.engine, 0.0)
         assert home is not None
@@ -150,7 +150,7 @@
         record_silence(balancer.views["s1"], 0.0)
         self.assertEqual(len(balancer.group("model").candidates(0.1, frozenset())), 2)
 
-    def test_server_that_says_nothing_gets_no_more(self) -> None:
+    def test_server_that_sends_no_data_gets_no_more_requests(self) -> None:
         balancer = LoadBalancer("a")
         balancer.apply(Server(f"s{n}", "plain", f"s{n}:1", "a", 4) for n in range(2))
         first = balancer.place("plain", RequestFacts(), None, 10.0)
@@ -164,7 +164,7 @@
         first.view.last_data_at = 10.6
         self.assertEqual(first.view.silent_s(10.6), 0.0)
 
-    def test_ended_placement_ends_once(self) -> None:
+    def test_second_end_of_a_placement_changes_nothing(self) -> None:
         balancer = self.balancer(1)
         placement = balancer.place("model", self.facts("s", "o"), self.engine, 0.0)
         assert placement is not None
@@ -176,14 +176,14 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    def test_whole_events_at_every_cut(self) -> None:
+    def test_events_are_whole_wherever_the_input_is_split(self) -> None:
         text = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: no id\n\nid: 30\ndata: c\n\n"
         for first in range(len(text)):
             splitter = EventSplitter()
             out = splitter.feed(text[:first]) + splitter.feed(text[first:])
             self.assertEqual((out + splitter.flush(), splitter.last_id), (text, "30"))
 
-    def test_torn_part_is_dropped_before_going_on(self) -> None:
+    def test_partial_event_is_discarded_before_a_stream_continues(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda"), b"id: 1\ndata: a\n\n")
         splitter.discard_partial()
@@ -253,7 +253,7 @@
         self.assertEqual(self.taken[-1], self.heard[-1])
         return self.taken[-1]
 
-    def test_server_missing_in_calm_times_is_gone_at_once(self) -> None:
+    def test_missing_server_is_gone_at_once_without_an_outage(self) -> None:
         self.list_at(1_000.0, "s1", "s2")
         self.assertEqual(self.list_at(1_000.8, "s1"), {"s1"})
 
@@ -263,7 +263,7 @@
         self.assertEqual(self.list_at(1_006.8, "s1", "s2"), {"s1", "s2", "s3"})
         self.assertEqual(self.list_at(1_008.0, "s1", "s2"), {"s1", "s2"})
 
-    def test_server_still_missing_is_dropped_in_time_though_no_list_comes(self) -> None:
+    def test_missing_server_is_dropped_in_time_without_another_read(self) -> None:
         self.list_at(1_000.0, "s1", "s2")
         self.list_at(1_006.0, "s1")
         self.now = 1_007.7
@@ -278,7 +278,7 @@
         self.other.drop_lapsed()
         self.assertEqual(self.heard[-1], {"s1"})
 
-    def test_node_that_heard_nothing_for_a_while_takes_missing_servers_as_gone(self) -> None:
+    def test_missing_servers_are_gone_after_a_pause_without_failed_reads(self) -> None:
         self.list_at(1_000.0, "s1", "s2")
         self.now = 1_006.0
         self.store.servers_now.pop()
