--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -79,7 +79,7 @@
         self.two.sharing.apply_peers(self.two.balancer)
         self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 1)
 
-    def test_prompt_follows_its_shared_part_to_where_another_node_placed_it(self) -> None:
+    def test_prompt_is_placed_where_a_peer_placed_its_prefix(self) -> None:
         home = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         assert home is not None
         away = frozenset({home.view.server.id})
@@ -94,12 +94,12 @@
         assert found is not None
         self.assertLess(found.uncached, 1_000)
 
-    def test_news_that_overtake_each_other_count_no_less_than_nothing(self) -> None:
+    def test_reordered_updates_never_give_a_negative_load(self) -> None:
         view = self.one.balancer.views["s0"]
         view.peers_running, view.peers_prefill = -3, -9_000
         self.assertEqual((view.total_running, view.total_prefill), (0, 0))
 
-    def test_news_of_a_former_life_or_older_than_the_state_change_nothing(self) -> None:
+    def test_updates_of_another_incarnation_or_older_than_the_state_are_ignored(self) -> None:
         placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         assert placed is not None
         news = self.one.news()
@@ -109,7 +109,7 @@
         self.two.hear(PlacementNews("n9", 1, 99, news.placed))
         self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 0)
 
-    def test_placements_are_told_once(self) -> None:
+    def test_placements_are_sent_once(self) -> None:
         self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
         self.assertEqual(len(self.one.news().placed), 1)
         self.assertEqual(self.one.news().placed, [])
@@ -133,13 +133,13 @@
             chosen.append(placed.view.server.id)
         return chosen
 
-    def test_nodes_that_know_nothing_do_not_choose_the_same_server(self) -> None:
+    def test_nodes_without_load_data_do_not_choose_the_same_server(self) -> None:
         alone = [RequestFacts(id=f"r{n}", prompt_tokens=900) for n in range(20)]
         subjects = [prompt(f"subject{n}", f"own{n}", 300) for n in range(20)]
         for facts in (alone, subjects):
             self.assertEqual(len(set(self.first_choices(20, facts))), len(SERVERS))
 
-    def test_prompts_of_one_front_meet(self) -> None:
+    def test_prompts_with_a_shared_prefix_use_one_server(self) -> None:
         facts = [prompt("subject", f"own{n}", 300) for n in range(20)]
         self.assertEqual(len(set(self.first_choices(20, facts))), 1)
 
@@ -153,7 +153,7 @@
             chosen.add(placed.view.server.id)
         self.assertEqual(len(chosen), len(SERVERS))
 
-    def test_server_with_a_connection_at_rest_comes_first(self) -> None:
+    def test_server_with_an_idle_connection_comes_first(self) -> None:
         for engine in (None, ENGINE):
             for kept in SERVERS:
                 balancer = LoadBalancer("hall-a")
@@ -188,7 +188,7 @@
         self.assertAlmostEqual(seen.took_s, 0.6)
         self.assertEqual(seen.work, between.work + second.work)
 
-    def test_prompt_that_came_after_the_last_first_event_counts_from_its_sending(self) -> None:
+    def test_prompt_sent_after_the_previous_first_event_is_timed_from_its_sending(self) -> None:
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS[:1])
         for number, sent_at in enumerate((1.0, 2.0)):
@@ -214,19 +214,19 @@
         assert other is not None
         return home, other
 
-    def test_front_is_fetched_over_a_fast_link(self) -> None:
+    def test_prefix_is_fetched_over_a_fast_link(self) -> None:
         home, other = self.place_away(FAST_LINKS)
         self.assertEqual(other.fetch_from, home.view.server.address)
         self.assertEqual(other.fetched, 10_000)
         self.assertEqual(other.uncached, 100)
 
-    def test_front_is_read_where_links_are_slow_or_servers_move_nothing(self) -> None:
+    def test_prefix_is_computed_where_links_are_slow_or_servers_cannot_move_it(self) -> None:
         for engine in (SLOW_LINKS, ENGINE):
             with self.subTest(engine=engine):
                 _, other = self.place_away(engine)
                 self.assertEqual((other.fetch_from, other.uncached), ("", 10_100))
 
-    def test_what_the_server_has_itself_is_not_fetched(self) -> None:
+    def test_prefix_cached_at_the_server_is_not_fetched(self) -> None:
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
         first = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
@@ -253,7 +253,7 @@
         assert gone is not None
         self.assertEqual(gone.fetch_from, "")
 
-    def test_a_server_that_leaves_still_gives_its_fronts(self) -> None:
+    def test_prefix_is_fetched_from_a_leaving_server(self) -> None:
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
         home = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
@@ -266,7 +266,7 @@
         assert other is not None
         self.assertEqual(other.fetch_from, home.view.server.address)
 
-    def test_a_stream_that_is_moved_reads_and_teaches_nothing(self) -> None:
+    def test_moved_stream_needs_no_prefill_and_gives_no_sample(self) -> None:
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
         target = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0, moved=True)
@@ -281,7 +281,7 @@
         assert again is not None
         self.assertIs(again.view, target.view)
 
-    def test_server_is_told_where_to_fetch_from(self) -> None:
+    def test_fetch_source_is_sent_to_the_server(self) -> None:
         facts = AttemptFacts("s1", None, 1.0, None, fetch_from="h:2")
         head = RequestHead(b"POST", b"/x", [(b"Kv-Fetch", b"from-the-caller:1")])
         sent = PlatformHeaders().attempt_head(head, facts, 0)
@@ -290,7 +290,7 @@
 
 
 class PrefillWorkTest(unittest.TestCase):
-    def test_cached_front_costs_nothing(self) -> None:
+    def test_cached_prefix_costs_nothing(self) -> None:
         self.assertEqual(prefill_work(10_000, 10_000), 0)
         self.assertEqual(prefill_work(10_000, 12_000), 0)
 
@@ -300,7 +300,7 @@
 
 
 class PartsWithoutTokensTest(unittest.TestCase):
-    def test_they_are_not_remembered_and_hide_nothing_behind_them(self) -> None:
+    def test_parts_without_tokens_are_not_recorded_and_do_not_end_the_prefix(self) -> None:
         view = LoadBalancer("hall-a")
         view.apply(SERVERS[:1])
         server = view.views["s0"]
