--- a/tests/test_gateway_evacuation.py
+++ b/tests/test_gateway_evacuation.py
@@ -89,7 +89,7 @@
         await world.start_server("s2", "model", pair.script)
         return first, reader, writer
 
-    def test_stream_goes_on_at_another_server_and_counts_as_the_same_run(self) -> None:
+    def test_stream_continues_at_another_server_as_the_same_run(self) -> None:
         async def work() -> None:
             for leave in (True, False):
                 pair = EnginePair()
@@ -137,7 +137,7 @@
 
         run_quietly(work())
 
-    def test_copy_whose_caller_left_is_released(self) -> None:
+    def test_copy_is_released_when_its_caller_disconnects(self) -> None:
         async def work() -> None:
             pair = EnginePair()
             async with GatewayWorld(make_plan()) as world:
