--- a/tests/test_gateway_renting.py
+++ b/tests/test_gateway_renting.py
@@ -26,7 +26,7 @@
 
 
 class WorkMeterTest(unittest.TestCase):
-    def test_past_of_a_node_first_heard_now_is_no_demand(self) -> None:
+    def test_work_before_the_first_state_of_a_node_is_not_counted(self) -> None:
         meter = WorkMeter()
         meter.record(OWN_INCARNATION, {})
         meter.merge_peers([make_state("n1", work={"model": 3_000_000})])
@@ -34,7 +34,7 @@
         meter.merge_peers([make_state("n1", sequence=2, work={"model": 3_000_500})])
         self.assertEqual(meter.total, {"model": 1_200})
 
-    def test_each_life_counts_for_itself(self) -> None:
+    def test_each_incarnation_is_counted_separately(self) -> None:
         meter = WorkMeter()
         meter.merge_peers([make_state("n1", life=1, work={"model": 100})])
         meter.merge_peers([make_state("n1", life=1, work={"model": 150}), make_state("n1", life=2)])
@@ -46,14 +46,14 @@
         )
         self.assertEqual(meter.total, {"model": 100})
 
-    def test_life_that_was_forgotten_begins_anew(self) -> None:
+    def test_incarnation_that_was_dropped_starts_from_a_new_baseline(self) -> None:
         meter = WorkMeter()
         meter.merge_peers([make_state("n1", work={"model": 100})])
         meter.merge_peers([])
         meter.merge_peers([make_state("n1", work={"model": 900})])
         self.assertEqual(meter.total, {})
 
-    def test_demand_of_a_holder_that_just_started_is_that_of_the_moment(self) -> None:
+    def test_demand_of_a_new_holder_excludes_past_work(self) -> None:
         meter = WorkMeter()
         demand = Demand()
         for step in range(12):
@@ -73,11 +73,11 @@
         load = Load(work_per_s, waiting, 20)
         return servers_for_load(PlanIndex(make_plan()), "model", 64, BOOT_S, load, self.speed)
 
-    def test_work_that_is_in_time_changes_nothing(self) -> None:
+    def test_queue_within_the_target_does_not_raise_the_need(self) -> None:
         target_s = shortest_target_s(PlanIndex(make_plan()), "model")
         self.assertEqual(self.need(200_000.0, 200_000.0 * target_s), self.need(200_000.0, 0.0))
 
-    def test_late_work_is_worked_off_besides(self) -> None:
+    def test_overdue_work_raises_the_need(self) -> None:
         late = 400_000.0 * BACKLOG_DRAIN_BOOTS * BOOT_S
         target_s = shortest_target_s(PlanIndex(make_plan()), "model")
         waiting = 200_000.0 * target_s + late
@@ -116,7 +116,7 @@
             planner.record_outcome(order, True, now)
         return orders
 
-    def test_spot_is_spread_and_ordered_once(self) -> None:
+    def test_spot_servers_are_spread_and_ordered_once(self) -> None:
         planner = self.planner(4)
         firm = {"a": 2, "b": 3, "c": 2, "d": 2}
         orders = self.carry_out(planner, self.servers({}, firm), 0.0)
@@ -126,7 +126,7 @@
             [o for o in self.carry_out(planner, self.servers({}, firm), 1.0) if o.spot], []
         )
 
-    def test_servers_on_demand_stay_until_spot_runs(self) -> None:
+    def test_on_demand_servers_stay_until_spot_servers_run(self) -> None:
         planner = self.planner(4)
         firm = {"a": 2, "b": 3, "c": 2, "d": 2}
         self.carry_out(planner, self.servers({}, firm), 0.0)
@@ -136,7 +136,7 @@
         self.carry_out(planner, self.servers(dict.fromkeys(HALLS, 2), {"b": 3}), 10.0)
         self.assertEqual(sum(planner.states[hall, False].number or 0 for hall in HALLS), 0)
 
-    def test_reclaimed_halls_are_made_up_where_it_costs_least(self) -> None:
+    def test_reclaimed_servers_are_replaced_where_it_costs_least(self) -> None:
         planner = self.planner(4)
         full = self.servers(dict.fromkeys(HALLS, 2))
         self.carry_out(planner, full, 0.0)
@@ -146,7 +146,7 @@
         firm = [o for o in self.carry_out(planner, two_left, 10.0) if not o.spot]
         self.assertEqual([(order.hall, order.number) for order in firm], [("b", 1)])
 
-    def test_refused_hall_is_asked_again_later(self) -> None:
+    def test_refused_order_is_retried_later(self) -> None:
         planner = self.planner(4)
         servers = self.servers({"a": 2, "b": 2, "c": 2})
         first = [o for o in planner.orders(self.renting, servers, 0.0) if o.hall == "d"]
@@ -156,14 +156,14 @@
         again = [o for o in planner.orders(self.renting, servers, 3.0) if o.spot]
         self.assertEqual([order.hall for order in again], ["d"])
 
-    def test_nothing_served_yet_gives_servers_back_before_spot_runs(self) -> None:
+    def test_on_demand_servers_are_released_before_any_demand(self) -> None:
         planner = self.planner(0, first_start=True)
         firm = {"a": 2, "b": 3, "c": 2, "d": 2}
         self.carry_out(planner, self.servers({}, firm), 0.0)
         self.carry_out(planner, self.servers({}, firm), 0.5)
         self.assertEqual(sum(planner.states[hall, False].number or 0 for hall in HALLS), 0)
 
-    def test_servers_that_the_list_tells_late_are_given_back(self) -> None:
+    def test_servers_that_are_listed_late_are_released(self) -> None:
         planner = self.planner(0, first_start=True)
         self.carry_out(planner, [], 0.0)
         self.carry_out(planner, [], 0.5)
@@ -172,7 +172,7 @@
         firm = {order.hall: order.number for order in orders if not order.spot}
         self.assertEqual(firm, {"a": 0, "c": 0})
 
-    def test_demand_follows_its_peak(self) -> None:
+    def test_need_follows_its_peak(self) -> None:
         demand = Demand()
         for second in range(10):
             demand.record_total(second * 100_000.0, float(second))
@@ -183,7 +183,7 @@
             demand.record_need(3, float(second))
         self.assertEqual(demand.need(2, BOOT_S), THREE)
 
-    def test_first_moments_of_demand_give_no_server_back(self) -> None:
+    def test_no_server_is_released_in_the_first_moments_of_demand(self) -> None:
         demand = Demand()
         for step in range(10):
             demand.record_total(step * 1_000.0, step * 0.5)
@@ -195,14 +195,14 @@
         self.assertEqual(shortest_target_s(index, "model"), 0.5)
         self.assertEqual(shortest_target_s(index, "plain"), 0.2)
 
-    def test_servers_on_demand_follow_a_peak_for_a_shorter_time(self) -> None:
+    def test_on_demand_servers_follow_a_peak_for_a_shorter_time(self) -> None:
         demand = Demand()
         for second in range(30):
             demand.record_total(second * 100_000.0, float(second))
             demand.record_need(9 if second == 12 else 3, float(second))
         self.assertEqual(demand.need(2, BOOT_S), Need(spot=9, on_demand=3))
 
-    def test_missing_spot_servers_are_made_up_for_whatever_the_reserve(self) -> None:
+    def test_missing_spot_servers_are_replaced_whatever_the_reserve(self) -> None:
         planner = self.planner(4)
         self.carry_out(planner, self.servers(dict.fromkeys(HALLS, 2)), 0.0)
         for hall in HALLS:
@@ -211,21 +211,21 @@
             orders = self.carry_out(planner, self.servers({"a": 2}), 10.0)
         self.assertEqual(sum(order.number for order in orders if not order.spot), 2)
 
-    def test_new_holder_gives_nothing_back_before_it_has_watched_demand(self) -> None:
+    def test_new_holder_releases_nothing_before_it_observed_demand(self) -> None:
         planner = RentingPlanner("model", first_start=True)
         many = self.servers(dict.fromkeys(HALLS, 5), {"b": 3})
         for step in range(9):
             planner.demand.record_total(5e6 + step * 50_000.0, step * 0.5)
             self.assertEqual(planner.orders(self.renting, many, step * 0.5), [])
 
-    def test_restarted_holder_that_sees_no_demand_yet_gives_nothing_back(self) -> None:
+    def test_restarted_holder_releases_nothing_while_it_sees_no_demand(self) -> None:
         planner = RentingPlanner("model")
         many = self.servers(dict.fromkeys(HALLS, 5), {"b": 3})
         for step in range(9):
             planner.demand.record_total(0.0, step * 0.5)
             self.assertEqual(planner.orders(self.renting, many, step * 0.5), [])
 
-    def test_what_is_allowed_tells_what_to_begin_with(self) -> None:
+    def test_initial_need_follows_the_allowed_maximum(self) -> None:
         planner = RentingPlanner("model", first_start=True)
         self.assertEqual(planner.need(self.renting), FOUR)
         large = Renting(1, 15, 4.0, 0.15, self.renting.hall_prices)
