--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -58,13 +58,13 @@
         )
         self.assertGreater(admitted, 9_000)
 
-    def admitted_in(self, limits: AccountLimits, times: list[float]) -> list[float]:
+    def admitted_times(self, limits: AccountLimits, times: list[float]) -> list[float]:
         return [now for now in times if limits.take(self.account, 100, now) == 0.0]
 
     def test_burst_is_available_once_per_window(self) -> None:
         window_s = 8.0
         times = [step * 0.01 for step in range(4_000)]
-        admitted = self.admitted_in(AccountLimits(True, window_s), times)
+        admitted = self.admitted_times(AccountLimits(True, window_s), times)
         for begin in range(32):
             inside = 100 * sum(1 for now in admitted if begin <= now < begin + window_s)
             self.assertLessEqual(inside, 8 * 1_000 + 2_000)
@@ -74,7 +74,7 @@
         limits = AccountLimits(True, 8.0)
         limits.configure([self.account], 0.0)
         limits.record_peer_spending({}, {"north": 10_000.0}, 0.1)
-        self.assertEqual(self.admitted_in(limits, [0.1 + step * 0.1 for step in range(79)]), [])
+        self.assertEqual(self.admitted_times(limits, [0.1 + step * 0.1 for step in range(79)]), [])
         self.assertEqual(limits.take(self.account, 100, 8.5), 0.0)
 
     def test_wait_for_the_window_is_long_enough(self) -> None:
@@ -84,7 +84,7 @@
             now += 0.35
         self.assertEqual(limits.take(self.account, 500, now + wait + 0.001), 0.0)
 
-    def spent_by_many(self, limits: list[AccountLimits], times: list[float]) -> list[float]:
+    def admit_at_all_nodes(self, limits: list[AccountLimits], times: list[float]) -> list[float]:
         """Let nodes that hear of each other each 0.2 s admit all they can; return the times."""
         admitted = []
         told = [dict(each.spent) for each in limits]
@@ -107,11 +107,11 @@
         """Five serve, an account takes all it can; all end and start again, with no memory."""
         limit = 8 * 1_000 + 2_000
         before = [AccountLimits(True, 8.0) for _ in range(5)]
-        admitted = self.spent_by_many(before, [step * 0.01 for step in range(2_000)])
+        admitted = self.admit_at_all_nodes(before, [step * 0.01 for step in range(2_000)])
         after = [AccountLimits(False, 8.0) for _ in range(5)]
         for each in after:
             each.configure([self.account], 20.1)
-        admitted += self.spent_by_many(after, [20.1 + step * 0.01 for step in range(1_500)])
+        admitted += self.admit_at_all_nodes(after, [20.1 + step * 0.01 for step in range(1_500)])
         one_round = 1.5 * 1_000
         self.assert_window_holds(admitted, 1.1 * limit + one_round)
         late = [now for now in admitted if now > 28.2]
@@ -122,7 +122,7 @@
         limit = 8 * 1_000 + 2_000
         for nodes in (1, 5, 40):
             after = [AccountLimits(False, 8.0, tolerance, lambda n=nodes: n) for _ in range(nodes)]
-            admitted = self.spent_by_many(after, [20.0])
+            admitted = self.admit_at_all_nodes(after, [20.0])
             self.assertLessEqual(100 * len(admitted), 0.1 * limit + 1_000.0)
 
     def test_prompt_of_a_small_account_is_admitted_at_a_start(self) -> None:
@@ -135,11 +135,11 @@
         """As above, where nodes hold what the stated tolerance leaves them."""
         tolerance = Tolerance(0.1, 1_000.0)
         before = [AccountLimits(True, 8.0) for _ in range(5)]
-        admitted = self.spent_by_many(before, [step * 0.01 for step in range(2_000)])
+        admitted = self.admit_at_all_nodes(before, [step * 0.01 for step in range(2_000)])
         after = [AccountLimits(False, 8.0, tolerance, lambda: 5) for _ in range(5)]
         for each in after:
             each.configure([self.account], 20.1)
-        admitted += self.spent_by_many(after, [20.1 + step * 0.01 for step in range(1_500)])
+        admitted += self.admit_at_all_nodes(after, [20.1 + step * 0.01 for step in range(1_500)])
         limit = 8 * 1_000 + 2_000
         self.assert_window_holds(admitted, 1.1 * limit + 1_000.0 + 1.5 * 1_000)
 
@@ -149,7 +149,7 @@
         reserve = AccountLimits(True, 8.0)
         reserve.configure([self.account], 0.0)
         reserve.reset([self.account], 50.0)
-        admitted = self.admitted_in(reserve, [50.0 + step * 0.01 for step in range(100)])
+        admitted = self.admitted_times(reserve, [50.0 + step * 0.01 for step in range(100)])
         self.assertLessEqual(100 * len(admitted), 0.1 * 2_000 + 1_000 + 100)
 
     def test_wait_is_the_time_until_the_amount_is_available(self) -> None:
@@ -218,7 +218,7 @@
         spent = dict(self.limits.spent)
         return make_state(self.name, sequence=self._sequence, spent=spent, age_s=self.now)
 
-    def tell(self, now: float, nodes: dict[str, "StartingNode"]) -> None:
+    def send_state(self, now: float, nodes: dict[str, "StartingNode"]) -> None:
         """Tell in one round whom this node tells, who hear it at once."""
         own = self.state()
         self.neighbours.record_busy(now)
@@ -245,28 +245,30 @@
     nodes as there are halls, and it fills at the whole rate at each.
     """
 
-    RATE = 288_454.0
+    RATE_TOKENS_PER_S = 288_454.0
     WINDOW_S = 8.0
     BOUNDS = Bounds(limit_window_s=WINDOW_S, limit_share=0.1, limit_tokens=140_000.0)
     NODES = 87
-    TAKING = 19
-    PRICE = 3_700.0
+    BUSY_NODES = 19
+    REQUEST_TOKENS = 3_700.0
     REQUESTS_PER_S = 400
-    ENDED_S = 6.6
-    BACK_S = 0.6
-    ADDRESSES_S = 0.3
+    CRASHED_AT_S = 6.6
+    RESTART_S = 0.6
+    ADDRESSES_KNOWN_AT_S = 0.3
     """Nodes have read each other's addresses from the store by then."""
 
     def test_account_keeps_its_limit_when_many_nodes_start_at_once(self) -> None:
-        account = Account("hot", (), None, TOKENS, 200, self.RATE, self.RATE)
-        after = self.admitted(account, self.WINDOW_S - self.ENDED_S - self.BACK_S)
-        limit = self.RATE * self.WINDOW_S + self.RATE
-        before = self.ENDED_S * limit / self.WINDOW_S
+        account = Account(
+            "hot", (), None, TOKENS, 200, self.RATE_TOKENS_PER_S, self.RATE_TOKENS_PER_S
+        )
+        after = self.admitted_tokens(account, self.WINDOW_S - self.CRASHED_AT_S - self.RESTART_S)
+        limit = self.RATE_TOKENS_PER_S * self.WINDOW_S + self.RATE_TOKENS_PER_S
+        before = self.CRASHED_AT_S * limit / self.WINDOW_S
         tolerance = Tolerance(self.BOUNDS.limit_share, self.BOUNDS.limit_tokens)
         allowed = limit + tolerance.allowance_for(account, self.WINDOW_S)
         self.assertLessEqual(before + after, allowed)
 
-    def admitted(self, account: Account, for_s: float) -> float:
+    def admitted_tokens(self, account: Account, for_s: float) -> float:
         """Send requests to some nodes in turn, which tell each other in rounds of their own."""
         nodes = {
             f"n{number}:2": StartingNode(
@@ -274,20 +276,20 @@
             )
             for number in range(self.NODES)
         }
-        taking = list(nodes.values())[: self.TAKING]
+        taking = list(nodes.values())[: self.BUSY_NODES]
         total = 0.0
         for number in range(int(for_s * self.REQUESTS_PER_S)):
             now = number / self.REQUESTS_PER_S
             for node in nodes.values():
-                if now >= self.ADDRESSES_S and not node.neighbours.addresses.expires_at:
+                if now >= self.ADDRESSES_KNOWN_AT_S and not node.neighbours.addresses.expires_at:
                     for address in nodes:
                         node.neighbours.addresses.add(address, now)
                 if now >= node.next_round_at:
                     node.next_round_at += GOSSIP_INTERVAL_S
                     if node in taking:
-                        node.tell(now, nodes)
-            if taking[number % len(taking)].limits.take(account, self.PRICE, now) == 0.0:
-                total += self.PRICE
+                        node.send_state(now, nodes)
+            if taking[number % len(taking)].limits.take(account, self.REQUEST_TOKENS, now) == 0.0:
+                total += self.REQUEST_TOKENS
         return total
 
 
