--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -99,51 +99,51 @@
 class BalanceTest(unittest.TestCase):
     engine = Engine(4, 50_000, 1, 1000.0)
 
-    def balancer(self, number: int = 4) -> LoadBalancer:
+    def make_balancer(self, number: int = 4) -> LoadBalancer:
         balancer = LoadBalancer("a")
         balancer.apply(Server(f"s{n}", "model", f"s{n}:1", "a", 4) for n in range(number))
         return balancer
 
-    def facts(self, subject: str, own: str) -> RequestFacts:
+    def make_facts(self, subject: str, own: str) -> RequestFacts:
         parts = (PromptPart(subject, 8_000), PromptPart(own, 1_000))
         return RequestFacts(prompt_tokens=9_000, parts=parts)
 
     def test_all_nodes_place_a_shared_prefix_on_the_same_server(self) -> None:
         places = set()
         for node in range(3):
-            balancer = self.balancer()
+            balancer = self.make_balancer()
             placement = balancer.place(
-                "model", self.facts("subject", f"own{node}"), self.engine, 0.0
+                "model", self.make_facts("subject", f"own{node}"), self.engine, 0.0
             )
             assert placement is not None
             places.add(placement.view.server.id)
         self.assertEqual(len(places), 1)
 
     def test_shared_prefix_spreads_when_its_server_is_crowded(self) -> None:
-        balancer = self.balancer()
+        balancer = self.make_balancer()
         for number in range(12):
-            balancer.place("model", self.facts("subject", f"own{number}"), self.engine, 0.0)
+            balancer.place("model", self.make_facts("subject", f"own{number}"), self.engine, 0.0)
         running = sorted(view.running for view in balancer.views.values())
         self.assertLess(running[-1], 6)
 
     def test_load_of_peers_counts_until_they_are_gone(self) -> None:
-        balancer = self.balancer(2)
-        home = balancer.place("model", self.facts("subject", "x"), self.engine, 0.0)
+        balancer = self.make_balancer(2)
+        home = balancer.place("model", self.make_facts("subject", "x"), self.engine, 0.0)
         assert home is not None
         home.end()
         name = home.view.server.id
         balancer.apply_peer_states([make_state("n2", loads={name: (4, 90_000)})])
-        other = balancer.place("model", self.facts("subject", "y"), self.engine, 0.0)
+        other = balancer.place("model", self.make_facts("subject", "y"), self.engine, 0.0)
         assert other is not None
         self.assertNotEqual(other.view.server.id, name)
         other.end()
         balancer.apply_peer_states([])
-        again = balancer.place("model", self.facts("subject", "z"), self.engine, 0.0)
+        again = balancer.place("model", self.make_facts("subject", "z"), self.engine, 0.0)
         assert again is not None
         self.assertEqual(again.view.server.id, name)
 
     def test_silent_server_is_paused_unless_it_is_the_only_one(self) -> None:
-        balancer = self.balancer(2)
+        balancer = self.make_balancer(2)
         record_silence(balancer.views["s0"], 0.0)
         ready = balancer.group("model").candidates(0.1, frozenset())
         self.assertEqual([view.server.id for view in ready], ["s1"])
@@ -165,8 +165,8 @@
         self.assertEqual(first.view.silent_s(10.6), 0.0)
 
     def test_second_end_of_a_placement_changes_nothing(self) -> None:
-        balancer = self.balancer(1)
-        placement = balancer.place("model", self.facts("s", "o"), self.engine, 0.0)
+        balancer = self.make_balancer(1)
+        placement = balancer.place("model", self.make_facts("s", "o"), self.engine, 0.0)
         assert placement is not None
         placement.on_first_token()
         placement.end()
@@ -191,20 +191,20 @@
         self.assertEqual((splitter.last_id, splitter.event_count), ("2", 2))
 
 
-class ListedServers:
+class FakeStore:
     """A store that lists what a test says, or is away."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self.servers_now: list[Server] = []
-        self.away = False
+        self.listed: list[Server] = []
+        self.is_down = False
         self.version = 0
 
     async def servers(self, _: float, _before: object = None) -> object:
         self.version += 1
-        if self.away:
+        if self.is_down:
             return Err(Failure("away"))
-        return Ok(ServerList(tuple(self.servers_now), self.version, self.now()))
+        return Ok(ServerList(tuple(self.listed), self.version, self.now()))
 
 
 class LapsedServersTest(unittest.TestCase):
@@ -212,14 +212,14 @@
 
     def setUp(self) -> None:
         self.now = 1_000.0
-        self.store = ListedServers(lambda: self.now)
-        self.taken: list[set[str]] = []
-        self.heard: list[set[str]] = []
-        self.other = self.a_watch(self.heard, lambda *_: None)
-        self.watch = self.a_watch(self.taken, self.tell)
-
-    def a_watch(
-        self, taken: list[set[str]], tell: Callable[[list[ServerChange], bool], None]
+        self.store = FakeStore(lambda: self.now)
+        self.published: list[set[str]] = []
+        self.peer_published: list[set[str]] = []
+        self.peer = self.make_watch(self.peer_published, lambda *_: None)
+        self.watch = self.make_watch(self.published, self.send_changes)
+
+    def make_watch(
+        self, published: list[set[str]], send_changes: Callable[[list[ServerChange], bool], None]
     ) -> FleetWatch:
         true_time = TrueTime()
         true_time.record_store_clock(self.now, self.now, self.now)
@@ -227,67 +227,67 @@
             self.store,  # type: ignore[arg-type]
             true_time,
             lambda: 0,
-            lambda servers: taken.append({server.id for server in servers}),
-            tell,
-            lambda change: self.other.on_change(change),
+            lambda servers: published.append({server.id for server in servers}),
+            send_changes,
+            lambda change: self.peer.on_change(change),
             lambda: 1.0,
             now=lambda: self.now,
         )
 
-    def tell(self, changes: list[ServerChange], _: bool) -> None:
+    def send_changes(self, changes: list[ServerChange], _: bool) -> None:
         for change in changes:
-            self.other.on_change(change)
+            self.peer.on_change(change)
 
-    def list_at(self, now: float, *names: str, leaving: str = "") -> set[str]:
+    def read_list_at(self, now: float, *names: str, leaving: str = "") -> set[str]:
         """Let one node read a list and return the servers that both nodes believe in then."""
         if now - self.now > MIN_OUTAGE_S:
             self.now = (self.now + now) / 2
-            self.store.away = True
+            self.store.is_down = True
             run_to_completion(self.watch._read())
-            self.store.away = False
+            self.store.is_down = False
         self.now = now
-        self.store.servers_now = [
+        self.store.listed = [
             Server(name, "model", f"{name}:1", "a", 64, leaving=name == leaving) for name in names
         ]
         run_to_completion(self.watch._read())
-        self.assertEqual(self.taken[-1], self.heard[-1])
-        return self.taken[-1]
+        self.assertEqual(self.published[-1], self.peer_published[-1])
+        return self.published[-1]
 
     def test_missing_server_is_gone_at_once_without_an_outage(self) -> None:
-        self.list_at(1_000.0, "s1", "s2")
-        self.assertEqual(self.list_at(1_000.8, "s1"), {"s1"})
+        self.read_list_at(1_000.0, "s1", "s2")
+        self.assertEqual(self.read_list_at(1_000.8, "s1"), {"s1"})
 
     def test_servers_that_lapsed_during_an_outage_are_kept_until_they_are_back(self) -> None:
-        self.list_at(1_000.0, "s1", "s2", "s3")
-        self.assertEqual(self.list_at(1_006.0, "s1"), {"s1", "s2", "s3"})
-        self.assertEqual(self.list_at(1_006.8, "s1", "s2"), {"s1", "s2", "s3"})
-        self.assertEqual(self.list_at(1_008.0, "s1", "s2"), {"s1", "s2"})
+        self.read_list_at(1_000.0, "s1", "s2", "s3")
+        self.assertEqual(self.read_list_at(1_006.0, "s1"), {"s1", "s2", "s3"})
+        self.assertEqual(self.read_list_at(1_006.8, "s1", "s2"), {"s1", "s2", "s3"})
+        self.assertEqual(self.read_list_at(1_008.0, "s1", "s2"), {"s1", "s2"})
 
     def test_missing_server_is_dropped_in_time_without_another_read(self) -> None:
-        self.list_at(1_000.0, "s1", "s2")
-        self.list_at(1_006.0, "s1")
+        self.read_list_at(1_000.0, "s1", "s2")
+        self.read_list_at(1_006.0, "s1")
         self.now = 1_007.7
         self.watch.drop_lapsed()
-        self.assertEqual(self.taken[-1], {"s1", "s2"})
+        self.assertEqual(self.published[-1], {"s1", "s2"})
         self.now = 1_007.81
         self.watch.drop_lapsed()
-        self.assertEqual(self.taken[-1], {"s1"})
-        before = len(self.taken)
+        self.assertEqual(self.published[-1], {"s1"})
+        before = len(self.published)
         self.watch.drop_lapsed()
-        self.assertEqual(len(self.taken), before)
-        self.other.drop_lapsed()
-        self.assertEqual(self.heard[-1], {"s1"})
+        self.assertEqual(len(self.published), before)
+        self.peer.drop_lapsed()
+        self.assertEqual(self.peer_published[-1], {"s1"})
 
     def test_missing_servers_are_gone_after_a_pause_without_failed_reads(self) -> None:
-        self.list_at(1_000.0, "s1", "s2")
+        self.read_list_at(1_000.0, "s1", "s2")
         self.now = 1_006.0
-        self.store.servers_now.pop()
+        self.store.listed.pop()
         run_to_completion(self.watch._read())
-        self.assertEqual((self.taken[-1], self.heard[-1]), ({"s1"}, {"s1"}))
+        self.assertEqual((self.published[-1], self.peer_published[-1]), ({"s1"}, {"s1"}))
 
     def test_server_that_was_leaving_is_not_kept(self) -> None:
-        self.list_at(1_000.0, "s1", "s2", leaving="s2")
-        self.assertEqual(self.list_at(1_006.0, "s1"), {"s1"})
+        self.read_list_at(1_000.0, "s1", "s2", leaving="s2")
+        self.assertEqual(self.read_list_at(1_006.0, "s1"), {"s1"})
 
 
 if __name__ == "__main__":
