--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -26,7 +26,7 @@
 SERVERS = [Server(f"s{number}", "model", f"h:{number}", "hall-a", 64) for number in range(4)]
 
 
-def prompt(subject: str, own: str, tokens: int = 10_000) -> RequestFacts:
+def make_facts(subject: str, own: str, tokens: int = 10_000) -> RequestFacts:
     parts = (PromptPart(subject, tokens), PromptPart(own, 100))
     return RequestFacts(prompt_tokens=tokens + 100, answer_tokens=10, parts=parts)
 
@@ -50,10 +50,10 @@
             loads, {}, {},
         )  # fmt: skip
 
-    def news(self) -> PlacementNews:
+    def placement_update(self) -> PlacementNews:
         return PlacementNews(self.name, 1, self.sequence, self.balancer.drain_placements())
 
-    def hear(self, news: PlacementNews) -> None:
+    def receive(self, news: PlacementNews) -> None:
         self.sharing.apply_placements(news, self.balancer, lambda _: ENGINE)
 
 
@@ -64,33 +64,33 @@
         self.two.members.merge(self.one.state(), 1.0)
 
     def test_other_node_counts_a_placement_before_the_next_state(self) -> None:
-        placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
+        placed = self.one.balancer.place("model", make_facts("a", "x"), ENGINE, 1.0)
         assert placed is not None
-        self.two.hear(self.one.news())
+        self.two.receive(self.one.placement_update())
         view = self.two.balancer.views[placed.view.server.id]
         self.assertEqual(view.total_running, 1)
         self.assertEqual(view.total_prefill, placed.prefill)
 
     def test_next_state_counts_nothing_twice(self) -> None:
-        placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
+        placed = self.one.balancer.place("model", make_facts("a", "x"), ENGINE, 1.0)
         assert placed is not None
-        self.two.hear(self.one.news())
+        self.two.receive(self.one.placement_update())
         self.two.members.merge(self.one.state(), 1.0)
         self.two.sharing.apply_peers(self.two.balancer)
         self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 1)
 
     def test_prompt_is_placed_where_a_peer_placed_its_prefix(self) -> None:
-        home = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
+        home = self.one.balancer.place("model", make_facts("a", "x"), ENGINE, 1.0)
         assert home is not None
         away = frozenset({home.view.server.id})
-        elsewhere = self.one.balancer.place("model", prompt("a", "y"), ENGINE, 1.0, away)
+        elsewhere = self.one.balancer.place("model", make_facts("a", "y"), ENGINE, 1.0, away)
         assert elsewhere is not None
-        self.two.hear(self.one.news())
+        self.two.receive(self.one.placement_update())
         home.on_first_token()
         elsewhere.on_first_token()
         self.two.members.merge(self.one.state(), 1.0)
         self.two.sharing.apply_peers(self.two.balancer)
-        found = self.two.balancer.place("model", prompt("a", "z"), ENGINE, 1.0)
+        found = self.two.balancer.place("model", make_facts("a", "z"), ENGINE, 1.0)
         assert found is not None
         self.assertLess(found.uncached, 1_000)
 
@@ -100,19 +100,19 @@
         self.assertEqual((view.total_running, view.total_prefill), (0, 0))
 
     def test_updates_of_another_incarnation_or_older_than_the_state_are_ignored(self) -> None:
-        placed = self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
+        placed = self.one.balancer.place("model", make_facts("a", "x"), ENGINE, 1.0)
         assert placed is not None
-        news = self.one.news()
+        news = self.one.placement_update()
         self.two.members.merge(self.one.state(), 1.0)
-        self.two.hear(news)
-        self.two.hear(PlacementNews("n1", 2, 99, news.placed))
-        self.two.hear(PlacementNews("n9", 1, 99, news.placed))
+        self.two.receive(news)
+        self.two.receive(PlacementNews("n1", 2, 99, news.placed))
+        self.two.receive(PlacementNews("n9", 1, 99, news.placed))
         self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 0)
 
     def test_placements_are_sent_once(self) -> None:
-        self.one.balancer.place("model", prompt("a", "x"), ENGINE, 1.0)
-        self.assertEqual(len(self.one.news().placed), 1)
-        self.assertEqual(self.one.news().placed, [])
+        self.one.balancer.place("model", make_facts("a", "x"), ENGINE, 1.0)
+        self.assertEqual(len(self.one.placement_update().placed), 1)
+        self.assertEqual(self.one.placement_update().placed, [])
 
 
 FAST_LINKS = Engine(64, 500_000, 1_000, 100_000.0, moves=True)
@@ -135,12 +135,12 @@
 
     def test_nodes_without_load_data_do_not_choose_the_same_server(self) -> None:
         alone = [RequestFacts(id=f"r{n}", prompt_tokens=900) for n in range(20)]
-        subjects = [prompt(f"subject{n}", f"own{n}", 300) for n in range(20)]
+        subjects = [make_facts(f"subject{n}", f"own{n}", 300) for n in range(20)]
         for facts in (alone, subjects):
             self.assertEqual(len(set(self.first_choices(20, facts))), len(SERVERS))
 
     def test_prompts_with_a_shared_prefix_use_one_server(self) -> None:
-        facts = [prompt("subject", f"own{n}", 300) for n in range(20)]
+        facts = [make_facts("subject", f"own{n}", 300) for n in range(20)]
         self.assertEqual(len(set(self.first_choices(20, facts))), 1)
 
     def test_plain_requests_of_many_nodes_spread(self) -> None:
@@ -175,11 +175,11 @@
             node.balancer.apply(SERVERS[:1])
         one.members.merge(other.state(), 1.0)
         other.members.merge(one.state(), 1.0)
-        first = one.balancer.place("model", prompt("a", "1"), ENGINE, 1.0)
-        other.hear(one.news())
-        between = other.balancer.place("model", prompt("b", "2"), ENGINE, 1.01)
-        one.hear(other.news())
-        second = one.balancer.place("model", prompt("c", "3"), ENGINE, 1.02)
+        first = one.balancer.place("model", make_facts("a", "1"), ENGINE, 1.0)
+        other.receive(one.placement_update())
+        between = other.balancer.place("model", make_facts("b", "2"), ENGINE, 1.01)
+        one.receive(other.placement_update())
+        second = one.balancer.place("model", make_facts("c", "3"), ENGINE, 1.02)
         assert first is not None and between is not None and second is not None
         one.balancer.record_first_event(first, 1.2)
         one.balancer.record_first_event(second, 1.8)
@@ -192,7 +192,7 @@
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS[:1])
         for number, sent_at in enumerate((1.0, 2.0)):
-            placed = balancer.place("model", prompt("a", str(number)), ENGINE, sent_at)
+            placed = balancer.place("model", make_facts("a", str(number)), ENGINE, sent_at)
             assert placed is not None
             balancer.record_first_event(placed, sent_at + 0.3)
         seen = balancer.estimator("model")._samples[-1]
@@ -203,19 +203,19 @@
 class FetchTest(unittest.TestCase):
     """A prompt's front comes from another server where that is quicker than reading it."""
 
-    def place_away(self, engine: Engine) -> tuple[Placement, Placement]:
+    def place_home_and_other(self, engine: Engine) -> tuple[Placement, Placement]:
         """Place a prompt, then one with the same front where its home may not be chosen."""
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
-        home = balancer.place("model", prompt("a", "x"), engine, 1.0)
+        home = balancer.place("model", make_facts("a", "x"), engine, 1.0)
         assert home is not None
         away = frozenset({home.view.server.id})
-        other = balancer.place("model", prompt("a", "y"), engine, 1.0, away)
+        other = balancer.place("model", make_facts("a", "y"), engine, 1.0, away)
         assert other is not None
         return home, other
 
     def test_prefix_is_fetched_over_a_fast_link(self) -> None:
-        home, other = self.place_away(FAST_LINKS)
+        home, other = self.place_home_and_other(FAST_LINKS)
         self.assertEqual(other.fetch_from, home.view.server.address)
         self.assertEqual(other.fetched, 10_000)
         self.assertEqual(other.uncached, 100)
@@ -223,53 +223,53 @@
     def test_prefix_is_computed_where_links_are_slow_or_servers_cannot_move_it(self) -> None:
         for engine in (SLOW_LINKS, ENGINE):
             with self.subTest(engine=engine):
-                _, other = self.place_away(engine)
+                _, other = self.place_home_and_other(engine)
                 self.assertEqual((other.fetch_from, other.uncached), ("", 10_100))
 
     def test_prefix_cached_at_the_server_is_not_fetched(self) -> None:
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
-        first = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
+        first = balancer.place("model", make_facts("a", "x"), FAST_LINKS, 1.0)
         assert first is not None
         first.on_first_token()
-        again = balancer.place("model", prompt("a", "y"), FAST_LINKS, 1.0)
+        again = balancer.place("model", make_facts("a", "y"), FAST_LINKS, 1.0)
         assert again is not None
         self.assertEqual((again.view, again.fetch_from), (first.view, ""))
 
     def test_nothing_is_fetched_from_a_server_that_is_silent_or_gone(self) -> None:
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
-        home = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
+        home = balancer.place("model", make_facts("a", "x"), FAST_LINKS, 1.0)
         assert home is not None
         away = frozenset({home.view.server.id})
         record_silence(home.view, 1.0)
-        silent = balancer.place("model", prompt("a", "y"), FAST_LINKS, 1.0, away)
+        silent = balancer.place("model", make_facts("a", "y"), FAST_LINKS, 1.0, away)
         assert silent is not None
         self.assertEqual(silent.fetch_from, "")
         record_answer(home.view, False, 0.1)
         balancer.apply([server for server in SERVERS if server.id not in away])
         balancer.views[silent.view.server.id].cached.clear()
-        gone = balancer.place("model", prompt("a", "z"), FAST_LINKS, 9.0)
+        gone = balancer.place("model", make_facts("a", "z"), FAST_LINKS, 9.0)
         assert gone is not None
         self.assertEqual(gone.fetch_from, "")
 
     def test_prefix_is_fetched_from_a_leaving_server(self) -> None:
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
-        home = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0)
+        home = balancer.place("model", make_facts("a", "x"), FAST_LINKS, 1.0)
         assert home is not None
         name = home.view.server.id
         balancer.apply(
             msgspec.structs.replace(server, leaving=server.id == name) for server in SERVERS
         )
-        other = balancer.place("model", prompt("a", "y"), FAST_LINKS, 1.0)
+        other = balancer.place("model", make_facts("a", "y"), FAST_LINKS, 1.0)
         assert other is not None
         self.assertEqual(other.fetch_from, home.view.server.address)
 
     def test_moved_stream_needs_no_prefill_and_gives_no_sample(self) -> None:
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
-        target = balancer.place("model", prompt("a", "x"), FAST_LINKS, 1.0, moved=True)
+        target = balancer.place("model", make_facts("a", "x"), FAST_LINKS, 1.0, moved=True)
         assert target is not None
         self.assertEqual((target.prefill, target.work, target.fetch_from), (0, 0, ""))
         balancer.record_first_event(target, 9.0)
@@ -277,7 +277,7 @@
         self.assertEqual(balancer.work, {})
         self.assertEqual(balancer.estimator("model").speed(10.0), PRIOR)
         self.assertEqual(target.view.slowness.factor(9.0), 1.0)
-        again = balancer.place("model", prompt("a", "y"), FAST_LINKS, 10.0)
+        again = balancer.place("model", make_facts("a", "y"), FAST_LINKS, 10.0)
         assert again is not None
         self.assertIs(again.view, target.view)
 
