--- a/tests/test_gateway_evacuation.py
+++ b/tests/test_gateway_evacuation.py
@@ -19,21 +19,21 @@
     stream_head,
 )
 
-LENGTH = 40
-TOKENS = {"Token-Count": "100,600"}
-ALL = b"".join(event(number) for number in range(1, LENGTH + 1))
+STREAM_EVENTS = 40
+TOKEN_HEADERS = {"Token-Count": "100,600"}
+ALL_EVENTS = b"".join(event(number) for number in range(1, STREAM_EVENTS + 1))
 
 
 @dataclass
 class EnginePair:
-    """Two scripted model servers that move runs as told; `refuses` makes moves fail."""
+    """Two scripted model servers that move runs as told; `rejects_moves` makes moves fail."""
 
-    refuses: bool = False
-    copies: list[dict[str, object]] = field(default_factory=list)
+    rejects_moves: bool = False
+    move_orders: list[dict[str, object]] = field(default_factory=list)
     released: list[str] = field(default_factory=list)
     continued: list[Arrival] = field(default_factory=list)
     stopped: asyncio.Event = field(default_factory=asyncio.Event)
-    pause_s: float = 0.02
+    event_interval_s: float = 0.02
 
     async def script(
         self, arrival: Arrival, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -49,9 +49,9 @@
 
     async def _move(self, arrival: Arrival, writer: asyncio.StreamWriter) -> None:
         body = json.loads(arrival.body)
-        self.copies.append(body)
-        status, answer = (503, {}) if self.refuses else (200, {"handle": "h1", "made": 3})
-        if body.get("last") and not self.refuses:
+        self.move_orders.append(body)
+        status, answer = (503, {}) if self.rejects_moves else (200, {"handle": "h1", "made": 3})
+        if body.get("last") and not self.rejects_moves:
             self.stopped.set()
             await asyncio.sleep(0.05)
         data = json.dumps(answer).encode()
@@ -64,7 +64,7 @@
             self.continued.append(arrival)
             begin = int(arrival.get("last-event-id") or 0)
         writer.write(stream_head(arrival))
-        for number in range(begin + 1, LENGTH + 1):
+        for number in range(begin + 1, STREAM_EVENTS + 1):
             if self.stopped.is_set() and not begin:
                 writer.write(chunk(event(number)[:5]))
                 await writer.drain()
@@ -72,18 +72,18 @@
                 return
             writer.write(chunk(event(number)))
             await writer.drain()
-            await asyncio.sleep(self.pause_s)
+            await asyncio.sleep(self.event_interval_s)
         writer.write(LAST_CHUNK)
 
 
 class EvacuationTest(unittest.TestCase):
-    async def begin(
+    async def start_stream(
         self, world: GatewayWorld, pair: EnginePair
     ) -> tuple[ScriptedServer, asyncio.StreamReader, asyncio.StreamWriter]:
         """Start a stream that may not be resumed, and a second server."""
         first = await world.start_server("s1", "model", pair.script)
         reader, writer = await world.connect()
-        writer.write(request_bytes("/draft/", headers=TOKENS))
+        writer.write(request_bytes("/draft/", headers=TOKEN_HEADERS))
         await first.arrived.wait()
         await asyncio.sleep(0.1)
         await world.start_server("s2", "model", pair.script)
@@ -94,7 +94,7 @@
             for leave in (True, False):
                 pair = EnginePair()
                 async with GatewayWorld(make_plan()) as world:
-                    first, reader, writer = await self.begin(world, pair)
+                    first, reader, writer = await self.start_stream(world, pair)
                     if leave:
                         world.update_listed("s1", leaving=True)
                     else:
@@ -102,11 +102,13 @@
                     got = await read_answer(reader)
                     writer.close()
                     self.assertEqual((got.status, got.whole), (200, True))
-                    self.assertEqual(got.body, ALL)
+                    self.assertEqual(got.body, ALL_EVENTS)
                     self.assertEqual(len(pair.continued), 1)
                     self.assertEqual(pair.continued[0].get("kv-from"), f"{first.address}/h1")
                     self.assertEqual(pair.continued[0].get("expect-instance"), "s2")
-                    self.assertEqual([c.get("last", False) for c in pair.copies], [False, True])
+                    self.assertEqual(
+                        [c.get("last", False) for c in pair.move_orders], [False, True]
+                    )
                     self.assertEqual(pair.released, [])
                     self.assertEqual(world.balancer.views["s2"].running, 0)
 
@@ -114,25 +116,25 @@
 
     def test_stream_that_ends_in_time_is_left_alone(self) -> None:
         async def work() -> None:
-            pair = EnginePair(pause_s=0.005)
+            pair = EnginePair(event_interval_s=0.005)
             async with GatewayWorld(make_plan()) as world:
-                _, reader, writer = await self.begin(world, pair)
+                _, reader, writer = await self.start_stream(world, pair)
                 world.update_listed("s1", leaving=True)
                 got = await read_answer(reader)
                 writer.close()
-                self.assertEqual((got.body, got.whole, pair.copies), (ALL, True, []))
+                self.assertEqual((got.body, got.whole, pair.move_orders), (ALL_EVENTS, True, []))
 
         run_quietly(work())
 
     def test_refused_move_leaves_the_stream_where_it_is(self) -> None:
         async def work() -> None:
-            pair = EnginePair(refuses=True)
+            pair = EnginePair(rejects_moves=True)
             async with GatewayWorld(make_plan()) as world:
-                _, reader, writer = await self.begin(world, pair)
+                _, reader, writer = await self.start_stream(world, pair)
                 world.update_listed("s1", leaving=True)
                 got = await read_answer(reader)
                 writer.close()
-                self.assertEqual((got.body, got.whole), (ALL, True))
+                self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
                 self.assertEqual(world.balancer.views["s2"].running, 0)
 
         run_quietly(work())
@@ -141,7 +143,7 @@
         async def work() -> None:
             pair = EnginePair()
             async with GatewayWorld(make_plan()) as world:
-                _, _, writer = await self.begin(world, pair)
+                _, _, writer = await self.start_stream(world, pair)
                 world.update_listed("s1", leaving=True)
                 await pair.stopped.wait()
                 writer.close()
