--- a/tests/test_gateway_renting.py
+++ b/tests/test_gateway_renting.py
@@ -20,9 +20,9 @@
 from tests.gateway_states import HALLS, make_state
 from tests.gateway_world import make_plan
 
-THREE = Need(3, 3)
+NEED_THREE = Need(3, 3)
 BOOT_S = 4.0
-FOUR = Need(4, 4)
+NEED_FOUR = Need(4, 4)
 
 
 class WorkMeterTest(unittest.TestCase):
@@ -69,19 +69,24 @@
 
     speed = Speed(50_000.0, 0.02, 0.5, 4_000.0, 100)
 
-    def need(self, work_per_s: float, waiting: float) -> int:
+    def servers_needed(self, work_per_s: float, waiting: float) -> int:
         load = Load(work_per_s, waiting, 20)
         return servers_for_load(PlanIndex(make_plan()), "model", 64, BOOT_S, load, self.speed)
 
     def test_queue_within_the_target_does_not_raise_the_need(self) -> None:
         target_s = shortest_target_s(PlanIndex(make_plan()), "model")
-        self.assertEqual(self.need(200_000.0, 200_000.0 * target_s), self.need(200_000.0, 0.0))
+        self.assertEqual(
+            self.servers_needed(200_000.0, 200_000.0 * target_s),
+            self.servers_needed(200_000.0, 0.0),
+        )
 
     def test_overdue_work_raises_the_need(self) -> None:
         late = 400_000.0 * BACKLOG_DRAIN_BOOTS * BOOT_S
         target_s = shortest_target_s(PlanIndex(make_plan()), "model")
         waiting = 200_000.0 * target_s + late
-        self.assertEqual(self.need(200_000.0, waiting), self.need(600_000.0, 0.0))
+        self.assertEqual(
+            self.servers_needed(200_000.0, waiting), self.servers_needed(600_000.0, 0.0)
+        )
 
 
 class RentingTest(unittest.TestCase):
@@ -93,7 +98,7 @@
         share.start()
         self.addCleanup(share.stop)
 
-    def planner(self, need: int, first_start: bool = False) -> RentingPlanner:
+    def make_planner(self, need: int, first_start: bool = False) -> RentingPlanner:
         planner = RentingPlanner("model", first_start)
         if need:
             for step in range(12):
@@ -101,7 +106,9 @@
                 planner.demand.record_need(need, step / 2 - 6.0)
         return planner
 
-    def servers(self, spot: dict[str, int], firm: dict[str, int] | None = None) -> list[Server]:
+    def make_servers(
+        self, spot: dict[str, int], firm: dict[str, int] | None = None
+    ) -> list[Server]:
         kinds = ((spot, True), (firm or {}, False))
         return [
             Server(f"{hall}{number}{is_spot}", "model", "x:1", hall, 64, spot=is_spot)
@@ -110,45 +117,47 @@
             for number in range(count)
         ]
 
-    def carry_out(self, planner: RentingPlanner, servers: list[Server], now: float) -> list[Order]:
+    def accept_orders(
+        self, planner: RentingPlanner, servers: list[Server], now: float
+    ) -> list[Order]:
         orders = planner.orders(self.renting, servers, now)
         for order in orders:
             planner.record_outcome(order, True, now)
         return orders
 
     def test_spot_servers_are_spread_and_ordered_once(self) -> None:
-        planner = self.planner(4)
+        planner = self.make_planner(4)
         firm = {"a": 2, "b": 3, "c": 2, "d": 2}
-        orders = self.carry_out(planner, self.servers({}, firm), 0.0)
+        orders = self.accept_orders(planner, self.make_servers({}, firm), 0.0)
         spot = {order.hall: order.number for order in orders if order.spot}
         self.assertEqual(spot, dict.fromkeys(HALLS, 2))
         self.assertEqual(
-            [o for o in self.carry_out(planner, self.servers({}, firm), 1.0) if o.spot], []
+            [o for o in self.accept_orders(planner, self.make_servers({}, firm), 1.0) if o.spot], []
         )
 
     def test_on_demand_servers_stay_until_spot_servers_run(self) -> None:
-        planner = self.planner(4)
+        planner = self.make_planner(4)
         firm = {"a": 2, "b": 3, "c": 2, "d": 2}
-        self.carry_out(planner, self.servers({}, firm), 0.0)
+        self.accept_orders(planner, self.make_servers({}, firm), 0.0)
         kept = sum(planner.states[hall, False].number or 0 for hall in HALLS)
         self.assertGreaterEqual(kept, 3)
-        self.carry_out(planner, self.servers(dict.fromkeys(HALLS, 2), {"b": 3}), 5.0)
-        self.carry_out(planner, self.servers(dict.fromkeys(HALLS, 2), {"b": 3}), 10.0)
+        self.accept_orders(planner, self.make_servers(dict.fromkeys(HALLS, 2), {"b": 3}), 5.0)
+        self.accept_orders(planner, self.make_servers(dict.fromkeys(HALLS, 2), {"b": 3}), 10.0)
         self.assertEqual(sum(planner.states[hall, False].number or 0 for hall in HALLS), 0)
 
     def test_reclaimed_servers_are_replaced_where_it_costs_least(self) -> None:
-        planner = self.planner(4)
-        full = self.servers(dict.fromkeys(HALLS, 2))
-        self.carry_out(planner, full, 0.0)
-        two_left = self.servers({"a": 2, "b": 0, "c": 2, "d": 0})
+        planner = self.make_planner(4)
+        full = self.make_servers(dict.fromkeys(HALLS, 2))
+        self.accept_orders(planner, full, 0.0)
+        two_left = self.make_servers({"a": 2, "b": 0, "c": 2, "d": 0})
         for hall in ("b", "d"):
             planner.record_outcome(Order("model", hall, True, 2), False, 10.0)
-        firm = [o for o in self.carry_out(planner, two_left, 10.0) if not o.spot]
+        firm = [o for o in self.accept_orders(planner, two_left, 10.0) if not o.spot]
         self.assertEqual([(order.hall, order.number) for order in firm], [("b", 1)])
 
     def test_refused_order_is_retried_later(self) -> None:
-        planner = self.planner(4)
-        servers = self.servers({"a": 2, "b": 2, "c": 2})
+        planner = self.make_planner(4)
+        servers = self.make_servers({"a": 2, "b": 2, "c": 2})
         first = [o for o in planner.orders(self.renting, servers, 0.0) if o.hall == "d"]
         self.assertEqual(len(first), 1)
         planner.record_outcome(first[0], False, 0.0)
@@ -157,18 +166,18 @@
         self.assertEqual([order.hall for order in again], ["d"])
 
     def test_on_demand_servers_are_released_before_any_demand(self) -> None:
-        planner = self.planner(0, first_start=True)
+        planner = self.make_planner(0, first_start=True)
         firm = {"a": 2, "b": 3, "c": 2, "d": 2}
-        self.carry_out(planner, self.servers({}, firm), 0.0)
-        self.carry_out(planner, self.servers({}, firm), 0.5)
+        self.accept_orders(planner, self.make_servers({}, firm), 0.0)
+        self.accept_orders(planner, self.make_servers({}, firm), 0.5)
         self.assertEqual(sum(planner.states[hall, False].number or 0 for hall in HALLS), 0)
 
     def test_servers_that_are_listed_late_are_released(self) -> None:
-        planner = self.planner(0, first_start=True)
-        self.carry_out(planner, [], 0.0)
-        self.carry_out(planner, [], 0.5)
-        late = self.servers(dict.fromkeys(HALLS, 2), {"a": 2, "c": 1})
-        orders = self.carry_out(planner, late, 12.0)
+        planner = self.make_planner(0, first_start=True)
+        self.accept_orders(planner, [], 0.0)
+        self.accept_orders(planner, [], 0.5)
+        late = self.make_servers(dict.fromkeys(HALLS, 2), {"a": 2, "c": 1})
+        orders = self.accept_orders(planner, late, 12.0)
         firm = {order.hall: order.number for order in orders if not order.spot}
         self.assertEqual(firm, {"a": 0, "c": 0})
 
@@ -177,18 +186,18 @@
         for second in range(10):
             demand.record_total(second * 100_000.0, float(second))
             demand.record_need(4 if second == 5 else 3, float(second))
-        self.assertEqual(demand.need(2, BOOT_S), FOUR)
+        self.assertEqual(demand.need(2, BOOT_S), NEED_FOUR)
         for second in range(10, 40):
             demand.record_total(1_000_000.0 + second, float(second))
             demand.record_need(3, float(second))
-        self.assertEqual(demand.need(2, BOOT_S), THREE)
+        self.assertEqual(demand.need(2, BOOT_S), NEED_THREE)
 
     def test_no_server_is_released_in_the_first_moments_of_demand(self) -> None:
         demand = Demand()
         for step in range(10):
             demand.record_total(step * 1_000.0, step * 0.5)
             demand.record_need(1, step * 0.5)
-            self.assertEqual(demand.need(4, BOOT_S), FOUR)
+            self.assertEqual(demand.need(4, BOOT_S), NEED_FOUR)
 
     def test_shortest_target_of_the_service_counts(self) -> None:
         index = PlanIndex(make_plan())
@@ -203,31 +212,31 @@
         self.assertEqual(demand.need(2, BOOT_S), Need(spot=9, on_demand=3))
 
     def test_missing_spot_servers_are_replaced_whatever_the_reserve(self) -> None:
-        planner = self.planner(4)
-        self.carry_out(planner, self.servers(dict.fromkeys(HALLS, 2)), 0.0)
+        planner = self.make_planner(4)
+        self.accept_orders(planner, self.make_servers(dict.fromkeys(HALLS, 2)), 0.0)
         for hall in HALLS:
             planner.record_outcome(Order("model", hall, True, 2), False, 10.0)
         with mock.patch("moledale.gateway.renting.RESERVE_SHARE", 0.0):
-            orders = self.carry_out(planner, self.servers({"a": 2}), 10.0)
+            orders = self.accept_orders(planner, self.make_servers({"a": 2}), 10.0)
         self.assertEqual(sum(order.number for order in orders if not order.spot), 2)
 
     def test_new_holder_releases_nothing_before_it_observed_demand(self) -> None:
         planner = RentingPlanner("model", first_start=True)
-        many = self.servers(dict.fromkeys(HALLS, 5), {"b": 3})
+        many = self.make_servers(dict.fromkeys(HALLS, 5), {"b": 3})
         for step in range(9):
             planner.demand.record_total(5e6 + step * 50_000.0, step * 0.5)
             self.assertEqual(planner.orders(self.renting, many, step * 0.5), [])
 
     def test_restarted_holder_releases_nothing_while_it_sees_no_demand(self) -> None:
         planner = RentingPlanner("model")
-        many = self.servers(dict.fromkeys(HALLS, 5), {"b": 3})
+        many = self.make_servers(dict.fromkeys(HALLS, 5), {"b": 3})
         for step in range(9):
             planner.demand.record_total(0.0, step * 0.5)
             self.assertEqual(planner.orders(self.renting, many, step * 0.5), [])
 
     def test_initial_need_follows_the_allowed_maximum(self) -> None:
         planner = RentingPlanner("model", first_start=True)
-        self.assertEqual(planner.need(self.renting), FOUR)
+        self.assertEqual(planner.need(self.renting), NEED_FOUR)
         large = Renting(1, 15, 4.0, 0.15, self.renting.hall_prices)
         self.assertEqual(planner.need(large), Need(12, 12))
 
