--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -235,7 +235,7 @@
         for server in self.servers.values():
             server.stop()
 
-    async def server(
+    async def start_server(
         self, name: str, service: str, script: Script, slots: int = 4
     ) -> ScriptedServer:
         """Start a server and list it."""
