--- a/tests/gateway_states.py
+++ b/tests/gateway_states.py
@@ -1,4 +1,4 @@
-"""States of nodes as tests make them up."""
+"""Makes states of gateway nodes for tests."""
 
 from moledale.gateway.peers import NodeState, Standing
 
@@ -6,7 +6,7 @@
 
 
 def make_state(name: str, life: int = 1, sequence: int = 1, **changes: object) -> NodeState:
-    """Return what a node tells."""
+    """Return a state as a node sends it to its peers, with some fields changed."""
     values: dict[str, object] = {
         "id": name,
         "life": life,
