--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,4 +1,4 @@
-"""A gateway's forwarding over real sockets, with servers and callers that tests script by bytes."""
+"""Runs a gateway's forwarder on loopback sockets, with scripted backend servers and callers."""
 
 import asyncio
 import socket
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A request as a server got it."""
+    """A request as a server received it, and when."""
 
     line: str
     headers: list[tuple[str, str]]
@@ -50,13 +50,16 @@
     at: float
 
     def get(self, name: str) -> str | None:
-        """Return the first header of a lower-case name."""
+        """Return the value of the first header with this lower-case name, None without one."""
         return next((value for key, value in self.headers if key.lower() == name), None)
 
 
 @dataclass(slots=True)
 class ScriptedServer:
-    """A backend server that does with each request what its script says."""
+    """A backend server that runs its script for each request.
+
+    `connections` and `closed` count the connections that were opened and closed.
+    """
 
     id: str
     script: Script
@@ -68,13 +71,13 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a free port of loopback."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening; open connections stay."""
         if self._server is not None:
             self._server.close()
 
@@ -101,7 +104,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that the other side sees a reset."""
+    """Close a connection with a TCP reset."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -110,7 +113,7 @@
 def answer(
     arrival: Arrival, body: bytes = b"fine", status: int = 200, extra_headers: bytes = STAMP_HEADER
 ) -> bytes:
-    """Return a server's whole answer with a length."""
+    """Return a complete answer with a Content-Length."""
     request_id = (arrival.get("request-id") or "").encode()
     return (
         b"HTTP/1.1 %d X\r\nRequest-Id: %b\r\nContent-Type: text/plain\r\n%b"
@@ -119,7 +122,7 @@
 
 
 def stream_head(arrival: Arrival, stamp: bytes = STAMP_HEADER) -> bytes:
-    """Return the first lines of a stream of events in chunks."""
+    """Return the status line and headers of a chunked stream of events."""
     request_id = (arrival.get("request-id") or "").encode()
     return (
         b"HTTP/1.1 200 X\r\nRequest-Id: %b\r\nContent-Type: text/event-stream\r\n%b"
@@ -128,12 +131,12 @@
 
 
 def event(number: int) -> bytes:
-    """Return an event of a stream."""
+    """Return a server-sent event with this id."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a chunk of a body."""
+    """Return data in chunked encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -143,12 +146,12 @@
 async def answer_ok(
     arrival: Arrival, _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """A script that answers whole."""
+    """Script that sends a complete answer."""
     writer.write(answer(arrival))
 
 
 def make_plan(version: int = 1, **changes: object) -> Plan:
-    """Return a plan with a route of each kind."""
+    """Return a plan with a route of each kind, with some fields changed."""
     routes = (
         Route("check", HOST, "/check/", Kind.SAFE, (Share("plain"),), 1.0, 0.2, max_servers=2),
         Route("order", HOST, "/order/", Kind.ONCE, (Share("plain"),), 1.0, 0.2, max_servers=2),
@@ -178,7 +181,7 @@
 
 @dataclass(slots=True)
 class CallerAnswer:
-    """What a caller read: `whole` says whether the framing says that it is complete."""
+    """An answer as a caller read it; `whole` is set if its framing shows that it is complete."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -187,14 +190,17 @@
 
 
 class GatewayWorld:
-    """A forwarder behind a real listener, and the servers it knows."""
+    """A forwarder behind a real listener, and the backend servers in its list.
+
+    `list_current` is the result of the forwarder's check whether its list is up to date.
+    """
 
     def __init__(self, plan: Plan | None = None, bounds: Bounds | None = None) -> None:
         self.members = Membership("n1", 1)
         self.bounds = bounds or Bounds()
         self.sharing = Sharing(self.members, self.bounds)
         self.balancer = LoadBalancer("hall-a")
-        # Nearly equal servers are chosen by chance; tests say what the first choice does.
+        # The choice between nearly equal servers is random unless one has an idle connection.
         self.balancer.has_connection = lambda server: server == PREFERRED_SERVER_ID
         self.pool = ConnectionPool(monotonic)
         self.list_current = True
@@ -238,20 +244,20 @@
     async def start_server(
         self, name: str, service: str, script: Script, slots: int = 4
     ) -> ScriptedServer:
-        """Start a server and list it."""
+        """Start a server with a script, and add it to the list."""
         server = ScriptedServer(name, script)
         await self.add_server(server, service, slots)
         return server
 
     async def add_server(self, server: ScriptedServer, service: str, slots: int = 4) -> None:
-        """Start a server that a test made, and list it."""
+        """Start an existing server object, and add it to the list."""
         await server.start()
         self.servers[server.id] = server
         self._listed.append(Server(server.id, service, server.address, "hall-a", slots))
         self.balancer.apply(self._listed)
 
     def update_listed(self, name: str, **changes: object) -> None:
-        """Change what the list says of a server."""
+        """Change the list entry of a server."""
         self._listed = [
             Server(**{**{f: getattr(s, f) for f in Server.__struct_fields__}, **changes})  # type: ignore[arg-type]
             if s.id == name
@@ -261,7 +267,7 @@
         self.forwarder.evacuation.servers_changed(self.balancer.apply(self._listed))
 
     def unlist(self, name: str) -> None:
-        """Take a server off the list."""
+        """Remove a server from the list; it serves on."""
         self._listed = [server for server in self._listed if server.id != name]
         self.forwarder.evacuation.servers_changed(self.balancer.apply(self._listed))
 
@@ -293,7 +299,7 @@
     headers: dict[str, str] | None = None,
     request_id: str = "r1",
 ) -> bytes:
-    """Return a caller's request."""
+    """Return a caller's request; headers with an empty value are left out."""
     lines = {
         "Host": HOST,
         "Request-Id": request_id,
@@ -307,7 +313,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> CallerAnswer:
-    """Read one answer as far as it comes."""
+    """Read one answer, or as much of it as arrives."""
     result = CallerAnswer()
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").rstrip("\r\n")
@@ -333,7 +339,7 @@
 
 
 def run_quietly(work: Awaitable[None]) -> None:
-    """Run a test's coroutine without its logs, within 20 s."""
+    """Run a coroutine with its log output discarded and a timeout of 20 s."""
 
     async def bounded() -> None:
         async with asyncio.timeout(20):
