--- a/tests/test_gateway_evacuation.py
+++ b/tests/test_gateway_evacuation.py
@@ -1,4 +1,4 @@
-"""Live streams survive the announced reclaim of their server, within one answer."""
+"""Live streams move off servers that are being reclaimed, within one answer."""
 
 import asyncio
 import json
@@ -26,7 +26,12 @@
 
 @dataclass
 class EnginePair:
-    """Two scripted model servers that move runs as told; `rejects_moves` makes moves fail."""
+    """The script of two model servers that can move runs, and what they were asked to do.
+
+    `move_orders` are the bodies of move orders, `released` the handles that were freed, and
+    `continued` the requests that continued a run. `stopped` is set once a run was stopped for its
+    last copy. With `rejects_moves` all moves fail.
+    """
 
     rejects_moves: bool = False
     move_orders: list[dict[str, object]] = field(default_factory=list)
@@ -38,7 +43,7 @@
     async def script(
         self, arrival: Arrival, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a stream, a move or a release."""
+        """Answer a request for a stream, a move or a release."""
         if "/v1/kv-move" in arrival.line:
             await self._move(arrival, writer)
         elif "/v1/kv-handle" in arrival.line:
@@ -59,13 +64,13 @@
         writer.write(head.encode() + data)
 
     async def _stream(self, arrival: Arrival, writer: asyncio.StreamWriter) -> None:
-        begin = 0
+        last_event_id = 0
         if arrival.get("kv-from"):
             self.continued.append(arrival)
-            begin = int(arrival.get("last-event-id") or 0)
+            last_event_id = int(arrival.get("last-event-id") or 0)
         writer.write(stream_head(arrival))
-        for number in range(begin + 1, STREAM_EVENTS + 1):
-            if self.stopped.is_set() and not begin:
+        for number in range(last_event_id + 1, STREAM_EVENTS + 1):
+            if self.stopped.is_set() and not last_event_id:
                 writer.write(chunk(event(number)[:5]))
                 await writer.drain()
                 writer.close()
@@ -80,7 +85,7 @@
     async def start_stream(
         self, world: GatewayWorld, pair: EnginePair
     ) -> tuple[ScriptedServer, asyncio.StreamReader, asyncio.StreamWriter]:
-        """Start a stream that may not be resumed, and a second server."""
+        """Start a stream that may not be resumed at the first server, then start a second one."""
         first = await world.start_server("s1", "model", pair.script)
         reader, writer = await world.connect()
         writer.write(request_bytes("/draft/", headers=TOKEN_HEADERS))
@@ -91,11 +96,11 @@
 
     def test_stream_continues_at_another_server_as_the_same_run(self) -> None:
         async def work() -> None:
-            for leave in (True, False):
+            for listed_as_leaving in (True, False):
                 pair = EnginePair()
                 async with GatewayWorld(make_plan()) as world:
                     first, reader, writer = await self.start_stream(world, pair)
-                    if leave:
+                    if listed_as_leaving:
                         world.update_listed("s1", leaving=True)
                     else:
                         world.unlist("s1")
@@ -107,7 +112,7 @@
                     self.assertEqual(pair.continued[0].get("kv-from"), f"{first.address}/h1")
                     self.assertEqual(pair.continued[0].get("expect-instance"), "s2")
                     self.assertEqual(
-                        [c.get("last", False) for c in pair.move_orders], [False, True]
+                        [order.get("last", False) for order in pair.move_orders], [False, True]
                     )
                     self.assertEqual(pair.released, [])
                     self.assertEqual(world.balancer.views["s2"].running, 0)
