--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -1,4 +1,4 @@
-"""What callers and servers see of the gateway's forwarding, byte by byte, under failure."""
+"""Forwarding under failure, as callers and servers see it on the wire."""
 
 import asyncio
 import unittest
@@ -31,39 +31,39 @@
 
 
 async def cut_answer(arrival: Arrival, _: Reader, writer: Writer) -> None:
-    """Send half an answer and reset."""
+    """Send half an answer, then reset the connection."""
     writer.write(answer(arrival, b"x" * 1000)[:-500])
     await writer.drain()
     reset(writer)
 
 
 async def reset_at_once(_: Arrival, __: Reader, writer: Writer) -> None:
-    """Reset without an answer."""
+    """Reset the connection without an answer."""
     reset(writer)
 
 
 async def answer_500(arrival: Arrival, _: Reader, writer: Writer) -> None:
-    """Answer with the server's own failure."""
+    """Answer with a failure of the server."""
     writer.write(answer(arrival, b"bad", 500))
 
 
 async def answer_not_executed(arrival: Arrival, _: Reader, writer: Writer) -> None:
-    """Say that the request did not run."""
+    """Reject the request with the statement that it did not run."""
     writer.write(answer(arrival, b"", 503, b"Not-Executed: 1\r\n"))
 
 
 async def answer_503(arrival: Arrival, _: Reader, writer: Writer) -> None:
-    """Answer 503 without saying that the request did not run."""
+    """Answer 503 without a statement that the request did not run."""
     writer.write(answer(arrival, b"busy", 503))
 
 
 async def never_answer(_: Arrival, reader: Reader, __: Writer) -> None:
-    """Say nothing until the other side closes."""
+    """Send nothing until the gateway closes the connection."""
     await reader.read()
 
 
 async def stream_events(arrival: Arrival, _: Reader, writer: Writer) -> None:
-    """Send five events and end whole."""
+    """Send the events after the last event id, up to five, and complete the stream."""
     after = int(arrival.get("last-event-id") or 0)
     writer.write(stream_head(arrival))
     for number in range(after + 1, 6):
@@ -74,7 +74,7 @@
 
 
 async def stream_and_reset(arrival: Arrival, _: Reader, writer: Writer) -> None:
-    """Send two events and half of the third, then reset."""
+    """Send two events and a part of the third, then reset the connection."""
     writer.write(stream_head(arrival))
     writer.write(chunk(event(1)) + chunk(event(2)) + chunk(event(3)[:7]))
     await writer.drain()
@@ -86,7 +86,7 @@
 
 
 class WholeAnswersTest(unittest.TestCase):
-    """Each caller gets its own whole answer, or one that can't be taken for whole."""
+    """Each caller gets its own complete answer, or one that does not look complete."""
 
     def test_request_and_answer_pass_unchanged(self) -> None:
         async def work() -> None:
@@ -109,12 +109,12 @@
         run_quietly(work())
 
     def test_answers_to_head_requests_have_no_body(self) -> None:
-        async def lengthy(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_without_body(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival, b"x" * 70)[:-70])
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "plain", lengthy)
+                server = await world.start_server("s1", "plain", answer_without_body)
                 reader, writer = await world.connect()
                 for number, key in ((1, API_KEY), (2, "unknown"), (3, API_KEY)):
                     headers = {"Authorization": f"Bearer {key}", "Content-Length": ""}
@@ -155,7 +155,7 @@
         run_quietly(work())
 
     def test_answer_without_length_ends_with_its_connection(self) -> None:
-        async def closes(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_until_close(arrival: Arrival, _: Reader, writer: Writer) -> None:
             request_id = (arrival.get("request-id") or "").encode()
             writer.write(
                 b"HTTP/1.1 200 X\r\nRequest-Id: %b\r\n%b\r\nall" % (request_id, STAMP_HEADER)
@@ -163,7 +163,7 @@
             await writer.drain()
             writer.close()
 
-        async def resets_after(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_and_reset(arrival: Arrival, _: Reader, writer: Writer) -> None:
             request_id = (arrival.get("request-id") or "").encode()
             writer.write(
                 b"HTTP/1.1 200 X\r\nRequest-Id: %b\r\n%b\r\nhalf" % (request_id, STAMP_HEADER)
@@ -174,10 +174,10 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "plain", closes)
+                server = await world.start_server("s1", "plain", answer_until_close)
                 got = await world.send_request("/order/")
                 self.assertEqual((got.status, got.body, got.whole), (200, b"all", True))
-                server.script = resets_after
+                server.script = answer_and_reset
                 got = await world.send_request("/order/", request_id="r2")
                 self.assertEqual(got.status, 502)
 
@@ -186,37 +186,37 @@
     def test_long_answer_is_relayed_while_it_arrives(self) -> None:
         body = bytes(3_000_000)
 
-        async def long(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_long(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival, body))
 
-        async def long_and_cut(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_long_and_close(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival, body)[:2_500_000])
             await writer.drain()
             writer.close()
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "plain", long)
+                server = await world.start_server("s1", "plain", answer_long)
                 got = await world.send_request("/order/")
                 self.assertEqual((got.status, got.whole, len(got.body)), (200, True, len(body)))
-                server.script = long_and_cut
+                server.script = answer_long_and_close
                 got = await world.send_request("/order/", request_id="r2")
                 self.assertEqual((got.status, got.whole), (200, False))
 
         run_quietly(work())
 
     def test_connection_with_surplus_bytes_is_not_reused(self) -> None:
-        async def answers_twice(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_twice(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival) + answer(arrival, b"not yours"))
 
-        async def answers_late(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def send_surplus_late(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival))
             await writer.drain()
             await asyncio.sleep(0.05)
             writer.write(answer(arrival, b"not yours"))
 
         async def work() -> None:
-            for script in (answers_twice, answers_late):
+            for script in (answer_twice, send_surplus_late):
                 async with GatewayWorld(make_plan()) as world:
                     server = await world.start_server("s1", "plain", script)
                     for number in range(4):
@@ -228,13 +228,13 @@
         run_quietly(work())
 
     def test_answer_with_another_request_id_is_not_relayed(self) -> None:
-        async def crossed(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_with_another_id(arrival: Arrival, _: Reader, writer: Writer) -> None:
             arrival.headers = [("Request-Id", "someone-else")]
             writer.write(answer(arrival, b"not yours"))
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "plain", crossed)
+                server = await world.start_server("s1", "plain", answer_with_another_id)
                 got = await world.send_request("/order/")
                 self.assertEqual(got.status, 502)
                 self.assertNotIn(b"not yours", got.body)
@@ -245,23 +245,23 @@
         run_quietly(work())
 
     def test_invalid_answer_becomes_a_502(self) -> None:
-        async def garbage(_: Arrival, __: Reader, writer: Writer) -> None:
+        async def send_garbage(_: Arrival, __: Reader, writer: Writer) -> None:
             writer.write(b"\x00\x01 this is no answer\r\n\r\n")
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.start_server("s1", "plain", garbage)
+                await world.start_server("s1", "plain", send_garbage)
                 self.assertEqual((await world.send_request("/order/")).status, 502)
 
         run_quietly(work())
 
     def test_early_answer_is_relayed(self) -> None:
-        async def early(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_early(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(answer(arrival, b"too long", 413))
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "plain", early)
+                server = await world.start_server("s1", "plain", answer_early)
                 got = await world.send_request("/order/", body=b"x" * 100)
                 self.assertEqual((got.status, got.body), (413, b"too long"))
                 self.assertEqual(server.arrivals[0].body, b"x" * 100)
@@ -270,7 +270,7 @@
 
 
 class RunsTest(unittest.TestCase):
-    """What may run once runs once; what the system says of runs is true."""
+    """A non-repeatable request runs at most once, and no answer is wrong about whether it ran."""
 
     def test_non_repeatable_request_is_not_retried_after_it_may_have_run(self) -> None:
         async def work() -> None:
@@ -380,13 +380,13 @@
         run_quietly(work())
 
     def test_request_names_the_instance_it_expects_at_an_address(self) -> None:
-        async def another(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def answer_misdirected(arrival: Arrival, _: Reader, writer: Writer) -> None:
             self.assertEqual(arrival.get("expect-instance"), "s1")
             writer.write(answer(arrival, b"", 421, b"Instance-Id: other\r\n"))
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                await world.start_server("s1", "plain", another)
+                await world.start_server("s1", "plain", answer_misdirected)
                 got = await world.send_request("/order/")
                 self.assertEqual(got.status, 503)
 
@@ -394,17 +394,17 @@
 
 
 class TimeTest(unittest.TestCase):
-    """One deadline is carried through; callers that leave are heeded at once."""
+    """A request has one deadline for all attempts, and is cancelled when its caller disconnects."""
 
     def test_retry_gets_the_remaining_deadline(self) -> None:
-        async def slow_then_sheds(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def decline_slowly(arrival: Arrival, _: Reader, writer: Writer) -> None:
             await asyncio.sleep(0.3)
             await answer_not_executed(arrival, _, writer)
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 servers = [
-                    await world.start_server(f"s{n}", "plain", slow_then_sheds) for n in (1, 2)
+                    await world.start_server(f"s{n}", "plain", decline_slowly) for n in (1, 2)
                 ]
                 await world.send_request("/order/", headers={"Deadline-Ms": "900"})
                 left = sorted(int(s.arrivals[0].get("deadline-ms") or 0) for s in servers)
@@ -430,13 +430,13 @@
         run_quietly(work())
 
     def test_safe_request_stays_where_it_is_if_there_is_no_other_server(self) -> None:
-        async def slow(arrival: Arrival, reader: Reader, writer: Writer) -> None:
+        async def answer_slowly(arrival: Arrival, reader: Reader, writer: Writer) -> None:
             await asyncio.sleep(0.4)
             await answer_ok(arrival, reader, writer)
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "plain", slow)
+                server = await world.start_server("s1", "plain", answer_slowly)
                 self.assertEqual((await world.send_request("/check/")).status, 200)
                 self.assertEqual(len(server.arrivals), 1)
 
@@ -483,7 +483,7 @@
         run_quietly(work())
 
     def test_disconnect_during_a_stream_cancels_the_request(self) -> None:
-        async def endless(arrival: Arrival, _: Reader, writer: Writer) -> None:
+        async def stream_endlessly(arrival: Arrival, _: Reader, writer: Writer) -> None:
             writer.write(stream_head(arrival))
             for number in range(10_000):
                 writer.write(chunk(event(number)))
@@ -492,7 +492,7 @@
 
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
-                server = await world.start_server("s1", "model", endless)
+                server = await world.start_server("s1", "model", stream_endlessly)
                 reader, writer = await world.connect()
                 writer.write(request_bytes("/draft/"))
                 await reader.readuntil(b"piece 3")
@@ -504,14 +504,14 @@
 
 
 async def stream_one_event_then_hang(arrival: Arrival, reader: Reader, writer: Writer) -> None:
-    """A script of a server that goes dark after its first event."""
+    """Send one event, then nothing until the gateway closes the connection."""
     writer.write(stream_head(arrival) + chunk(event(1)))
     await writer.drain()
     await reader.read()
 
 
 async def stream_after_last_event(arrival: Arrival, _: Reader, writer: Writer) -> None:
-    """A script that streams the events after the one that the request names."""
+    """Send the events after the last event id all at once, and complete the stream."""
     events = ALL_EVENTS.split(END_OF_EVENT)[int(arrival.get("last-event-id") or 0) : -1]
     writer.write(stream_head(arrival))
     for each in events:
@@ -520,7 +520,7 @@
 
 
 class StreamTest(unittest.TestCase):
-    """Streams pass whole events in order, from one run or from runs that continue."""
+    """Callers get whole events in order, also if a stream continues at another server."""
 
     def test_events_are_relayed_unchanged(self) -> None:
         async def work() -> None:
@@ -532,7 +532,7 @@
         run_quietly(work())
 
     def test_resumable_stream_continues_at_another_server_within_one_answer(self) -> None:
-        async def other_stamp(arrival: Arrival, reader: Reader, writer: Writer) -> None:
+        async def continue_after_event_2(arrival: Arrival, reader: Reader, writer: Writer) -> None:
             self.assertEqual(arrival.get("last-event-id"), "2")
             await stream_events(arrival, reader, writer)
 
@@ -542,7 +542,7 @@
                 world.update_listed("s1")
                 task = asyncio.create_task(world.send_request("/review/"))
                 await first.arrived.wait()
-                await world.start_server("s2", "model", other_stamp)
+                await world.start_server("s2", "model", continue_after_event_2)
                 got = await task
                 self.assertEqual((got.body, got.whole), (ALL_EVENTS, True))
 
@@ -628,7 +628,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Bad input gets a clear answer at once, and nothing of it reaches a server."""
+    """Invalid requests are rejected at once and never reach a server."""
 
     def test_requests_without_a_plan_route_or_key_are_rejected(self) -> None:
         async def work() -> None:
