--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -1,4 +1,4 @@
-"""Limits of accounts and the budget of repeats, over all nodes."""
+"""Rate limits of accounts and the retry budget, across all nodes."""
 
 import unittest
 
@@ -85,17 +85,17 @@
         self.assertEqual(limits.take(self.account, 500, now + wait + 0.001), 0.0)
 
     def admit_at_all_nodes(self, limits: list[AccountLimits], times: list[float]) -> list[float]:
-        """Let nodes that hear of each other each 0.2 s admit all they can; return the times."""
+        """Admit all that the limits allow; return the times. Nodes exchange states every 0.2 s."""
         admitted = []
-        told = [dict(each.spent) for each in limits]
+        last_sent = [dict(each.spent) for each in limits]
         for index, now in enumerate(times):
             admitted += [now for each in limits if each.take(self.account, 100, now) == 0.0]
             if index % 20 == 0:
-                for one, before in zip(limits, told, strict=True):
+                for one, before in zip(limits, last_sent, strict=True):
                     for other in limits:
                         if other is not one:
                             other.record_peer_spending(before, one.spent, now)
-                told = [dict(each.spent) for each in limits]
+                last_sent = [dict(each.spent) for each in limits]
         return admitted
 
     def assert_window_holds(self, admitted: list[float], allowed: float) -> None:
@@ -104,7 +104,7 @@
             self.assertLessEqual(inside, allowed, first)
 
     def test_crash_of_all_nodes_under_a_busy_account_stays_within_the_tolerance(self) -> None:
-        """Five serve, an account takes all it can; all end and start again, with no memory."""
+        """All five nodes crash while an account uses its whole limit, and restart without state."""
         limit = 8 * 1_000 + 2_000
         before = [AccountLimits(True, 8.0) for _ in range(5)]
         admitted = self.admit_at_all_nodes(before, [step * 0.01 for step in range(2_000)])
@@ -127,12 +127,12 @@
 
     def test_prompt_of_a_small_account_is_admitted_at_a_start(self) -> None:
         small = Account("small", (), None, TOKENS, 200, 13_000.0, 13_000.0)
-        told = AccountLimits(False, 8.0, Tolerance(0.1, 190_000.0), lambda: 5)
-        self.assertEqual(told.take(small, 17_000.0, 0.0), 0.0)
+        limits = AccountLimits(False, 8.0, Tolerance(0.1, 190_000.0), lambda: 5)
+        self.assertEqual(limits.take(small, 17_000.0, 0.0), 0.0)
         self.assertGreater(AccountLimits(False, 8.0).take(small, 17_000.0, 0.0), 0.8)
 
     def test_crash_of_all_nodes_with_a_configured_tolerance_stays_within_it(self) -> None:
-        """As above, where nodes hold what the stated tolerance leaves them."""
+        """As above, with start levels that follow from a configured tolerance."""
         tolerance = Tolerance(0.1, 1_000.0)
         before = [AccountLimits(True, 8.0) for _ in range(5)]
         admitted = self.admit_at_all_nodes(before, [step * 0.01 for step in range(2_000)])
@@ -174,19 +174,19 @@
 class RetryBudgetTest(unittest.TestCase):
     def test_all_nodes_together_stay_within_the_budget(self) -> None:
         budgets = [RetryBudget(0.2, 20.0, 10.0) for _ in range(9)]
-        requests = repeats = 0
+        requests = retries = 0
         for step in range(200):
             now = step * 0.05
             counts = [budget.counts(now) for budget in budgets]
             for number, budget in enumerate(budgets):
                 budget.record_request(now)
                 requests += 1
-                others = [each for other, each in enumerate(counts) if other != number]
-                if budget.allows(now, others, 9):
+                peers = [each for other, each in enumerate(counts) if other != number]
+                if budget.allows(now, peers, 9):
                     budget.record_retry(now)
-                    repeats += 1
-        self.assertLessEqual(repeats, 0.2 * requests + 20)
-        self.assertGreater(repeats, 0.05 * requests)
+                    retries += 1
+        self.assertLessEqual(retries, 0.2 * requests + 20)
+        self.assertGreater(retries, 0.05 * requests)
 
     def test_requests_before_the_window_allow_no_retries(self) -> None:
         budget = RetryBudget(0.2, 0.0, 10.0)
@@ -197,11 +197,13 @@
 
 
 class StartingNode:
-    """What one node that starts knows of the others and of an account's limit."""
+    """A starting node: its peers, and its bucket for an account."""
 
-    def __init__(self, number: int, first_round_s: float, account: Account, bounds: Bounds) -> None:
+    def __init__(
+        self, number: int, first_round_at: float, account: Account, bounds: Bounds
+    ) -> None:
         self.name = f"n{number}"
-        self.next_round_at = first_round_s
+        self.next_round_at = first_round_at
         members = Membership(self.name, 1)
         self.neighbours = Neighbours(members, f"{self.name}:2", 0.0)
         self.sharing = Sharing(members, bounds, now=lambda: self.now)
@@ -213,36 +215,36 @@
         self._sequence = 0
 
     def state(self) -> NodeState:
-        """Return what this node tells."""
+        """Return the next state to send to peers."""
         self._sequence += 1
         spent = dict(self.limits.spent)
         return make_state(self.name, sequence=self._sequence, spent=spent, age_s=self.now)
 
     def send_state(self, now: float, nodes: dict[str, "StartingNode"]) -> None:
-        """Tell in one round whom this node tells, who hear it at once."""
+        """Run a gossip round: send this node's state to its targets, which receive it at once."""
         own = self.state()
         self.neighbours.record_busy(now)
         targets = self.neighbours.state_targets(own, now)
-        others = self.neighbours.brief_targets(own, targets, now)
-        for address, told in (
+        brief_targets = self.neighbours.brief_targets(own, targets, now)
+        for address, sent in (
             *((a, own) for a in targets),
-            *((a, own.without_counts()) for a in others),
+            *((a, own.without_counts()) for a in brief_targets),
         ):
-            other = nodes[address]
-            other.now = now
-            other.sharing.merge_state(told, other.limits)
+            peer = nodes[address]
+            peer.now = now
+            peer.sharing.merge_state(sent, peer.limits)
 
 
 class AllStartTest(unittest.TestCase):
-    """An account at its limit must not get more by all processes ending at once.
-
-    What was seen: 2 in 100 beyond the tolerance on a site of 87 nodes, on two plays of a day and on
-    the code of two landings. All processes ended 6.6 s into the window and were back 0.6 s later.
-    Before that three nodes took the account's requests, then 19: callers keep the addresses of
-    nodes that served before. None of the 19 refused anything for 0.7 s (1.5 M tokens a second), as
-    none heard in that time what the others spent: nodes that take requests told those that serve,
-    and for 0.8 s after such a start nobody does. What each may have until then is made for as many
-    nodes as there are halls, and it fills at the whole rate at each.
+    """An account at its limit must not get more because all nodes crash at once.
+
+    With 87 nodes an account got 2% more than the tolerance allows. All nodes crashed 6.6 s into the
+    window and were back 0.6 s later. Three nodes had received the account's requests before, and 19
+    did afterwards, since callers keep the addresses of nodes that served earlier. For 0.7 s none of
+    the 19 rejected anything (1.5 million tokens/s), since none received what the others spent:
+    nodes that get requests sent their states to serving nodes only, and no node serves for the
+    first 0.8 s after such a start. The start level of a bucket is meant for as many nodes as there
+    are halls, and each bucket refills at the whole rate.
     """
 
     RATE_TOKENS_PER_S = 288_454.0
@@ -255,7 +257,7 @@
     CRASHED_AT_S = 6.6
     RESTART_S = 0.6
     ADDRESSES_KNOWN_AT_S = 0.3
-    """Nodes have read each other's addresses from the store by then."""
+    """Time by which nodes have read the addresses of their peers from the store."""
 
     def test_account_keeps_its_limit_when_many_nodes_start_at_once(self) -> None:
         account = Account(
@@ -268,17 +270,17 @@
         allowed = limit + tolerance.allowance_for(account, self.WINDOW_S)
         self.assertLessEqual(before + after, allowed)
 
-    def admitted_tokens(self, account: Account, for_s: float) -> float:
-        """Send requests to some nodes in turn, which tell each other in rounds of their own."""
+    def admitted_tokens(self, account: Account, duration_s: float) -> float:
+        """Send requests to some nodes in turn, which gossip; return the admitted tokens."""
         nodes = {
             f"n{number}:2": StartingNode(
                 number, GOSSIP_INTERVAL_S * number / self.NODES, account, self.BOUNDS
             )
             for number in range(self.NODES)
         }
-        taking = list(nodes.values())[: self.BUSY_NODES]
+        busy = list(nodes.values())[: self.BUSY_NODES]
         total = 0.0
-        for number in range(int(for_s * self.REQUESTS_PER_S)):
+        for number in range(int(duration_s * self.REQUESTS_PER_S)):
             now = number / self.REQUESTS_PER_S
             for node in nodes.values():
                 if now >= self.ADDRESSES_KNOWN_AT_S and not node.neighbours.addresses.expires_at:
@@ -286,9 +288,9 @@
                         node.neighbours.addresses.add(address, now)
                 if now >= node.next_round_at:
                     node.next_round_at += GOSSIP_INTERVAL_S
-                    if node in taking:
+                    if node in busy:
                         node.send_state(now, nodes)
-            if taking[number % len(taking)].limits.take(account, self.REQUEST_TOKENS, now) == 0.0:
+            if busy[number % len(busy)].limits.take(account, self.REQUEST_TOKENS, now) == 0.0:
                 total += self.REQUEST_TOKENS
         return total
 
