--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of placements, and what the choice makes of it."""
+"""Placements that nodes send to each other, and their effect on the choice of servers."""
 
 import unittest
 
@@ -26,13 +26,13 @@
 SERVERS = [Server(f"s{number}", "model", f"h:{number}", "hall-a", 64) for number in range(4)]
 
 
-def make_facts(subject: str, own: str, tokens: int = 10_000) -> RequestFacts:
-    parts = (PromptPart(subject, tokens), PromptPart(own, 100))
+def make_facts(shared: str, own: str, tokens: int = 10_000) -> RequestFacts:
+    parts = (PromptPart(shared, tokens), PromptPart(own, 100))
     return RequestFacts(prompt_tokens=tokens + 100, answer_tokens=10, parts=parts)
 
 
 class Node:
-    """A node's book and news, without sockets."""
+    """A node's balancer and the placements that it sends and receives, without sockets."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -53,8 +53,8 @@
     def placement_update(self) -> PlacementNews:
         return PlacementNews(self.name, 1, self.sequence, self.balancer.drain_placements())
 
-    def receive(self, news: PlacementNews) -> None:
-        self.sharing.apply_placements(news, self.balancer, lambda _: ENGINE)
+    def receive(self, update: PlacementNews) -> None:
+        self.sharing.apply_placements(update, self.balancer, lambda _: ENGINE)
 
 
 class PlacementNewsTest(unittest.TestCase):
@@ -82,8 +82,8 @@
     def test_prompt_is_placed_where_a_peer_placed_its_prefix(self) -> None:
         home = self.one.balancer.place("model", make_facts("a", "x"), ENGINE, 1.0)
         assert home is not None
-        away = frozenset({home.view.server.id})
-        elsewhere = self.one.balancer.place("model", make_facts("a", "y"), ENGINE, 1.0, away)
+        excluded = frozenset({home.view.server.id})
+        elsewhere = self.one.balancer.place("model", make_facts("a", "y"), ENGINE, 1.0, excluded)
         assert elsewhere is not None
         self.two.receive(self.one.placement_update())
         home.on_first_token()
@@ -102,11 +102,11 @@
     def test_updates_of_another_incarnation_or_older_than_the_state_are_ignored(self) -> None:
         placed = self.one.balancer.place("model", make_facts("a", "x"), ENGINE, 1.0)
         assert placed is not None
-        news = self.one.placement_update()
+        update = self.one.placement_update()
         self.two.members.merge(self.one.state(), 1.0)
-        self.two.receive(news)
-        self.two.receive(PlacementNews("n1", 2, 99, news.placed))
-        self.two.receive(PlacementNews("n9", 1, 99, news.placed))
+        self.two.receive(update)
+        self.two.receive(PlacementNews("n1", 2, 99, update.placed))
+        self.two.receive(PlacementNews("n9", 1, 99, update.placed))
         self.assertEqual(self.two.balancer.views[placed.view.server.id].total_running, 0)
 
     def test_placements_are_sent_once(self) -> None:
@@ -120,10 +120,10 @@
 
 
 class NearlyEqualTest(unittest.TestCase):
-    """Servers of which nothing tells one from another."""
+    """Choice between servers with about the same cost."""
 
     def first_choices(self, nodes: int, facts: list[RequestFacts]) -> list[str]:
-        """Let nodes that know nothing place one request each."""
+        """Return the servers that nodes choose for their first request, without any load data."""
         chosen = []
         for number in range(nodes):
             balancer = LoadBalancer("hall-a")
@@ -155,19 +155,19 @@
 
     def test_server_with_an_idle_connection_comes_first(self) -> None:
         for engine in (None, ENGINE):
-            for kept in SERVERS:
+            for connected in SERVERS:
                 balancer = LoadBalancer("hall-a")
                 balancer.apply(SERVERS)
-                balancer.has_connection = lambda server, kept=kept: server == kept.id  # type: ignore[misc]
+                balancer.has_connection = lambda server, connected=connected: server == connected.id  # type: ignore[misc]
                 placed = balancer.place(
                     "model", RequestFacts(id="r1", prompt_tokens=50), engine, 1.0
                 )
                 assert placed is not None
-                self.assertEqual(placed.view.server.id, kept.id)
+                self.assertEqual(placed.view.server.id, connected.id)
 
 
 class QueuedReadingTest(unittest.TestCase):
-    """Between two first events a server read what any node placed between the prompts."""
+    """The time between two first events covers all work placed by any node between the prompts."""
 
     def test_work_of_other_nodes_between_two_prompts_counts(self) -> None:
         one, other = Node("n1"), Node("n2")
@@ -183,10 +183,10 @@
         assert first is not None and between is not None and second is not None
         one.balancer.record_first_event(first, 1.2)
         one.balancer.record_first_event(second, 1.8)
-        seen = one.balancer.estimator("model")._samples[-1]
-        self.assertTrue(seen.queued)
-        self.assertAlmostEqual(seen.took_s, 0.6)
-        self.assertEqual(seen.work, between.work + second.work)
+        sample = one.balancer.estimator("model")._samples[-1]
+        self.assertTrue(sample.queued)
+        self.assertAlmostEqual(sample.took_s, 0.6)
+        self.assertEqual(sample.work, between.work + second.work)
 
     def test_prompt_sent_after_the_previous_first_event_is_timed_from_its_sending(self) -> None:
         balancer = LoadBalancer("hall-a")
@@ -195,22 +195,22 @@
             placed = balancer.place("model", make_facts("a", str(number)), ENGINE, sent_at)
             assert placed is not None
             balancer.record_first_event(placed, sent_at + 0.3)
-        seen = balancer.estimator("model")._samples[-1]
-        self.assertFalse(seen.queued)
-        self.assertAlmostEqual(seen.took_s, 0.3)
+        sample = balancer.estimator("model")._samples[-1]
+        self.assertFalse(sample.queued)
+        self.assertAlmostEqual(sample.took_s, 0.3)
 
 
 class FetchTest(unittest.TestCase):
-    """A prompt's front comes from another server where that is quicker than reading it."""
+    """A cached prefix is fetched from another server where that is faster than prefill."""
 
     def place_home_and_other(self, engine: Engine) -> tuple[Placement, Placement]:
-        """Place a prompt, then one with the same front where its home may not be chosen."""
+        """Place a prompt, then one with the same prefix that may not use the same server."""
         balancer = LoadBalancer("hall-a")
         balancer.apply(SERVERS)
         home = balancer.place("model", make_facts("a", "x"), engine, 1.0)
         assert home is not None
-        away = frozenset({home.view.server.id})
-        other = balancer.place("model", make_facts("a", "y"), engine, 1.0, away)
+        excluded = frozenset({home.view.server.id})
+        other = balancer.place("model", make_facts("a", "y"), engine, 1.0, excluded)
         assert other is not None
         return home, other
 
@@ -241,13 +241,13 @@
         balancer.apply(SERVERS)
         home = balancer.place("model", make_facts("a", "x"), FAST_LINKS, 1.0)
         assert home is not None
-        away = frozenset({home.view.server.id})
+        excluded = frozenset({home.view.server.id})
         record_silence(home.view, 1.0)
-        silent = balancer.place("model", make_facts("a", "y"), FAST_LINKS, 1.0, away)
+        silent = balancer.place("model", make_facts("a", "y"), FAST_LINKS, 1.0, excluded)
         assert silent is not None
         self.assertEqual(silent.fetch_from, "")
         record_answer(home.view, False, 0.1)
-        balancer.apply([server for server in SERVERS if server.id not in away])
+        balancer.apply([server for server in SERVERS if server.id not in excluded])
         balancer.views[silent.view.server.id].cached.clear()
         gone = balancer.place("model", make_facts("a", "z"), FAST_LINKS, 9.0)
         assert gone is not None
@@ -301,9 +301,9 @@
 
 class PartsWithoutTokensTest(unittest.TestCase):
     def test_parts_without_tokens_are_not_recorded_and_do_not_end_the_prefix(self) -> None:
-        view = LoadBalancer("hall-a")
-        view.apply(SERVERS[:1])
-        server = view.views["s0"]
+        balancer = LoadBalancer("hall-a")
+        balancer.apply(SERVERS[:1])
+        server = balancer.views["s0"]
         for number in range(1_000):
             server.record_cached((PromptPart(f"empty-{number}", 0),), 1_000)
             server.record_cached((PromptPart(f"less-{number}", -5),), 1_000)
