--- a/tests/test_gateway_renting.py
+++ b/tests/test_gateway_renting.py
@@ -1,4 +1,4 @@
-"""How many servers are wanted, and what demand is counted."""
+"""Number of servers to rent, and the demand that it follows."""
 
 import unittest
 from unittest import mock
@@ -57,20 +57,20 @@
         meter = WorkMeter()
         demand = Demand()
         for step in range(12):
-            placed = 5_000_000 + step * 50_000 if step >= 2 else 0
-            states = [make_state("n1", sequence=step + 1, work={"model": placed})] if placed else []
+            work = 5_000_000 + step * 50_000 if step >= 2 else 0
+            states = [make_state("n1", sequence=step + 1, work={"model": work})] if work else []
             meter.merge_peers(states)
             demand.record_total(meter.total.get("model", 0), step * 0.5)
         self.assertLess(demand.work_per_s, 1.1 * 100_000)
 
 
 class LateWorkTest(unittest.TestCase):
-    """Work that waits for longer than the target raises the need at once."""
+    """Work that is queued for longer than the target raises the need at once."""
 
     speed = Speed(50_000.0, 0.02, 0.5, 4_000.0, 100)
 
-    def servers_needed(self, work_per_s: float, waiting: float) -> int:
-        load = Load(work_per_s, waiting, 20)
+    def servers_needed(self, work_per_s: float, queued_tokens: float) -> int:
+        load = Load(work_per_s, queued_tokens, 20)
         return servers_for_load(PlanIndex(make_plan()), "model", 64, BOOT_S, load, self.speed)
 
     def test_queue_within_the_target_does_not_raise_the_need(self) -> None:
@@ -81,11 +81,11 @@
         )
 
     def test_overdue_work_raises_the_need(self) -> None:
-        late = 400_000.0 * BACKLOG_DRAIN_BOOTS * BOOT_S
+        overdue = 400_000.0 * BACKLOG_DRAIN_BOOTS * BOOT_S
         target_s = shortest_target_s(PlanIndex(make_plan()), "model")
-        waiting = 200_000.0 * target_s + late
+        queued_tokens = 200_000.0 * target_s + overdue
         self.assertEqual(
-            self.servers_needed(200_000.0, waiting), self.servers_needed(600_000.0, 0.0)
+            self.servers_needed(200_000.0, queued_tokens), self.servers_needed(600_000.0, 0.0)
         )
 
 
@@ -93,7 +93,7 @@
     renting = Renting(1, 5, BOOT_S, 0.15, {"a": 1.0, "b": 0.8, "c": 1.25, "d": 0.9})
 
     def setUp(self) -> None:
-        """Begin with four of the twenty servers allowed, whatever the share is tuned to."""
+        """Set an initial need of 4 of the 20 allowed servers, independent of the default share."""
         share = mock.patch("moledale.gateway.renting.START_SHARE", 4 / 20)
         share.start()
         self.addCleanup(share.stop)
@@ -107,9 +107,9 @@
         return planner
 
     def make_servers(
-        self, spot: dict[str, int], firm: dict[str, int] | None = None
+        self, spot: dict[str, int], on_demand: dict[str, int] | None = None
     ) -> list[Server]:
-        kinds = ((spot, True), (firm or {}, False))
+        kinds = ((spot, True), (on_demand or {}, False))
         return [
             Server(f"{hall}{number}{is_spot}", "model", "x:1", hall, 64, spot=is_spot)
             for counts, is_spot in kinds
@@ -127,18 +127,23 @@
 
     def test_spot_servers_are_spread_and_ordered_once(self) -> None:
         planner = self.make_planner(4)
-        firm = {"a": 2, "b": 3, "c": 2, "d": 2}
-        orders = self.accept_orders(planner, self.make_servers({}, firm), 0.0)
+        on_demand = {"a": 2, "b": 3, "c": 2, "d": 2}
+        orders = self.accept_orders(planner, self.make_servers({}, on_demand), 0.0)
         spot = {order.hall: order.number for order in orders if order.spot}
         self.assertEqual(spot, dict.fromkeys(HALLS, 2))
         self.assertEqual(
-            [o for o in self.accept_orders(planner, self.make_servers({}, firm), 1.0) if o.spot], []
+            [
+                o
+                for o in self.accept_orders(planner, self.make_servers({}, on_demand), 1.0)
+                if o.spot
+            ],
+            [],
         )
 
     def test_on_demand_servers_stay_until_spot_servers_run(self) -> None:
         planner = self.make_planner(4)
-        firm = {"a": 2, "b": 3, "c": 2, "d": 2}
-        self.accept_orders(planner, self.make_servers({}, firm), 0.0)
+        on_demand = {"a": 2, "b": 3, "c": 2, "d": 2}
+        self.accept_orders(planner, self.make_servers({}, on_demand), 0.0)
         kept = sum(planner.states[hall, False].number or 0 for hall in HALLS)
         self.assertGreaterEqual(kept, 3)
         self.accept_orders(planner, self.make_servers(dict.fromkeys(HALLS, 2), {"b": 3}), 5.0)
@@ -149,11 +154,11 @@
         planner = self.make_planner(4)
         full = self.make_servers(dict.fromkeys(HALLS, 2))
         self.accept_orders(planner, full, 0.0)
-        two_left = self.make_servers({"a": 2, "b": 0, "c": 2, "d": 0})
+        remaining = self.make_servers({"a": 2, "b": 0, "c": 2, "d": 0})
         for hall in ("b", "d"):
             planner.record_outcome(Order("model", hall, True, 2), False, 10.0)
-        firm = [o for o in self.accept_orders(planner, two_left, 10.0) if not o.spot]
-        self.assertEqual([(order.hall, order.number) for order in firm], [("b", 1)])
+        on_demand = [o for o in self.accept_orders(planner, remaining, 10.0) if not o.spot]
+        self.assertEqual([(order.hall, order.number) for order in on_demand], [("b", 1)])
 
     def test_refused_order_is_retried_later(self) -> None:
         planner = self.make_planner(4)
@@ -167,19 +172,19 @@
 
     def test_on_demand_servers_are_released_before_any_demand(self) -> None:
         planner = self.make_planner(0, first_start=True)
-        firm = {"a": 2, "b": 3, "c": 2, "d": 2}
-        self.accept_orders(planner, self.make_servers({}, firm), 0.0)
-        self.accept_orders(planner, self.make_servers({}, firm), 0.5)
+        on_demand = {"a": 2, "b": 3, "c": 2, "d": 2}
+        self.accept_orders(planner, self.make_servers({}, on_demand), 0.0)
+        self.accept_orders(planner, self.make_servers({}, on_demand), 0.5)
         self.assertEqual(sum(planner.states[hall, False].number or 0 for hall in HALLS), 0)
 
     def test_servers_that_are_listed_late_are_released(self) -> None:
         planner = self.make_planner(0, first_start=True)
         self.accept_orders(planner, [], 0.0)
         self.accept_orders(planner, [], 0.5)
-        late = self.make_servers(dict.fromkeys(HALLS, 2), {"a": 2, "c": 1})
-        orders = self.accept_orders(planner, late, 12.0)
-        firm = {order.hall: order.number for order in orders if not order.spot}
-        self.assertEqual(firm, {"a": 0, "c": 0})
+        late_listed = self.make_servers(dict.fromkeys(HALLS, 2), {"a": 2, "c": 1})
+        orders = self.accept_orders(planner, late_listed, 12.0)
+        on_demand = {order.hall: order.number for order in orders if not order.spot}
+        self.assertEqual(on_demand, {"a": 0, "c": 0})
 
     def test_need_follows_its_peak(self) -> None:
         demand = Demand()
@@ -222,17 +227,17 @@
 
     def test_new_holder_releases_nothing_before_it_observed_demand(self) -> None:
         planner = RentingPlanner("model", first_start=True)
-        many = self.make_servers(dict.fromkeys(HALLS, 5), {"b": 3})
+        listed = self.make_servers(dict.fromkeys(HALLS, 5), {"b": 3})
         for step in range(9):
             planner.demand.record_total(5e6 + step * 50_000.0, step * 0.5)
-            self.assertEqual(planner.orders(self.renting, many, step * 0.5), [])
+            self.assertEqual(planner.orders(self.renting, listed, step * 0.5), [])
 
     def test_restarted_holder_releases_nothing_while_it_sees_no_demand(self) -> None:
         planner = RentingPlanner("model")
-        many = self.make_servers(dict.fromkeys(HALLS, 5), {"b": 3})
+        listed = self.make_servers(dict.fromkeys(HALLS, 5), {"b": 3})
         for step in range(9):
             planner.demand.record_total(0.0, step * 0.5)
-            self.assertEqual(planner.orders(self.renting, many, step * 0.5), [])
+            self.assertEqual(planner.orders(self.renting, listed, step * 0.5), [])
 
     def test_initial_need_follows_the_allowed_maximum(self) -> None:
         planner = RentingPlanner("model", first_start=True)
