--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -1,4 +1,4 @@
-"""State of a gateway node: windows of usage, time, routes, choice of servers, events, lists."""
+"""State of a gateway node: usage, true time, routes, choice of servers, events, server list."""
 
 import unittest
 from collections.abc import Callable
@@ -56,9 +56,9 @@
 
     def test_duplicate_and_late_states_are_ignored(self) -> None:
         members = Membership("n1", 1)
-        new = make_state("n2", sequence=5, started={2: {"north": 4}})
-        members.merge(new, 0.0)
-        self.assertIsNone(members.merge(new, 0.1))
+        latest = make_state("n2", sequence=5, started={2: {"north": 4}})
+        members.merge(latest, 0.0)
+        self.assertIsNone(members.merge(latest, 0.1))
         self.assertIsNone(members.merge(make_state("n2", sequence=4), 0.1))
         members.merge(make_state("n2", life=2), 0.2)
         self.assertIsNone(members.merge(make_state("n2", life=1, sequence=9), 0.3))
@@ -92,8 +92,8 @@
     def test_split_by_weight(self) -> None:
         shares = (Share("one", 90), Share("two", 10))
         route = Route("r", "x", "/", Kind.SAFE, shares, 1.0, 1.0)
-        picks = [choose_service(route, number / 1000) for number in range(1000)]
-        self.assertEqual(picks.count("two"), 100)
+        chosen = [choose_service(route, number / 1000) for number in range(1000)]
+        self.assertEqual(chosen.count("two"), 100)
 
 
 class BalanceTest(unittest.TestCase):
@@ -104,20 +104,20 @@
         balancer.apply(Server(f"s{n}", "model", f"s{n}:1", "a", 4) for n in range(number))
         return balancer
 
-    def make_facts(self, subject: str, own: str) -> RequestFacts:
-        parts = (PromptPart(subject, 8_000), PromptPart(own, 1_000))
+    def make_facts(self, shared: str, own: str) -> RequestFacts:
+        parts = (PromptPart(shared, 8_000), PromptPart(own, 1_000))
         return RequestFacts(prompt_tokens=9_000, parts=parts)
 
     def test_all_nodes_place_a_shared_prefix_on_the_same_server(self) -> None:
-        places = set()
+        chosen = set()
         for node in range(3):
             balancer = self.make_balancer()
             placement = balancer.place(
                 "model", self.make_facts("subject", f"own{node}"), self.engine, 0.0
             )
             assert placement is not None
-            places.add(placement.view.server.id)
-        self.assertEqual(len(places), 1)
+            chosen.add(placement.view.server.id)
+        self.assertEqual(len(chosen), 1)
 
     def test_shared_prefix_spreads_when_its_server_is_crowded(self) -> None:
         balancer = self.make_balancer()
@@ -128,10 +128,10 @@
 
     def test_load_of_peers_counts_until_they_are_gone(self) -> None:
         balancer = self.make_balancer(2)
-        home = balancer.place("model", self.make_facts("subject", "x"), self.engine, 0.0)
-        assert home is not None
-        home.end()
-        name = home.view.server.id
+        first = balancer.place("model", self.make_facts("subject", "x"), self.engine, 0.0)
+        assert first is not None
+        first.end()
+        name = first.view.server.id
         balancer.apply_peer_states([make_state("n2", loads={name: (4, 90_000)})])
         other = balancer.place("model", self.make_facts("subject", "y"), self.engine, 0.0)
         assert other is not None
@@ -158,9 +158,9 @@
         balancer.tick(10.1)
         self.assertEqual(len(balancer.group("plain").candidates(10.1, frozenset())), 2)
         balancer.tick(10.5)
-        left = [view.server.id for view in balancer.group("plain").candidates(10.5, frozenset())]
-        self.assertEqual(len(left), 1)
-        self.assertNotIn(first.view.server.id, left)
+        ready = [view.server.id for view in balancer.group("plain").candidates(10.5, frozenset())]
+        self.assertEqual(len(ready), 1)
+        self.assertNotIn(first.view.server.id, ready)
         first.view.last_data_at = 10.6
         self.assertEqual(first.view.silent_s(10.6), 0.0)
 
@@ -192,7 +192,7 @@
 
 
 class FakeStore:
-    """A store that lists what a test says, or is away."""
+    """A store that returns the servers set by a test, or fails while it is down."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
@@ -203,12 +203,12 @@
     async def servers(self, _: float, _before: object = None) -> object:
         self.version += 1
         if self.is_down:
-            return Err(Failure("away"))
+            return Err(Failure("down"))
         return Ok(ServerList(tuple(self.listed), self.version, self.now()))
 
 
 class LapsedServersTest(unittest.TestCase):
-    """Entries that lapse while the store is away belong to servers that may well live."""
+    """Servers whose entries lapse during an outage of the store may be alive, and are kept."""
 
     def setUp(self) -> None:
         self.now = 1_000.0
@@ -239,7 +239,10 @@
             self.peer.on_change(change)
 
     def read_list_at(self, now: float, *names: str, leaving: str = "") -> set[str]:
-        """Let one node read a list and return the servers that both nodes believe in then."""
+        """Let one node read a list; return the servers that it and its peer publish then.
+
+        If the last read was long ago, a read fails in between, as in an outage.
+        """
         if now - self.now > MIN_OUTAGE_S:
             self.now = (self.now + now) / 2
             self.store.is_down = True
