--- a/tests/test_plan_spread.py
+++ b/tests/test_plan_spread.py
@@ -28,22 +28,22 @@
 LARGE = config_bytes(9, 1_268)
 LARGEST = config_bytes(9, 3_000)
 CHANGED = config_bytes(11, 1_268, timeout_ms=9_000)
-IN_FORCE_S = 2.0
-THIN_MBPS = 5.0
+ADOPTION_TIMEOUT_S = 2.0
+SLOW_LINK_MBPS = 5.0
 
 
 class CodecTest(unittest.TestCase):
-    def test_a_change_of_a_large_plan_is_small(self) -> None:
+    def test_delta_of_a_large_plan_is_small(self) -> None:
         self.assertLess(len(encode(LARGE)), len(LARGE) / 10)
         self.assertLess(len(encode(CHANGED, LARGE)), 200)
 
-    def test_another_base_is_noticed(self) -> None:
+    def test_wrong_base_is_detected(self) -> None:
         frame = encode(CHANGED, LARGE)
         for base in (SMALL, LARGE[:-1], b""):
             with self.assertRaises(DocumentUnreadable):
                 decode(frame, base, digest_of(CHANGED))
 
-    def test_another_plan_than_announced_is_noticed(self) -> None:
+    def test_plan_other_than_announced_is_detected(self) -> None:
         with self.assertRaises(DocumentUnreadable):
             decode(encode(LARGE), b"", digest_of(CHANGED))
 
@@ -55,7 +55,7 @@
         suppress_health_check=[HealthCheck.differing_executors],
     )
     @given(st.binary(max_size=4_000), st.binary(max_size=4_000), st.data())
-    def test_what_is_damaged_is_refused_or_the_same(
+    def test_corrupt_frame_is_rejected_or_decodes_correctly(
         self, raw: bytes, base: bytes, data: st.DataObject
     ) -> None:
         frame = bytearray(encode(raw, base))
@@ -73,23 +73,23 @@
 class ArchiveTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 100.0
-        self.archive = DocumentArchive(THIN_MBPS, lambda: self.now)
+        self.archive = DocumentArchive(SLOW_LINK_MBPS, lambda: self.now)
 
-    def test_nothing_is_given_without_a_plan(self) -> None:
+    def test_empty_archive_serves_no_piece(self) -> None:
         self.assertIsNone(self.archive.piece(PieceRequest()))
 
-    def test_fetches_take_a_share_of_the_link_only(self) -> None:
+    def test_fetches_use_only_their_share_of_the_link(self) -> None:
         self.archive.add(EraVersion(number=9), LARGE)
         given = 0
         for _ in range(1_000):
             piece = self.archive.piece(PieceRequest())
             given += len(piece.data) if piece is not None else 0
             self.now += 0.001
-        share = THIN_MBPS * BYTES_PER_MBIT * LINK_SHARE
+        share = SLOW_LINK_MBPS * BYTES_PER_MBIT * LINK_SHARE
         self.assertLessEqual(given, share * (1 + BURST_S) + PIECE_BYTES)
         self.assertGreater(given, share / 2)
 
-    def test_a_frame_that_was_begun_goes_on_at_another_node(self) -> None:
+    def test_transfer_continues_from_another_node(self) -> None:
         other = DocumentArchive(100.0, lambda: self.now)
         self.archive.add(EraVersion(number=9), LARGE)
         other.add(EraVersion(number=9), LARGE)
@@ -100,7 +100,7 @@
         self.assertEqual(second.offset, len(first.data))
         self.assertEqual(first.data + second.data, encode(LARGE)[: 2 * PIECE_BYTES])
 
-    def test_a_base_that_is_not_kept_gives_the_whole_plan(self) -> None:
+    def test_unknown_base_yields_the_whole_plan(self) -> None:
         self.archive.add(EraVersion(number=9), LARGE)
         piece = self.archive.piece(PieceRequest(have="unknown"))
         assert piece is not None
@@ -108,60 +108,60 @@
 
 
 class SpreadTest(unittest.TestCase):
-    def test_a_large_plan_is_in_force_at_77_nodes_within_two_seconds(self) -> None:
+    def test_77_nodes_adopt_a_large_plan_within_two_seconds(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(3)]
                 for number in range(74):
-                    await world.add((THIN_MBPS, 20.0, 100.0)[number % 3], SMALL)
+                    await world.add((SLOW_LINK_MBPS, 20.0, 100.0)[number % 3], SMALL)
                 world.publish(LARGE, watchers)
-                took = await world.wait_for_version(9, IN_FORCE_S)
+                took = await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
                 self.assertEqual(sum(node.store_reads for node in world.nodes), 0)
-                self.assertLess(took, IN_FORCE_S)
+                self.assertLess(took, ADOPTION_TIMEOUT_S)
 
         run_quietly(story())
 
-    def test_one_thin_node_alone_has_it_first(self) -> None:
+    def test_plan_spreads_from_one_node_with_a_slow_link(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
-                first = await world.add(THIN_MBPS, SMALL)
+                first = await world.add(SLOW_LINK_MBPS, SMALL)
                 for _ in range(39):
-                    await world.add(THIN_MBPS, SMALL)
+                    await world.add(SLOW_LINK_MBPS, SMALL)
                 world.publish(LARGE, [first])
-                await world.wait_for_version(9, IN_FORCE_S)
+                await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
 
         run_quietly(story())
 
-    def test_four_versions_within_a_second_never_go_back(self) -> None:
+    def test_four_versions_within_a_second_are_adopted_in_order(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(3)]
                 for _ in range(30):
-                    await world.add(THIN_MBPS, SMALL)
+                    await world.add(SLOW_LINK_MBPS, SMALL)
                 for version in (9, 11, 13, 15):
                     world.publish(config_bytes(version, 1_268, 9_000 + version), watchers)
                     await asyncio.sleep(0.25)
-                await world.wait_for_version(15, IN_FORCE_S)
+                await world.wait_for_version(15, ADOPTION_TIMEOUT_S)
                 for node in world.nodes:
                     versions = sorted(node.adopted_at, key=lambda each: node.adopted_at[each])
                     self.assertEqual(versions, sorted(versions))
 
         run_quietly(story())
 
-    def test_dark_and_breaking_sources_are_left_for_others(self) -> None:
+    def test_unresponsive_and_aborting_sources_are_replaced(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(3)]
                 watchers[0].unresponsive = True
                 watchers[1].abort_after = 1
                 for _ in range(10):
-                    await world.add(THIN_MBPS, SMALL)
+                    await world.add(SLOW_LINK_MBPS, SMALL)
                 world.publish(LARGE, watchers)
-                await world.wait_for_version(9, IN_FORCE_S)
+                await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
 
         run_quietly(story())
 
-    def test_a_transfer_that_breaks_off_is_taken_up_where_it_was(self) -> None:
+    def test_interrupted_transfer_resumes_from_another_source(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 breaking = await world.add(100.0, SMALL)
@@ -177,35 +177,35 @@
                 sound.archive.add(EraVersion(number=9), LARGEST)
                 sound.version = 9
                 node.on_announcement(sound)
-                await world.wait_for_version(9, IN_FORCE_S)
+                await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
                 self.assertEqual(sound.piece_requests, pieces - 1)
 
         run_quietly(story())
 
-    def test_a_node_that_starts_meanwhile_gets_the_whole_plan(self) -> None:
+    def test_node_without_a_plan_fetches_the_whole_plan(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(2)]
                 world.publish(LARGE, watchers)
-                late = await world.add(THIN_MBPS)
+                late = await world.add(SLOW_LINK_MBPS)
                 late.on_announcement(watchers[0])
-                await world.wait_for_version(9, IN_FORCE_S)
+                await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
 
         run_quietly(story())
 
-    def test_a_base_that_is_wrong_leads_to_the_whole_plan(self) -> None:
+    def test_wrong_base_falls_back_to_the_whole_plan(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
                 node = await world.add(100.0, SMALL)
                 node.archive._documents[digest_of(SMALL)].raw = SMALL[:-1]
                 world.publish(LARGE, [source])
-                await world.wait_for_version(9, IN_FORCE_S)
+                await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
                 self.assertEqual(node.archive.raw(digest_of(LARGE)), LARGE)
 
         run_quietly(story())
 
-    def test_a_plan_that_can_not_be_read_is_not_asked_for_all_the_time(self) -> None:
+    def test_rejected_plan_is_not_requested_continuously(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
@@ -219,7 +219,7 @@
 
         run_quietly(story())
 
-    def test_the_store_is_asked_once_where_no_node_delivers(self) -> None:
+    def test_store_is_read_once_if_no_source_delivers(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
@@ -233,7 +233,7 @@
 
         run_quietly(story())
 
-    def test_word_of_a_plan_that_nobody_has_ends(self) -> None:
+    def test_claim_of_an_undelivered_version_expires(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
@@ -248,7 +248,7 @@
 
         run_quietly(story())
 
-    def test_a_question_that_can_not_be_read_is_refused(self) -> None:
+    def test_invalid_piece_request_is_rejected(self) -> None:
         async def story() -> None:
             async with PlanWorld() as world:
                 node = await world.add(100.0, SMALL)
@@ -275,7 +275,7 @@
         assert isinstance(refusal, Refusal)
         return refusal.status, refusal.retry_after_s
 
-    def test_what_a_newer_plan_may_allow_is_told_to_come_back(self) -> None:
+    def test_rejection_is_retryable_if_a_newer_plan_may_allow_the_request(self) -> None:
         for path, key, final in ((b"/new/1", b"key-of-north", 404), (b"/check/1", b"none", 401)):
             with self.subTest(path=path):
                 self.assertEqual(self._status(path, key, newer=False), (final, None))
