--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -33,25 +33,25 @@
 
     FOLDERS = ("core", "gateway", "platform")
 
-    def test_each_number_says_what_it_is_for(self) -> None:
+    def test_each_constant_has_a_reason(self) -> None:
         silent = [
             f"{path.name}:{name}"
             for folder in self.FOLDERS
             for path in sorted((ROOT / "src" / "moledale" / folder).glob("*.py"))
-            for name in self.without_reason(path.read_text("utf-8"))
+            for name in self.constants_without_reason(path.read_text("utf-8"))
         ]
         self.assertEqual(silent, [])
 
-    def test_numbers_without_a_reason_are_found(self) -> None:
+    def test_constants_without_a_reason_are_found(self) -> None:
         text = 'A_S = 1.0\nB_S = 2.0\n"""Both."""\nC_S = 3.0\n\ndef f(): ...\nD = "text"\n'
-        self.assertEqual(self.without_reason(text), ["C_S"])
+        self.assertEqual(self.constants_without_reason(text), ["C_S"])
 
-    def without_reason(self, text: str) -> list[str]:
+    def constants_without_reason(self, text: str) -> list[str]:
         """Return the numbers of a module that no text follows."""
         found: list[str] = []
         group: list[str] = []
         for node in ast.parse(text).body:
-            if isinstance(node, ast.Assign) and self.is_number(node.value):
+            if isinstance(node, ast.Assign) and self.is_numeric(node.value):
                 group += [each.id for each in node.targets if isinstance(each, ast.Name)]
                 continue
             is_text = isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant)
@@ -59,7 +59,7 @@
             group = []
         return found + group
 
-    def is_number(self, value: ast.expr) -> bool:
+    def is_numeric(self, value: ast.expr) -> bool:
         """Say whether an expression is made of numbers only."""
         kinds = (ast.Constant, ast.BinOp, ast.operator, ast.UnaryOp, ast.unaryop)
         parts = list(ast.walk(value))
@@ -70,12 +70,12 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def paths(self, text: str) -> list[str]:
+    def finding_paths(self, text: str) -> list[str]:
         found = parse("f.toml", text)
         return [finding.path for finding in found.unwrap_err()] if found.is_err() else []
 
     def test_the_example_has_no_findings(self) -> None:
-        self.assertEqual(self.paths(SETTINGS), [])
+        self.assertEqual(self.finding_paths(SETTINGS), [])
 
     def test_findings(self) -> None:
         cases = [
@@ -95,13 +95,13 @@
         ]
         for name, text, wanted in cases:
             with self.subTest(name):
-                found = self.paths(text)
+                found = self.finding_paths(text)
                 if wanted is None:
                     self.assertGreaterEqual(len(found), 8)
                 else:
                     self.assertEqual(sorted(found), wanted)
 
-    def test_findings_name_file_and_key_for_people(self) -> None:
+    def test_findings_name_file_and_key(self) -> None:
         found = parse("f.toml", SETTINGS.replace("hall =", "hull =")).unwrap_err()
         self.assertIn("f.toml: node.hull: unknown key", [str(finding) for finding in found])
 
@@ -122,12 +122,12 @@
 
 
 class BundleTest(unittest.TestCase):
-    def messages(self, text: str) -> list[str]:
+    def finding_messages(self, text: str) -> list[str]:
         found = schema.parse("b", text.encode())
         return [str(finding) for finding in found.unwrap_err()] if found.is_err() else []
 
     def test_the_example_has_no_findings(self) -> None:
-        self.assertEqual(self.messages(BUNDLE), [])
+        self.assertEqual(self.finding_messages(BUNDLE), [])
 
     def test_findings(self) -> None:
         cases = [
@@ -147,9 +147,9 @@
         ]
         for name, text, wanted in cases:
             with self.subTest(name):
-                self.assertIn(wanted, " ".join(self.messages(text)))
+                self.assertIn(wanted, " ".join(self.finding_messages(text)))
 
-    def test_names(self) -> None:
+    def test_lookup_by_name(self) -> None:
         bundle = schema.parse("b", BUNDLE.encode()).unwrap()
         claims, none = bundle.model("claims"), bundle.model("none")
         self.assertEqual((claims.name if claims else "", none), ("cover-7b", None))
@@ -157,7 +157,7 @@
         self.assertEqual(account.name if account else "", "brokers")
         self.assertIsNone(bundle.account_for("sha256:"))
 
-    def test_diff_goes_by_names(self) -> None:
+    def test_diff_identifies_entries_by_name(self) -> None:
         before = schema.parse("b", BUNDLE.encode()).unwrap()
         text = BUNDLE.replace("version = 1", "version = 2", 1).replace("0.45", "0.50")
         found = changes(before, schema.parse("b", text.encode()).unwrap())
@@ -191,12 +191,12 @@
         self.assertEqual(resume_index(request_id, event_id(request_id, index)), index + 1)
 
     @given(st.text(max_size=30))
-    def test_odd_event_ids(self, text: str) -> None:
+    def test_malformed_event_ids(self, text: str) -> None:
         found = resume_index("req", text)
         self.assertTrue(found is None or text == f"req.{text.rsplit('.', 1)[1]}")
 
     @given(st.text(max_size=40))
-    def test_odd_job_ids(self, text: str) -> None:
+    def test_malformed_job_ids(self, text: str) -> None:
         with contextlib.suppress(ValueError):
             self.assertIn("/", row_key(text))
 
