--- a/tests/test_orders_of_faults.py
+++ b/tests/test_orders_of_faults.py
@@ -16,8 +16,8 @@
 
 NODES = ("n0", "n1", "n2", "n3")
 ENGINES = ("e0", "e1", "e2", "e3")
-QUIET_S = 70.0
-LIMIT_S = 600.0
+RECOVERY_S = 70.0
+STEP_TIMEOUT_S = 600.0
 nodes = st.sampled_from(NODES)
 engines = st.sampled_from(ENGINES)
 
@@ -30,24 +30,24 @@
         self.loop = asyncio.new_event_loop()
         self.world = World()
         self.run(self.world.start(nodes=len(NODES), engines=len(ENGINES)))
-        self.floors = dict.fromkeys(NODES, 0)
+        self.min_versions = dict.fromkeys(NODES, 0)
         self.jobs: list[tuple[str, str]] = []
         self.streams: list[tuple[str, Any, list[str]]] = []
-        self.keys = 0
-        self.calls: list[asyncio.Task[Any]] = []
-        self.said_no: set[str] = set()
+        self.key_count = 0
+        self.tasks: list[asyncio.Task[Any]] = []
+        self.reported_not_run: set[str] = set()
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        return self.loop.run_until_complete(self.world.clock.run(work, LIMIT_S))
+        return self.loop.run_until_complete(self.world.clock.run(work, STEP_TIMEOUT_S))
 
-    def awake(self, node: str) -> bool:
+    def is_running(self, node: str) -> bool:
         return node in self.world.nodes and self.world.hosts[node].running.is_set()
 
     # Work
 
     @rule(node=nodes)
     def stream(self, node: str) -> None:
-        if not self.awake(node):
+        if not self.is_running(node):
             return
 
         async def start() -> None:
@@ -60,7 +60,7 @@
 
     @rule(node=nodes)
     def job(self, node: str) -> None:
-        if not self.awake(node) or not self.world.hosts[node].running.is_set():
+        if not self.is_running(node) or not self.world.hosts[node].running.is_set():
             return
 
         async def accept() -> None:
@@ -71,19 +71,19 @@
             if accepted.is_ok():
                 self.jobs.append((job, "".join(expected_tokens(request))))
             elif accepted.unwrap_err().ran is Ran.NO:
-                self.said_no.add(job)
+                self.reported_not_run.add(job)
 
         self.run(accept())
 
     @rule(node=nodes, again=st.booleans())
     def once(self, node: str, again: bool) -> None:
-        if not self.awake(node):
+        if not self.is_running(node):
             return
-        self.keys += 0 if again and self.keys else 1
+        self.key_count += 0 if again and self.key_count else 1
 
         async def start() -> None:
-            call = self.world.make_once_call(f"call {self.keys}", f"key {self.keys}")
-            self.calls.append(asyncio.create_task(self.world.nodes[node].once.run(call)))
+            call = self.world.make_once_call(f"call {self.key_count}", f"key {self.key_count}")
+            self.tasks.append(asyncio.create_task(self.world.nodes[node].once.run(call)))
 
         self.run(start())
 
@@ -97,18 +97,18 @@
     @rule(node=nodes)
     def kill(self, node: str) -> None:
         if node in self.world.nodes:
-            self.run(self._now(lambda: self.world.kill(node)))
+            self.run(self._call_in_loop(lambda: self.world.kill(node)))
 
     @rule(node=nodes, seconds=st.sampled_from([2.0, 20.0]))
     def freeze(self, node: str, seconds: float) -> None:
-        if self.awake(node):
-            self.run(self._now(lambda: self.world.freeze(node, seconds)))
+        if self.is_running(node):
+            self.run(self._call_in_loop(lambda: self.world.freeze(node, seconds)))
 
     @rule(engine=engines)
     def reclaim(self, engine: str) -> None:
         alive = [e for e in self.world.engines.values() if e.leaving_since is None]
         if len(alive) > 1:
-            self.run(self._now(lambda: self.world.reclaim(engine, 2.0)))
+            self.run(self._call_in_loop(lambda: self.world.reclaim(engine, 2.0)))
 
     @rule(count=st.integers(1, 3), late=st.booleans())
     def lose_answers(self, count: int, late: bool) -> None:
@@ -121,45 +121,47 @@
         name = "down" if down else "hang"
         setattr(faults, name, True)
         heal = self.world.call_later
-        self.run(self._now(lambda: heal(seconds, lambda: setattr(faults, name, False))))
+        self.run(self._call_in_loop(lambda: heal(seconds, lambda: setattr(faults, name, False))))
 
     @rule(node=nodes, operator=st.sampled_from(["anna", "bram"]))
     def roll(self, node: str, operator: str) -> None:
-        if not self.awake(node):
+        if not self.is_running(node):
             return
 
         async def start() -> None:
             version = self.world.nodes[node].bundles.version + 1
             signed = self.world.make_signed_bundle(version, operator, f"{node} {operator}")
-            self.calls.append(asyncio.create_task(self.world.nodes[node].roll(signed)))
+            self.tasks.append(asyncio.create_task(self.world.nodes[node].roll(signed)))
 
         self.run(start())
 
-    async def _now(self, action: Any) -> None:
+    async def _call_in_loop(self, action: Any) -> None:
         action()
 
     # What must hold
 
     @invariant()
-    def nothing_ran_twice(self) -> None:
+    def service_calls_ran_once(self) -> None:
         assert all(runs == 1 for runs in self.world.service_runs.values()), self.world.service_runs
 
     @invariant()
-    def no_version_went_back(self) -> None:
+    def bundle_versions_never_decrease(self) -> None:
         for name, node in self.world.nodes.items():
-            assert node.bundles.version >= self.floors[name]
-            self.floors[name] = node.bundles.version
+            assert node.bundles.version >= self.min_versions[name]
+            self.min_versions[name] = node.bundles.version
 
     @invariant()
-    def one_holder_a_lease(self) -> None:
-        held = [one for n in self.world.nodes if self.awake(n) for one in self.held(n)]
+    def each_lease_has_one_holder(self) -> None:
+        held = [
+            one for n in self.world.nodes if self.is_running(n) for one in self.leases_held_by(n)
+        ]
         assert len(held) == len(set(held)), held
 
-    def held(self, node: str) -> list[str]:
+    def leases_held_by(self, node: str) -> list[str]:
         return self.world.nodes[node].leases_held()
 
     @invariant()
-    def no_answer_is_wrong_so_far(self) -> None:
+    def stream_tokens_are_correct(self) -> None:
         for _, record, text in self.streams:
             assert record.tokens == text[: len(record.tokens)]
 
@@ -167,14 +169,14 @@
         for part in Part:
             self.world.faults[part].down = self.world.faults[part].hang = False
             self.world.faults[part].lose_answers = self.world.faults[part].late_writes = 0
-        self.run(self._all_ends_well())
+        self.run(self._check_final_state())
         self.loop.run_until_complete(self.world.stop())
         self.loop.close()
 
-    async def _all_ends_well(self) -> None:
-        await self.world.clock.sleep(QUIET_S)
-        self.nothing_ran_twice()
-        self.no_version_went_back()
+    async def _check_final_state(self) -> None:
+        await self.world.clock.sleep(RECOVERY_S)
+        self.service_calls_ran_once()
+        self.bundle_versions_never_decrease()
         versions = {node.bundles.version for node in self.world.nodes.values()}
         assert len(versions) == 1, versions
         for node, record, text in self.streams:
@@ -188,7 +190,7 @@
             assert ended is not None, f"{job} was accepted and did not finish"
             assert (ended.state, ended.text) == (JobState.DONE, answer)
         started = {a for e in self.world.engines.values() for _, a in e.starts}
-        for job in self.said_no:
+        for job in self.reported_not_run:
             assert not any(name.startswith(job) for name in started), "it ran after all"
 
 
