--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -33,7 +33,7 @@
 
 class EngineTest(unittest.TestCase):
     @in_world
-    async def test_generations_go_elsewhere_until_the_time_is_over(self, world: World) -> None:
+    async def test_generations_avoid_a_server_until_its_retry_time(self, world: World) -> None:
         await world.start(nodes=1, engines=2)
         declining = world.engines["e0"]
         declining.retry_after_s = RETRY_AFTER_S
@@ -47,7 +47,7 @@
         self.assertTrue(all(after - at >= RETRY_AFTER_S for at, after in pairwise(times)), times)
 
     @in_world
-    async def test_all_that_back_off_refuse_at_once_with_the_time_of_the_first(
+    async def test_request_is_rejected_with_the_earliest_retry_time_if_all_servers_back_off(
         self, world: World
     ) -> None:
         await world.start(nodes=1, engines=2)
@@ -63,7 +63,7 @@
         await record.wait_ended()
         self.assertEqual(record.state, "finished")
 
-    def test_a_server_that_leaves_meanwhile_does_not_come_back(self) -> None:
+    def test_leaving_server_stays_leaving_after_its_backoff(self) -> None:
         load_tracker = LoadTracker(10)
         load_tracker.follow(ServerView("s1", "a", "h:1", Speeds(1.0, 1.0, 4)))
         view = load_tracker.views["s1"]
@@ -76,7 +76,7 @@
         self.assertIs(view.standing, Standing.LEAVING)
 
 
-class Declining:
+class FakePlainServices:
     """Plain services of which some addresses turn calls away."""
 
     def __init__(self, *declining: str) -> None:
@@ -98,17 +98,17 @@
         self.now = 100.0
         self.addresses = ["http://a:1", "http://b:1"]
 
-    def router(self, services: Declining) -> ServiceRouter:
+    def make_router(self, services: FakePlainServices) -> ServiceRouter:
         service = Service.model_construct(
             name="quotes", addresses=self.addresses, timeout_s=1.0, repeatable=False
         )
         bundle = Bundle.model_construct(services=[service])
         return ServiceRouter(services, lambda: bundle, random.Random(1), lambda: self.now)
 
-    def test_address_that_wants_no_calls_gets_none_until_its_time_is_over(self) -> None:
+    def test_calls_avoid_an_address_until_its_retry_time(self) -> None:
         async def work() -> None:
-            services = Declining("http://a:1")
-            router = self.router(services)
+            services = FakePlainServices("http://a:1")
+            router = self.make_router(services)
             for _ in range(20):
                 await router.call(CALL)
             self.assertEqual(services.called.count("http://a:1"), 1)
@@ -119,18 +119,18 @@
 
         run_quietly(work())
 
-    def test_a_shorter_time_does_not_take_a_longer_one_back(self) -> None:
-        router = self.router(Declining())
+    def test_shorter_retry_time_does_not_replace_a_longer_one(self) -> None:
+        router = self.make_router(FakePlainServices())
         router._record_retry_after("http://a:1", 5.0)
         router._record_retry_after("http://a:1", 1.0)
         self.now += 3.0
         service = Service.model_construct(addresses=self.addresses)
         self.assertEqual(router._available(service), ["http://b:1"])
 
-    def test_all_that_want_no_calls_refuse_with_the_time_of_the_first(self) -> None:
+    def test_call_is_rejected_with_the_earliest_retry_time_if_all_addresses_back_off(self) -> None:
         async def work() -> None:
-            services = Declining(*self.addresses)
-            router = self.router(services)
+            services = FakePlainServices(*self.addresses)
+            router = self.make_router(services)
             while len(set(services.called)) < 2:
                 await router.call(CALL)
             self.now += 1.0
@@ -146,7 +146,7 @@
 class OnTheWireTest(unittest.TestCase):
     """Both adapters read the time that a 503 names, and no other answer's."""
 
-    def test_engines_and_plain_services(self) -> None:
+    def test_clients_of_engines_and_plain_services(self) -> None:
         for status, more, expected in (
             (503, b"Retry-After: 2.5\r\n", 2.5),
             (503, b"Retry-After: 1\r\nRetry-After: 4\r\n", 4.0),
@@ -155,9 +155,9 @@
             (500, b"Retry-After: 2.5\r\n", None),
         ):
             with self.subTest(status=status, more=more):
-                run_quietly(self.read(status, more, expected))
+                run_quietly(self.check_retry_after(status, more, expected))
 
-    async def read(self, status: int, more: bytes, expected: float | None) -> None:
+    async def check_retry_after(self, status: int, more: bytes, expected: float | None) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n%b\r\n" % (status, more))
