--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -21,10 +21,10 @@
 from tests.gateway_world import run_quietly
 from tests.plan_world import config_bytes
 
-MANY = 5.0
+LARGE_SCALE = 5.0
 
 
-class DeadStore:
+class UnreachableStore:
     """A store that answers nothing and counts what it is asked."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         return read_config(raw)
 
 
-def plan_watch(store: DeadStore, backoff_scale: float) -> PlanWatch:
+def make_plan_watch(store: UnreachableStore, backoff_scale: float) -> PlanWatch:
     return PlanWatch(
         store,  # type: ignore[arg-type]
         TrueTime(),
@@ -54,7 +54,7 @@
     )
 
 
-def fleet_watch(store: DeadStore, backoff_scale: float) -> FleetWatch:
+def make_fleet_watch(store: UnreachableStore, backoff_scale: float) -> FleetWatch:
     return FleetWatch(
         store,  # type: ignore[arg-type]
         TrueTime(),
@@ -66,21 +66,23 @@
     )
 
 
-async def calls_of(watch: PlanWatch | FleetWatch, store: DeadStore, seconds: float) -> int:
+async def count_calls(
+    watch: PlanWatch | FleetWatch, store: UnreachableStore, seconds: float
+) -> int:
     task = asyncio.create_task(watch.watch())
     await asyncio.sleep(seconds)
     task.cancel()
     return store.calls
 
 
-class MiddleDraws(random.Random):
+class FixedRandom(random.Random):
     """Draws the middle each time."""
 
     def random(self) -> float:
         return 0.5
 
 
-def calls_in(length_s: float, most_s: float, backoff_scale: float) -> int:
+def count_failed_calls(length_s: float, most_s: float, backoff_scale: float) -> int:
     """Return how many calls that all fail a node makes."""
     backoff = Backoff(RETRY_INITIAL_S, most_s, lambda: backoff_scale)
     calls, at = 0, 0.0
@@ -91,7 +93,7 @@
 
 
 class BackoffTest(unittest.TestCase):
-    def test_pauses_double_up_to_the_most(self) -> None:
+    def test_pauses_double_up_to_the_maximum(self) -> None:
         backoff = Backoff(0.2, 1.0, lambda: 1.0)
         pauses = [backoff.next_s() for _ in range(8)]
         for pause, middle in zip(pauses, (0.2, 0.4, 0.8, 1.0, 1.0, 1.0, 1.0, 1.0), strict=True):
@@ -100,32 +102,34 @@
         backoff.reset()
         self.assertLessEqual(backoff.next_s(), 0.2 * (1 + JITTER))
 
-    def test_crowd_stretches_the_longest_pause_only(self) -> None:
-        backoff = Backoff(0.2, 1.0, lambda: MANY)
+    def test_scale_raises_only_the_maximum_pause(self) -> None:
+        backoff = Backoff(0.2, 1.0, lambda: LARGE_SCALE)
         self.assertLessEqual(backoff.next_s(), 0.2 * (1 + JITTER))
         for _ in range(8):
             last = backoff.next_s()
-        self.assertGreaterEqual(last, MANY * (1 - JITTER))
+        self.assertGreaterEqual(last, LARGE_SCALE * (1 - JITTER))
 
     def test_many_nodes_call_at_most_a_third_as_often_over_half_a_minute(self) -> None:
         """Whatever is drawn: 7 to 11 calls, where a node alone makes 27 to 83."""
         for most_s in (RETRY_MAX_S, 0.4):
             for _ in range(200):
-                few, many = (calls_in(30.0, most_s, backoff_scale) for backoff_scale in (1.0, 20.0))
+                few, many = (
+                    count_failed_calls(30.0, most_s, backoff_scale) for backoff_scale in (1.0, 20.0)
+                )
                 self.assertLessEqual(3 * many, few + 3)
 
-    def test_many_nodes_ask_a_store_that_is_away_more_seldom(self) -> None:
+    def test_many_nodes_call_an_unreachable_store_less_often(self) -> None:
         """Pauses are as long as they are in the middle: of drawn ones the few may have long and the
         many short ones, and 3.4 in 100 pairs are the other way round within 3 s (20,000 drawn)."""
 
         async def story() -> None:
-            for make in (plan_watch, fleet_watch):
-                few, many = DeadStore(), DeadStore()
+            for make in (make_plan_watch, make_fleet_watch):
+                few, many = UnreachableStore(), UnreachableStore()
                 watches = make(few, 1.0), make(many, 20.0)
                 for watch in watches:
-                    watch._backoff._rng = MiddleDraws()
+                    watch._backoff._rng = FixedRandom()
                 asked = await asyncio.gather(
-                    calls_of(watches[0], few, 3.0), calls_of(watches[1], many, 3.0)
+                    count_calls(watches[0], few, 3.0), count_calls(watches[1], many, 3.0)
                 )
                 self.assertGreater(asked[0], 3, make)
                 self.assertLess(asked[1], 7, make)
@@ -133,10 +137,10 @@
 
         run_quietly(story())
 
-    def test_plan_of_a_peer_ends_the_wait(self) -> None:
+    def test_plan_from_a_peer_ends_the_pause(self) -> None:
         async def story() -> None:
-            store = DeadStore()
-            watch = plan_watch(store, 100.0)
+            store = UnreachableStore()
+            watch = make_plan_watch(store, 100.0)
             task = asyncio.create_task(watch.watch())
             await asyncio.sleep(2.0)
             asked = store.calls
@@ -147,14 +151,14 @@
 
         run_quietly(story())
 
-    def test_nodes_in_reserve_read_a_late_list_one_after_the_other(self) -> None:
-        watches = [fleet_watch(DeadStore(), MANY) for _ in range(40)]
+    def test_reserve_nodes_spread_their_reads_of_a_late_list(self) -> None:
+        watches = [make_fleet_watch(UnreachableStore(), LARGE_SCALE) for _ in range(40)]
         due = []
         for watch in watches:
             watch._record_read(0.0, 0.0)
             due.append(watch._read_jitter_s)
-        self.assertGreater(max(due) - min(due), RESERVE_READ_JITTER_S * (MANY - 1) / 2)
-        self.assertLess(max(due), RESERVE_READ_JITTER_S * (MANY - 1))
+        self.assertGreater(max(due) - min(due), RESERVE_READ_JITTER_S * (LARGE_SCALE - 1) / 2)
+        self.assertLess(max(due), RESERVE_READ_JITTER_S * (LARGE_SCALE - 1))
 
 
 if __name__ == "__main__":
