--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -48,7 +48,7 @@
 }  # fmt: skip
 
 
-def row(value: bytes) -> RowRecord:
+def make_row(value: bytes) -> RowRecord:
     """Return a row with some bytes."""
     return RowRecord("servers", "s1", base64.b64encode(value).decode(), 3)
 
@@ -74,7 +74,7 @@
             return
         self.assertTrue(facts.deadline_s is None or not math.isnan(facts.deadline_s))
 
-    def test_numbers_that_no_caller_may_send(self) -> None:
+    def test_invalid_numbers_of_callers_are_rejected(self) -> None:
         """A prompt of less than nothing would fill an account's limit in place of using it."""
         for name, value in (
             ("Deadline-Ms", "nan"),
@@ -99,12 +99,12 @@
     @FUZZ
     @given(st.binary(max_size=80))
     def test_entries_of_any_bytes(self, value: bytes) -> None:
-        self.assert_server_or_none(row(value))
+        self.assert_server_or_none(make_row(value))
 
     @FUZZ
     @given(st.sampled_from(sorted(ENTRY)), JSON)
     def test_entries_with_a_field_of_any_kind(self, field: str, value: object) -> None:
-        self.assert_server_or_none(row(msgspec.json.encode({**ENTRY, field: value})))
+        self.assert_server_or_none(make_row(msgspec.json.encode({**ENTRY, field: value})))
 
     def assert_server_or_none(self, entry: RowRecord) -> None:
         with logbook.NullHandler().applicationbound():
@@ -118,7 +118,7 @@
     @given(JSON)
     def test_plans_and_orders(self, value: object) -> None:
         raw = msgspec.json.encode(value)
-        for read in (lambda: read_config(raw), lambda: read_rollout(row(raw), 1.0, 1)):
+        for read in (lambda: read_config(raw), lambda: read_rollout(make_row(raw), 1.0, 1)):
             with contextlib.suppress(ValueError):
                 read()
 
@@ -126,27 +126,27 @@
     @given(JSON)
     def test_phases(self, value: object) -> None:
         body = {"service": "s", "targetVersion": "v2", "durationS": 8.0}
-        order = read_rollout(row(msgspec.json.encode(body)), 1.0, 1)
+        order = read_rollout(make_row(msgspec.json.encode(body)), 1.0, 1)
         with contextlib.suppress(ValueError):
-            read_phase(row(msgspec.json.encode(value)), order)
+            read_phase(make_row(msgspec.json.encode(value)), order)
 
 
 class DatagramsTest(unittest.TestCase):
     """News between nodes: what can't be read is counted and changes nothing."""
 
     def setUp(self) -> None:
-        self.heard: list[Message] = []
-        self.socket = GossipSocket(self.heard.append)
+        self.received: list[Message] = []
+        self.socket = GossipSocket(self.received.append)
 
-    def test_whole_ones_are_heard(self) -> None:
+    def test_valid_datagram_is_delivered(self) -> None:
         packed = pack_snapshot(StateNews(make_state("n1"), []))
         self.socket.datagram_received(msgspec.msgpack.encode(packed), ("", 0))
-        self.assertEqual((len(self.heard), self.socket.unreadable.total()), (1, 0))
+        self.assertEqual((len(self.received), self.socket.unreadable.total()), (1, 0))
 
     @FUZZ
     @given(st.binary(max_size=120))
     def test_any_bytes(self, data: bytes) -> None:
-        self.heard.clear()
+        self.received.clear()
         before = self.socket.unreadable.total()
         self.socket.datagram_received(data, ("", 0))
-        self.assertEqual(len(self.heard) + self.socket.unreadable.total() - before, 1)
+        self.assertEqual(len(self.received) + self.socket.unreadable.total() - before, 1)
