--- a/tests/test_state_packing.py
+++ b/tests/test_state_packing.py
@@ -19,11 +19,11 @@
 ACCOUNTS = [f"account{number}" for number in range(19)]
 SERVERS = [f"i-{number:010x}" for number in range(39)]
 PEERS = ["n3:2", "n4:2"]
-ROUND_BYTES = 700
+MAX_MEAN_STATE_BYTES = 700
 """Mean size of a state on the wire; whole it has 2.1 KB."""
 
 
-def news(sequence: int, node: str = "n2", life: int = 1) -> StateNews:
+def make_state_news(sequence: int, node: str = "n2", life: int = 1) -> StateNews:
     """Return a state like that of a node that serves, some rounds on."""
     started = {window: dict.fromkeys(ACCOUNTS, 90 + window) for window in range(6)}
     started[5] = {name: sequence + place for place, name in enumerate(ACCOUNTS)}
@@ -45,39 +45,39 @@
 
 
 class PackingTest(unittest.TestCase):
-    def test_states_come_back_whole(self) -> None:
+    def test_states_unpack_unchanged(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
         for sequence in range(1, 3 * ROUNDS_PER_SNAPSHOT):
-            told = news(sequence)
+            told = make_state_news(sequence)
             self.assertEqual(unpacker.unpack(packer.pack(told, PEERS)), told)
 
-    def test_differences_are_small(self) -> None:
+    def test_deltas_are_small(self) -> None:
         packer = StatePacker()
         sizes = [
-            len(msgspec.msgpack.encode(packer.pack(news(sequence), PEERS)))
+            len(msgspec.msgpack.encode(packer.pack(make_state_news(sequence), PEERS)))
             for sequence in range(1, 1 + 4 * ROUNDS_PER_SNAPSHOT)
         ]
-        self.assertGreater(len(msgspec.msgpack.encode(news(1))), 2_000)
-        self.assertLess(sum(sizes) / len(sizes), ROUND_BYTES)
+        self.assertGreater(len(msgspec.msgpack.encode(make_state_news(1))), 2_000)
+        self.assertLess(sum(sizes) / len(sizes), MAX_MEAN_STATE_BYTES)
 
-    def test_node_that_missed_the_base_waits_for_the_next_whole_state(self) -> None:
+    def test_node_that_missed_a_snapshot_waits_for_the_next_one(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
         got = [
-            unpacker.unpack(packer.pack(news(number), PEERS))
+            unpacker.unpack(packer.pack(make_state_news(number), PEERS))
             for number in range(1, 3 * ROUNDS_PER_SNAPSHOT)
         ]
         self.assertNotIn(None, got)
         late = StateUnpacker()
         packer = StatePacker()
-        packer.pack(news(1), PEERS)
+        packer.pack(make_state_news(1), PEERS)
         got = [
-            late.unpack(packer.pack(news(number), PEERS))
+            late.unpack(packer.pack(make_state_news(number), PEERS))
             for number in range(2, 2 + 2 * ROUNDS_PER_SNAPSHOT)
         ]
         self.assertEqual(got[: ROUNDS_PER_SNAPSHOT - 1], [None] * (ROUNDS_PER_SNAPSHOT - 1))
         self.assertNotIn(None, got[ROUNDS_PER_SNAPSHOT - 1 :])
 
-    def test_state_that_can_not_be_read_still_shows_that_its_node_lives(self) -> None:
+    def test_unreadable_state_shows_that_its_node_is_alive(self) -> None:
         members = Membership("n1", 1)
         members.merge(make_state("n2", life=7), 0.0)
         members.record_alive("n2", 7, 2.0)
@@ -85,19 +85,23 @@
         self.assertEqual([each.id for each in members.alive(2.5)], ["n2"])
         self.assertEqual(members.alive(2.0 + ALIVE_TIMEOUT_LARGE_S), [])
 
-    def test_address_that_was_not_told_before_gets_a_whole_state_at_once(self) -> None:
+    def test_new_target_gets_a_snapshot_at_once(self) -> None:
         packer, newcomer = StatePacker(), StateUnpacker()
-        packer.pack(news(1), PEERS)
-        told = news(2)
+        packer.pack(make_state_news(1), PEERS)
+        told = make_state_news(2)
         self.assertEqual(newcomer.unpack(packer.pack(told, [*PEERS, "n5:2"])), told)
-        self.assertEqual(newcomer.unpack(packer.pack(news(3), PEERS)), news(3))
+        self.assertEqual(
+            newcomer.unpack(packer.pack(make_state_news(3), PEERS)), make_state_news(3)
+        )
 
-    def test_short_state_is_no_base(self) -> None:
+    def test_brief_state_is_no_base(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
-        unpacker.unpack(packer.pack(news(1), PEERS))
-        short = StateNews(news(2).state.without_counts(), [])
+        unpacker.unpack(packer.pack(make_state_news(1), PEERS))
+        short = StateNews(make_state_news(2).state.without_counts(), [])
         self.assertEqual(unpacker.unpack(pack_snapshot(short)), short)
-        self.assertEqual(unpacker.unpack(packer.pack(news(3), PEERS)), news(3))
+        self.assertEqual(
+            unpacker.unpack(packer.pack(make_state_news(3), PEERS)), make_state_news(3)
+        )
 
     @settings(
         derandomize=True,
@@ -106,7 +110,7 @@
         suppress_health_check=[HealthCheck.differing_executors],
     )
     @given(st.data())
-    def test_lost_doubled_late_and_damaged_states_are_right_or_nothing(
+    def test_lost_duplicate_late_and_corrupt_states_unpack_correctly_or_to_none(
         self, data: st.DataObject
     ) -> None:
         lives = [data.draw(st.integers(1, 3)) for _ in range(2)]
@@ -114,7 +118,7 @@
         for life in lives:
             packer = StatePacker()
             for sequence in range(1, 2 * ROUNDS_PER_SNAPSHOT):
-                each = news(sequence, life=life)
+                each = make_state_news(sequence, life=life)
                 told.append((each, packer.pack(each, PEERS)))
         unpacker = StateUnpacker()
         picked = st.lists(st.sampled_from(range(len(told))), max_size=30)
