--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -21,18 +21,18 @@
 
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.seen: list[str] = []
+        self.events: list[str] = []
 
     async def child(self, name: str, failures: int = 0) -> None:
-        self.seen.append(f"start {name}")
-        if self.seen.count(f"start {name}") <= failures:
+        self.events.append(f"start {name}")
+        if self.events.count(f"start {name}") <= failures:
             raise RuntimeError(name)
         try:
             await asyncio.Event().wait()
         finally:
-            self.seen.append(f"end {name}")
+            self.events.append(f"end {name}")
 
-    def test_failed_children_start_again_and_all_stop_in_reverse(self) -> None:
+    def test_failed_children_restart_and_all_stop_in_reverse_order(self) -> None:
         async def work() -> None:
             tree = Supervisor("tree", self.clock)
             tree.start("a", lambda: self.child("a"))
@@ -42,10 +42,10 @@
             await tree.stop()
 
         self.run_on_clock(work())
-        self.assertEqual(self.seen.count("start b"), 3)
-        self.assertEqual(self.seen[-2:], ["end b", "end a"])
+        self.assertEqual(self.events.count("start b"), 3)
+        self.assertEqual(self.events[-2:], ["end b", "end a"])
 
-    def test_too_many_failures_reach_the_parent(self) -> None:
+    def test_too_many_failures_escalate_to_the_parent(self) -> None:
         async def work() -> None:
             root = Supervisor("root", self.clock)
             below = Supervisor("below", self.clock, RestartLimit(2, 60.0))
@@ -55,9 +55,9 @@
             await root.stop()
 
         self.run_on_clock(work())
-        self.assertEqual(self.seen.count("start c"), 3)
+        self.assertEqual(self.events.count("start c"), 3)
 
-    def test_a_full_mailbox_refuses(self) -> None:
+    def test_full_mailbox_rejects_messages(self) -> None:
         async def work() -> None:
             box: Mailbox[int] = Mailbox("box", 2)
             self.assertEqual([box.put(n) for n in range(3)], [True, True, False])
@@ -72,7 +72,7 @@
 
     CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-    async def answered(self, answer: bytes) -> tuple[str, bool]:
+    async def outcome_of(self, answer: bytes) -> tuple[str, bool]:
         """Return what a generation raised, and whether a table write is uncertain."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -96,7 +96,7 @@
         server.close()
         return raised, failure.uncertain
 
-    def test_every_broken_answer_is_an_expected_error(self) -> None:
+    def test_each_malformed_answer_raises_the_expected_error(self) -> None:
         cases = [
             ("nothing", b""),
             ("no HTTP", b"\x00\xff\r\n\r\n"),
@@ -108,7 +108,7 @@
         ]
         for name, answer in cases:
             with self.subTest(name):
-                found = asyncio.run(self.answered(answer))
+                found = asyncio.run(self.outcome_of(answer))
                 self.assertEqual(found, ("ServerError", True))
 
 
