--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -17,15 +17,15 @@
 from tests.test_gateway_nodes import Cluster, ask, ready, run_on_cluster, wait_until
 
 
-def events(handler: logbook.TestHandler) -> list[str]:
+def event_numbers(handler: logbook.TestHandler) -> list[str]:
     """Return the numbers of the events that were logged."""
     return [record.message[:4] for record in handler.records]
 
 
 class UnreadableTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.heard: list[Message] = []
-        self.socket = GossipSocket(self.heard.append)
+        self.received: list[Message] = []
+        self.socket = GossipSocket(self.received.append)
 
     def receive(self, *messages: object) -> list[str]:
         """Let messages come; return what was logged."""
@@ -33,13 +33,13 @@
             for message in messages:
                 data = message if isinstance(message, bytes) else msgspec.msgpack.encode(message)
                 self.socket.datagram_received(data, ("10.0.0.1", 7))
-        return events(handler)
+        return event_numbers(handler)
 
     def test_each_kind_is_counted_and_logged_once(self) -> None:
         logged = self.receive(["newer", 1], ["newer", 2], b"\xff\xff", 7, {"a": 1}, ["state"])
         self.assertEqual(logged, ["E602"] * 3)
         self.assertEqual(self.socket.unreadable, {"newer": 2, "no message": 3, "state": 1})
-        self.assertEqual(self.heard, [])
+        self.assertEqual(self.received, [])
 
     def test_kinds_are_bounded(self) -> None:
         logged = self.receive(*([f"kind{number}" * 9, 1] for number in range(200)))
@@ -49,7 +49,7 @@
 
 
 class BuildIdTest(unittest.TestCase):
-    def test_same_sources_are_one_build_and_changed_ones_another(self) -> None:
+    def test_build_id_depends_on_the_sources(self) -> None:
         build_id.cache_clear()
         first = build_id()
         self.assertEqual(build_id(), first)
@@ -62,7 +62,7 @@
         build_id.cache_clear()
         self.assertEqual(build_id(), first)
 
-    def test_status_of_a_build_that_tells_none_is_read(self) -> None:
+    def test_status_without_a_build_is_readable(self) -> None:
         """The command asks nodes of the landing before as well."""
         fields = [name for name in NodeStatus.__struct_fields__ if name != "build"]
         self.assertEqual(NodeStatus.__struct_fields__[-1], "build")
@@ -74,7 +74,7 @@
 
 
 class BuildsTest(unittest.TestCase):
-    def test_other_build_is_logged_once_for_each_node_and_build(self) -> None:
+    def test_different_build_is_logged_once_per_node_and_build(self) -> None:
         watch = BuildWatch()
         same = make_state("n1", formats=FORMATS)
         older, newer = make_state("n2"), make_state("n2", formats="f00")
@@ -90,10 +90,10 @@
             ):
                 watch.check(each)
         # The way back to this build is told as well: nobody is left who runs the other one.
-        self.assertEqual(events(handler), ["E603"] * 4)
+        self.assertEqual(event_numbers(handler), ["E603"] * 4)
         self.assertEqual(watch.count_different([same, older, newer]), 2)
 
-    def test_nodes_of_one_build_differ_from_none_and_tell_it(self) -> None:
+    def test_nodes_of_one_build_report_no_differences(self) -> None:
         async def work(cluster: Cluster) -> None:
             first = await cluster.start("n1")
             second = await cluster.start("n2", (first.settings.node.control,))
