--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -22,24 +22,24 @@
 
 FOLDER = Path(__file__).resolve().parent / "formats"
 
-UNCHANGEABLE = ("moledale.gateway.messages:Server",)
+FROZEN_TYPES = ("moledale.gateway.messages:Server",)
 """Nodes compare a digest of their lists of servers, so a field that only some builds know would
 have all of them fetch each other's lists again and again."""
 
-UNKNOWN_TO = {
+TYPES_UNKNOWN_TO_BUILD = {
     name: {"moledale.gateway.permits:PermitAsk", "moledale.gateway.permits:PermitAnswer"}
     for name in ("eba5d79", "ed5dc3f")
 }
 """Messages that came later than a build: nodes send them to no node of it, and it drops them."""
 
 
-def records() -> list[FormatRecord]:
+def load_records() -> list[FormatRecord]:
     """Return what earlier builds recorded."""
     files = sorted(FOLDER.glob("*.json"))
     return [msgspec.json.decode(file.read_bytes(), type=FormatRecord) for file in files]
 
 
-def older_reader(earlier: StructRecord) -> type[msgspec.Struct]:
+def make_older_reader(earlier: StructRecord) -> type[msgspec.Struct]:
     """Return a reader that knows the fields of an earlier build only."""
     fields: list[Any] = [
         (field.name, Any) if field.required else (field.name, Any, None) for field in earlier.fields
@@ -51,20 +51,20 @@
     def setUp(self) -> None:
         self.today = make_record("today")
 
-    def test_there_is_a_record(self) -> None:
-        self.assertTrue(records())
-        for each in records():
-            unknown = UNKNOWN_TO.get(each.build, set())
+    def test_records_are_complete(self) -> None:
+        self.assertTrue(load_records())
+        for each in load_records():
+            unknown = TYPES_UNKNOWN_TO_BUILD.get(each.build, set())
             self.assertEqual({*each.examples, *unknown}, {*MESSAGE_TYPES, *ROW_TYPES})
             self.assertFalse(unknown & set(each.examples))
 
-    def test_fields_stay_and_new_ones_come_last_with_a_default(self) -> None:
-        for each in records():
+    def test_earlier_fields_stay_and_new_ones_come_last_with_a_default(self) -> None:
+        for each in load_records():
             for name, earlier in each.structs.items():
                 with self.subTest(build=each.build, name=name):
-                    self.check_fields(earlier, self.today.structs[name])
+                    self.assert_fields_compatible(earlier, self.today.structs[name])
 
-    def check_fields(self, earlier: StructRecord, later: StructRecord) -> None:
+    def assert_fields_compatible(self, earlier: StructRecord, later: StructRecord) -> None:
         self.assertEqual((later.array_like, later.tag), (earlier.array_like, earlier.tag))
         known = later.fields[: len(earlier.fields)]
         if not earlier.array_like:
@@ -75,38 +75,38 @@
         self.assertEqual([field.name for field in new if field.required], [])
 
     def test_structs_with_a_digest_do_not_change(self) -> None:
-        for each in records():
-            for name in UNCHANGEABLE:
+        for each in load_records():
+            for name in FROZEN_TYPES:
                 self.assertEqual(self.today.structs[name], each.structs[name])
 
-    def test_what_earlier_builds_wrote_reads_as_they_meant_it(self) -> None:
-        for each in records():
+    def test_values_written_by_earlier_builds_decode_unchanged(self) -> None:
+        for each in load_records():
             for name, example in each.examples.items():
                 with self.subTest(build=each.build, name=name):
                     codec = msgspec.json if name in ROW_TYPES else msgspec.msgpack
                     read = codec.decode(example.encoded, type=resolve_type(name))
-                    self.assert_holds(example.value, msgspec.to_builtins(read, str_keys=True))
+                    self.assert_contains(example.value, msgspec.to_builtins(read, str_keys=True))
 
-    def assert_holds(self, earlier: Any, later: Any) -> None:
+    def assert_contains(self, earlier: Any, later: Any) -> None:
         """Check that plain values hold all that earlier ones did; what is new may come beside."""
         if isinstance(earlier, dict):
             for key, value in earlier.items():
-                self.assert_holds(value, later[key])
+                self.assert_contains(value, later[key])
         elif isinstance(earlier, list):
             for one, other in zip(earlier, later, strict=False):
-                self.assert_holds(one, other)
+                self.assert_contains(one, other)
             self.assertGreaterEqual(len(later), len(earlier))
         else:
             self.assertEqual(later, earlier)
 
-    def test_earlier_builds_read_what_this_one_writes(self) -> None:
-        for each in records():
+    def test_earlier_builds_decode_what_this_one_writes(self) -> None:
+        for each in load_records():
             for name, example in self.today.examples.items():
-                if name in UNKNOWN_TO.get(each.build, ()):
+                if name in TYPES_UNKNOWN_TO_BUILD.get(each.build, ()):
                     continue
                 with self.subTest(build=each.build, name=name):
                     codec = msgspec.json if name in ROW_TYPES else msgspec.msgpack
-                    read = codec.decode(example.encoded, type=older_reader(each.structs[name]))
-                    self.assert_holds(
+                    read = codec.decode(example.encoded, type=make_older_reader(each.structs[name]))
+                    self.assert_contains(
                         each.examples[name].value, msgspec.to_builtins(read, str_keys=True)
                     )
