--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -9,18 +9,18 @@
 
 RATES = st.sampled_from([0.0, 0.1, 0.4, 1.0, 3.0, 50.0, 2_000.0])
 SPANS_S = (1.0, 4.0, 10.0)
-ASKS = st.lists(st.tuples(st.floats(0.0, 3.0), st.floats(0.0, 1.0)), min_size=1, max_size=200)
+CALLS = st.lists(st.tuples(st.floats(0.0, 3.0), st.floats(0.0, 1.0)), min_size=1, max_size=200)
 
 
-def most_in(span_s: float, times: list[float]) -> int:
+def max_count_in_span(span_s: float, times: list[float]) -> int:
     """Return the most of these times in any span."""
     return max((sum(at <= each < at + span_s for each in times) for at in times), default=0)
 
 
 class PacerTest(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(RATES, ASKS)
-    def test_rate_is_kept_in_each_span_whoever_asks_and_waits(
+    @given(RATES, CALLS)
+    def test_rate_is_kept_in_each_span_of_time(
         self, per_s: float, asks: list[tuple[float, float]]
     ) -> None:
         pacer = Pacer.without_credit(per_s, 100.0)
@@ -34,11 +34,11 @@
         rate = max(MIN_RATE_PER_S, per_s)
         for span_s in SPANS_S:
             saved = 1 + max(1.0, rate * BURST_S)
-            self.assertLessEqual(most_in(span_s, taken), rate * span_s + saved + 1e-6)
+            self.assertLessEqual(max_count_in_span(span_s, taken), rate * span_s + saved + 1e-6)
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(RATES, st.floats(0.0, 2.0)), min_size=1, max_size=40))
-    def test_rates_that_change_lose_no_server(self, changes: list[tuple[float, float]]) -> None:
+    def test_changing_rates_do_not_block_a_server(self, changes: list[tuple[float, float]]) -> None:
         pacer = Pacer.without_credit(1.0, 0.0)
         now = 0.0
         for per_s, pause_s in changes:
@@ -48,7 +48,7 @@
         pacer.set_rate(1.0, now)
         self.assertTrue(pacer.take(now + 2.0 / MIN_RATE_PER_S).granted)
 
-    def test_rate_that_wavers_loses_no_places(self) -> None:
+    def test_fluctuating_rate_loses_no_slots(self) -> None:
         """The part of all nodes that a node hears may change with each round of news."""
         pacer = Pacer.without_credit(0.4, 0.0)
         granted = 0
@@ -58,13 +58,13 @@
             granted += pacer.take(now).granted
         self.assertIn(granted, range(14, 18))
 
-    def test_one_that_begins_has_no_place_yet(self) -> None:
+    def test_new_pacer_has_no_free_slot(self) -> None:
         for per_s in (0.4, 1.0, 50.0):
             pacer = Pacer.without_credit(per_s, 5.0)
             self.assertFalse(pacer.take(5.0).granted)
             self.assertTrue(pacer.take(5.0 + 1.0 / per_s + 0.001).granted)
 
-    def test_lower_rate_counts_at_once_and_higher_one_too(self) -> None:
+    def test_lower_and_higher_rates_apply_at_once(self) -> None:
         pacer = Pacer.without_credit(50.0, 0.0)
         self.assertTrue(pacer.take(1.0).granted)
         pacer.set_rate(0.5, 1.0)
@@ -73,20 +73,20 @@
         pacer.set_rate(50.0, 3.1)
         self.assertTrue(pacer.take(3.2).granted)
 
-    def test_those_that_are_turned_away_are_told_different_times(self) -> None:
+    def test_rejected_callers_get_different_retry_times(self) -> None:
         pacer = Pacer.without_credit(1.0, 0.0)
         told = [pacer.take(0.0).wait_s for _ in range(5)]
         self.assertEqual(len(set(told)), 5)
         many = [pacer.take(0.0).wait_s for _ in range(390)]
         self.assertLessEqual(max(many), 1.0 + MAX_EXTRA_WAIT_S)
 
-    def test_who_waits_gets_the_next_place(self) -> None:
+    def test_waiting_callers_get_successive_slots(self) -> None:
         pacer = Pacer.without_credit(2.0, 0.0)
         waits = [pacer.take(0.0, 1.6).wait_s for _ in range(3)]
         self.assertEqual([round(wait, 3) for wait in waits], [0.5, 1.0, 1.5])
         self.assertFalse(pacer.take(0.0, 1.6).granted)
 
-    def test_what_was_sent_without_a_place_counts_within_a_bound(self) -> None:
+    def test_requests_without_a_slot_delay_the_next_slot_within_a_bound(self) -> None:
         pacer = Pacer.without_credit(1.0, 0.0)
         for _ in range(100):
             pacer.record_external(10.0)
