--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -19,7 +19,7 @@
 """
 
 
-def plays(variant: str, worths: list[float], site: str = "a") -> list[Play]:
+def make_plays(variant: str, worths: list[float], site: str = "a") -> list[Play]:
     return [Play(variant, site, "d", seed, worth) for seed, worth in enumerate(worths)]
 
 
@@ -28,36 +28,36 @@
         chance = random.Random(1)
         base = [chance.uniform(0.3, 0.8) for _ in range(20)]
         better = [worth + 0.02 + chance.gauss(0.0, 0.005) for worth in base]
-        found = paired_difference([*plays("x", base), *plays("y", better)], "x", "y")
+        found = paired_difference([*make_plays("x", base), *make_plays("y", better)], "x", "y")
         assert found is not None
         self.assertAlmostEqual(found.mean, 0.02, delta=0.005)
         self.assertGreater(found.low, 0.0)
         self.assertLess(found.plays_needed, 10)
 
-    def test_noise_is_told_as_noise(self) -> None:
+    def test_noise_is_not_reported_as_a_difference(self) -> None:
         chance = random.Random(1)
         one = [chance.gauss(0.6, 0.05) for _ in range(12)]
         two = [chance.gauss(0.6, 0.05) for _ in range(12)]
-        found = paired_difference([*plays("x", one), *plays("y", two)], "x", "y")
+        found = paired_difference([*make_plays("x", one), *make_plays("y", two)], "x", "y")
         assert found is not None
         self.assertTrue(found.low < 0.0 < found.high)
         self.assertGreater(found.plays_needed, 50)
 
-    def test_only_pairs_count(self) -> None:
-        found = paired_difference([*plays("x", [0.5]), *plays("y", [0.6, 0.9])], "x", "y")
+    def test_unpaired_plays_are_ignored(self) -> None:
+        found = paired_difference([*make_plays("x", [0.5]), *make_plays("y", [0.6, 0.9])], "x", "y")
         assert found is not None
         self.assertEqual((found.pairs, round(found.mean, 6)), (1, 0.1))
-        self.assertIsNone(paired_difference(plays("x", [0.5]), "x", "y"))
+        self.assertIsNone(paired_difference(make_plays("x", [0.5]), "x", "y"))
 
-    def test_table_has_all_sites_and_each(self) -> None:
-        both = [*plays("x", [0.5, 0.6]), *plays("y", [0.6, 0.7])]
-        both += [*plays("x", [0.5], "b"), *plays("y", [0.4], "b")]
+    def test_table_has_rows_for_all_sites_and_each_site(self) -> None:
+        both = [*make_plays("x", [0.5, 0.6]), *make_plays("y", [0.6, 0.7])]
+        both += [*make_plays("x", [0.5], "b"), *make_plays("y", [0.4], "b")]
         rows = table(both, [Variant("x", "HEAD"), Variant("y", "HEAD")])
         self.assertEqual([row.split("|")[2].strip() for row in rows[2:]], ["all", "a", "b"])
 
 
 class VariantTest(unittest.TestCase):
-    def test_refs_and_mechanisms(self) -> None:
+    def test_variants_are_parsed(self) -> None:
         self.assertEqual(parse_variant("x=HEAD~1"), Variant("x", "HEAD~1"))
         self.assertEqual(parse_variant("y=HEAD-home"), Variant("y", "HEAD", "home"))
         for wrong in ("x", "=HEAD", "x="):
@@ -66,7 +66,7 @@
 
 
 class RunnerTest(unittest.TestCase):
-    def test_what_was_played_is_not_played_again(self) -> None:
+    def test_plays_with_stored_results_are_not_repeated(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             program = folder / "plays"
