--- a/tests/test_generation_guard.py
+++ b/tests/test_generation_guard.py
@@ -10,16 +10,16 @@
 from moledale.problems import Ran
 from tests.world import World, in_world
 
-GUILTY = "a prompt that no engine survives"
+CRASH_PROMPT = "a prompt that no engine survives"
 
 
 class GenerationGuardTest(unittest.TestCase):
     @in_world
-    async def test_work_that_can_wait_ends_no_more_than_three_engines(self, world: World) -> None:
+    async def test_job_crashes_at_most_three_engines(self, world: World) -> None:
         await world.start(nodes=1, engines=8)
-        world.crash_prompt = GUILTY
+        world.crash_prompt = CRASH_PROMPT
         jobs = world.nodes["n0"].jobs
-        request = world.make_request(GUILTY)
+        request = world.make_request(CRASH_PROMPT)
         (await jobs.accept(request, f"job_hall-a_{1:032x}")).unwrap()
         await world.clock.sleep(60.0)
         ended = sum(not engine.alive for engine in world.engines.values())
@@ -27,24 +27,24 @@
         self.assertEqual(jobs.open_jobs, 1)
 
     @in_world
-    async def test_generation_that_ended_engines_is_refused_and_has_not_run(
+    async def test_generation_that_crashed_engines_is_rejected_as_not_run(
         self, world: World
     ) -> None:
         await world.start(nodes=1, engines=8)
-        world.crash_prompt = GUILTY
+        world.crash_prompt = CRASH_PROMPT
         dispatcher = world.nodes["n0"].dispatcher
-        record = dispatcher.submit(world.make_request(GUILTY)).unwrap()
+        record = dispatcher.submit(world.make_request(CRASH_PROMPT)).unwrap()
         await record.wait_ended()
         await world.clock.sleep(2.0)
         before = sum(not engine.alive for engine in world.engines.values())
-        refused = dispatcher.submit(world.make_request(GUILTY)).unwrap_err()
+        refused = dispatcher.submit(world.make_request(CRASH_PROMPT)).unwrap_err()
         self.assertEqual((refused.status, refused.ran), (503, Ran.NO))
         self.assertGreater(refused.retry_after or 0, INITIAL_BLOCK_S - 60)
         self.assertEqual(before, 3)
         self.assertEqual(sum(not engine.alive for engine in world.engines.values()), before)
 
     @in_world
-    async def test_others_go_on_when_engines_end_together(self, world: World) -> None:
+    async def test_generations_survive_simultaneous_engine_crashes(self, world: World) -> None:
         """Two engines go at one moment, later two more; what ran there is sent on and served."""
         await world.start(nodes=1, engines=8)
         dispatcher = world.nodes["n0"].dispatcher
