--- a/tests/fragile_server.py
+++ b/tests/fragile_server.py
@@ -5,13 +5,13 @@
 
 from tests.gateway_world import Arrival, ScriptedServer, answer, reset
 
-GUILTY = b"the request that ends servers"
+CRASH_BODY = b"the request that ends servers"
 """Body of the request that no server survives."""
 
-ENDS_AFTER_S = 0.05
+CRASH_DELAY_S = 0.05
 """A server ends so long after it began to run the guilty request."""
 
-ANSWER_S = 0.3
+ANSWER_DELAY_S = 0.3
 """Time of an answer to any other request: some are in hand whenever a server ends."""
 
 
@@ -19,8 +19,8 @@
 class FragileServer(ScriptedServer):
     """A server that ends under the guilty request; its address takes no connection after that."""
 
-    ended: bool = False
-    answer_s: float = ANSWER_S
+    has_crashed: bool = False
+    answer_delay_s: float = ANSWER_DELAY_S
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def serve_one(
@@ -28,28 +28,28 @@
     ) -> None:
         """Answer a request, or end with all that is in hand."""
         self.writers.add(writer)
-        if arrival.body == GUILTY:
-            await asyncio.sleep(ENDS_AFTER_S)
-            self.end()
+        if arrival.body == CRASH_BODY:
+            await asyncio.sleep(CRASH_DELAY_S)
+            self.crash()
             return
-        await asyncio.sleep(self.answer_s)
+        await asyncio.sleep(self.answer_delay_s)
         writer.write(answer(arrival))
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """End as a process does that crashes: every connection is reset, none is taken."""
-        self.ended = True
+        self.has_crashed = True
         self.stop()
         for writer in self.writers:
             reset(writer)
         self.writers.clear()
 
     @property
-    def guilty_arrivals(self) -> int:
+    def crash_request_count(self) -> int:
         """Return how often the guilty request came here."""
-        return sum(1 for each in self.arrivals if each.body == GUILTY)
+        return sum(1 for each in self.arrivals if each.body == CRASH_BODY)
 
 
-def fragile_server(name: str) -> FragileServer:
+def make_fragile_server(name: str) -> FragileServer:
     """Return a server that is not started yet."""
     server = FragileServer(name, _unset)
     server.script = server.serve_one
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -9,7 +9,7 @@
 from moledale.clock import monotonic
 from moledale.gateway.fingerprint import fingerprint
 from moledale.gateway.messages import InboundRequest, RequestHead
-from tests.fragile_server import GUILTY, FragileServer, fragile_server
+from tests.fragile_server import CRASH_BODY, FragileServer, make_fragile_server
 from tests.gateway_world import (
     Arrival,
     CallerAnswer,
@@ -103,10 +103,10 @@
         async with GatewayWorld(make_plan()) as world:
             servers = await self.add_servers(world, "model" if path == "/draft/" else "plain")
             answers = [
-                await world.send_request(path, body=GUILTY, request_id=f"r{number}")
+                await world.send_request(path, body=CRASH_BODY, request_id=f"r{number}")
                 for number in range(self.ARRIVALS)
             ]
-            self.assertIn(sum(server.ended for server in servers), self.ALLOWED_CRASHES)
+            self.assertIn(sum(server.has_crashed for server in servers), self.ALLOWED_CRASHES)
             self.assertEqual([each.status for each in answers[-3:]], [503] * 3)
             self.assertGreater(float(answers[-1].headers["retry-after"]), 0.0)
             if path != "/draft/":
@@ -116,7 +116,7 @@
     async def add_servers(self, world: GatewayWorld, service: str) -> list[FragileServer]:
         servers = []
         for number in range(self.SERVERS):
-            server = fragile_server(f"s{number}")
+            server = make_fragile_server(f"s{number}")
             await world.add_server(server, service)
             servers.append(server)
         return servers
@@ -131,7 +131,7 @@
             for number in range(self.ARRIVALS):
                 await self.ask_guilty(cluster, names[number % 3])
                 await asyncio.sleep(0.05)
-            self.assertIn(sum(server.ended for server in servers), self.ALLOWED_CRASHES)
+            self.assertIn(sum(server.has_crashed for server in servers), self.ALLOWED_CRASHES)
             statuses = [(await self.ask_guilty(cluster, name)).status for name in names]
             self.assertEqual(statuses, [503] * 3)
 
@@ -152,11 +152,11 @@
             cluster.kill("n1")
             await self.start_nodes(cluster, ["n2"])
             await asyncio.sleep(0.5)
-            crashed = sum(server.ended for server in servers)
+            crashed = sum(server.has_crashed for server in servers)
             for _ in range(3):
                 self.assertEqual((await self.ask_guilty(cluster, "n2")).status, 503)
             self.assertIn(crashed, self.ALLOWED_CRASHES)
-            self.assertEqual(sum(server.ended for server in servers), crashed)
+            self.assertEqual(sum(server.has_crashed for server in servers), crashed)
 
         run_on_cluster(work)
 
@@ -164,7 +164,7 @@
         cluster.platform.drop("servers", cluster.backend.id)
         servers = []
         for number in range(self.SERVERS):
-            server = fragile_server(f"f{number}")
+            server = make_fragile_server(f"f{number}")
             await server.start()
             cluster.list_server(server, "ready")
             servers.append(server)
@@ -184,7 +184,7 @@
 
     async def ask_guilty(self, cluster: Cluster, name: str) -> CallerAnswer:
         callers = cluster.nodes[name].settings.node.callers
-        return await ask(callers, request_bytes("/check/", body=GUILTY))
+        return await ask(callers, request_bytes("/check/", body=CRASH_BODY))
 
 
 if __name__ == "__main__":
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -18,7 +18,7 @@
 from moledale.gateway.quarantine_store import BLOCK_TABLE
 from moledale.gateway.request_guard import ObservedCrash, RequestGuard
 from standins.rows import StoreMode
-from tests.fragile_server import GUILTY, FragileServer, fragile_server
+from tests.fragile_server import CRASH_BODY, FragileServer, make_fragile_server
 from tests.gateway_world import Arrival, GatewayWorld, answer, make_plan, reset, run_quietly
 from tests.test_gateway_nodes import Cluster, ask, ready, request_bytes, run_on_cluster, wait_until
 
@@ -31,7 +31,7 @@
 
     def test_connection_reset_by_a_running_server_raises_no_suspicion(self) -> None:
         async def reset_guilty(arrival: Arrival, _: object, writer: asyncio.StreamWriter) -> None:
-            if arrival.body == GUILTY:
+            if arrival.body == CRASH_BODY:
                 reset(writer)
             else:
                 writer.write(answer(arrival))
@@ -41,7 +41,7 @@
                 for number in range(4):
                     await world.start_server(f"s{number}", "plain", reset_guilty)
                 for number in range(6):
-                    await world.send_request("/order/", body=GUILTY, request_id=f"r{number}")
+                    await world.send_request("/order/", body=CRASH_BODY, request_id=f"r{number}")
                     await asyncio.sleep(0.1)
                 guard = world.forwarder.guard
                 guard.block_suspects()
@@ -70,8 +70,8 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(3):
-                    server = fragile_server(f"s{number}")
-                    server.answer_s = 5.0
+                    server = make_fragile_server(f"s{number}")
+                    server.answer_delay_s = 5.0
                     await world.add_server(server, "plain")
                     asked = asyncio.create_task(world.send_request("/order/", body=b"long"))
                     await server.arrived.wait()
@@ -89,18 +89,18 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(6):
-                    await world.add_server(fragile_server(f"s{number}"), "plain")
+                    await world.add_server(make_fragile_server(f"s{number}"), "plain")
                 bodies = [b"other %d" % number for number in range(18)]
                 asked = [
                     asyncio.create_task(world.send_request("/order/", body=each)) for each in bodies
                 ]
                 await asyncio.sleep(0.1)
-                await world.send_request("/order/", body=GUILTY)
-                await world.send_request("/order/", body=GUILTY)
+                await world.send_request("/order/", body=CRASH_BODY)
+                await world.send_request("/order/", body=CRASH_BODY)
                 answers = await asyncio.gather(*asked)
                 self.assertGreaterEqual([each.status for each in answers].count(502), 3)
                 await asyncio.sleep(DECISION_WAIT_S)
-                self.assertEqual((await world.send_request("/order/", body=GUILTY)).status, 503)
+                self.assertEqual((await world.send_request("/order/", body=CRASH_BODY)).status, 503)
                 for body in bodies:
                     self.assertEqual((await world.send_request("/order/", body=body)).status, 200)
                 self.assertEqual(len(world.forwarder.guard.quarantine.blocks), 1)
@@ -111,13 +111,15 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(4):
-                    await world.add_server(fragile_server(f"s{number}"), "plain")
+                    await world.add_server(make_fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
-                    await world.send_request("/order/", body=GUILTY)
+                    await world.send_request("/order/", body=CRASH_BODY)
                 await asyncio.sleep(DECISION_WAIT_S)
                 spent = dict(world.forwarder.limits.spent)
                 for _ in range(5):
-                    self.assertEqual((await world.send_request("/order/", body=GUILTY)).status, 503)
+                    self.assertEqual(
+                        (await world.send_request("/order/", body=CRASH_BODY)).status, 503
+                    )
                 self.assertEqual(world.forwarder.limits.spent, spent)
 
         run_quietly(work())
@@ -126,9 +128,9 @@
         async def work() -> None:
             async with GatewayWorld(make_plan()) as world:
                 for number in range(3):
-                    await world.add_server(fragile_server(f"s{number}"), "plain")
+                    await world.add_server(make_fragile_server(f"s{number}"), "plain")
                 for _ in range(3):
-                    await world.send_request("/order/", body=GUILTY)
+                    await world.send_request("/order/", body=CRASH_BODY)
                     await asyncio.sleep(DECISION_WAIT_S)
 
         with logbook.TestHandler().applicationbound() as handler:
@@ -155,12 +157,12 @@
             nonlocal failures
             failures += failed
 
-        await world.add_server(fragile_server(name), "plain")
+        await world.add_server(make_fragile_server(name), "plain")
         world.balancer.on_outcome = count_failure
         bodies = [b"%s beside %d" % (name.encode(), number) for number in range(others)]
         asked = [asyncio.create_task(world.send_request("/order/", body=each)) for each in bodies]
         await asyncio.sleep(0.1)
-        await world.send_request("/order/", body=GUILTY)
+        await world.send_request("/order/", body=CRASH_BODY)
         await asyncio.gather(*asked)
         await asyncio.sleep(0.1)
         world.unlist(name)
@@ -227,7 +229,9 @@
 
     def nodes_with_block(self) -> list[str]:
         """Return the nodes that block the guilty request."""
-        return [name for name, guard in self.guards.items() if GUILTY in guard.quarantine.blocks]
+        return [
+            name for name, guard in self.guards.items() if CRASH_BODY in guard.quarantine.blocks
+        ]
 
 
 def run_on_network(work: Callable[[Network], Awaitable[None]]) -> None:
@@ -242,9 +246,9 @@
 
     def test_crashes_seen_by_different_nodes_count_together(self) -> None:
         async def work(network: Network) -> None:
-            network.observe_crash("n1", "s1", [GUILTY, b"a"])
+            network.observe_crash("n1", "s1", [CRASH_BODY, b"a"])
             await asyncio.sleep(0.3)
-            network.observe_crash("n2", "s2", [GUILTY, b"b"])
+            network.observe_crash("n2", "s2", [CRASH_BODY, b"b"])
             await asyncio.sleep(DECISION_WAIT_S)
             self.assertEqual(network.nodes_with_block(), ["n1", "n2", "n3"])
 
@@ -256,9 +260,9 @@
                 isinstance(message, BlockNews)
                 or (isinstance(message, EndNews) and message.age_s < 0.1)
             )
-            network.observe_crash("n1", "s1", [GUILTY])
+            network.observe_crash("n1", "s1", [CRASH_BODY])
             await asyncio.sleep(0.5)
-            network.observe_crash("n1", "s2", [GUILTY])
+            network.observe_crash("n1", "s2", [CRASH_BODY])
             await asyncio.sleep(0.7)
             self.assertEqual(network.nodes_with_block(), ["n1", "n2", "n3"])
 
@@ -267,9 +271,9 @@
     def test_node_that_missed_all_messages_gets_the_blocks_by_gossip(self) -> None:
         async def work(network: Network) -> None:
             network.is_lost = lambda _: True
-            network.observe_crash("n1", "s1", [GUILTY])
+            network.observe_crash("n1", "s1", [CRASH_BODY])
             await asyncio.sleep(0.3)
-            network.observe_crash("n1", "s2", [GUILTY])
+            network.observe_crash("n1", "s2", [CRASH_BODY])
             await asyncio.sleep(0.7)
             self.assertEqual(network.nodes_with_block(), ["n1"])
             network.is_lost = lambda _: False
@@ -283,7 +287,7 @@
     def test_starting_node_receives_the_blocks_and_sends_none_before(self) -> None:
         async def work(network: Network) -> None:
             for server in ("s1", "s2"):
-                network.observe_crash("n1", server, [GUILTY])
+                network.observe_crash("n1", server, [CRASH_BODY])
             await asyncio.sleep(DECISION_WAIT_S)
             guard = network.guards["n4"] = RequestGuard(ConnectionPool(monotonic))
             started = network.sharing["n4"] = QuarantineSharing(guard, network.make_sender("n4"))
@@ -305,12 +309,12 @@
 
     def test_request_that_a_server_survived_is_cleared_at_all_nodes(self) -> None:
         async def work(network: Network) -> None:
-            network.observe_crash("n1", "s1", [GUILTY])
+            network.observe_crash("n1", "s1", [CRASH_BODY])
             guard = network.guards["n2"]
-            self.assertTrue(guard.quarantine.is_suspect(GUILTY))
-            self.assertTrue(guard.quarantine.record_served(GUILTY))
-            guard.on_cleared(GUILTY)
-            self.assertFalse(network.guards["n1"].quarantine.is_suspect(GUILTY))
+            self.assertTrue(guard.quarantine.is_suspect(CRASH_BODY))
+            self.assertTrue(guard.quarantine.record_served(CRASH_BODY))
+            guard.on_cleared(CRASH_BODY)
+            self.assertFalse(network.guards["n1"].quarantine.is_suspect(CRASH_BODY))
 
         run_on_network(work)
 
@@ -336,7 +340,7 @@
     async def start_node_and_servers(self, cluster: Cluster, name: str) -> list[FragileServer]:
         """Start five fragile servers and a node that has them in its list."""
         cluster.platform.drop("servers", cluster.backend.id)
-        servers = [fragile_server(f"f{number}") for number in range(5)]
+        servers = [make_fragile_server(f"f{number}") for number in range(5)]
         for server in servers:
             await server.start()
             cluster.list_server(server, "ready")
@@ -348,7 +352,7 @@
     async def ask_guilty(self, cluster: Cluster, name: str) -> int:
         """Send the guilty request to a node; return the status code."""
         callers = cluster.nodes[name].settings.node.callers
-        return (await ask(callers, request_bytes("/check/", body=GUILTY))).status
+        return (await ask(callers, request_bytes("/check/", body=CRASH_BODY))).status
 
     def block_keys(self, cluster: Cluster) -> list[str]:
         """Return the keys of the stored blocks."""
