--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -25,7 +25,7 @@
 
 
 class ExplainTest(unittest.TestCase):
-    def test_story_of_one_request(self) -> None:
+    def test_events_of_one_request(self) -> None:
         told = select_events(read_lines("file", LOG.splitlines()), "r1")
         self.assertEqual([line.number for line in told], [420, 411, 417, 410])
         self.assertEqual({line.node for line in told}, {"n1"})
