--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -9,7 +9,7 @@
 SOURCE = ROOT / "src" / "moledale"
 FOLDER = SOURCE / "platform"
 
-NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r"rows-tx|rows-get|rows-feed|rows-parts|blob-put|/v1/ready|/v1/resolve|/v1/report|/v1/hold|Fence-Token|Duty-Holder|Server-Stamp"
     r"|Not-Executed|Expect-Instance|Request-Priority|Kv-From|Kv-Backup|kv-move|kv-handle"
     r"|Prompt-Prefix|Token-Count|Deadline-Ms|Request-Id|MOLEDALE_NODE_FILE|expectedRev"
@@ -17,28 +17,36 @@
     r"|kvTokenBytes|kvCapacity|ttlS|leaves_ms|coldRemainingMs",
     re.IGNORECASE,
 )
-OWN = {"src/moledale/edge/requests.py: deadline-ms"}
+ALLOWED_MATCHES = {"src/moledale/edge/requests.py: deadline-ms"}
 """Names that the product's own interface had before and spells the same."""
 
-MOST_LINES = 1_000
-WAITS = {"sleep", "timeout", "timeout_at", "wait_for", "create_task", "random", "monotonic"}
+MAX_LINES = 1_000
+FORBIDDEN_CALLS = {
+    "sleep",
+    "timeout",
+    "timeout_at",
+    "wait_for",
+    "create_task",
+    "random",
+    "monotonic",
+}
 
 
 class PlatformNamesTest(unittest.TestCase):
-    def test_names_stand_in_the_folder_only(self) -> None:
+    def test_platform_names_occur_only_in_its_package(self) -> None:
         found = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in SOURCE.rglob("*.py")
             if FOLDER not in path.parents and "pb" not in path.parts
-            for match in NAMES.finditer(path.read_text("utf-8"))
+            for match in PLATFORM_NAMES.finditer(path.read_text("utf-8"))
         ]
-        self.assertEqual([line for line in found if line not in OWN], [])
+        self.assertEqual([line for line in found if line not in ALLOWED_MATCHES], [])
 
-    def test_folder_is_small(self) -> None:
+    def test_platform_package_is_small(self) -> None:
         lines = sum(len(path.read_text("utf-8").splitlines()) for path in FOLDER.glob("*.py"))
-        self.assertLess(lines, MOST_LINES)
+        self.assertLess(lines, MAX_LINES)
 
-    def test_folder_waits_for_nothing_and_draws_no_lots(self) -> None:
+    def test_platform_package_uses_no_timers_tasks_or_random_numbers(self) -> None:
         for path in FOLDER.glob("*.py"):
             tree = ast.parse(path.read_text("utf-8"))
             used = {
@@ -46,7 +54,7 @@
                 for node in ast.walk(tree)
                 if isinstance(node, ast.Attribute | ast.Name)
             }
-            self.assertFalse(used & WAITS, path.name)
+            self.assertFalse(used & FORBIDDEN_CALLS, path.name)
 
 
 if __name__ == "__main__":
