--- a/tests/test_where_lost.py
+++ b/tests/test_where_lost.py
@@ -23,7 +23,7 @@
 
 
 class WhereLostTest(unittest.TestCase):
-    def test_causes_are_counted_when_requests_came(self) -> None:
+    def test_losses_are_counted_at_the_arrival_of_requests(self) -> None:
         account = summarize_losses(read_lines(LOG), 2.0)
         self.assertEqual(account.slices[0].served, 1)
         self.assertEqual(account.slices[1].lost, {Cause.LATE: 1})
@@ -34,7 +34,7 @@
         self.assertEqual(account.slices[0].servers_in_use, {"s1"})
         self.assertEqual(account.slices[1].servers_in_use, {"s2"})
 
-    def test_tables_and_plot_show_each_step(self) -> None:
+    def test_tables_and_plot_show_each_time_step(self) -> None:
         account = summarize_losses(read_lines(LOG), 2.0)
         self.assertIn("r1 | 1 | 0 | 0 | 1 | 1 | 0 | 0", tables(account))
         self.assertIn("4 | 0 | 0 | 1 | 0 | 1 | 1 | 1 | 2 | 3", tables(account))
