--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -8,7 +8,7 @@
 from tests.known_red import KnownRed, all_listed, outcome_text, parse_known_red
 
 ROOT = Path(__file__).resolve().parent.parent
-LIST = ROOT / "KNOWN-RED.txt"
+LIST_FILE = ROOT / "KNOWN-RED.txt"
 
 
 def main() -> int:
@@ -16,7 +16,7 @@
     parser = argparse.ArgumentParser(prog="python -m tests", description=__doc__)
     parser.add_argument("names", nargs="*", help="tests to run in place of all")
     arguments = parser.parse_args()
-    known = parse_known_red(LIST.read_text("utf-8") if LIST.exists() else "")
+    known = parse_known_red(LIST_FILE.read_text("utf-8") if LIST_FILE.exists() else "")
     loader = unittest.defaultTestLoader
     if arguments.names:
         suite = loader.loadTestsFromNames(arguments.names)
@@ -25,11 +25,11 @@
     result = unittest.TextTestRunner(buffer=True).run(suite)
     failed = [test.id() for test, _ in (*result.failures, *result.errors)]
     failed += [test.id() for test in result.unexpectedSuccesses]
-    _tell(known, failed)
+    _print_outcomes(known, failed)
     return 0 if all_listed(known, failed) else 1
 
 
-def _tell(known: list[KnownRed], failed: list[str]) -> None:
+def _print_outcomes(known: list[KnownRed], failed: list[str]) -> None:
     for each in known:
         print(outcome_text(each, failed), file=sys.stderr)
 
