--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -7,7 +7,7 @@
 
 
 class AblationTest(unittest.TestCase):
-    def test_each_mechanism_stands_once_and_leaves_valid_source(self) -> None:
+    def test_each_mechanism_is_found_once_and_its_removal_leaves_valid_source(self) -> None:
         for ablation in ABLATIONS:
             with self.subTest(name=ablation.name):
                 text = (ROOT / GATEWAY_DIR / ablation.file).read_text("utf-8")
@@ -15,7 +15,7 @@
                 self.assertNotEqual(changed, text)
                 ast.parse(changed)
 
-    def test_a_text_that_is_gone_is_told(self) -> None:
+    def test_missing_text_is_an_error(self) -> None:
         with self.assertRaises(ValueError):
             ABLATIONS[0].remove_from("nothing of it")
 
