--- a/tests/test_mixed_builds.py
+++ b/tests/test_mixed_builds.py
@@ -12,7 +12,7 @@
 
 
 class LauncherTest(unittest.TestCase):
-    def chosen(self, text: str, name: str) -> Path:
+    def selected_sources(self, text: str, name: str) -> Path:
         """Run the part of a launcher that chooses the sources, for a node of a name."""
         with tempfile.TemporaryDirectory() as folder:
             settings = Path(folder) / "settings.toml"
@@ -27,13 +27,13 @@
         self.assertGreater(former, 30)
         self.assertLess(former, 70)
 
-    def test_launcher_chooses_by_the_name_in_the_settings(self) -> None:
+    def test_launcher_selects_the_build_by_the_name_in_the_settings(self) -> None:
         text = mixed_launcher((ROOT / "deploy" / "launch.py").read_text("utf-8"))
         compile(text, "launch.py", "exec")
         for name in NAMES[:8]:
             wanted = ROOT / "former" / "src" if runs_earlier_build(name) else ROOT / "src"
-            self.assertEqual(self.chosen(text, name), wanted)
+            self.assertEqual(self.selected_sources(text, name), wanted)
 
-    def test_launcher_that_changed_is_noticed(self) -> None:
+    def test_changed_launcher_is_an_error(self) -> None:
         with self.assertRaises(ValueError):
             mixed_launcher("import sys\n")
