--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -35,10 +35,10 @@
 from tests.soak.world import SoakWorld
 
 SEED = 7
-RESTORING_SEED = 13
+RESTORE_SEED = 13
 
 
-def run_of(request: str, server: str, at: float = 0.0, **changes: object) -> Run:
+def make_run(request: str, server: str, at: float = 0.0, **changes: object) -> Run:
     values: dict[str, object] = {
         "request": request, "server": server, "service": "plain", "at": at, "line": "GET /x",
         "body": b"", "account": "north", "key_seen": False, "after_event": 0, "tokens": 10,
@@ -46,7 +46,7 @@
     return Run(**{**values, **changes})  # type: ignore[arg-type]
 
 
-def attempt_of(request: str, route: str = "check", **changes: object) -> Attempt:
+def make_attempt(request: str, route: str = "check", **changes: object) -> Attempt:
     values: dict[str, object] = {
         "request": request, "route": route, "line": "GET /x", "body": b"", "account": "north",
         "node": "n1", "sent_at": 100.0, "tokens": 10, "ended_at": 100.1,
@@ -54,7 +54,7 @@
     return Attempt(**{**values, **changes})  # type: ignore[arg-type]
 
 
-def stream(request: str, server: str, numbers: list[int]) -> bytes:
+def make_stream(request: str, server: str, numbers: list[int]) -> bytes:
     return b"".join(event_of(request, server, number) for number in numbers)
 
 
@@ -62,69 +62,71 @@
     def setUp(self) -> None:
         self.ledger = Ledger()
 
-    def answered(self, route: str, answer: bytes, stamp: str = "s1", runs: str = "s1") -> None:
+    def add_answered_request(
+        self, route: str, answer: bytes, stamp: str = "s1", runs: str = "s1"
+    ) -> None:
         """Add a request that got a success with an answer."""
         headers = {"request-id": "r1", "server-stamp": stamp}
         self.ledger.attempts.append(
-            attempt_of("r1", route, status=200, whole=True, answer=answer, headers=headers)
+            make_attempt("r1", route, status=200, whole=True, answer=answer, headers=headers)
         )
-        self.ledger.runs += [run_of("r1", server) for server in runs.split()]
+        self.ledger.runs += [make_run("r1", server) for server in runs.split()]
 
-    def assert_found(self, check: object, times: int = 1) -> None:
+    def assert_finding_count(self, check: object, times: int = 1) -> None:
         found = list(check(self.ledger))  # type: ignore[operator]
         self.assertEqual(len(found), times, found)
 
-    def test_whole_answer_is_fine(self) -> None:
-        self.answered("check", plain_body("r1", "s1"))
+    def test_complete_answer_has_no_findings(self) -> None:
+        self.add_answered_request("check", plain_body("r1", "s1"))
         for check in checks.CHECKS:
             if check is not checks.served_after_healing:
-                self.assert_found(check, 0)
+                self.assert_finding_count(check, 0)
 
-    def test_server_that_said_that_it_leaves_gets_more(self) -> None:
+    def test_finds_requests_to_a_server_after_its_answer_announced_leaving(self) -> None:
         said = {"server-leaving": "1", "server-stamp": "s1"}
         self.ledger.attempts += [
-            attempt_of("r1", whole=True, status=200, headers=said),
-            attempt_of("r2", sent_at=102.5),
-            attempt_of("r3", sent_at=102.5, node="n2"),
-            attempt_of("r4", sent_at=101.5),
+            make_attempt("r1", whole=True, status=200, headers=said),
+            make_attempt("r2", sent_at=102.5),
+            make_attempt("r3", sent_at=102.5, node="n2"),
+            make_attempt("r4", sent_at=101.5),
         ]
-        self.ledger.runs += [run_of(f"r{number}", "s1", 103.0) for number in (1, 2, 3, 4)]
-        self.assert_found(checks.own_word_of_leaving_counts)
+        self.ledger.runs += [make_run(f"r{number}", "s1", 103.0) for number in (1, 2, 3, 4)]
+        self.assert_finding_count(checks.own_word_of_leaving_counts)
         self.ledger.starts.append(("n1", 101.0))
-        self.assert_found(checks.own_word_of_leaving_counts, 0)
+        self.assert_finding_count(checks.own_word_of_leaving_counts, 0)
 
-    def test_server_that_stated_when_to_retry_gets_more_before(self) -> None:
-        self.ledger.attempts += [attempt_of(f"r{number}") for number in range(6)]
-        self.ledger.attempts.append(attempt_of("r6", node="n2"))
+    def test_finds_requests_before_the_stated_retry_time(self) -> None:
+        self.ledger.attempts += [make_attempt(f"r{number}") for number in range(6)]
+        self.ledger.attempts.append(make_attempt("r6", node="n2"))
         self.ledger.declined.append(Declined("r0", "s1", 100.0, 2.0))
         times = (100.2, 100.7, 101.0, 101.2, 102.1)
-        self.ledger.runs += [run_of(f"r{n}", "s1", at) for n, at in enumerate(times, 1)]
-        self.ledger.runs.append(run_of("r6", "s1", 101.0))
-        self.assert_found(checks.stated_retry_times_are_kept)
+        self.ledger.runs += [make_run(f"r{n}", "s1", at) for n, at in enumerate(times, 1)]
+        self.ledger.runs.append(make_run("r6", "s1", 101.0))
+        self.assert_finding_count(checks.stated_retry_times_are_kept)
         fault = self.ledger.fault("freeze", "n1")
         fault.begins, fault.ends = 100.9, 101.1
-        self.assert_found(checks.stated_retry_times_are_kept, 0)
+        self.assert_finding_count(checks.stated_retry_times_are_kept, 0)
 
-    def test_server_that_named_a_limit_gets_more_from_all_nodes(self) -> None:
+    def test_finds_requests_of_all_nodes_above_a_stated_limit(self) -> None:
         said = {"server-limit": "0.5", "server-stamp": "s1"}
         for node in ("n1", "n2"):
-            told = attempt_of(f"told-{node}", node=node, status=200, whole=True, headers=said)
+            told = make_attempt(f"told-{node}", node=node, status=200, whole=True, headers=said)
             told.ended_at = 100.0
             self.ledger.attempts.append(told)
         self.ledger.limits.append(Limit("s1", 0.5, 99.0))
         for number in range(9):
             node = "n1" if number % 2 else "n2"
-            self.ledger.attempts.append(attempt_of(f"r{number}", node=node))
-            self.ledger.runs.append(run_of(f"r{number}", "s1", 101.0 + 0.4 * number))
-        self.assert_found(checks.named_limits_are_kept)
+            self.ledger.attempts.append(make_attempt(f"r{number}", node=node))
+            self.ledger.runs.append(make_run(f"r{number}", "s1", 101.0 + 0.4 * number))
+        self.assert_finding_count(checks.named_limits_are_kept)
         frozen = self.ledger.fault("freeze", "n2")
         frozen.begins, frozen.ends = 100.9, 101.1
-        self.assert_found(checks.named_limits_are_kept, 0)
+        self.assert_finding_count(checks.named_limits_are_kept, 0)
         self.ledger.faults.clear()
         self.ledger.runs.pop()
-        self.assert_found(checks.named_limits_are_kept, 0)
+        self.assert_finding_count(checks.named_limits_are_kept, 0)
 
-    def test_next_life_of_a_server_names_no_limit(self) -> None:
+    def test_limit_of_a_server_ends_when_it_crashes(self) -> None:
         """One that named a limit crashed, and was back under its id without one."""
         self.ledger.limits += [Limit("s1", 0.5, 99.0), Limit("s2", 0.5, 99.0)]
         self.ledger.end_limits("s1")
@@ -136,42 +138,42 @@
         backend.crash()
         self.assertLess(self.ledger.limits[1].ends, float("inf"))
 
-    def test_wrong_or_cut_body(self) -> None:
-        self.answered("check", plain_body("r1", "s1")[:-1])
-        self.assert_found(checks.own_whole_answers)
+    def test_finds_truncated_body(self) -> None:
+        self.add_answered_request("check", plain_body("r1", "s1")[:-1])
+        self.assert_finding_count(checks.own_whole_answers)
 
-    def test_answer_of_a_server_that_did_not_run_it(self) -> None:
-        self.answered("check", plain_body("r1", "s2"), stamp="s2")
-        self.assert_found(checks.own_whole_answers)
+    def test_finds_answer_of_a_server_that_did_not_run_the_request(self) -> None:
+        self.add_answered_request("check", plain_body("r1", "s2"), stamp="s2")
+        self.assert_finding_count(checks.own_whole_answers)
 
-    def test_stream_without_a_piece(self) -> None:
+    def test_finds_stream_with_a_missing_event(self) -> None:
         numbers = [number for number in range(1, EVENTS + 1) if number != 3]
-        self.answered("review", stream("r1", "s1", numbers))
-        self.assert_found(checks.own_whole_answers)
+        self.add_answered_request("review", make_stream("r1", "s1", numbers))
+        self.assert_finding_count(checks.own_whole_answers)
 
-    def test_stream_that_may_not_be_resumed_joined_from_two(self) -> None:
-        first = stream("r1", "s1", list(range(1, 4)))
-        second = stream("r1", "s2", list(range(4, EVENTS + 1)))
-        self.answered("draft", first + second, runs="s1 s2")
-        self.assert_found(checks.own_whole_answers)
-        self.assert_found(checks.at_most_once)
+    def test_finds_unresumable_stream_joined_from_two_servers(self) -> None:
+        first = make_stream("r1", "s1", list(range(1, 4)))
+        second = make_stream("r1", "s2", list(range(4, EVENTS + 1)))
+        self.add_answered_request("draft", first + second, runs="s1 s2")
+        self.assert_finding_count(checks.own_whole_answers)
+        self.assert_finding_count(checks.at_most_once)
 
-    def test_stall_of_the_soak_itself_excuses_what_it_overlaps_and_nothing_else(self) -> None:
+    def test_stall_of_the_soak_excuses_only_overlapping_requests(self) -> None:
         """Three seconds in which callers, servers and store said nothing, while nodes' own timers
         ran, cut five streams at their deadline; 30 s later a cut stream is found as before."""
         note_stall(self.ledger, 100.2, 103.4)
         self.ledger.attempts.append(
-            attempt_of("r1", "review", sent_at=100.0, ended_at=103.1, status=200)
+            make_attempt("r1", "review", sent_at=100.0, ended_at=103.1, status=200)
         )
-        self.ledger.runs.append(run_of("r1", "s1", 100.1))
-        self.assert_found(checks.planned_work_cuts_nothing, 0)
+        self.ledger.runs.append(make_run("r1", "s1", 100.1))
+        self.assert_finding_count(checks.planned_work_cuts_nothing, 0)
         self.ledger.attempts.append(
-            attempt_of("r2", "review", sent_at=133.0, ended_at=136.1, status=200)
+            make_attempt("r2", "review", sent_at=133.0, ended_at=136.1, status=200)
         )
-        self.ledger.runs.append(run_of("r2", "s1", 133.1))
-        self.assert_found(checks.planned_work_cuts_nothing)
+        self.ledger.runs.append(make_run("r2", "s1", 133.1))
+        self.assert_finding_count(checks.planned_work_cuts_nothing)
 
-    def test_pauses_of_the_soak_count_together_when_they_follow_each_other(self) -> None:
+    def test_successive_pauses_of_the_soak_are_one_stall(self) -> None:
         """Five requests took 1.8 s while all streams of servers, which live in the soak as callers
         do, stood still, in pieces of less than half a second, and nodes' own timers ran on."""
 
@@ -188,100 +190,100 @@
         self.assertEqual([round(ended, 2) for _, ended in found], [10.75])
         self.assertEqual(spans(*((10.0 + 0.1 * number, 0.04) for number in range(100))), [])
 
-    def test_request_that_goes_on_ending_servers(self) -> None:
+    def test_finds_request_that_keeps_crashing_servers(self) -> None:
         body = GUILTY + b" 1"
         for number, at in enumerate((1.0, 2.0, 3.0, 4.0, 5.0, 6.5, 7.0, 7.5)):
-            self.ledger.runs.append(run_of(f"g{number}", f"s{number}", at, body=body))
-        self.assert_found(checks.guilty_requests_are_held, 0)
-        self.ledger.runs.append(run_of("g9", "s9", 8.0, body=body))
-        self.assert_found(checks.guilty_requests_are_held)
-
-    def test_cut_stream_with_a_gap(self) -> None:
-        answer = stream("r1", "s1", [1, 2, 4])
-        self.ledger.attempts.append(attempt_of("r1", "review", status=200, answer=answer))
-        self.assert_found(checks.cut_streams_are_in_order)
-
-    def test_unsafe_request_run_twice(self) -> None:
-        self.ledger.attempts.append(attempt_of("r1", "order", status=502, whole=True))
-        self.ledger.runs += [run_of("r1", "s1"), run_of("r1", "s2")]
-        self.assert_found(checks.at_most_once)
-
-    def test_refused_request_that_ran(self) -> None:
-        self.ledger.attempts.append(attempt_of("r1", "order", status=503, whole=True))
-        self.ledger.runs.append(run_of("r1", "s1"))
-        self.assert_found(checks.promises_kept)
-
-    def test_request_nobody_sent_changed_one_and_a_key_passed_on(self) -> None:
-        self.ledger.attempts += [attempt_of("r1"), attempt_of("r2"), attempt_of("r3")]
+            self.ledger.runs.append(make_run(f"g{number}", f"s{number}", at, body=body))
+        self.assert_finding_count(checks.guilty_requests_are_held, 0)
+        self.ledger.runs.append(make_run("g9", "s9", 8.0, body=body))
+        self.assert_finding_count(checks.guilty_requests_are_held)
+
+    def test_finds_gap_in_a_truncated_stream(self) -> None:
+        answer = make_stream("r1", "s1", [1, 2, 4])
+        self.ledger.attempts.append(make_attempt("r1", "review", status=200, answer=answer))
+        self.assert_finding_count(checks.cut_streams_are_in_order)
+
+    def test_finds_unsafe_request_that_ran_twice(self) -> None:
+        self.ledger.attempts.append(make_attempt("r1", "order", status=502, whole=True))
+        self.ledger.runs += [make_run("r1", "s1"), make_run("r1", "s2")]
+        self.assert_finding_count(checks.at_most_once)
+
+    def test_finds_rejected_request_that_ran(self) -> None:
+        self.ledger.attempts.append(make_attempt("r1", "order", status=503, whole=True))
+        self.ledger.runs.append(make_run("r1", "s1"))
+        self.assert_finding_count(checks.promises_kept)
+
+    def test_finds_unsent_and_altered_requests_and_forwarded_keys(self) -> None:
+        self.ledger.attempts += [make_attempt("r1"), make_attempt("r2"), make_attempt("r3")]
         self.ledger.runs += [
-            run_of("r0", "s1"),
-            run_of("r1", "s1", line="GET /y"),
-            run_of("r2", "s1", key_seen=True),
-            run_of("r3", "s1", account="south"),
+            make_run("r0", "s1"),
+            make_run("r1", "s1", line="GET /y"),
+            make_run("r2", "s1", key_seen=True),
+            make_run("r3", "s1", account="south"),
         ]
-        self.assert_found(checks.nothing_unasked, 4)
+        self.assert_finding_count(checks.nothing_unasked, 4)
 
-    def test_too_many_servers(self) -> None:
-        self.ledger.runs += [run_of("r1", server) for server in ("s1", "s2", "s3")]
-        self.assert_found(checks.attempts_bounded)
+    def test_finds_request_that_ran_on_too_many_servers(self) -> None:
+        self.ledger.runs += [make_run("r1", server) for server in ("s1", "s2", "s3")]
+        self.assert_finding_count(checks.attempts_bounded)
 
-    def test_work_for_a_server_that_left(self) -> None:
+    def test_finds_new_work_on_a_leaving_server(self) -> None:
         self.ledger.leaving.append(Leaving("s1", 100.0))
-        self.ledger.runs += [run_of("r1", "s1", at=101.0), run_of("r2", "s1", at=102.5)]
-        self.assert_found(checks.leaving_servers_rest)
+        self.ledger.runs += [make_run("r1", "s1", at=101.0), make_run("r2", "s1", at=102.5)]
+        self.assert_finding_count(checks.leaving_servers_rest)
         self.ledger.fault("cut", "").begins = 101.0
-        self.assert_found(checks.leaving_servers_rest, 0)
+        self.assert_finding_count(checks.leaving_servers_rest, 0)
 
-    def test_cut_request_in_calm_times(self) -> None:
-        self.ledger.attempts.append(attempt_of("r1"))
-        self.ledger.runs.append(run_of("r1", "s1"))
-        self.assert_found(checks.planned_work_cuts_nothing)
+    def test_finds_request_that_failed_without_a_fault(self) -> None:
+        self.ledger.attempts.append(make_attempt("r1"))
+        self.ledger.runs.append(make_run("r1", "s1"))
+        self.assert_finding_count(checks.planned_work_cuts_nothing)
         self.ledger.fault("kill", "").begins = 98.0
-        self.assert_found(checks.planned_work_cuts_nothing, 0)
+        self.assert_finding_count(checks.planned_work_cuts_nothing, 0)
 
-    def test_late_final_answer(self) -> None:
-        self.ledger.attempts.append(attempt_of("r1", ended_at=101.6, whole=True, status=200))
-        self.assert_found(checks.answers_in_time)
+    def test_finds_late_final_answer(self) -> None:
+        self.ledger.attempts.append(make_attempt("r1", ended_at=101.6, whole=True, status=200))
+        self.assert_finding_count(checks.answers_in_time)
 
-    def test_version_not_in_force_and_old_one_still_there(self) -> None:
+    def test_finds_new_version_not_applied_and_old_one_still_applied(self) -> None:
         keys = frozenset({"k"})
         self.ledger.versions += [Version(3, 50.0, keys), Version(5, 90.0, keys)]
         self.ledger.attempts += [
-            attempt_of("r1", "only-5", probe=True, whole=True, status=404),
-            attempt_of("r2", "only-3", probe=True, whole=True, status=200),
+            make_attempt("r1", "only-5", probe=True, whole=True, status=404),
+            make_attempt("r2", "only-3", probe=True, whole=True, status=200),
         ]
-        self.assert_found(checks.versions_in_force, 2)
+        self.assert_finding_count(checks.versions_in_force, 2)
 
-    def test_version_that_reverts(self) -> None:
+    def test_finds_version_that_reverts(self) -> None:
         self.ledger.attempts += [
-            attempt_of("r1", "only-5", probe=True, whole=True, status=200),
-            attempt_of("r2", "only-3", probe=True, whole=True, status=200, sent_at=101.0),
+            make_attempt("r1", "only-5", probe=True, whole=True, status=200),
+            make_attempt("r2", "only-3", probe=True, whole=True, status=200, sent_at=101.0),
         ]
-        self.assert_found(checks.versions_never_revert)
+        self.assert_finding_count(checks.versions_never_revert)
         self.ledger.starts.append(("n1", 100.5))
-        self.assert_found(checks.versions_never_revert, 0)
+        self.assert_finding_count(checks.versions_never_revert, 0)
 
-    def test_ends_of_processes(self) -> None:
+    def test_finds_unexpected_process_exits(self) -> None:
         self.ledger.exits += [
             Exit("n1", 1.0, 0, asked=False),
             Exit("n1", 1.0, 0, asked=True, took_s=9.0),
             Exit("n1", 1.0, 1, asked=True, took_s=1.0),
             Exit("n1", 1.0, -9, asked=True),
         ]
-        self.assert_found(checks.ends_as_asked, 3)
+        self.assert_finding_count(checks.ends_as_asked, 3)
 
-    def test_nothing_served_after_healing(self) -> None:
+    def test_finds_nothing_served_after_recovery(self) -> None:
         self.ledger.healed_at = 50.0
-        self.ledger.attempts.append(attempt_of("r1", status=503, whole=True))
-        self.assert_found(checks.served_after_healing)
+        self.ledger.attempts.append(make_attempt("r1", status=503, whole=True))
+        self.assert_finding_count(checks.served_after_healing)
 
-    def test_limit_passed_in_a_window(self) -> None:
-        self.ledger.runs += [run_of(f"r{n}", "s1", at=n / 10, tokens=100) for n in range(10)]
+    def test_finds_limit_exceeded_in_a_window(self) -> None:
+        self.ledger.runs += [make_run(f"r{n}", "s1", at=n / 10, tokens=100) for n in range(10)]
         found = checks.limits_hold(self.ledger, {"north": (50.0, 100.0)}, 100.0)
         self.assertEqual(len(found), 1)
         self.assertEqual(checks.limits_hold(self.ledger, {"north": (100.0, 100.0)}, 100.0), [])
 
-    def test_duties_of_two_holders(self) -> None:
+    def test_finds_duties_of_two_holders(self) -> None:
         def call(holder: str, fence: int, at: float, requests: int, window: int) -> DutyCall:
             body: dict[str, object] = {"window": window, "counts": {"north": requests}}
             return DutyCall("/usage", holder, fence, body, at)
@@ -299,7 +301,7 @@
 class NodeProcessTest(unittest.TestCase):
     """Signals to a process take nothing away from whoever waits for its end."""
 
-    def test_signal_to_a_process_that_just_ended_leaves_its_exit_code(self) -> None:
+    def test_signal_to_an_exited_process_keeps_its_exit_code(self) -> None:
         """A node that had ended with code 0 was told to have ended with code 255: the signal that
         came a moment later had looked whether it ended."""
 
@@ -320,7 +322,7 @@
 
 
 class StallsTest(unittest.TestCase):
-    def test_lines_tell_a_process_that_had_no_cpu_from_one_that_was_busy(self) -> None:
+    def test_lines_distinguish_a_process_without_cpu_from_a_busy_one(self) -> None:
         busy = {"cpu_s": 3.9, "waited_s": 0.0, "first_thread_waited_s": 0.0, "stolen_s": 0.1}
         away = {"cpu_s": 0.0, "waited_s": 0.1, "first_thread_waited_s": 0.2, "stolen_s": 4.1}
         span = {"what": "did not run", "began": 12.0, "ended": 16.0}
@@ -338,7 +340,7 @@
             ],
         )
 
-    def test_process_that_was_frozen_notes_the_span_and_its_end(self) -> None:
+    def test_frozen_process_records_the_stall_and_its_exit(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             program = Path(folder, "deploy", "launch.py")
             program.parent.mkdir()
@@ -368,7 +370,7 @@
 
 
 class TroublesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_restore_that_is_due_during_another_trouble_of_the_store_is_played_after_it(
+    async def test_store_restore_waits_until_another_store_fault_is_over(
         self,
     ) -> None:
         world = SoakWorld(Path(), random.Random(1))
@@ -392,14 +394,14 @@
         self.assertGreater(result.served, 300)
         shutil.rmtree(result.folder, ignore_errors=True)
 
-    def test_short_soak_with_a_store_that_comes_back_from_older_copies_finds_nothing(self) -> None:
-        plan = SoakPlan(RESTORING_SEED, nodes=4, planned_s=1.0, chaos_s=10.0, rounds=1)
+    def test_short_soak_with_store_restores_finds_nothing(self) -> None:
+        plan = SoakPlan(RESTORE_SEED, nodes=4, planned_s=1.0, chaos_s=10.0, rounds=1)
         result = play(plan)
         self.assertEqual(result.findings, [], result.faults)
         self.assertGreater(sum("older copy" in fault for fault in result.faults), 1)
         shutil.rmtree(result.folder, ignore_errors=True)
 
-    def test_short_soak_beside_the_landing_before_finds_nothing(self) -> None:
+    def test_short_soak_with_the_previous_release_finds_nothing(self) -> None:
         """Nodes go forth and back between both builds; where the history is missing it fails."""
         with tempfile.TemporaryDirectory(prefix="soak-build-") as folder:
             former = sources_of(LANDED, Path(folder))
