--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -76,7 +76,7 @@
                     asked = asyncio.create_task(world.send_request("/order/", body=b"long"))
                     await server.arrived.wait()
                     world.update_listed(server.id, leaving=True)
-                    server.end()
+                    server.crash()
                     await asked
                 await asyncio.sleep(0.1)
                 self.assertFalse(world.forwarder.guard.quarantine.has_suspects)
