--- a/tests/fragile_server.py
+++ b/tests/fragile_server.py
@@ -51,10 +51,10 @@
 
 def make_fragile_server(name: str) -> FragileServer:
     """Return a server that is not started yet."""
-    server = FragileServer(name, _unset)
+    server = FragileServer(name, _no_script)
     server.script = server.serve_one
     return server
 
 
-async def _unset(_: Arrival, __: asyncio.StreamReader, ___: asyncio.StreamWriter) -> None:
+async def _no_script(_: Arrival, __: asyncio.StreamReader, ___: asyncio.StreamWriter) -> None:
     """Stand in for the script until the server is made."""
