--- a/tests/test_orders_of_faults.py
+++ b/tests/test_orders_of_faults.py
@@ -75,11 +75,11 @@
 
         self.run(accept())
 
-    @rule(node=nodes, again=st.booleans())
-    def once(self, node: str, again: bool) -> None:
+    @rule(node=nodes, reuse_key=st.booleans())
+    def once(self, node: str, reuse_key: bool) -> None:
         if not self.is_running(node):
             return
-        self.key_count += 0 if again and self.key_count else 1
+        self.key_count += 0 if reuse_key and self.key_count else 1
 
         async def start() -> None:
             call = self.world.make_once_call(f"call {self.key_count}", f"key {self.key_count}")
