--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -49,7 +49,7 @@
 
 class FormatsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.today = make_record("today")
+        self.current = make_record("today")
 
     def test_records_are_complete(self) -> None:
         self.assertTrue(load_records())
@@ -62,7 +62,7 @@
         for each in load_records():
             for name, earlier in each.structs.items():
                 with self.subTest(build=each.build, name=name):
-                    self.assert_fields_compatible(earlier, self.today.structs[name])
+                    self.assert_fields_compatible(earlier, self.current.structs[name])
 
     def assert_fields_compatible(self, earlier: StructRecord, later: StructRecord) -> None:
         self.assertEqual((later.array_like, later.tag), (earlier.array_like, earlier.tag))
@@ -77,7 +77,7 @@
     def test_structs_with_a_digest_do_not_change(self) -> None:
         for each in load_records():
             for name in FROZEN_TYPES:
-                self.assertEqual(self.today.structs[name], each.structs[name])
+                self.assertEqual(self.current.structs[name], each.structs[name])
 
     def test_values_written_by_earlier_builds_decode_unchanged(self) -> None:
         for each in load_records():
@@ -101,7 +101,7 @@
 
     def test_earlier_builds_decode_what_this_one_writes(self) -> None:
         for each in load_records():
-            for name, example in self.today.examples.items():
+            for name, example in self.current.examples.items():
                 if name in TYPES_UNKNOWN_TO_BUILD.get(each.build, ()):
                     continue
                 with self.subTest(build=each.build, name=name):
