--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -272,7 +272,7 @@
         ]
         self.assert_finding_count(checks.ends_as_asked, 3)
 
-    def test_finds_nothing_served_after_recovery(self) -> None:
+    def test_finds_that_no_request_is_served_after_recovery(self) -> None:
         self.ledger.healed_at = 50.0
         self.ledger.attempts.append(make_attempt("r1", status=503, whole=True))
         self.assert_finding_count(checks.served_after_healing)
@@ -401,7 +401,7 @@
         self.assertGreater(sum("older copy" in fault for fault in result.faults), 1)
         shutil.rmtree(result.folder, ignore_errors=True)
 
-    def test_short_soak_with_the_previous_release_finds_nothing(self) -> None:
+    def test_short_soak_with_an_earlier_build_finds_nothing(self) -> None:
         """Nodes go forth and back between both builds; where the history is missing it fails."""
         with tempfile.TemporaryDirectory(prefix="soak-build-") as folder:
             former = sources_of(LANDED, Path(folder))
