--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs all tests; those that KNOWN-RED.txt lists may fail, and are printed in any case."""
+"""Runs all tests; those listed in KNOWN-RED.txt may fail, and their outcomes are always printed."""
 
 import argparse
 import sys
@@ -12,9 +12,9 @@
 
 
 def main() -> int:
-    """Run the tests, or those that are named; return the exit code."""
+    """Run all tests or the named ones; return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m tests", description=__doc__)
-    parser.add_argument("names", nargs="*", help="tests to run in place of all")
+    parser.add_argument("names", nargs="*", help="tests to run instead of all")
     arguments = parser.parse_args()
     known = parse_known_red(LIST_FILE.read_text("utf-8") if LIST_FILE.exists() else "")
     loader = unittest.defaultTestLoader
