--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -1,4 +1,4 @@
-"""Each mechanism that can be taken out still stands where the tool looks for it."""
+"""`tools.ablation` still finds each mechanism in the sources that it can remove."""
 
 import ast
 import unittest
