--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Calls that fail are repeated more seldom each time, and by many nodes more seldom than by few."""
+"""Backoff of failed calls: pauses grow with each failure, up to a maximum that grows with nodes."""
 
 import asyncio
 import random
@@ -21,11 +21,11 @@
 from tests.gateway_world import run_quietly
 from tests.plan_world import config_bytes
 
-LARGE_SCALE = 5.0
+LARGE_SCALE = 5.0  # backoff scale of a node that is one of many
 
 
 class UnreachableStore:
-    """A store that answers nothing and counts what it is asked."""
+    """A fake store that fails all calls and counts them."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -76,17 +76,17 @@
 
 
 class FixedRandom(random.Random):
-    """Draws the middle each time."""
+    """Always returns 0.5, for pauses without jitter."""
 
     def random(self) -> float:
         return 0.5
 
 
-def count_failed_calls(length_s: float, most_s: float, backoff_scale: float) -> int:
-    """Return how many calls that all fail a node makes."""
-    backoff = Backoff(RETRY_INITIAL_S, most_s, lambda: backoff_scale)
+def count_failed_calls(duration_s: float, max_s: float, backoff_scale: float) -> int:
+    """Return how many calls a node makes in a time if all of them fail."""
+    backoff = Backoff(RETRY_INITIAL_S, max_s, lambda: backoff_scale)
     calls, at = 0, 0.0
-    while at < length_s:
+    while at < duration_s:
         calls += 1
         at += backoff.next_s()
     return calls
@@ -96,9 +96,9 @@
     def test_pauses_double_up_to_the_maximum(self) -> None:
         backoff = Backoff(0.2, 1.0, lambda: 1.0)
         pauses = [backoff.next_s() for _ in range(8)]
-        for pause, middle in zip(pauses, (0.2, 0.4, 0.8, 1.0, 1.0, 1.0, 1.0, 1.0), strict=True):
-            self.assertGreaterEqual(pause, middle * (1 - JITTER))
-            self.assertLessEqual(pause, middle * (1 + JITTER))
+        for pause, mean_s in zip(pauses, (0.2, 0.4, 0.8, 1.0, 1.0, 1.0, 1.0, 1.0), strict=True):
+            self.assertGreaterEqual(pause, mean_s * (1 - JITTER))
+            self.assertLessEqual(pause, mean_s * (1 + JITTER))
         backoff.reset()
         self.assertLessEqual(backoff.next_s(), 0.2 * (1 + JITTER))
 
@@ -110,46 +110,46 @@
         self.assertGreaterEqual(last, LARGE_SCALE * (1 - JITTER))
 
     def test_many_nodes_call_at_most_a_third_as_often_over_half_a_minute(self) -> None:
-        """Whatever is drawn: 7 to 11 calls, where a node alone makes 27 to 83."""
-        for most_s in (RETRY_MAX_S, 0.4):
+        """Any jitter: 7 to 11 calls at a large scale, where a single node makes 27 to 83."""
+        for max_s in (RETRY_MAX_S, 0.4):
             for _ in range(200):
                 few, many = (
-                    count_failed_calls(30.0, most_s, backoff_scale) for backoff_scale in (1.0, 20.0)
+                    count_failed_calls(30.0, max_s, backoff_scale) for backoff_scale in (1.0, 20.0)
                 )
                 self.assertLessEqual(3 * many, few + 3)
 
     def test_many_nodes_call_an_unreachable_store_less_often(self) -> None:
-        """Pauses are as long as they are in the middle: of drawn ones the few may have long and the
-        many short ones, and 3.4 in 100 pairs are the other way round within 3 s (20,000 drawn)."""
+        """Pauses have no jitter here: with it, the few nodes may draw long and the many short ones,
+        so that 3.4 in 100 pairs (of 20,000) have the opposite order within 3 s."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             for make in (make_plan_watch, make_fleet_watch):
                 few, many = UnreachableStore(), UnreachableStore()
                 watches = make(few, 1.0), make(many, 20.0)
                 for watch in watches:
                     watch._backoff._rng = FixedRandom()
-                asked = await asyncio.gather(
+                calls = await asyncio.gather(
                     count_calls(watches[0], few, 3.0), count_calls(watches[1], many, 3.0)
                 )
-                self.assertGreater(asked[0], 3, make)
-                self.assertLess(asked[1], 7, make)
-                self.assertLess(asked[1], asked[0], make)
+                self.assertGreater(calls[0], 3, make)
+                self.assertLess(calls[1], 7, make)
+                self.assertLess(calls[1], calls[0], make)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_plan_from_a_peer_ends_the_pause(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             store = UnreachableStore()
             watch = make_plan_watch(store, 100.0)
             task = asyncio.create_task(watch.watch())
             await asyncio.sleep(2.0)
-            asked = store.calls
+            calls = store.calls
             watch._on_fetched(EraVersion(number=9), config_bytes(9, 5))
             await asyncio.sleep(0.1)
-            self.assertGreater(store.calls, asked)
+            self.assertGreater(store.calls, calls)
             task.cancel()
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_reserve_nodes_spread_their_reads_of_a_late_list(self) -> None:
         watches = [make_fleet_watch(UnreachableStore(), LARGE_SCALE) for _ in range(40)]
