--- a/tests/test_builds.py
+++ b/tests/test_builds.py
@@ -1,4 +1,4 @@
-"""Nodes of other builds are told apart, and messages that nobody here can read are counted."""
+"""Nodes of different builds are detected, and unreadable messages are counted by kind."""
 
 import asyncio
 import unittest
@@ -18,7 +18,7 @@
 
 
 def event_numbers(handler: logbook.TestHandler) -> list[str]:
-    """Return the numbers of the events that were logged."""
+    """Return the numbers of the logged events, such as "E602"."""
     return [record.message[:4] for record in handler.records]
 
 
@@ -28,7 +28,7 @@
         self.socket = GossipSocket(self.received.append)
 
     def receive(self, *messages: object) -> list[str]:
-        """Let messages come; return what was logged."""
+        """Deliver messages as datagrams; return the numbers of the logged events."""
         with logbook.TestHandler().applicationbound() as handler:
             for message in messages:
                 data = message if isinstance(message, bytes) else msgspec.msgpack.encode(message)
@@ -63,14 +63,14 @@
         self.assertEqual(build_id(), first)
 
     def test_status_without_a_build_is_readable(self) -> None:
-        """The command asks nodes of the landing before as well."""
+        """`moledale fleet` also reads the status of nodes that run an earlier build."""
         fields = [name for name in NodeStatus.__struct_fields__ if name != "build"]
         self.assertEqual(NodeStatus.__struct_fields__[-1], "build")
-        told = {name: [] if name in ("leases", "servers") else 0 for name in fields}
-        told |= dict.fromkeys(("node", "hall", "incarnation", "bundle_digest", "verdict"), "x")
-        told |= {"nodes": {}, "draining": False, "table_reachable": True}
-        read = msgspec.json.decode(msgspec.json.encode(told), type=NodeStatus)
-        self.assertEqual(read.build, "")
+        status = {name: [] if name in ("leases", "servers") else 0 for name in fields}
+        status |= dict.fromkeys(("node", "hall", "incarnation", "bundle_digest", "verdict"), "x")
+        status |= {"nodes": {}, "draining": False, "table_reachable": True}
+        decoded = msgspec.json.decode(msgspec.json.encode(status), type=NodeStatus)
+        self.assertEqual(decoded.build, "")
 
 
 class BuildsTest(unittest.TestCase):
@@ -89,12 +89,12 @@
                 older,
             ):
                 watch.check(each)
-        # The way back to this build is told as well: nobody is left who runs the other one.
+        # A return to this build is logged too: the node no longer runs the other one.
         self.assertEqual(event_numbers(handler), ["E603"] * 4)
         self.assertEqual(watch.count_different([same, older, newer]), 2)
 
     def test_nodes_of_one_build_report_no_differences(self) -> None:
-        async def work(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             first = await cluster.start("n1")
             second = await cluster.start("n2", (first.settings.node.control,))
             for node in (first, second):
@@ -107,7 +107,7 @@
             for name in (b"peers_of_other_builds", b"news_unreadable_total", b"servers_limited"):
                 self.assertIn(b"moledale_" + name + b" 0\n", body)
 
-        run_on_cluster(work)
+        run_on_cluster(scenario)
 
 
 if __name__ == "__main__":
