--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -1,4 +1,4 @@
-"""The tool that compares variants: pairs, intervals, and what it plays again."""
+"""`tools.compare`: paired differences, confidence intervals, and reuse of stored results."""
 
 import random
 import stat
@@ -25,9 +25,9 @@
 
 class DifferenceTest(unittest.TestCase):
     def test_differences_are_paired(self) -> None:
-        chance = random.Random(1)
-        base = [chance.uniform(0.3, 0.8) for _ in range(20)]
-        better = [worth + 0.02 + chance.gauss(0.0, 0.005) for worth in base]
+        rng = random.Random(1)
+        base = [rng.uniform(0.3, 0.8) for _ in range(20)]
+        better = [worth + 0.02 + rng.gauss(0.0, 0.005) for worth in base]
         found = paired_difference([*make_plays("x", base), *make_plays("y", better)], "x", "y")
         assert found is not None
         self.assertAlmostEqual(found.mean, 0.02, delta=0.005)
@@ -35,9 +35,9 @@
         self.assertLess(found.plays_needed, 10)
 
     def test_noise_is_not_reported_as_a_difference(self) -> None:
-        chance = random.Random(1)
-        one = [chance.gauss(0.6, 0.05) for _ in range(12)]
-        two = [chance.gauss(0.6, 0.05) for _ in range(12)]
+        rng = random.Random(1)
+        one = [rng.gauss(0.6, 0.05) for _ in range(12)]
+        two = [rng.gauss(0.6, 0.05) for _ in range(12)]
         found = paired_difference([*make_plays("x", one), *make_plays("y", two)], "x", "y")
         assert found is not None
         self.assertTrue(found.low < 0.0 < found.high)
@@ -75,9 +75,9 @@
             (folder / "x" / "journal").mkdir(parents=True)
             site, variant = folder / "site.toml", Variant("x", "HEAD")
             Runner(program, folder, False).run([variant], [(site, "d", 1), (site, "d", 9)], 2)
-            again = Runner(program, folder, False)
-            again.run([variant], [(site, "d", 1), (site, "d", 2)], 1)
-            found = {play.seed: (play.worth, play.broken) for play in again.plays}
+            second = Runner(program, folder, False)
+            second.run([variant], [(site, "d", 1), (site, "d", 2)], 1)
+            found = {play.seed: (play.worth, play.broken) for play in second.plays}
             self.assertEqual(found, {1: (0.1, False), 2: (0.2, False), 9: (0.9, True)})
             calls = (folder / "x" / "calls.txt").read_text().splitlines()
             self.assertEqual(len(calls), 3)
