--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come from outside, a decoder returns what it says or tells that it can't read."""
+"""Fuzz tests: for any external input a decoder returns a valid value or the error it documents."""
 
 import base64
 import contextlib
@@ -49,7 +49,7 @@
 
 
 def make_row(value: bytes) -> RowRecord:
-    """Return a row with some bytes."""
+    """Return a row of the server table with a value."""
     return RowRecord("servers", "s1", base64.b64encode(value).decode(), 3)
 
 
@@ -75,7 +75,7 @@
         self.assertTrue(facts.deadline_s is None or not math.isnan(facts.deadline_s))
 
     def test_invalid_numbers_of_callers_are_rejected(self) -> None:
-        """A prompt of less than nothing would fill an account's limit in place of using it."""
+        """A negative token count would refill an account's limit instead of using it."""
         for name, value in (
             ("Deadline-Ms", "nan"),
             ("Deadline-Ms", "inf"),
@@ -124,7 +124,7 @@
 
     @FUZZ
     @given(JSON)
-    def test_phases(self, value: object) -> None:
+    def test_rollout_phases(self, value: object) -> None:
         body = {"service": "s", "targetVersion": "v2", "durationS": 8.0}
         order = read_rollout(make_row(msgspec.json.encode(body)), 1.0, 1)
         with contextlib.suppress(ValueError):
@@ -132,7 +132,7 @@
 
 
 class DatagramsTest(unittest.TestCase):
-    """News between nodes: what can't be read is counted and changes nothing."""
+    """Messages between nodes: unreadable datagrams are counted and otherwise ignored."""
 
     def setUp(self) -> None:
         self.received: list[Message] = []
