--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of a request from logs, and that the operators' page names events that exist."""
+"""`moledale explain` on the logs of nodes; the operations page names only existing events."""
 
 import contextlib
 import io
@@ -26,9 +26,9 @@
 
 class ExplainTest(unittest.TestCase):
     def test_events_of_one_request(self) -> None:
-        told = select_events(read_lines("file", LOG.splitlines()), "r1")
-        self.assertEqual([line.number for line in told], [420, 411, 417, 410])
-        self.assertEqual({line.node for line in told}, {"n1"})
+        events = select_events(read_lines("file", LOG.splitlines()), "r1")
+        self.assertEqual([line.number for line in events], [420, 411, 417, 410])
+        self.assertEqual({line.node for line in events}, {"n1"})
 
     def test_lines_of_several_nodes_in_one_file(self) -> None:
         text = '  1.5 front-b-2 55.250 E104 draining {"node":"x"}'
