--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -1,8 +1,8 @@
-"""Builds read each other's messages and rows: nodes are replaced one by one, rows outlive them.
+"""Builds read each other's messages and rows: nodes are replaced one by one, and rows outlive them.
 
-Each file in `tests/formats` was written by a build that landed (`tools.record_formats`) and is
-never edited. A field that such a build reads stays where it is, with its type; new ones come last
-in what is sent as an array, and have a default.
+Each file in `tests/formats` was written by a merged build (`tools.record_formats`) and is never
+edited. Fields of such a build keep their position and type. New fields have a default, and are the
+last ones in a struct that is encoded as an array.
 """
 
 import unittest
@@ -23,24 +23,24 @@
 FOLDER = Path(__file__).resolve().parent / "formats"
 
 FROZEN_TYPES = ("moledale.gateway.messages:Server",)
-"""Nodes compare a digest of their lists of servers, so a field that only some builds know would
-have all of them fetch each other's lists again and again."""
+"""Nodes compare digests of their server lists. With a field that only some builds know, the digests
+would differ and nodes would fetch each other's lists again and again."""
 
 TYPES_UNKNOWN_TO_BUILD = {
     name: {"moledale.gateway.permits:PermitAsk", "moledale.gateway.permits:PermitAnswer"}
     for name in ("eba5d79", "ed5dc3f")
 }
-"""Messages that came later than a build: nodes send them to no node of it, and it drops them."""
+"""Messages that are newer than a build. Its nodes are not sent them, and would drop them."""
 
 
 def load_records() -> list[FormatRecord]:
-    """Return what earlier builds recorded."""
+    """Return the records of earlier builds."""
     files = sorted(FOLDER.glob("*.json"))
     return [msgspec.json.decode(file.read_bytes(), type=FormatRecord) for file in files]
 
 
 def make_older_reader(earlier: StructRecord) -> type[msgspec.Struct]:
-    """Return a reader that knows the fields of an earlier build only."""
+    """Return a struct that has only the fields of an earlier build."""
     fields: list[Any] = [
         (field.name, Any) if field.required else (field.name, Any, None) for field in earlier.fields
     ]
@@ -88,7 +88,7 @@
                     self.assert_contains(example.value, msgspec.to_builtins(read, str_keys=True))
 
     def assert_contains(self, earlier: Any, later: Any) -> None:
-        """Check that plain values hold all that earlier ones did; what is new may come beside."""
+        """Assert that builtin values contain all earlier ones; they may also have new entries."""
         if isinstance(earlier, dict):
             for key, value in earlier.items():
                 self.assert_contains(value, later[key])
