--- a/tests/test_generation_guard.py
+++ b/tests/test_generation_guard.py
@@ -1,7 +1,7 @@
-"""Generations that end engines, at the product's own interface.
+"""Generations that crash engines, as seen by the dispatcher and the jobs.
 
-The same cause as with requests that are forwarded: accepted work was tried again without end, and
-nothing remembered that each engine that began to run it had ended.
+Guards against accepted work that is retried without limit although each engine that starts to run
+it crashes. Forwarded requests had the same fault.
 """
 
 import unittest
@@ -22,8 +22,8 @@
         request = world.make_request(CRASH_PROMPT)
         (await jobs.accept(request, f"job_hall-a_{1:032x}")).unwrap()
         await world.clock.sleep(60.0)
-        ended = sum(not engine.alive for engine in world.engines.values())
-        self.assertEqual(ended, 3)
+        crashed = sum(not engine.alive for engine in world.engines.values())
+        self.assertEqual(crashed, 3)
         self.assertEqual(jobs.open_jobs, 1)
 
     @in_world
@@ -36,16 +36,16 @@
         record = dispatcher.submit(world.make_request(CRASH_PROMPT)).unwrap()
         await record.wait_ended()
         await world.clock.sleep(2.0)
-        before = sum(not engine.alive for engine in world.engines.values())
-        refused = dispatcher.submit(world.make_request(CRASH_PROMPT)).unwrap_err()
-        self.assertEqual((refused.status, refused.ran), (503, Ran.NO))
-        self.assertGreater(refused.retry_after or 0, INITIAL_BLOCK_S - 60)
-        self.assertEqual(before, 3)
-        self.assertEqual(sum(not engine.alive for engine in world.engines.values()), before)
+        crashed = sum(not engine.alive for engine in world.engines.values())
+        problem = dispatcher.submit(world.make_request(CRASH_PROMPT)).unwrap_err()
+        self.assertEqual((problem.status, problem.ran), (503, Ran.NO))
+        self.assertGreater(problem.retry_after or 0, INITIAL_BLOCK_S - 60)
+        self.assertEqual(crashed, 3)
+        self.assertEqual(sum(not engine.alive for engine in world.engines.values()), crashed)
 
     @in_world
     async def test_generations_survive_simultaneous_engine_crashes(self, world: World) -> None:
-        """Two engines go at one moment, later two more; what ran there is sent on and served."""
+        """Two engines crash at one moment and two more later; their streams finish on others."""
         await world.start(nodes=1, engines=8)
         dispatcher = world.nodes["n0"].dispatcher
         prompts = [f"question {number}" for number in range(3)]
