--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 
 
 class KnownRedTest(unittest.TestCase):
-    """Only what is listed may fail, and it is told."""
+    """Only listed tests may fail, and the outcome of each is reported."""
 
     def test_only_listed_failures_are_tolerated(self) -> None:
         known = parse_known_red("# a comment\n\n" + LISTED)
