--- a/tests/test_mixed_builds.py
+++ b/tests/test_mixed_builds.py
@@ -1,4 +1,4 @@
-"""The tool that puts two builds side by side: which node runs which, and from where."""
+"""`tools.mixed_builds`: which build each node runs, and the launcher that selects its sources."""
 
 import tempfile
 import unittest
@@ -13,7 +13,7 @@
 
 class LauncherTest(unittest.TestCase):
     def selected_sources(self, text: str, name: str) -> Path:
-        """Run the part of a launcher that chooses the sources, for a node of a name."""
+        """Run the part of a launcher that selects the sources, for the node with this name."""
         with tempfile.TemporaryDirectory() as folder:
             settings = Path(folder) / "settings.toml"
             settings.write_text(f'[node]\nid = "{name}"\nhall = "a"\n', "utf-8")
@@ -23,16 +23,16 @@
                 return Path(scope["sources"]())  # type: ignore[operator]
 
     def test_each_build_runs_on_about_half_of_the_nodes(self) -> None:
-        former = sum(runs_earlier_build(name) for name in NAMES)
-        self.assertGreater(former, 30)
-        self.assertLess(former, 70)
+        earlier = sum(runs_earlier_build(name) for name in NAMES)
+        self.assertGreater(earlier, 30)
+        self.assertLess(earlier, 70)
 
     def test_launcher_selects_the_build_by_the_name_in_the_settings(self) -> None:
         text = mixed_launcher((ROOT / "deploy" / "launch.py").read_text("utf-8"))
         compile(text, "launch.py", "exec")
         for name in NAMES[:8]:
-            wanted = ROOT / "former" / "src" if runs_earlier_build(name) else ROOT / "src"
-            self.assertEqual(self.selected_sources(text, name), wanted)
+            expected = ROOT / "former" / "src" if runs_earlier_build(name) else ROOT / "src"
+            self.assertEqual(self.selected_sources(text, name), expected)
 
     def test_changed_launcher_is_an_error(self) -> None:
         with self.assertRaises(ValueError):
