--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""Places given one after the other keep their rate in each span, and little of it is lost."""
+"""Slots of a pacer keep its rate in each span of time, and few of them are lost."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 def max_count_in_span(span_s: float, times: list[float]) -> int:
-    """Return the most of these times in any span."""
+    """Return the maximum number of these times within any span of `span_s`."""
     return max((sum(at <= each < at + span_s for each in times) for at in times), default=0)
 
 
@@ -21,20 +21,20 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(RATES, CALLS)
     def test_rate_is_kept_in_each_span_of_time(
-        self, per_s: float, asks: list[tuple[float, float]]
+        self, per_s: float, calls: list[tuple[float, float]]
     ) -> None:
         pacer = Pacer.without_credit(per_s, 100.0)
-        now, taken = 100.0, []
-        for pause_s, most_wait_s in asks:
+        now, slots = 100.0, []
+        for pause_s, max_wait_s in calls:
             now += pause_s
-            reservation = pacer.take(now, most_wait_s)
+            reservation = pacer.take(now, max_wait_s)
             if reservation.granted:
-                self.assertLessEqual(reservation.wait_s, most_wait_s)
-                taken.append(now + reservation.wait_s)
+                self.assertLessEqual(reservation.wait_s, max_wait_s)
+                slots.append(now + reservation.wait_s)
         rate = max(MIN_RATE_PER_S, per_s)
         for span_s in SPANS_S:
-            saved = 1 + max(1.0, rate * BURST_S)
-            self.assertLessEqual(max_count_in_span(span_s, taken), rate * span_s + saved + 1e-6)
+            burst = 1 + max(1.0, rate * BURST_S)
+            self.assertLessEqual(max_count_in_span(span_s, slots), rate * span_s + burst + 1e-6)
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(RATES, st.floats(0.0, 2.0)), min_size=1, max_size=40))
@@ -49,7 +49,7 @@
         self.assertTrue(pacer.take(now + 2.0 / MIN_RATE_PER_S).granted)
 
     def test_fluctuating_rate_loses_no_slots(self) -> None:
-        """The part of all nodes that a node hears may change with each round of news."""
+        """A node's rate depends on the peers it hears from, which may change each gossip round."""
         pacer = Pacer.without_credit(0.4, 0.0)
         granted = 0
         for step in range(400):
@@ -75,10 +75,10 @@
 
     def test_rejected_callers_get_different_retry_times(self) -> None:
         pacer = Pacer.without_credit(1.0, 0.0)
-        told = [pacer.take(0.0).wait_s for _ in range(5)]
-        self.assertEqual(len(set(told)), 5)
-        many = [pacer.take(0.0).wait_s for _ in range(390)]
-        self.assertLessEqual(max(many), 1.0 + MAX_EXTRA_WAIT_S)
+        waits = [pacer.take(0.0).wait_s for _ in range(5)]
+        self.assertEqual(len(set(waits)), 5)
+        more_waits = [pacer.take(0.0).wait_s for _ in range(390)]
+        self.assertLessEqual(max(more_waits), 1.0 + MAX_EXTRA_WAIT_S)
 
     def test_waiting_callers_get_successive_slots(self) -> None:
         pacer = Pacer.without_credit(2.0, 0.0)
