--- a/tests/test_plan_spread.py
+++ b/tests/test_plan_spread.py
@@ -1,4 +1,4 @@
-"""Plans travel as differences, in pieces, from many nodes, and never go back."""
+"""Distribution of plans between nodes: deltas in pieces from several sources, versions in order."""
 
 import asyncio
 import unittest
@@ -47,7 +47,8 @@
         with self.assertRaises(DocumentUnreadable):
             decode(encode(LARGE), b"", digest_of(CHANGED))
 
-    # `tools.without` runs a test several times in one process, each time in a new TestCase.
+    # Without the suppression Hypothesis rejects `tools.without`, which runs a test several times in
+    # one process, each time in a new TestCase.
     @settings(
         derandomize=True,
         max_examples=100,
@@ -61,13 +62,13 @@
         frame = bytearray(encode(raw, base))
         if raw:
             self.assertEqual(decode(bytes(frame), base, digest_of(raw)), raw)
-        place = data.draw(st.integers(0, len(frame) - 1))
-        frame[place] ^= data.draw(st.integers(1, 255))
+        position = data.draw(st.integers(0, len(frame) - 1))
+        frame[position] ^= data.draw(st.integers(1, 255))
         try:
-            read = decode(bytes(frame), base, digest_of(raw))
+            decoded = decode(bytes(frame), base, digest_of(raw))
         except DocumentUnreadable:
             return
-        self.assertEqual(read, raw)
+        self.assertEqual(decoded, raw)
 
 
 class ArchiveTest(unittest.TestCase):
@@ -80,14 +81,14 @@
 
     def test_fetches_use_only_their_share_of_the_link(self) -> None:
         self.archive.add(EraVersion(number=9), LARGE)
-        given = 0
+        served = 0
         for _ in range(1_000):
             piece = self.archive.piece(PieceRequest())
-            given += len(piece.data) if piece is not None else 0
+            served += len(piece.data) if piece is not None else 0
             self.now += 0.001
-        share = SLOW_LINK_MBPS * BYTES_PER_MBIT * LINK_SHARE
-        self.assertLessEqual(given, share * (1 + BURST_S) + PIECE_BYTES)
-        self.assertGreater(given, share / 2)
+        bytes_per_s = SLOW_LINK_MBPS * BYTES_PER_MBIT * LINK_SHARE
+        self.assertLessEqual(served, bytes_per_s * (1 + BURST_S) + PIECE_BYTES)
+        self.assertGreater(served, bytes_per_s / 2)
 
     def test_transfer_continues_from_another_node(self) -> None:
         other = DocumentArchive(100.0, lambda: self.now)
@@ -109,20 +110,20 @@
 
 class SpreadTest(unittest.TestCase):
     def test_77_nodes_adopt_a_large_plan_within_two_seconds(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(3)]
                 for number in range(74):
                     await world.add((SLOW_LINK_MBPS, 20.0, 100.0)[number % 3], SMALL)
                 world.publish(LARGE, watchers)
-                took = await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
+                took_s = await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
                 self.assertEqual(sum(node.store_reads for node in world.nodes), 0)
-                self.assertLess(took, ADOPTION_TIMEOUT_S)
+                self.assertLess(took_s, ADOPTION_TIMEOUT_S)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_plan_spreads_from_one_node_with_a_slow_link(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 first = await world.add(SLOW_LINK_MBPS, SMALL)
                 for _ in range(39):
@@ -130,10 +131,10 @@
                 world.publish(LARGE, [first])
                 await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_four_versions_within_a_second_are_adopted_in_order(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(3)]
                 for _ in range(30):
@@ -146,10 +147,10 @@
                     versions = sorted(node.adopted_at, key=lambda each: node.adopted_at[each])
                     self.assertEqual(versions, sorted(versions))
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_unresponsive_and_aborting_sources_are_replaced(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(3)]
                 watchers[0].unresponsive = True
@@ -159,31 +160,31 @@
                 world.publish(LARGE, watchers)
                 await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_interrupted_transfer_resumes_from_another_source(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
-                breaking = await world.add(100.0, SMALL)
-                breaking.abort_after = 1
-                sound = await world.add(100.0, SMALL)
+                aborting = await world.add(100.0, SMALL)
+                aborting.abort_after = 1
+                intact = await world.add(100.0, SMALL)
                 node = await world.add(100.0, SMALL)
                 pieces = -(-len(encode(LARGEST, SMALL)) // PIECE_BYTES)
                 self.assertGreater(pieces, 1)
-                breaking.archive.add(EraVersion(number=9), LARGEST)
-                breaking.version = 9
-                node.on_announcement(breaking)
+                aborting.archive.add(EraVersion(number=9), LARGEST)
+                aborting.version = 9
+                node.on_announcement(aborting)
                 await asyncio.sleep(0.2)
-                sound.archive.add(EraVersion(number=9), LARGEST)
-                sound.version = 9
-                node.on_announcement(sound)
+                intact.archive.add(EraVersion(number=9), LARGEST)
+                intact.version = 9
+                node.on_announcement(intact)
                 await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
-                self.assertEqual(sound.piece_requests, pieces - 1)
+                self.assertEqual(intact.piece_requests, pieces - 1)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_node_without_a_plan_fetches_the_whole_plan(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 watchers = [await world.add(100.0, SMALL) for _ in range(2)]
                 world.publish(LARGE, watchers)
@@ -191,10 +192,10 @@
                 late.on_announcement(watchers[0])
                 await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_wrong_base_falls_back_to_the_whole_plan(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
                 node = await world.add(100.0, SMALL)
@@ -203,10 +204,10 @@
                 await world.wait_for_version(9, ADOPTION_TIMEOUT_S)
                 self.assertEqual(node.archive.raw(digest_of(LARGE)), LARGE)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_rejected_plan_is_not_requested_continuously(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
                 node = await world.add(100.0, SMALL)
@@ -217,10 +218,10 @@
                 self.assertGreater(source.piece_requests, 1)
                 self.assertLess(source.piece_requests, 10)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_store_is_read_once_if_no_source_delivers(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
                 source.unresponsive = True
@@ -231,10 +232,10 @@
                 reads = [node.store_reads for node in world.nodes]
                 self.assertLessEqual(max(reads), 1)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_claim_of_an_undelivered_version_expires(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 source = await world.add(100.0, SMALL)
                 source.unresponsive = True
@@ -246,10 +247,10 @@
                 self.assertTrue(node.fetch.is_behind(now))
                 self.assertFalse(node.fetch.is_behind(now + NEWER_VERSION_TTL_S + 0.1))
 
-        run_quietly(story())
+        run_quietly(scenario())
 
     def test_invalid_piece_request_is_rejected(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with PlanWorld() as world:
                 node = await world.add(100.0, SMALL)
                 self.assertEqual(await request_piece(node.address, "?offset=-1"), 400)
@@ -258,7 +259,7 @@
                 empty = await world.add(100.0)
                 self.assertEqual(await request_piece(empty.address), 503)
 
-        run_quietly(story())
+        run_quietly(scenario())
 
 
 class BehindTest(unittest.TestCase):
@@ -276,9 +277,12 @@
         return refusal.status, refusal.retry_after_s
 
     def test_rejection_is_retryable_if_a_newer_plan_may_allow_the_request(self) -> None:
-        for path, key, final in ((b"/new/1", b"key-of-north", 404), (b"/check/1", b"none", 401)):
+        for path, key, final_status in (
+            (b"/new/1", b"key-of-north", 404),
+            (b"/check/1", b"none", 401),
+        ):
             with self.subTest(path=path):
-                self.assertEqual(self._status(path, key, newer=False), (final, None))
-                status, again_s = self._status(path, key, newer=True)
+                self.assertEqual(self._status(path, key, newer=False), (final_status, None))
+                status, retry_after_s = self._status(path, key, newer=True)
                 self.assertEqual(status, 503)
-                self.assertIsNotNone(again_s)
+                self.assertIsNotNone(retry_after_s)
