--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in its folder only, and that folder is small and decides nothing."""
+"""Names of the platform's interface occur only in its package, which is small and has no policy."""
 
 import ast
 import re
@@ -18,7 +18,7 @@
     re.IGNORECASE,
 )
 ALLOWED_MATCHES = {"src/moledale/edge/requests.py: deadline-ms"}
-"""Names that the product's own interface had before and spells the same."""
+"""A header of the product's own interface, older than the platform's header of that name."""
 
 MAX_LINES = 1_000
 FORBIDDEN_CALLS = {
