--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -1,7 +1,7 @@
-"""Servers that state when to retry, at the product's own interface.
+"""Servers that state a retry time, as seen by the dispatcher and the service router.
 
-The same cause as with requests that are forwarded: what a server's answer said of it ended with the
-request that it answered, and the next one went to the same server at once.
+Guards against a retry time that is forgotten with the request that received it, so that the next
+request is sent to the same server at once. Forwarded requests had the same fault.
 """
 
 import asyncio
@@ -55,9 +55,9 @@
         now = world.clock.monotonic()
         dispatcher.load_tracker.back_off("e0", now + RETRY_AFTER_S)
         dispatcher.load_tracker.back_off("e1", now + 2 * RETRY_AFTER_S)
-        refused = dispatcher.submit(world.make_request("a question")).unwrap_err()
-        self.assertEqual((refused.status, refused.ran), (503, Ran.NO))
-        self.assertEqual(refused.retry_after, RETRY_AFTER_S)
+        problem = dispatcher.submit(world.make_request("a question")).unwrap_err()
+        self.assertEqual((problem.status, problem.ran), (503, Ran.NO))
+        self.assertEqual(problem.retry_after, RETRY_AFTER_S)
         await world.clock.sleep(RETRY_AFTER_S + 0.2)
         record = dispatcher.submit(world.make_request("a question")).unwrap()
         await record.wait_ended()
@@ -77,7 +77,7 @@
 
 
 class FakePlainServices:
-    """Plain services of which some addresses turn calls away."""
+    """Fake plain services, of which the `declining` addresses reject all calls."""
 
     def __init__(self, *declining: str) -> None:
         self.declining = set(declining)
@@ -86,7 +86,7 @@
     async def call(
         self, base: str, call: ServiceCall, timeout_s: float
     ) -> Result[ServiceAnswer, ServerFailure]:
-        """Answer, or turn the call away."""
+        """Answer 200, or 503 with a retry time."""
         self.called.append(base)
         if base in self.declining:
             return Ok(ServiceAnswer(503, "text/plain", b"", RETRY_AFTER_S))
@@ -106,7 +106,7 @@
         return ServiceRouter(services, lambda: bundle, random.Random(1), lambda: self.now)
 
     def test_calls_avoid_an_address_until_its_retry_time(self) -> None:
-        async def work() -> None:
+        async def scenario() -> None:
             services = FakePlainServices("http://a:1")
             router = self.make_router(services)
             for _ in range(20):
@@ -117,7 +117,7 @@
                 await router.call(CALL)
             self.assertEqual(services.called.count("http://a:1"), 2)
 
-        run_quietly(work())
+        run_quietly(scenario())
 
     def test_shorter_retry_time_does_not_replace_a_longer_one(self) -> None:
         router = self.make_router(FakePlainServices())
@@ -128,50 +128,50 @@
         self.assertEqual(router._available(service), ["http://b:1"])
 
     def test_call_is_rejected_with_the_earliest_retry_time_if_all_addresses_back_off(self) -> None:
-        async def work() -> None:
+        async def scenario() -> None:
             services = FakePlainServices(*self.addresses)
             router = self.make_router(services)
             while len(set(services.called)) < 2:
                 await router.call(CALL)
             self.now += 1.0
-            called = len(services.called)
-            refused = (await router.call(CALL)).unwrap_err()
-            self.assertEqual((refused.status, refused.ran), (503, Ran.NO))
-            self.assertEqual(refused.retry_after, 2)
-            self.assertEqual(len(services.called), called)
+            call_count = len(services.called)
+            problem = (await router.call(CALL)).unwrap_err()
+            self.assertEqual((problem.status, problem.ran), (503, Ran.NO))
+            self.assertEqual(problem.retry_after, 2)
+            self.assertEqual(len(services.called), call_count)
 
-        run_quietly(work())
+        run_quietly(scenario())
 
 
 class OnTheWireTest(unittest.TestCase):
-    """Both adapters read the time that a 503 names, and no other answer's."""
+    """Both HTTP clients read the retry time of a 503, and ignore that of any other answer."""
 
     def test_clients_of_engines_and_plain_services(self) -> None:
-        for status, more, expected in (
+        for status, header, expected in (
             (503, b"Retry-After: 2.5\r\n", 2.5),
             (503, b"Retry-After: 1\r\nRetry-After: 4\r\n", 4.0),
             (503, b"Retry-After: soon\r\n", None),
             (503, b"", None),
             (500, b"Retry-After: 2.5\r\n", None),
         ):
-            with self.subTest(status=status, more=more):
-                run_quietly(self.check_retry_after(status, more, expected))
+            with self.subTest(status=status, header=header):
+                run_quietly(self.check_retry_after(status, header, expected))
 
-    async def check_retry_after(self, status: int, more: bytes, expected: float | None) -> None:
+    async def check_retry_after(self, status: int, header: bytes, expected: float | None) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n%b\r\n" % (status, more))
+            writer.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n%b\r\n" % (status, header))
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         try:
             async with make_client() as client:
-                with self.assertRaises(ServerError) as failed:
+                with self.assertRaises(ServerError) as raised:
                     async for _ in HttpModelServers(client).generate(address, GENERATE):
                         pass
-            self.assertEqual(failed.exception.retry_after_s, expected)
-            got = (await HttpPlainServices().call(f"http://{address}", CALL, 1.0)).unwrap()
-            self.assertEqual((got.status, got.retry_after_s), (status, expected))
+            self.assertEqual(raised.exception.retry_after_s, expected)
+            answer = (await HttpPlainServices().call(f"http://{address}", CALL, 1.0)).unwrap()
+            self.assertEqual((answer.status, answer.retry_after_s), (status, expected))
         finally:
             server.close()
