--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's checks find what they are for, and a short soak with a fixed seed finds nothing."""
+"""Each check of the soak finds its violation, and short soaks with fixed seeds find none."""
 
 import asyncio
 import json
@@ -65,16 +65,16 @@
     def add_answered_request(
         self, route: str, answer: bytes, stamp: str = "s1", runs: str = "s1"
     ) -> None:
-        """Add a request that got a success with an answer."""
+        """Add a request that got the status 200 and an answer, and ran on the servers in `runs`."""
         headers = {"request-id": "r1", "server-stamp": stamp}
         self.ledger.attempts.append(
             make_attempt("r1", route, status=200, whole=True, answer=answer, headers=headers)
         )
         self.ledger.runs += [make_run("r1", server) for server in runs.split()]
 
-    def assert_finding_count(self, check: object, times: int = 1) -> None:
+    def assert_finding_count(self, check: object, count: int = 1) -> None:
         found = list(check(self.ledger))  # type: ignore[operator]
-        self.assertEqual(len(found), times, found)
+        self.assertEqual(len(found), count, found)
 
     def test_complete_answer_has_no_findings(self) -> None:
         self.add_answered_request("check", plain_body("r1", "s1"))
@@ -83,9 +83,9 @@
                 self.assert_finding_count(check, 0)
 
     def test_finds_requests_to_a_server_after_its_answer_announced_leaving(self) -> None:
-        said = {"server-leaving": "1", "server-stamp": "s1"}
+        headers = {"server-leaving": "1", "server-stamp": "s1"}
         self.ledger.attempts += [
-            make_attempt("r1", whole=True, status=200, headers=said),
+            make_attempt("r1", whole=True, status=200, headers=headers),
             make_attempt("r2", sent_at=102.5),
             make_attempt("r3", sent_at=102.5, node="n2"),
             make_attempt("r4", sent_at=101.5),
@@ -108,11 +108,13 @@
         self.assert_finding_count(checks.stated_retry_times_are_kept, 0)
 
     def test_finds_requests_of_all_nodes_above_a_stated_limit(self) -> None:
-        said = {"server-limit": "0.5", "server-stamp": "s1"}
+        headers = {"server-limit": "0.5", "server-stamp": "s1"}
         for node in ("n1", "n2"):
-            told = make_attempt(f"told-{node}", node=node, status=200, whole=True, headers=said)
-            told.ended_at = 100.0
-            self.ledger.attempts.append(told)
+            stated = make_attempt(
+                f"told-{node}", node=node, status=200, whole=True, headers=headers
+            )
+            stated.ended_at = 100.0
+            self.ledger.attempts.append(stated)
         self.ledger.limits.append(Limit("s1", 0.5, 99.0))
         for number in range(9):
             node = "n1" if number % 2 else "n2"
@@ -127,7 +129,7 @@
         self.assert_finding_count(checks.named_limits_are_kept, 0)
 
     def test_limit_of_a_server_ends_when_it_crashes(self) -> None:
-        """One that named a limit crashed, and was back under its id without one."""
+        """Guards against a limit that outlives a server that crashed and restarted under its id."""
         self.ledger.limits += [Limit("s1", 0.5, 99.0), Limit("s2", 0.5, 99.0)]
         self.ledger.end_limits("s1")
         self.ledger.end_limits("s1")
@@ -159,8 +161,9 @@
         self.assert_finding_count(checks.at_most_once)
 
     def test_stall_of_the_soak_excuses_only_overlapping_requests(self) -> None:
-        """Three seconds in which callers, servers and store said nothing, while nodes' own timers
-        ran, cut five streams at their deadline; 30 s later a cut stream is found as before."""
+        """The soak process stalled for 3 s, so callers, servers and store were silent while nodes'
+        timers ran, which cut five streams at their deadline. A stream cut 30 s later is a finding.
+        """
         note_stall(self.ledger, 100.2, 103.4)
         self.ledger.attempts.append(
             make_attempt("r1", "review", sent_at=100.0, ended_at=103.1, status=200)
@@ -174,13 +177,13 @@
         self.assert_finding_count(checks.planned_work_cuts_nothing)
 
     def test_successive_pauses_of_the_soak_are_one_stall(self) -> None:
-        """Five requests took 1.8 s while all streams of servers, which live in the soak as callers
-        do, stood still, in pieces of less than half a second, and nodes' own timers ran on."""
+        """Guards against findings for pauses of less than 0.5 s that follow each other. They added
+        1.8 s to five requests: callers and servers paused with the soak, nodes' timers did not."""
 
         def spans(*pauses: tuple[float, float]) -> list[tuple[float, float]]:
             watch = StallWatch()
-            woken = [watch.woke(at, at + HEARTBEAT_S + late_s) for at, late_s in pauses]
-            return [span for span in woken if span is not None]
+            found = [watch.woke(at, at + HEARTBEAT_S + late_s) for at, late_s in pauses]
+            return [span for span in found if span is not None]
 
         self.assertEqual(spans((10.0, 0.0), (10.1, 0.01), (10.2, 0.4)), [])
         self.assertEqual(spans((10.0, 0.3), (15.0, 0.3), (20.0, 0.3)), [])
@@ -288,22 +291,22 @@
             body: dict[str, object] = {"window": window, "counts": {"north": requests}}
             return DutyCall("/usage", holder, fence, body, at)
 
-        twice = [call("n1", 1, 0.0, 5, 1), call("n1", 1, 9.0, 6, 1)]
+        reported_twice = [call("n1", 1, 0.0, 5, 1), call("n1", 1, 9.0, 6, 1)]
         same_fence = [call("n1", 1, 0.0, 5, 1), call("n2", 1, 9.0, 5, 2)]
-        back = [call("n1", 2, 0.0, 5, 1), call("n2", 1, 9.0, 5, 2)]
-        turns = [call("n1", 1, 0.0, 5, 1), call("n2", 2, 0.5, 5, 2), call("n1", 3, 1.0, 5, 3)]
-        for calls in (twice, same_fence, back, turns):
+        fence_reverted = [call("n1", 2, 0.0, 5, 1), call("n2", 1, 9.0, 5, 2)]
+        alternating = [call("n1", 1, 0.0, 5, 1), call("n2", 2, 0.5, 5, 2), call("n1", 3, 1.0, 5, 3)]
+        for calls in (reported_twice, same_fence, fence_reverted, alternating):
             self.assertEqual(len(list(checks.duties_by_one(calls, [], 0.5))), 1, calls)
-        fine = [call("n1", 1, 0.0, 5, 1), call("n1", 1, 1.0, 5, 1), call("n2", 2, 4.0, 6, 2)]
-        self.assertEqual(list(checks.duties_by_one(fine, [], 0.5)), [])
+        valid = [call("n1", 1, 0.0, 5, 1), call("n1", 1, 1.0, 5, 1), call("n2", 2, 4.0, 6, 2)]
+        self.assertEqual(list(checks.duties_by_one(valid, [], 0.5)), [])
 
 
 class NodeProcessTest(unittest.TestCase):
-    """Signals to a process take nothing away from whoever waits for its end."""
+    """Signals to a process do not interfere with the task that waits for its exit."""
 
     def test_signal_to_an_exited_process_keeps_its_exit_code(self) -> None:
-        """A node that had ended with code 0 was told to have ended with code 255: the signal that
-        came a moment later had looked whether it ended."""
+        """Guards against exit code 255 for a node that exited with 0: a signal sent just afterwards
+        polled the process, which took the exit code from the waiting task."""
 
         async def work(folder: Path) -> int | None:
             ledger = Ledger()
@@ -324,11 +327,13 @@
 class StallsTest(unittest.TestCase):
     def test_lines_distinguish_a_process_without_cpu_from_a_busy_one(self) -> None:
         busy = {"cpu_s": 3.9, "waited_s": 0.0, "first_thread_waited_s": 0.0, "stolen_s": 0.1}
-        away = {"cpu_s": 0.0, "waited_s": 0.1, "first_thread_waited_s": 0.2, "stolen_s": 4.1}
+        starved = {"cpu_s": 0.0, "waited_s": 0.1, "first_thread_waited_s": 0.2, "stolen_s": 4.1}
         span = {"what": "did not run", "began": 12.0, "ended": 16.0}
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "n1.stalls").write_text(json.dumps({**span, **busy}) + "\n")
-            Path(folder, "n0.stalls").write_text(json.dumps({**span, **away, "began": 11.9}) + "\n")
+            Path(folder, "n0.stalls").write_text(
+                json.dumps({**span, **starved, "began": 11.9}) + "\n"
+            )
             lines = stall_lines(Path(folder), 10.0)
         self.assertEqual(
             lines,
@@ -360,8 +365,8 @@
             process.send_signal(signal.SIGSTOP)
             time.sleep(1.0)
             process.send_signal(signal.SIGCONT)
-            ends = time.monotonic() + 10.0
-            while not stall_lines(Path(folder), 0.0) and time.monotonic() < ends:
+            deadline = time.monotonic() + 10.0
+            while not stall_lines(Path(folder), 0.0) and time.monotonic() < deadline:
                 time.sleep(0.05)
             process.communicate(b"\n")
             lines = stall_lines(Path(folder), 0.0)
@@ -402,11 +407,11 @@
         shutil.rmtree(result.folder, ignore_errors=True)
 
     def test_short_soak_with_an_earlier_build_finds_nothing(self) -> None:
-        """Nodes go forth and back between both builds; where the history is missing it fails."""
+        """Each start of a node runs either build; the test needs the repository's history."""
         with tempfile.TemporaryDirectory(prefix="soak-build-") as folder:
-            former = sources_of(LANDED, Path(folder))
+            sources = sources_of(LANDED, Path(folder))
             plan = SoakPlan(
-                SEED, nodes=4, planned_s=4.0, chaos_s=5.0, rounds=1, former_build=former
+                SEED, nodes=4, planned_s=4.0, chaos_s=5.0, rounds=1, former_build=sources
             )
             result = play(plan)
         self.assertEqual(result.findings, [], result.faults)
