--- a/tests/test_state_packing.py
+++ b/tests/test_state_packing.py
@@ -1,4 +1,4 @@
-"""States arrive as they were told, or not at all, whatever is lost on the way."""
+"""Packed states unpack as they were sent or not at all, whichever ones were lost or corrupted."""
 
 import unittest
 
@@ -20,24 +20,24 @@
 SERVERS = [f"i-{number:010x}" for number in range(39)]
 PEERS = ["n3:2", "n4:2"]
 MAX_MEAN_STATE_BYTES = 700
-"""Mean size of a state on the wire; whole it has 2.1 KB."""
+"""Limit for the mean size of a packed state; unpacked it has 2.1 KB."""
 
 
-def make_state_news(sequence: int, node: str = "n2", life: int = 1) -> StateNews:
-    """Return a state like that of a node that serves, some rounds on."""
+def make_state_news(sequence: int, node: str = "n2", incarnation: int = 1) -> StateNews:
+    """Return a state like that of a serving node after some rounds."""
     started = {window: dict.fromkeys(ACCOUNTS, 90 + window) for window in range(6)}
-    started[5] = {name: sequence + place for place, name in enumerate(ACCOUNTS)}
+    started[5] = {name: sequence + index for index, name in enumerate(ACCOUNTS)}
     return StateNews(
         make_state(
             node,
-            life=life,
+            life=incarnation,
             sequence=sequence,
             serving=True,
             started=started,
-            spent={name: 1_000.0 * place + sequence for place, name in enumerate(ACCOUNTS)},
+            spent={name: 1_000.0 * index + sequence for index, name in enumerate(ACCOUNTS)},
             loads={
-                name: (place * sequence % 6, place * sequence * 97 % 20_000)
-                for place, name in enumerate(SERVERS)
+                name: (index * sequence % 6, index * sequence * 97 % 20_000)
+                for index, name in enumerate(SERVERS)
             },
         ),
         [],
@@ -48,8 +48,8 @@
     def test_states_unpack_unchanged(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
         for sequence in range(1, 3 * ROUNDS_PER_SNAPSHOT):
-            told = make_state_news(sequence)
-            self.assertEqual(unpacker.unpack(packer.pack(told, PEERS)), told)
+            sent = make_state_news(sequence)
+            self.assertEqual(unpacker.unpack(packer.pack(sent, PEERS)), sent)
 
     def test_deltas_are_small(self) -> None:
         packer = StatePacker()
@@ -62,20 +62,20 @@
 
     def test_node_that_missed_a_snapshot_waits_for_the_next_one(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
-        got = [
+        unpacked = [
             unpacker.unpack(packer.pack(make_state_news(number), PEERS))
             for number in range(1, 3 * ROUNDS_PER_SNAPSHOT)
         ]
-        self.assertNotIn(None, got)
+        self.assertNotIn(None, unpacked)
         late = StateUnpacker()
         packer = StatePacker()
         packer.pack(make_state_news(1), PEERS)
-        got = [
+        unpacked = [
             late.unpack(packer.pack(make_state_news(number), PEERS))
             for number in range(2, 2 + 2 * ROUNDS_PER_SNAPSHOT)
         ]
-        self.assertEqual(got[: ROUNDS_PER_SNAPSHOT - 1], [None] * (ROUNDS_PER_SNAPSHOT - 1))
-        self.assertNotIn(None, got[ROUNDS_PER_SNAPSHOT - 1 :])
+        self.assertEqual(unpacked[: ROUNDS_PER_SNAPSHOT - 1], [None] * (ROUNDS_PER_SNAPSHOT - 1))
+        self.assertNotIn(None, unpacked[ROUNDS_PER_SNAPSHOT - 1 :])
 
     def test_unreadable_state_shows_that_its_node_is_alive(self) -> None:
         members = Membership("n1", 1)
@@ -88,8 +88,8 @@
     def test_new_target_gets_a_snapshot_at_once(self) -> None:
         packer, newcomer = StatePacker(), StateUnpacker()
         packer.pack(make_state_news(1), PEERS)
-        told = make_state_news(2)
-        self.assertEqual(newcomer.unpack(packer.pack(told, [*PEERS, "n5:2"])), told)
+        sent = make_state_news(2)
+        self.assertEqual(newcomer.unpack(packer.pack(sent, [*PEERS, "n5:2"])), sent)
         self.assertEqual(
             newcomer.unpack(packer.pack(make_state_news(3), PEERS)), make_state_news(3)
         )
@@ -97,8 +97,8 @@
     def test_brief_state_is_no_base(self) -> None:
         packer, unpacker = StatePacker(), StateUnpacker()
         unpacker.unpack(packer.pack(make_state_news(1), PEERS))
-        short = StateNews(make_state_news(2).state.without_counts(), [])
-        self.assertEqual(unpacker.unpack(pack_snapshot(short)), short)
+        brief = StateNews(make_state_news(2).state.without_counts(), [])
+        self.assertEqual(unpacker.unpack(pack_snapshot(brief)), brief)
         self.assertEqual(
             unpacker.unpack(packer.pack(make_state_news(3), PEERS)), make_state_news(3)
         )
@@ -113,17 +113,17 @@
     def test_lost_duplicate_late_and_corrupt_states_unpack_correctly_or_to_none(
         self, data: st.DataObject
     ) -> None:
-        lives = [data.draw(st.integers(1, 3)) for _ in range(2)]
-        told: list[tuple[StateNews, PackedState]] = []
-        for life in lives:
+        incarnations = [data.draw(st.integers(1, 3)) for _ in range(2)]
+        sent: list[tuple[StateNews, PackedState]] = []
+        for incarnation in incarnations:
             packer = StatePacker()
             for sequence in range(1, 2 * ROUNDS_PER_SNAPSHOT):
-                each = make_state_news(sequence, life=life)
-                told.append((each, packer.pack(each, PEERS)))
+                each = make_state_news(sequence, incarnation=incarnation)
+                sent.append((each, packer.pack(each, PEERS)))
         unpacker = StateUnpacker()
-        picked = st.lists(st.sampled_from(range(len(told))), max_size=30)
+        picked = st.lists(st.sampled_from(range(len(sent))), max_size=30)
         for index in data.draw(picked):
-            expected, packed = told[index]
+            expected, packed = sent[index]
             if data.draw(st.integers(0, 9)) == 0:
                 frame = bytearray(packed.frame)
                 frame[data.draw(st.integers(0, len(frame) - 1))] ^= 1 << data.draw(
