--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor tree, mailboxes, and the HTTP adapters' view of broken answers."""
+"""Supervisors, mailboxes, and how the HTTP clients report malformed answers."""
 
 import asyncio
 import unittest
@@ -48,9 +48,9 @@
     def test_too_many_failures_escalate_to_the_parent(self) -> None:
         async def work() -> None:
             root = Supervisor("root", self.clock)
-            below = Supervisor("below", self.clock, RestartLimit(2, 60.0))
-            root.start_supervisor(below)
-            below.start("c", lambda: self.child("c", failures=99))
+            subtree = Supervisor("below", self.clock, RestartLimit(2, 60.0))
+            root.start_supervisor(subtree)
+            subtree.start("c", lambda: self.child("c", failures=99))
             await root.gave_up.wait()
             await root.stop()
 
@@ -68,12 +68,12 @@
 
 
 class BrokenAnswersTest(unittest.TestCase):
-    """Servers that answer nonsense, half an answer, or nothing."""
+    """Servers that send a malformed, a truncated or no answer."""
 
     CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     async def outcome_of(self, answer: bytes) -> tuple[str, bool]:
-        """Return what a generation raised, and whether a table write is uncertain."""
+        """Return the error that a generation raised, and whether a table write is uncertain."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -108,8 +108,8 @@
         ]
         for name, answer in cases:
             with self.subTest(name):
-                found = asyncio.run(self.outcome_of(answer))
-                self.assertEqual(found, ("ServerError", True))
+                outcome = asyncio.run(self.outcome_of(answer))
+                self.assertEqual(outcome, ("ServerError", True))
 
 
 if __name__ == "__main__":
