--- a/tests/test_where_lost.py
+++ b/tests/test_where_lost.py
@@ -1,4 +1,4 @@
-"""The tool that tells from logs where requests were lost."""
+"""`tools.where_lost`: causes and times of lost requests, from logs."""
 
 import tempfile
 import unittest
@@ -24,23 +24,23 @@
 
 class WhereLostTest(unittest.TestCase):
     def test_losses_are_counted_at_the_arrival_of_requests(self) -> None:
-        account = summarize_losses(read_lines(LOG), 2.0)
-        self.assertEqual(account.slices[0].served, 1)
-        self.assertEqual(account.slices[1].lost, {Cause.LATE: 1})
+        report = summarize_losses(read_lines(LOG), 2.0)
+        self.assertEqual(report.slices[0].served, 1)
+        self.assertEqual(report.slices[1].lost, {Cause.LATE: 1})
         self.assertEqual(
-            account.slices[2].lost,
+            report.slices[2].lost,
             {Cause.PAUSED: 1, Cause.FAILED: 1, Cause.REFUSED: 1, Cause.CUT: 1},
         )
-        self.assertEqual(account.slices[0].servers_in_use, {"s1"})
-        self.assertEqual(account.slices[1].servers_in_use, {"s2"})
+        self.assertEqual(report.slices[0].servers_in_use, {"s1"})
+        self.assertEqual(report.slices[1].servers_in_use, {"s2"})
 
     def test_tables_and_plot_show_each_time_step(self) -> None:
-        account = summarize_losses(read_lines(LOG), 2.0)
-        self.assertIn("r1 | 1 | 0 | 0 | 1 | 1 | 0 | 0", tables(account))
-        self.assertIn("4 | 0 | 0 | 1 | 0 | 1 | 1 | 1 | 2 | 3", tables(account))
+        report = summarize_losses(read_lines(LOG), 2.0)
+        self.assertIn("r1 | 1 | 0 | 0 | 1 | 1 | 0 | 0", tables(report))
+        self.assertIn("4 | 0 | 0 | 1 | 0 | 1 | 1 | 1 | 2 | 3", tables(report))
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / "plot.png"
-            plot(account, file)
+            plot(report, file)
             self.assertGreater(file.stat().st_size, 1_000)
 
 
