--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -1,4 +1,4 @@
-"""What people and machines write: settings, bundles, signatures, requests, catalogues."""
+"""Parsing of settings, bundles, signatures, ids and tokens; docstrings of constants and events."""
 
 import ast
 import contextlib
@@ -29,25 +29,25 @@
 
 
 class ConstantsTest(unittest.TestCase):
-    """Numbers of the policy say what they are for; those that belong together say it once."""
+    """Numeric constants have a docstring with their reason; adjacent ones may share it."""
 
     FOLDERS = ("core", "gateway", "platform")
 
     def test_each_constant_has_a_reason(self) -> None:
-        silent = [
+        missing = [
             f"{path.name}:{name}"
             for folder in self.FOLDERS
             for path in sorted((ROOT / "src" / "moledale" / folder).glob("*.py"))
             for name in self.constants_without_reason(path.read_text("utf-8"))
         ]
-        self.assertEqual(silent, [])
+        self.assertEqual(missing, [])
 
     def test_constants_without_a_reason_are_found(self) -> None:
         text = 'A_S = 1.0\nB_S = 2.0\n"""Both."""\nC_S = 3.0\n\ndef f(): ...\nD = "text"\n'
         self.assertEqual(self.constants_without_reason(text), ["C_S"])
 
     def constants_without_reason(self, text: str) -> list[str]:
-        """Return the numbers of a module that no text follows."""
+        """Return the numeric constants of a module that no docstring follows."""
         found: list[str] = []
         group: list[str] = []
         for node in ast.parse(text).body:
@@ -60,11 +60,11 @@
         return found + group
 
     def is_numeric(self, value: ast.expr) -> bool:
-        """Say whether an expression is made of numbers only."""
-        kinds = (ast.Constant, ast.BinOp, ast.operator, ast.UnaryOp, ast.unaryop)
-        parts = list(ast.walk(value))
-        numbers = [each.value for each in parts if isinstance(each, ast.Constant)]
-        return all(isinstance(each, kinds) for each in parts) and all(
+        """Return whether an expression consists of numbers only."""
+        node_types = (ast.Constant, ast.BinOp, ast.operator, ast.UnaryOp, ast.unaryop)
+        nodes = list(ast.walk(value))
+        numbers = [each.value for each in nodes if isinstance(each, ast.Constant)]
+        return all(isinstance(each, node_types) for each in nodes) and all(
             isinstance(each, int | float) and not isinstance(each, bool) for each in numbers
         )
 
@@ -93,23 +93,23 @@
             ("not TOML", "[node", [""]),
             ("all together", "[node]\nid = 1\n", None),
         ]
-        for name, text, wanted in cases:
+        for name, text, expected in cases:
             with self.subTest(name):
                 found = self.finding_paths(text)
-                if wanted is None:
+                if expected is None:
                     self.assertGreaterEqual(len(found), 8)
                 else:
-                    self.assertEqual(sorted(found), wanted)
+                    self.assertEqual(sorted(found), expected)
 
     def test_findings_name_file_and_key(self) -> None:
         found = parse("f.toml", SETTINGS.replace("hall =", "hull =")).unwrap_err()
         self.assertIn("f.toml: node.hull: unknown key", [str(finding) for finding in found])
 
     def test_secrets_are_reported_together_and_never_shown(self) -> None:
-        made = parse("f.toml", SETTINGS).unwrap()
-        found = read_secrets("f.toml", made)
+        settings = parse("f.toml", SETTINGS).unwrap()
+        found = read_secrets("f.toml", settings)
         self.assertEqual([f.path for f in found.unwrap_err()], ["secrets.peer", "secrets.operator"])
-        self.assertNotIn("SECRET-VALUE", repr(made))
+        self.assertNotIn("SECRET-VALUE", repr(settings))
 
     @given(st.text(max_size=200))
     def test_any_text_gives_findings_and_never_an_exception(self, text: str) -> None:
@@ -145,9 +145,9 @@
             ("version", BUNDLE.replace("version = 1", "version = 0"), "version"),
             ("unknown key", BUNDLE + "colour = 1\n", "renting.colour: unknown key"),
         ]
-        for name, text, wanted in cases:
+        for name, text, expected in cases:
             with self.subTest(name):
-                self.assertIn(wanted, " ".join(self.finding_messages(text)))
+                self.assertIn(expected, " ".join(self.finding_messages(text)))
 
     def test_lookup_by_name(self) -> None:
         bundle = schema.parse("b", BUNDLE.encode()).unwrap()
@@ -162,8 +162,8 @@
         text = BUNDLE.replace("version = 1", "version = 2", 1).replace("0.45", "0.50")
         found = changes(before, schema.parse("b", text.encode()).unwrap())
         shown = [(c.path, c.before, c.after) for c in found]
-        wanted = ("prices[hall-b/small].reclaimable", 0.45, 0.5)
-        self.assertEqual(shown, [wanted, ("version", 1, 2)])
+        expected = ("prices[hall-b/small].reclaimable", 0.45, 0.5)
+        self.assertEqual(shown, [expected, ("version", 1, 2)])
 
     @given(st.binary(max_size=200))
     def test_any_bytes_give_findings(self, body: bytes) -> None:
@@ -228,13 +228,13 @@
 
 class MetricsTest(unittest.TestCase):
     def test_statsd(self) -> None:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as heard:
-            heard.bind(("127.0.0.1", 0))
-            heard.settimeout(10)
-            address = f"127.0.0.1:{heard.getsockname()[1]}"
-            made = make_metrics(MetricsSection(statsd=address, prefix="here"))
-            made.incr("requests.good")
-            self.assertEqual(heard.recv(100), b"here.requests.good:1|c")
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
+            receiver.bind(("127.0.0.1", 0))
+            receiver.settimeout(10)
+            address = f"127.0.0.1:{receiver.getsockname()[1]}"
+            metrics = make_metrics(MetricsSection(statsd=address, prefix="here"))
+            metrics.incr("requests.good")
+            self.assertEqual(receiver.recv(100), b"here.requests.good:1|c")
         make_metrics(MetricsSection()).incr("nothing")
 
 
