--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -107,7 +107,7 @@
         self._plan = plan
         self._chance = random.Random(plan.seed)
         # Draws of their own leave all else that a seed plays as it is.
-        self._restore_chance = random.Random(f"{plan.seed} restores")
+        self._restore_rng = random.Random(f"{plan.seed} restores")
         self._world = SoakWorld(folder, self._chance, builds=plan.builds)
         self._troubles = Troubles(self._world)
         self._probes = 0
@@ -221,7 +221,7 @@
 
     def _restore_before_planned_work(self) -> None:
         """Let the store have come back just before a phase in which nothing else goes wrong."""
-        chance = self._restore_chance
+        chance = self._restore_rng
         if chance.random() < RESTORED_SHARE and self._restores:
             self._begin(self._troubles.restore_store(chance))
 
@@ -229,7 +229,7 @@
         """Let the store come back from older copies while other troubles go on."""
         if not self._restores:
             return
-        chance = self._restore_chance
+        chance = self._restore_rng
         ends = time.monotonic() + self._plan.chaos_s
         while True:
             await asyncio.sleep(RESTORE_GAP_S * (0.3 + 1.4 * chance.random()))
