--- a/tests/soak/backend.py
+++ b/tests/soak/backend.py
@@ -64,7 +64,7 @@
         self.on_guilty_end: Callable[[Backend], None] = lambda _: None
         self.link = Link("")
         self._ledger = ledger
-        self._chance = chance
+        self._rng = chance
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.address = ""
@@ -120,7 +120,7 @@
 
     async def _answer(self, arrival: Arrival, writer: asyncio.StreamWriter) -> None:
         expected = arrival.get("expect-instance")
-        strikes = self._chance.random() < self.share
+        strikes = self._rng.random() < self.share
         if expected is not None and expected != self.id:
             self._reject(arrival, writer, 421)
         elif self.mood is Mood.SHED and strikes:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -95,7 +95,7 @@
         self._account = account
         self._nodes = nodes
         self._ledger = ledger
-        self._chance = chance
+        self._rng = chance
         self._routes = routes
         self._number = 0
         self._addresses: list[str] = []
@@ -106,13 +106,13 @@
     async def run(self, until: Callable[[], bool]) -> None:
         """Send one request after another."""
         while not until():
-            await asyncio.sleep(THINK_S * (0.5 + self._chance.random()))
+            await asyncio.sleep(THINK_S * (0.5 + self._rng.random()))
             try:
                 await self._connect()
             except CallerFailed:
                 await asyncio.sleep(0.1)
                 continue
-            route = self._chance.choice(self._routes())
+            route = self._rng.choice(self._routes())
             await self.send(route)
         self._drop()
 
@@ -120,7 +120,7 @@
         """Keep the open connection, whatever the directory says; else take a new one."""
         now = time.monotonic()
         if now - self._asked_at > DIRECTORY_EVERY_S:
-            found = await ask_directory(self._chance.choice(self._nodes))
+            found = await ask_directory(self._rng.choice(self._nodes))
             if found:
                 self._addresses, self._asked_at = found, now
         if self._streams is not None:
@@ -129,7 +129,7 @@
         known = [by_front[each] for each in self._addresses if each in by_front]
         if not known:
             raise CallerFailed
-        self._node = self._chance.choice(known)
+        self._node = self._rng.choice(known)
         host, _, port = self._node.callers.address.rpartition(":")
         try:
             async with asyncio.timeout(CONNECT_S):
@@ -143,7 +143,7 @@
         reader, writer = self._streams
         self._number += 1
         request = f"{self._name}-{self._number}"
-        tokens = self._chance.choice((5, 5, 20, 60))
+        tokens = self._rng.choice((5, 5, 20, 60))
         line, body, data = request_of(request, route, self._account, tokens, after_event)
         attempt = Attempt(
             request, route, line, body, self._account.name, self._node.name, time.monotonic(),
--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -78,7 +78,7 @@
         self._folder = folder
         self._ledger = ledger
         self._builds = builds
-        self._chance = chance or random.Random(name)
+        self._rng = chance or random.Random(name)
         self._seeds: list[str] = []
         self._log_begins = 0
         self._asked = False
@@ -132,7 +132,7 @@
         """
         if self.process is not None:
             self._write_settings(first=False)
-        build = self._chance.choice(self._builds) if len(self._builds) > 1 else self._builds[0]
+        build = self._rng.choice(self._builds) if len(self._builds) > 1 else self._builds[0]
         environment = {
             "PATH": os.environ.get("PATH", ""),
             "PYTHONPATH": f"{build / 'src'}",
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -105,10 +105,10 @@
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self._plan = plan
-        self._chance = random.Random(plan.seed)
+        self._rng = random.Random(plan.seed)
         # Draws of their own leave all else that a seed plays as it is.
         self._restore_rng = random.Random(f"{plan.seed} restores")
-        self._world = SoakWorld(folder, self._chance, builds=plan.builds)
+        self._world = SoakWorld(folder, self._rng, builds=plan.builds)
         self._troubles = Troubles(self._world)
         self._probes = 0
         self._over = False
@@ -152,7 +152,7 @@
                 account,
                 self._world.nodes,
                 self._world.ledger,
-                random.Random(self._chance.random()),
+                random.Random(self._rng.random()),
                 lambda: ROUTES,
             )
             for account in ACCOUNTS
@@ -198,9 +198,9 @@
     async def _phase(self, length_s: float, choices: list[Failure], gap_s: float) -> None:
         ends = time.monotonic() + length_s
         while time.monotonic() < ends:
-            trouble = self._chance.choice(choices)
+            trouble = self._rng.choice(choices)
             self._begin(trouble())
-            await asyncio.sleep(gap_s * (0.3 + 1.4 * self._chance.random()))
+            await asyncio.sleep(gap_s * (0.3 + 1.4 * self._rng.random()))
 
     def _begin(self, trouble: Coroutine[None, None, None]) -> None:
         job = asyncio.create_task(trouble)
@@ -251,9 +251,9 @@
         """Ask nodes about the newest version and about one before it, past the directory."""
         while not self._over:
             await asyncio.sleep(PROBE_EVERY_S)
-            node = self._chance.choice(self._world.nodes)
+            node = self._rng.choice(self._world.nodes)
             recent = self._world.ledger.versions[-2:]
-            number = self._chance.choice(recent).number
+            number = self._rng.choice(recent).number
             self._probes += 1
             name = f"probe-{self._probes}"
             ledger = self._world.ledger
