--- a/tests/soak/backend.py
+++ b/tests/soak/backend.py
@@ -52,7 +52,7 @@
 class Backend:
     """One incarnation of a server."""
 
-    def __init__(self, name: str, service: str, ledger: Ledger, chance: random.Random) -> None:
+    def __init__(self, name: str, service: str, ledger: Ledger, rng: random.Random) -> None:
         self.id = name
         self.service = service
         self.mood = Mood.GOOD
@@ -64,7 +64,7 @@
         self.on_guilty_end: Callable[[Backend], None] = lambda _: None
         self.link = Link("")
         self._ledger = ledger
-        self._rng = chance
+        self._rng = rng
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.address = ""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -88,14 +88,14 @@
         account: Account,
         nodes: list[NodeProcess],
         ledger: Ledger,
-        chance: random.Random,
+        rng: random.Random,
         routes: Callable[[], tuple[str, ...]],
     ) -> None:
         self._name = name
         self._account = account
         self._nodes = nodes
         self._ledger = ledger
-        self._rng = chance
+        self._rng = rng
         self._routes = routes
         self._number = 0
         self._addresses: list[str] = []
--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -63,7 +63,7 @@
         store: str,
         ledger: Ledger,
         builds: Sequence[Path] = (ROOT,),
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self.name = name
         self.host = host
@@ -78,7 +78,7 @@
         self._folder = folder
         self._ledger = ledger
         self._builds = builds
-        self._rng = chance or random.Random(name)
+        self._rng = rng or random.Random(name)
         self._seeds: list[str] = []
         self._log_begins = 0
         self._asked = False
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -221,21 +221,21 @@
 
     def _restore_before_planned_work(self) -> None:
         """Let the store have come back just before a phase in which nothing else goes wrong."""
-        chance = self._restore_rng
-        if chance.random() < RESTORED_SHARE and self._restores:
-            self._begin(self._troubles.restore_store(chance))
+        rng = self._restore_rng
+        if rng.random() < RESTORED_SHARE and self._restores:
+            self._begin(self._troubles.restore_store(rng))
 
     async def _restore_now_and_then(self) -> None:
         """Let the store come back from older copies while other troubles go on."""
         if not self._restores:
             return
-        chance = self._restore_rng
+        rng = self._restore_rng
         ends = time.monotonic() + self._plan.chaos_s
         while True:
-            await asyncio.sleep(RESTORE_GAP_S * (0.3 + 1.4 * chance.random()))
+            await asyncio.sleep(RESTORE_GAP_S * (0.3 + 1.4 * rng.random()))
             if time.monotonic() > ends:
                 return
-            self._begin(self._troubles.restore_store(chance))
+            self._begin(self._troubles.restore_store(rng))
 
     async def _copy_forever(self) -> None:
         while not self._over:
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -84,7 +84,7 @@
         if "release" in self._world.busy:
             return
         self._world.busy.add("release")
-        old = self._world.chance.choice(self._world.backends)
+        old = self._world.rng.choice(self._world.backends)
         await self._world.add_backend(old.service)
         await asyncio.sleep(1.0)
         self._world.backends.remove(old)
@@ -131,7 +131,7 @@
         ]
 
     def _for_s(self) -> float:
-        return 0.3 + 3.0 * self._world.chance.random()
+        return 0.3 + 3.0 * self._world.rng.random()
 
     async def _kill_node(self) -> None:
         node = self._world.a_node()
@@ -141,7 +141,7 @@
         fault = self._world.ledger.fault("kill", node.name)
         node.kill()
         await node.gone(5.0)
-        await asyncio.sleep(0.1 + self._world.chance.random())
+        await asyncio.sleep(0.1 + self._world.rng.random())
         await node.start()
         await asyncio.sleep(1.0)
         fault.ends = time.monotonic()
@@ -182,13 +182,13 @@
         if node is None:
             return
         fault = self._world.ledger.fault("clock", node.name)
-        await node.step_clock(self._world.chance.choice((-4.0, 4.0, 30.0)))
+        await node.step_clock(self._world.rng.choice((-4.0, 4.0, 30.0)))
         await asyncio.sleep(self._for_s())
         await node.step_clock(0.0)
         fault.ends = time.monotonic()
 
     async def _turn(self, kind: str, name: str, link: Link) -> None:
-        weather = self._world.chance.choice(
+        weather = self._world.rng.choice(
             (Weather.SLOW, Weather.SILENT, Weather.ONE_WAY, Weather.RESET)
         )
         fault = self._world.ledger.fault(kind, f"{name} {weather.value}")
@@ -199,15 +199,15 @@
         fault.ends = time.monotonic()
 
     async def _cut_store(self) -> None:
-        node = self._world.chance.choice(self._world.nodes)
+        node = self._world.rng.choice(self._world.nodes)
         await self._turn("store link", node.name, node.store)
 
     async def _cut_callers(self) -> None:
-        node = self._world.chance.choice(self._world.nodes)
+        node = self._world.rng.choice(self._world.nodes)
         await self._turn("callers' link", node.name, node.callers)
 
     async def _server_link(self) -> None:
-        backend = self._world.chance.choice(self._world.backends)
+        backend = self._world.rng.choice(self._world.backends)
         await self._turn("server link", backend.id, backend.link)
 
     @contextlib.asynccontextmanager
@@ -224,7 +224,7 @@
     async def _store_mood(self) -> None:
         if "store" in self._world.busy:
             return
-        mood = self._world.chance.choice(
+        mood = self._world.rng.choice(
             (StoreMood.BUSY, StoreMood.SILENT, StoreMood.RESET, StoreMood.LOSES_WRITE_ANSWERS, None)
         )
         async with self._store_in_hand(mood.value if mood else "slow"):
@@ -250,10 +250,10 @@
                 if backend in self._world.backends:
                     self._world.list_backend(backend, "ready")
 
-    async def restore_store(self, chance: random.Random) -> None:
+    async def restore_store(self, rng: random.Random) -> None:
         """The store is away for a moment and comes back as it was some seconds before."""
-        lost = chance.randint(0, MOST_LOST)
-        away, age, pause = chance.random(), chance.random(), chance.random()
+        lost = rng.randint(0, MOST_LOST)
+        away, age, pause = rng.random(), rng.random(), rng.random()
         async with self._store_in_hand("back from an older copy"):
             for _ in range(lost):
                 self._world.platform.put("others", "row", {})
@@ -271,7 +271,7 @@
         if self._world.busy & {"store", "release"}:
             return
         self._world.busy.add("release")
-        old = self._world.chance.choice(self._world.backends)
+        old = self._world.rng.choice(self._world.backends)
         await self._world.add_backend(old.service)
         await asyncio.sleep(1.0)
         async with self._store_in_hand(f"silent, {old.id} leaves"):
@@ -294,22 +294,22 @@
         if "guilty" in self._world.busy:
             return
         self._world.busy.add("guilty")
-        route = self._world.chance.choice(("order", "draft", "review"))
+        route = self._world.rng.choice(("order", "draft", "review"))
         self._guilty += 1
         body = GUILTY + f" {self._guilty}".encode()
         fault = self._world.ledger.fault("guilty request", route)
         for number in range(GUILTY_TIMES):
-            node = self._world.chance.choice(self._world.nodes)
+            node = self._world.rng.choice(self._world.nodes)
             name = f"guilty-{self._guilty}-{number}"
             await probe(node, route, ACCOUNTS[0], name, self._world.ledger, body)
-            await asyncio.sleep(GUILTY_GAP_S * (0.3 + 1.4 * self._world.chance.random()))
+            await asyncio.sleep(GUILTY_GAP_S * (0.3 + 1.4 * self._world.rng.random()))
         await self._world.returned()
         fault.ends = time.monotonic()
         self._world.busy.discard("guilty")
 
     async def _server_mood(self) -> None:
-        backend = self._world.chance.choice(self._world.backends)
-        mood = self._world.chance.choice([mood for mood in Mood if mood is not Mood.GOOD])
+        backend = self._world.rng.choice(self._world.backends)
+        mood = self._world.rng.choice([mood for mood in Mood if mood is not Mood.GOOD])
         fault = self._world.ledger.fault("server", f"{backend.id} {mood.value}")
         backend.mood = mood
         await asyncio.sleep(self._for_s())
@@ -321,10 +321,10 @@
         if "limits" in self._world.busy:
             return
         self._world.busy.add("limits")
-        first = self._world.chance.choice(self._world.backends)
-        per_s = self._world.chance.choice(LIMITS_PER_S)
+        first = self._world.rng.choice(self._world.backends)
+        per_s = self._world.rng.choice(LIMITS_PER_S)
         limited = [first]
-        if self._world.chance.random() < ALL_LIMITED_SHARE:
+        if self._world.rng.random() < ALL_LIMITED_SHARE:
             limited = [each for each in self._world.backends if each.service == first.service]
         fault = self._world.ledger.fault("limit", " ".join(each.id for each in limited))
         now = time.monotonic()
@@ -346,7 +346,7 @@
         if "crash" in self._world.busy or len(same) < 2:
             return
         self._world.busy.add("crash")
-        old = self._world.chance.choice(same)
+        old = self._world.rng.choice(same)
         self._world.backends.remove(old)
         fault = self._world.ledger.fault("crash", old.id)
         self._world.fall_silent(old.id)
@@ -354,8 +354,8 @@
         await asyncio.sleep(LAPSE_S)
         self._world.unlist(old.id)
         await asyncio.sleep(0.5)
-        service = self._world.chance.choice(("plain", "model"))
-        reuse = old.link if self._world.chance.random() < 0.5 else None
+        service = self._world.rng.choice(("plain", "model"))
+        reuse = old.link if self._world.rng.random() < 0.5 else None
         await self._world.add_backend(service, reuse)
         if reuse is None:
             old.link.close()
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -36,7 +36,7 @@
     """What a soak plays with; `busy` names what troubles have in hand."""
 
     folder: Path
-    chance: random.Random
+    rng: random.Random
     ledger: Ledger = field(default_factory=Ledger)
     platform: RowsPlatform = field(default_factory=RowsPlatform)
     nodes: list[NodeProcess] = field(default_factory=list)
@@ -75,7 +75,7 @@
                     store,
                     self.ledger,
                     self.builds,
-                    self.chance,
+                    self.rng,
                 )
             )
         seeds = [node.seed for node in self.nodes[:3]]
@@ -119,12 +119,12 @@
     def a_node(self) -> NodeProcess | None:
         """Return a node that nothing else has in hand."""
         free = [node for node in self.nodes if node.name not in self.busy and node.running]
-        return self.chance.choice(free) if free else None
+        return self.rng.choice(free) if free else None
 
     async def add_backend(self, service: str, link: Link | None = None, name: str = "") -> Backend:
         """Start a server and list it; with `name` one that was there starts again."""
         self._number += 1
-        backend = Backend(name or f"s{self._number}", service, self.ledger, self.chance)
+        backend = Backend(name or f"s{self._number}", service, self.ledger, self.rng)
         backend.on_guilty_end = self._ended_by_request
         await backend.start(link)
         self.backends.append(backend)
@@ -142,8 +142,8 @@
 
     async def _return(self, old: Backend) -> None:
         """Start a server again that a request ended: under its id, or as a new one."""
-        if self.chance.random() < 0.5:
-            await asyncio.sleep(BACK_S * self.chance.random())
+        if self.rng.random() < 0.5:
+            await asyncio.sleep(BACK_S * self.rng.random())
             await self.add_backend(old.service, name=old.id)
             return
         await asyncio.sleep(BACK_S)
@@ -212,7 +212,7 @@
 
     def roll_version(self) -> None:
         """Let the operator write the next configuration; one route is in this version only."""
-        self.version += 1 + self.chance.randint(0, 3)
+        self.version += 1 + self.rng.randint(0, 3)
         routes = [
             _route("check", "safe", "plain", 1_000),
             _route("order", "unsafe", "plain", 1_000),
