--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import AsyncIterator, Callable, Coroutine
 
-from standins.rows import StoreMode as StoreMood
+from standins.rows import StoreMode as StoreMode
 from tests.soak.backend import GUILTY, Backend, Mood
 from tests.soak.callers import probe
 from tests.soak.link import Link, Weather
@@ -225,13 +225,13 @@
         if "store" in self._world.busy:
             return
         mood = self._world.rng.choice(
-            (StoreMood.BUSY, StoreMood.SILENT, StoreMood.RESET, StoreMood.LOSES_WRITE_ANSWERS, None)
+            (StoreMode.BUSY, StoreMode.SILENT, StoreMode.RESET, StoreMode.LOSES_WRITE_ANSWERS, None)
         )
         async with self._store_in_hand(mood.value if mood else "slow"):
             self._world.platform.delay_s = 0.0 if mood else 0.3
-            self._world.platform.mode = mood or StoreMood.HEALTHY
+            self._world.platform.mode = mood or StoreMode.HEALTHY
             await asyncio.sleep(self._for_s())
-            self._world.platform.mode = StoreMood.HEALTHY
+            self._world.platform.mode = StoreMode.HEALTHY
             self._world.platform.delay_s = 0.0
 
     async def _lapse_entries(self) -> None:
@@ -239,12 +239,12 @@
         if "store" in self._world.busy:
             return
         async with self._store_in_hand("silent, entries lapse"):
-            self._world.platform.mode = StoreMood.SILENT
+            self._world.platform.mode = StoreMode.SILENT
             await asyncio.sleep(AWAY_S)
             lapsed = list(self._world.backends)
             for backend in lapsed:
                 self._world.unlist(backend.id)
-            self._world.platform.mode = StoreMood.HEALTHY
+            self._world.platform.mode = StoreMode.HEALTHY
             await asyncio.sleep(1.0)
             for backend in lapsed:
                 if backend in self._world.backends:
@@ -257,10 +257,10 @@
         async with self._store_in_hand("back from an older copy"):
             for _ in range(lost):
                 self._world.platform.put("others", "row", {})
-            self._world.platform.mode = StoreMood.RESET
+            self._world.platform.mode = StoreMode.RESET
             await asyncio.sleep(0.2 + 1.3 * away)
             self._world.restore_store(2.0 + 4.0 * age)
-            self._world.platform.mode = StoreMood.HEALTHY
+            self._world.platform.mode = StoreMode.HEALTHY
         await asyncio.sleep(0.1 + 0.9 * pause)
         self._world.write_again()
         await asyncio.sleep(ENTRIES_LAPSE_S)
@@ -275,12 +275,12 @@
         await self._world.add_backend(old.service)
         await asyncio.sleep(1.0)
         async with self._store_in_hand(f"silent, {old.id} leaves"):
-            self._world.platform.mode = StoreMood.SILENT
+            self._world.platform.mode = StoreMode.SILENT
             if old in self._world.backends:
                 self._world.backends.remove(old)
             old.leaving = True
             await asyncio.sleep(AWAY_S + self._for_s())
-            self._world.platform.mode = StoreMood.HEALTHY
+            self._world.platform.mode = StoreMode.HEALTHY
             self._list_as_leaving(old)
         await self._end(old)
         self._world.busy.discard("release")
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from standins.rows import RowsPlatform, StoreSnapshot
-from standins.rows import StoreMode as StoreMood
+from standins.rows import StoreMode as StoreMode
 from tests.gateway_world import HOST
 from tests.soak.backend import Backend
 from tests.soak.callers import Account
@@ -92,7 +92,7 @@
     async def heal(self) -> None:
         """Make sure that all is well again."""
         await self.returned()
-        self.platform.mode = StoreMood.HEALTHY
+        self.platform.mode = StoreMode.HEALTHY
         self.platform.delay_s = 0.0
         for node in self.nodes:
             if not node.running:
@@ -176,7 +176,7 @@
 
     def beat(self) -> None:
         """Write the entries of all servers again, as their heartbeats do."""
-        if self.platform.mode is not StoreMood.HEALTHY:
+        if self.platform.mode is not StoreMode.HEALTHY:
             return
         for name, entry in self.listed.items():
             entry["seq"] = int(str(entry["seq"])) + 1
