--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 
 from tests.soak.former import sources_of
-from tests.soak.soak import SoakPlan, play
+from tests.soak.soak import SoakPlan, run_soak
 
-MOST_SHOWN = 12
+MAX_FINDINGS_SHOWN = 12
 
 
 def main() -> int:
@@ -31,15 +31,15 @@
     asked = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="soak-build-") as folder:
         former = sources_of(asked.former, Path(folder)) if asked.former else None
-        return play_all(asked, former)
+        return run_seeds(asked, former)
 
 
-def play_all(asked: argparse.Namespace, former: Path | None) -> int:
+def run_seeds(asked: argparse.Namespace, former: Path | None) -> int:
     """Play all seeds that were asked for."""
     first = asked.first if asked.first is not None else secrets.randbelow(1_000_000)
     failed = 0
     for seed in range(first, first + asked.seeds):
-        result = play(SoakPlan(seed, asked.nodes, rounds=asked.rounds, former_build=former))
+        result = run_soak(SoakPlan(seed, asked.nodes, rounds=asked.rounds, former_build=former))
         print(
             f"seed {seed}: {len(result.findings)} findings, {result.attempts} attempts, "
             f"{result.served} served, {len(result.faults)} events, "
@@ -48,7 +48,7 @@
         )
         if result.findings:
             failed += 1
-            for finding in result.findings[:MOST_SHOWN]:
+            for finding in result.findings[:MAX_FINDINGS_SHOWN]:
                 print(f"  {finding}")
             (result.folder / "events").write_text("\n".join(result.faults + result.stalls) + "\n")
             print(f"  logs kept in {result.folder.name} of the temporary folder", flush=True)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -260,7 +260,7 @@
             self._begin(probe(node, f"only-{number}", ACCOUNTS[0], name, ledger))
 
 
-def play(plan: SoakPlan) -> SoakResult:
+def run_soak(plan: SoakPlan) -> SoakResult:
     """Play one soak in a folder of its own."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{plan.seed}-"))
     return asyncio.run(Soak(plan, folder).run())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -29,7 +29,7 @@
     Run,
     Version,
 )
-from tests.soak.soak import HEARTBEAT_S, SoakPlan, StallWatch, note_stall, play
+from tests.soak.soak import HEARTBEAT_S, SoakPlan, StallWatch, note_stall, run_soak
 from tests.soak.stalls import stall_lines
 from tests.soak.troubles import Troubles
 from tests.soak.world import SoakWorld
@@ -394,14 +394,14 @@
 
 class ShortSoakTest(unittest.TestCase):
     def test_short_soak_with_a_fixed_seed_finds_nothing(self) -> None:
-        result = play(SoakPlan(SEED, nodes=4, planned_s=4.0, chaos_s=5.0, rounds=1))
+        result = run_soak(SoakPlan(SEED, nodes=4, planned_s=4.0, chaos_s=5.0, rounds=1))
         self.assertEqual(result.findings, [], result.faults)
         self.assertGreater(result.served, 300)
         shutil.rmtree(result.folder, ignore_errors=True)
 
     def test_short_soak_with_store_restores_finds_nothing(self) -> None:
         plan = SoakPlan(RESTORE_SEED, nodes=4, planned_s=1.0, chaos_s=10.0, rounds=1)
-        result = play(plan)
+        result = run_soak(plan)
         self.assertEqual(result.findings, [], result.faults)
         self.assertGreater(sum("older copy" in fault for fault in result.faults), 1)
         shutil.rmtree(result.folder, ignore_errors=True)
@@ -413,7 +413,7 @@
             plan = SoakPlan(
                 SEED, nodes=4, planned_s=4.0, chaos_s=5.0, rounds=1, former_build=sources
             )
-            result = play(plan)
+            result = run_soak(plan)
         self.assertEqual(result.findings, [], result.faults)
         self.assertGreater(result.served, 300)
         self.assertGreater(result.former_lives, 0)
