--- a/tests/soak/backend.py
+++ b/tests/soak/backend.py
@@ -10,33 +10,33 @@
 from tests.soak.link import Link
 from tests.soak.records import Declined, Ledger, Run
 
-EVENTS = 12
-EVENT_S = 0.03
-PLAIN_S = 0.01
-SLOW_X = 6.0
+EVENTS_PER_STREAM = 12
+EVENT_INTERVAL_S = 0.03
+PLAIN_ANSWER_S = 0.01
+SLOW_FACTOR = 6.0
 
 RETRY_AFTER_S = 1.8
 """A server that states a time to retry wants no requests before."""
 
-GUILTY = b"the request that ends servers"
+GUILTY_PREFIX = b"the request that ends servers"
 """Beginning of the bodies that no server survives."""
 
-GUILTY_S = 0.05
+GUILTY_CRASH_DELAY_S = 0.05
 """A server ends so long after it began to run one of these."""
 
 
-class Mood(StrEnum):
+class ServerMode(StrEnum):
     """What a server does wrong with part of its requests."""
 
-    GOOD = "good"
-    GREY = "failures while healthy"
-    SHED = "rejects"
-    RETRY_LATER = "rejects and states when to retry"
-    LOST = "runs and resets"
-    CUT = "breaks off answers"
-    EXTRA = "second answers"
+    HEALTHY = "good"
+    GRAY_FAILURE = "failures while healthy"
+    REJECTS = "rejects"
+    REJECTS_WITH_RETRY_AFTER = "rejects and states when to retry"
+    RESETS_AFTER_RUN = "runs and resets"
+    TRUNCATES = "breaks off answers"
+    ANSWERS_TWICE = "second answers"
     SLOW = "slow"
-    MUTE = "takes requests and says nothing"
+    HANGS = "takes requests and says nothing"
 
 
 def plain_body(request: str, server: str) -> bytes:
@@ -55,13 +55,13 @@
     def __init__(self, name: str, service: str, ledger: Ledger, rng: random.Random) -> None:
         self.id = name
         self.service = service
-        self.mood = Mood.GOOD
-        self.share = 0.4
+        self.mode = ServerMode.HEALTHY
+        self.failure_probability = 0.4
         self.down = False
         self.leaving = False
         self.limit_per_s: float | None = None
-        self.born = int(time.time() * 1000)
-        self.on_guilty_end: Callable[[Backend], None] = lambda _: None
+        self.started_ms = int(time.time() * 1000)
+        self.on_guilty_crash: Callable[[Backend], None] = lambda _: None
         self.link = Link("")
         self._ledger = ledger
         self._rng = rng
@@ -89,15 +89,15 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    async def _end_under(self, arrival: Arrival) -> None:
+    async def _crash_if_guilty(self, arrival: Arrival) -> None:
         """End under a request that no server survives; anything else goes on."""
-        if not arrival.body.startswith(GUILTY):
+        if not arrival.body.startswith(GUILTY_PREFIX):
             return
-        await asyncio.sleep(GUILTY_S)
+        await asyncio.sleep(GUILTY_CRASH_DELAY_S)
         if not self.down:
             self.crash()
             self.link.close()
-            self.on_guilty_end(self)
+            self.on_guilty_crash(self)
         raise ConnectionResetError
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -120,21 +120,21 @@
 
     async def _answer(self, arrival: Arrival, writer: asyncio.StreamWriter) -> None:
         expected = arrival.get("expect-instance")
-        strikes = self._rng.random() < self.share
+        strikes = self._rng.random() < self.failure_probability
         if expected is not None and expected != self.id:
             self._reject(arrival, writer, 421)
-        elif self.mood is Mood.SHED and strikes:
+        elif self.mode is ServerMode.REJECTS and strikes:
             self._reject(arrival, writer, 503)
-        elif self.mood is Mood.RETRY_LATER and strikes:
+        elif self.mode is ServerMode.REJECTS_WITH_RETRY_AFTER and strikes:
             name = arrival.get("request-id") or ""
             self._ledger.declined.append(Declined(name, self.id, time.monotonic(), RETRY_AFTER_S))
             self._reject(arrival, writer, 503, f"Retry-After: {RETRY_AFTER_S}\r\n")
         elif self.service == "model":
-            await self._stream(arrival, writer, strikes)
+            await self._answer_stream(arrival, writer, strikes)
         else:
-            await self._plain(arrival, writer, strikes)
+            await self._answer_plain(arrival, writer, strikes)
 
-    def _note(self, arrival: Arrival) -> None:
+    def _record_run(self, arrival: Arrival) -> None:
         tokens = arrival.get("token-count") or "5,5"
         self._ledger.runs.append(
             Run(
@@ -166,36 +166,40 @@
         more += "Not-Executed: 1\r\nContent-Length: 0\r\n"
         writer.write(self._head(arrival, status, more))
 
-    async def _plain(self, arrival: Arrival, writer: asyncio.StreamWriter, strikes: bool) -> None:
-        self._note(arrival)
-        await self._end_under(arrival)
-        slow = self.mood is Mood.SLOW
-        await asyncio.sleep(PLAIN_S * (SLOW_X if slow else 1.0))
-        if self.mood is Mood.MUTE:
+    async def _answer_plain(
+        self, arrival: Arrival, writer: asyncio.StreamWriter, strikes: bool
+    ) -> None:
+        self._record_run(arrival)
+        await self._crash_if_guilty(arrival)
+        slow = self.mode is ServerMode.SLOW
+        await asyncio.sleep(PLAIN_ANSWER_S * (SLOW_FACTOR if slow else 1.0))
+        if self.mode is ServerMode.HANGS:
             await asyncio.sleep(3_600)
-        if self.mood is Mood.LOST and strikes:
+        if self.mode is ServerMode.RESETS_AFTER_RUN and strikes:
             reset(writer)
             raise ConnectionResetError
-        failed = self.mood is Mood.GREY and strikes
+        failed = self.mode is ServerMode.GRAY_FAILURE and strikes
         request = arrival.get("request-id") or ""
         body = b"failed" if failed else plain_body(request, self.id)
         more = f"Server-Stamp: {self.id}\r\nContent-Length: {len(body)}\r\n"
         data = self._head(arrival, 500 if failed else 200, more) + body
-        if self.mood is Mood.CUT and strikes:
+        if self.mode is ServerMode.TRUNCATES and strikes:
             writer.write(data[: -len(body) // 2])
             await writer.drain()
             writer.close()
             raise ConnectionResetError
         writer.write(data)
-        if self.mood is Mood.EXTRA and strikes:
+        if self.mode is ServerMode.ANSWERS_TWICE and strikes:
             writer.write(self._head(arrival, 200, more) + body)
 
-    async def _stream(self, arrival: Arrival, writer: asyncio.StreamWriter, strikes: bool) -> None:
-        self._note(arrival)
-        await self._end_under(arrival)
-        if self.mood is Mood.MUTE:
+    async def _answer_stream(
+        self, arrival: Arrival, writer: asyncio.StreamWriter, strikes: bool
+    ) -> None:
+        self._record_run(arrival)
+        await self._crash_if_guilty(arrival)
+        if self.mode is ServerMode.HANGS:
             await asyncio.sleep(3_600)
-        if self.mood is Mood.LOST and strikes:
+        if self.mode is ServerMode.RESETS_AFTER_RUN and strikes:
             reset(writer)
             raise ConnectionResetError
         request = arrival.get("request-id") or ""
@@ -204,9 +208,15 @@
             "Transfer-Encoding: chunked\r\n"
         )
         writer.write(self._head(arrival, 200, more))
-        breaks_at = EVENTS // 2 if self.mood in (Mood.CUT, Mood.GREY) and strikes else None
-        for number in range(int(arrival.get("last-event-id") or 0) + 1, EVENTS + 1):
-            await asyncio.sleep(EVENT_S * (SLOW_X if self.mood is Mood.SLOW else 1.0))
+        breaks_at = (
+            EVENTS_PER_STREAM // 2
+            if self.mode in (ServerMode.TRUNCATES, ServerMode.GRAY_FAILURE) and strikes
+            else None
+        )
+        for number in range(int(arrival.get("last-event-id") or 0) + 1, EVENTS_PER_STREAM + 1):
+            await asyncio.sleep(
+                EVENT_INTERVAL_S * (SLOW_FACTOR if self.mode is ServerMode.SLOW else 1.0)
+            )
             data = event_of(request, self.id, number)
             if number == breaks_at:
                 writer.write(chunk(data)[:-9])
@@ -216,5 +226,5 @@
             writer.write(chunk(data))
             await writer.drain()
         writer.write(LAST_CHUNK)
-        if self.mood is Mood.EXTRA and strikes:
+        if self.mode is ServerMode.ANSWERS_TWICE and strikes:
             writer.write(self._head(arrival, 200, "Content-Length: 0\r\n"))
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -5,7 +5,13 @@
 from collections.abc import Callable, Iterable
 
 from standins.rows import DutyCall
-from tests.soak.backend import EVENTS, GUILTY, GUILTY_S, event_of, plain_body
+from tests.soak.backend import (
+    EVENTS_PER_STREAM,
+    GUILTY_CRASH_DELAY_S,
+    GUILTY_PREFIX,
+    event_of,
+    plain_body,
+)
 from tests.soak.records import Attempt, Ledger, Run
 
 CONTACT_S = 3.0
@@ -59,7 +65,7 @@
 def _whole_stream(attempt: Attempt, servers: set[str], stamp: str) -> Iterable[str]:
     pieces = PIECE.findall(attempt.answer)
     numbers = [int(piece[0]) for piece in pieces]
-    if numbers != list(range(attempt.after_event + 1, EVENTS + 1)):
+    if numbers != list(range(attempt.after_event + 1, EVENTS_PER_STREAM + 1)):
         yield f"{attempt.request}: a whole stream has the events {numbers}"
     rebuilt = b"".join(event_of(attempt.request, p[2].decode(), int(p[0])) for p in pieces)
     if rebuilt != attempt.answer:
@@ -267,11 +273,15 @@
     """A request under which three servers ended reaches servers three times more at most."""
     began: dict[bytes, list[float]] = defaultdict(list)
     for run in ledger.runs:
-        if run.body.startswith(GUILTY):
+        if run.body.startswith(GUILTY_PREFIX):
             began[run.body].append(run.at)
     for body, times in began.items():
         times.sort()
-        late = [at for at in times if len(times) > 3 and at > times[2] + GUILTY_S + CONTACT_S]
+        late = [
+            at
+            for at in times
+            if len(times) > 3 and at > times[2] + GUILTY_CRASH_DELAY_S + CONTACT_S
+        ]
         if len(late) > MOST_LATE:
             yield f"{body.decode()}: {len(late)} late sends, {len(times)} in all"
 
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator, Callable, Coroutine
 
 from standins.rows import StoreMode as StoreMode
-from tests.soak.backend import GUILTY, Backend, Mood
+from tests.soak.backend import GUILTY_PREFIX, Backend, ServerMode
 from tests.soak.callers import probe
 from tests.soak.link import Link, Weather
 from tests.soak.records import Leaving, Limit
@@ -296,7 +296,7 @@
         self._world.busy.add("guilty")
         route = self._world.rng.choice(("order", "draft", "review"))
         self._guilty += 1
-        body = GUILTY + f" {self._guilty}".encode()
+        body = GUILTY_PREFIX + f" {self._guilty}".encode()
         fault = self._world.ledger.fault("guilty request", route)
         for number in range(GUILTY_TIMES):
             node = self._world.rng.choice(self._world.nodes)
@@ -309,11 +309,13 @@
 
     async def _server_mood(self) -> None:
         backend = self._world.rng.choice(self._world.backends)
-        mood = self._world.rng.choice([mood for mood in Mood if mood is not Mood.GOOD])
+        mood = self._world.rng.choice(
+            [mood for mood in ServerMode if mood is not ServerMode.HEALTHY]
+        )
         fault = self._world.ledger.fault("server", f"{backend.id} {mood.value}")
-        backend.mood = mood
+        backend.mode = mood
         await asyncio.sleep(self._for_s())
-        backend.mood = Mood.GOOD
+        backend.mode = ServerMode.HEALTHY
         fault.ends = time.monotonic()
 
     async def _name_limits(self) -> None:
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -125,7 +125,7 @@
         """Start a server and list it; with `name` one that was there starts again."""
         self._number += 1
         backend = Backend(name or f"s{self._number}", service, self.ledger, self.rng)
-        backend.on_guilty_end = self._ended_by_request
+        backend.on_guilty_crash = self._ended_by_request
         await backend.start(link)
         self.backends.append(backend)
         self.list_backend(backend, "ready")
@@ -160,7 +160,7 @@
             "state": state,
             "version": "v1",
             "seq": 1,
-            "born": backend.born,
+            "born": backend.started_ms,
         }
         self.listed[backend.id] = entry
         self.platform.put("servers", backend.id, entry)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,7 +16,7 @@
 
 from standins.rows import DutyCall
 from tests.soak import checks
-from tests.soak.backend import EVENTS, GUILTY, Backend, event_of, plain_body
+from tests.soak.backend import EVENTS_PER_STREAM, GUILTY_PREFIX, Backend, event_of, plain_body
 from tests.soak.former import LANDED, sources_of
 from tests.soak.process import ROOT, NodeProcess
 from tests.soak.records import (
@@ -149,13 +149,13 @@
         self.assert_finding_count(checks.own_whole_answers)
 
     def test_finds_stream_with_a_missing_event(self) -> None:
-        numbers = [number for number in range(1, EVENTS + 1) if number != 3]
+        numbers = [number for number in range(1, EVENTS_PER_STREAM + 1) if number != 3]
         self.add_answered_request("review", make_stream("r1", "s1", numbers))
         self.assert_finding_count(checks.own_whole_answers)
 
     def test_finds_unresumable_stream_joined_from_two_servers(self) -> None:
         first = make_stream("r1", "s1", list(range(1, 4)))
-        second = make_stream("r1", "s2", list(range(4, EVENTS + 1)))
+        second = make_stream("r1", "s2", list(range(4, EVENTS_PER_STREAM + 1)))
         self.add_answered_request("draft", first + second, runs="s1 s2")
         self.assert_finding_count(checks.own_whole_answers)
         self.assert_finding_count(checks.at_most_once)
@@ -194,7 +194,7 @@
         self.assertEqual(spans(*((10.0 + 0.1 * number, 0.04) for number in range(100))), [])
 
     def test_finds_request_that_keeps_crashing_servers(self) -> None:
-        body = GUILTY + b" 1"
+        body = GUILTY_PREFIX + b" 1"
         for number, at in enumerate((1.0, 2.0, 3.0, 4.0, 5.0, 6.5, 7.0, 7.5)):
             self.ledger.runs.append(make_run(f"g{number}", f"s{number}", at, body=body))
         self.assert_finding_count(checks.guilty_requests_are_held, 0)
