--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -12,12 +12,12 @@
 from tests.soak.records import Attempt, Ledger
 
 DEADLINE_S = 3.0
-PATIENCE_S = 0.6
+LATE_ANSWER_WAIT_S = 0.6
 """Callers wait this long beyond the deadline, so that late answers are seen."""
 
-DIRECTORY_EVERY_S = 2.0
-THINK_S = 0.12
-CONNECT_S = 1.0
+DIRECTORY_POLL_INTERVAL_S = 2.0
+THINK_TIME_S = 0.12
+CONNECT_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     key: str
 
 
-def request_of(
+def make_request(
     request: str,
     route: str,
     account: Account,
@@ -56,11 +56,11 @@
     return line, body, ("\r\n".join([line, *headers]) + "\r\n\r\n").encode() + body
 
 
-async def ask_directory(node: NodeProcess) -> list[str]:
+async def resolve_addresses(node: NodeProcess) -> list[str]:
     """Return the addresses that a node tells, or none."""
     host, _, port = node.directory.rpartition(":")
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(
                 b"GET /v1/resolve?name=x&region=north&zone=hall-a HTTP/1.1\r\nHost: d\r\n\r\n"
@@ -75,7 +75,7 @@
     return found
 
 
-class CallerFailed(Exception):
+class NoConnection(Exception):
     """No connection came about."""
 
 
@@ -97,19 +97,19 @@
         self._ledger = ledger
         self._rng = rng
         self._routes = routes
-        self._number = 0
+        self._request_count = 0
         self._addresses: list[str] = []
-        self._asked_at = -1e9
+        self._resolved_at = -1e9
         self._node: NodeProcess | None = None
-        self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
+        self._connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def run(self, until: Callable[[], bool]) -> None:
         """Send one request after another."""
         while not until():
-            await asyncio.sleep(THINK_S * (0.5 + self._rng.random()))
+            await asyncio.sleep(THINK_TIME_S * (0.5 + self._rng.random()))
             try:
                 await self._connect()
-            except CallerFailed:
+            except NoConnection:
                 await asyncio.sleep(0.1)
                 continue
             route = self._rng.choice(self._routes())
@@ -119,32 +119,32 @@
     async def _connect(self) -> None:
         """Keep the open connection, whatever the directory says; else take a new one."""
         now = time.monotonic()
-        if now - self._asked_at > DIRECTORY_EVERY_S:
-            found = await ask_directory(self._rng.choice(self._nodes))
+        if now - self._resolved_at > DIRECTORY_POLL_INTERVAL_S:
+            found = await resolve_addresses(self._rng.choice(self._nodes))
             if found:
-                self._addresses, self._asked_at = found, now
-        if self._streams is not None:
+                self._addresses, self._resolved_at = found, now
+        if self._connection is not None:
             return
         by_front = {node.front: node for node in self._nodes}
         known = [by_front[each] for each in self._addresses if each in by_front]
         if not known:
-            raise CallerFailed
+            raise NoConnection
         self._node = self._rng.choice(known)
         host, _, port = self._node.callers.address.rpartition(":")
         try:
-            async with asyncio.timeout(CONNECT_S):
-                self._streams = await asyncio.open_connection(host, int(port))
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                self._connection = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError) as error:
-            raise CallerFailed from error
+            raise NoConnection from error
 
     async def send(self, route: str, after_event: int = 0) -> None:
         """Send a request on the open connection and note how it ended."""
-        assert self._streams is not None and self._node is not None
-        reader, writer = self._streams
-        self._number += 1
-        request = f"{self._name}-{self._number}"
+        assert self._connection is not None and self._node is not None
+        reader, writer = self._connection
+        self._request_count += 1
+        request = f"{self._name}-{self._request_count}"
         tokens = self._rng.choice((5, 5, 20, 60))
-        line, body, data = request_of(request, route, self._account, tokens, after_event)
+        line, body, data = make_request(request, route, self._account, tokens, after_event)
         attempt = Attempt(
             request, route, line, body, self._account.name, self._node.name, time.monotonic(),
             tokens + 5, after_event,
@@ -152,7 +152,7 @@
         self._ledger.attempts.append(attempt)
         try:
             writer.write(data)
-            async with asyncio.timeout(DEADLINE_S + PATIENCE_S):
+            async with asyncio.timeout(DEADLINE_S + LATE_ANSWER_WAIT_S):
                 answer = await read_answer(reader)
             attempt.status, attempt.whole = answer.status, answer.whole
             attempt.answer, attempt.headers = answer.body, answer.headers
@@ -164,9 +164,9 @@
             self._drop()
 
     def _drop(self) -> None:
-        if self._streams is not None:
-            self._streams[1].close()
-        self._streams = None
+        if self._connection is not None:
+            self._connection[1].close()
+        self._connection = None
 
 
 async def probe(
@@ -181,7 +181,7 @@
 
     With `guilty` it is a request with this body that no server survives.
     """
-    line, body, data = request_of(request, route, account, 5, 0, guilty)
+    line, body, data = make_request(request, route, account, 5, 0, guilty)
     attempt = Attempt(
         request,
         route,
@@ -194,7 +194,7 @@
         probe=guilty is None,
     )
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             host, _, port = node.front.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             ledger.attempts.append(attempt)
