--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -14,7 +14,7 @@
 )
 from tests.soak.records import Attempt, Ledger, Run
 
-CONTACT_S = 3.0
+SETTLE_TIME_S = 3.0
 """Bounds hold once nothing unplanned happened for this long."""
 
 APPLY_S = 2.0
@@ -23,19 +23,19 @@
 STOP_S = 5.0
 STOP_SLACK_S = 1.0
 ANSWER_SLACK_S = 0.5
-CROSSING_S = 0.2
-UNDER_WAY_S = 0.5
-LIMIT_WINDOW_S = 4.0
-MOST_BEFORE_RETRY = 2
+CLOSE_RACE_S = 0.2
+IN_FLIGHT_S = 0.5
+SERVER_LIMIT_WINDOW_S = 4.0
+MAX_EARLY_REQUESTS = 2
 RECOVERY_S = 8.0
-RECOVERED_SHARE = 0.9
-MOST_LATE = 3
-WINDOW_S = 8.0
-OVERAGE = 1.1
-PROMISES = frozenset({408, 421, 429, 503})
+MIN_RECOVERED_SHARE = 0.9
+MAX_LATE_GUILTY_SENDS = 3
+ACCOUNT_LIMIT_WINDOW_S = 8.0
+OVERSHOOT_FACTOR = 1.1
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 STREAM_ROUTES = frozenset({"draft", "review"})
 REPEATABLE_ROUTES = frozenset({"check", "review"})
-PIECE = re.compile(rb"id: (\d+)\ndata: (\S+) (\S+) piece (\d+)\n\n")
+EVENT_PATTERN = re.compile(rb"id: (\d+)\ndata: (\S+) (\S+) piece (\d+)\n\n")
 
 
 def runs_by_request(ledger: Ledger) -> dict[str, list[Run]]:
@@ -57,13 +57,13 @@
         if attempt.headers.get("request-id") != attempt.request or stamp not in servers:
             yield f"{attempt.request}: answered with the head of {attempt.headers}"
         elif attempt.route in STREAM_ROUTES:
-            yield from _whole_stream(attempt, servers, stamp)
+            yield from _check_whole_stream(attempt, servers, stamp)
         elif attempt.answer != plain_body(attempt.request, stamp):
             yield f"{attempt.request}: body {attempt.answer[:80]!r} is not the server's"
 
 
-def _whole_stream(attempt: Attempt, servers: set[str], stamp: str) -> Iterable[str]:
-    pieces = PIECE.findall(attempt.answer)
+def _check_whole_stream(attempt: Attempt, servers: set[str], stamp: str) -> Iterable[str]:
+    pieces = EVENT_PATTERN.findall(attempt.answer)
     numbers = [int(piece[0]) for piece in pieces]
     if numbers != list(range(attempt.after_event + 1, EVENTS_PER_STREAM + 1)):
         yield f"{attempt.request}: a whole stream has the events {numbers}"
@@ -82,7 +82,7 @@
     for attempt in ledger.attempts:
         if attempt.whole or attempt.route not in STREAM_ROUTES or attempt.status != 200:
             continue
-        numbers = [int(piece[0]) for piece in PIECE.findall(attempt.answer)]
+        numbers = [int(piece[0]) for piece in EVENT_PATTERN.findall(attempt.answer)]
         first = attempt.after_event + 1
         if numbers != list(range(first, first + len(numbers))):
             yield f"{attempt.request}: a cut stream has the events {numbers}"
@@ -100,7 +100,7 @@
     """What was answered as not run has not run and never does."""
     runs = runs_by_request(ledger)
     for attempt in ledger.attempts:
-        if attempt.status in PROMISES and runs[attempt.request]:
+        if attempt.status in NOT_EXECUTED_STATUSES and runs[attempt.request]:
             yield f"{attempt.request}: answered {attempt.status}, ran on " + ", ".join(
                 run.server for run in runs[attempt.request]
             )
@@ -133,7 +133,7 @@
             late = run.at - leaving.acked_at - LEAVE_S
             if run.server != leaving.server or late < 0:
                 continue
-            if not ledger.unplanned_in(leaving.acked_at - CONTACT_S, run.at):
+            if not ledger.unplanned_in(leaving.acked_at - SETTLE_TIME_S, run.at):
                 yield f"{run.request} reached {run.server} {late:.2f} s too late"
 
 
@@ -165,10 +165,10 @@
         by_way[node_of.get(request, ""), server].append(at)
     for asked in ledger.declined:
         node = node_of.get(asked.request, "")
-        begin, end = asked.at + UNDER_WAY_S, asked.at + asked.retry_after_s
+        begin, end = asked.at + IN_FLIGHT_S, asked.at + asked.retry_after_s
         late = [at for at in by_way[node, asked.server] if begin < at < end]
         excused = ledger.disturbed(node, asked.server, asked.at, end)
-        if len(late) > MOST_BEFORE_RETRY and not excused:
+        if len(late) > MAX_EARLY_REQUESTS and not excused:
             yield f"{asked.request}: {node} sent {len(late)} too early to {asked.server}"
 
 
@@ -181,23 +181,23 @@
             key = (attempt.node, attempt.headers.get("server-stamp", ""))
             told[key].append(attempt.ended_at)
     for limit in ledger.limits:
-        begins = limit.begins + CONTACT_S - LIMIT_WINDOW_S
+        begins = limit.begins + SETTLE_TIME_S - SERVER_LIMIT_WINDOW_S
         arrived = sorted(
             run.at
             for run in ledger.runs
             if run.server == limit.server
             and begins <= run.at < limit.ends
-            and _was_told(ledger, told, node_of.get(run.request, ""), run, limit.begins)
+            and _knew_limit(ledger, told, node_of.get(run.request, ""), run, limit.begins)
         )
-        most = 1.5 * limit.per_s * LIMIT_WINDOW_S + 5
+        most = 1.5 * limit.per_s * SERVER_LIMIT_WINDOW_S + 5
         for first in arrived:
-            number = sum(first <= at < first + LIMIT_WINDOW_S for at in arrived)
+            number = sum(first <= at < first + SERVER_LIMIT_WINDOW_S for at in arrived)
             if number > most:
                 yield f"{limit.server} named {limit.per_s} a second and got {number} in 4 s"
                 break
 
 
-def _was_told(
+def _knew_limit(
     ledger: Ledger,
     told: dict[tuple[str, str], list[float]],
     node: str,
@@ -205,8 +205,8 @@
     since: float,
 ) -> bool:
     """Say whether a node had passed a limit on before a request that it sent, and was sound."""
-    heard = [at for at in told[node, run.server] if since <= at <= run.at - UNDER_WAY_S]
-    return bool(heard) and not ledger.disturbed(node, run.server, run.at - CONTACT_S, run.at)
+    heard = [at for at in told[node, run.server] if since <= at <= run.at - IN_FLIGHT_S]
+    return bool(heard) and not ledger.disturbed(node, run.server, run.at - SETTLE_TIME_S, run.at)
 
 
 def planned_work_cuts_nothing(ledger: Ledger) -> Iterable[str]:
@@ -215,9 +215,9 @@
     for attempt in ledger.attempts:
         if attempt.whole or attempt.probe or not attempt.ended_at:
             continue
-        if ledger.unplanned_in(attempt.sent_at - CONTACT_S, attempt.ended_at):
+        if ledger.unplanned_in(attempt.sent_at - SETTLE_TIME_S, attempt.ended_at):
             continue
-        if runs[attempt.request] or attempt.ended_at - attempt.sent_at > CROSSING_S:
+        if runs[attempt.request] or attempt.ended_at - attempt.sent_at > CLOSE_RACE_S:
             yield f"{attempt.request} at {attempt.node}: cut after " + (
                 f"{attempt.ended_at - attempt.sent_at:.2f} s, status {attempt.status}"
             )
@@ -231,7 +231,7 @@
         took = attempt.ended_at - attempt.sent_at
         if limit is None or attempt.probe or not attempt.ended_at or took < limit + ANSWER_SLACK_S:
             continue
-        if not ledger.unplanned_in(attempt.sent_at - CONTACT_S, attempt.ended_at):
+        if not ledger.unplanned_in(attempt.sent_at - SETTLE_TIME_S, attempt.ended_at):
             yield f"{attempt.request}: {took:.2f} s for a limit of {limit} s"
 
 
@@ -243,7 +243,7 @@
         number = int(attempt.route.removeprefix("only-"))
         acked = [v for v in ledger.versions if v.acked_at + APPLY_S < attempt.sent_at]
         begun = [v for v in ledger.versions if v.acked_at <= attempt.ended_at]
-        if not acked or ledger.unplanned_in(acked[-1].acked_at - CONTACT_S, attempt.ended_at):
+        if not acked or ledger.unplanned_in(acked[-1].acked_at - SETTLE_TIME_S, attempt.ended_at):
             continue
         allowed = {v.number for v in begun if v.number >= acked[-1].number}
         if attempt.status == 404 and allowed == {number}:
@@ -280,9 +280,9 @@
         late = [
             at
             for at in times
-            if len(times) > 3 and at > times[2] + GUILTY_CRASH_DELAY_S + CONTACT_S
+            if len(times) > 3 and at > times[2] + GUILTY_CRASH_DELAY_S + SETTLE_TIME_S
         ]
-        if len(late) > MOST_LATE:
+        if len(late) > MAX_LATE_GUILTY_SENDS:
             yield f"{body.decode()}: {len(late)} late sends, {len(times)} in all"
 
 
@@ -291,9 +291,9 @@
     findings = []
     for account, (rate, burst) in limit.items():
         runs = [run for run in ledger.runs if run.account == account]
-        most = (rate * WINDOW_S + burst) * OVERAGE + slack
+        most = (rate * ACCOUNT_LIMIT_WINDOW_S + burst) * OVERSHOOT_FACTOR + slack
         for index, first in enumerate(runs):
-            total = sum(r.tokens for r in runs[index:] if r.at < first.at + WINDOW_S)
+            total = sum(r.tokens for r in runs[index:] if r.at < first.at + ACCOUNT_LIMIT_WINDOW_S)
             if total > most:
                 findings.append(f"{account}: {total} tokens in a window, at most {most:.0f}")
                 break
@@ -307,7 +307,7 @@
     newest: dict[str, int] = {}
     turns: dict[str, list[tuple[float, str]]] = defaultdict(list)
     for call in calls:
-        subject = _subject(call)
+        subject = _duty_key(call)
         if call.path == "/usage":
             window = int(str(call.body["window"]))
             counts = call.body["counts"]
@@ -324,10 +324,10 @@
         newest[subject] = max(call.fence, newest.get(subject, 0))
         turns[subject].append((call.at, call.holder))
     for subject, sequence in turns.items():
-        yield from _turns(subject, sequence)
+        yield from _alternating_holders(subject, sequence)
 
 
-def _turns(subject: str, sequence: list[tuple[float, str]]) -> Iterable[str]:
+def _alternating_holders(subject: str, sequence: list[tuple[float, str]]) -> Iterable[str]:
     for index, (at, holder) in enumerate(sequence):
         others = False
         for later, other in sequence[index + 1 :]:
@@ -340,7 +340,7 @@
                 break
 
 
-def _subject(call: DutyCall) -> str:
+def _duty_key(call: DutyCall) -> str:
     if call.path == "/usage":
         return "usage"
     return f"{call.body.get('service')} in {call.body.get('zone')}"
@@ -371,7 +371,7 @@
         if attempt.ended_at and attempt.account != "small"
     ]
     good = [attempt for attempt in late if attempt.whole and attempt.status == 200]
-    if len(good) < RECOVERED_SHARE * len(late) or not late:
+    if len(good) < MIN_RECOVERED_SHARE * len(late) or not late:
         yield f"{len(good)} of {len(late)} requests were served after all was healed"
 
 
