--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -14,7 +14,7 @@
 import tempfile
 from pathlib import Path
 
-from tests.soak.former import sources_of
+from tests.soak.former import extract_sources
 from tests.soak.soak import SoakPlan, run_soak
 
 MAX_FINDINGS_SHOWN = 12
@@ -30,7 +30,7 @@
     parser.add_argument("--from", dest="former", metavar="COMMIT", help="a build beside this one")
     asked = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="soak-build-") as folder:
-        former = sources_of(asked.former, Path(folder)) if asked.former else None
+        former = extract_sources(asked.former, Path(folder)) if asked.former else None
         return run_seeds(asked, former)
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,7 +17,7 @@
 from standins.rows import DutyCall
 from tests.soak import checks
 from tests.soak.backend import EVENTS_PER_STREAM, GUILTY_PREFIX, Backend, event_of, plain_body
-from tests.soak.former import LANDED, sources_of
+from tests.soak.former import FORMER_COMMIT, extract_sources
 from tests.soak.process import ROOT, NodeProcess
 from tests.soak.records import (
     Attempt,
@@ -409,7 +409,7 @@
     def test_short_soak_with_an_earlier_build_finds_nothing(self) -> None:
         """Each start of a node runs either build; the test needs the repository's history."""
         with tempfile.TemporaryDirectory(prefix="soak-build-") as folder:
-            sources = sources_of(LANDED, Path(folder))
+            sources = extract_sources(FORMER_COMMIT, Path(folder))
             plan = SoakPlan(
                 SEED, nodes=4, planned_s=4.0, chaos_s=5.0, rounds=1, former_build=sources
             )
