--- a/tests/soak/link.py
+++ b/tests/soak/link.py
@@ -3,14 +3,14 @@
 import asyncio
 from enum import StrEnum
 
-SLOW_S = 0.15
-CHUNK = 65_536
+SLOW_DELAY_S = 0.15
+CHUNK_BYTES = 65_536
 
 
-class Weather(StrEnum):
+class LinkMode(StrEnum):
     """How a link carries bytes."""
 
-    GOOD = "good"
+    HEALTHY = "good"
     SLOW = "slow"
     SILENT = "silent"
     ONE_WAY = "one way"
@@ -22,15 +22,15 @@
 
     def __init__(self, target: str) -> None:
         self.target = target
-        self.weather = Weather.GOOD
+        self.mode = LinkMode.HEALTHY
         self.address = ""
         self._server: asyncio.Server | None = None
         self._open: set[asyncio.StreamWriter] = set()
-        self._turned = asyncio.Event()
+        self._mode_changed = asyncio.Event()
 
     async def start(self) -> None:
         """Listen on a free port."""
-        self._server = await asyncio.start_server(self._carry, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._forward, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def close(self) -> None:
@@ -39,11 +39,11 @@
             self._server.close()
         self.reset_all()
 
-    def turn(self, weather: Weather) -> None:
+    def set_mode(self, mode: LinkMode) -> None:
         """Change how bytes are carried from now on."""
-        self.weather = weather
-        self._turned.set()
-        if weather is Weather.RESET:
+        self.mode = mode
+        self._mode_changed.set()
+        if mode is LinkMode.RESET:
             self.reset_all()
 
     def reset_all(self) -> None:
@@ -51,8 +51,8 @@
         for writer in list(self._open):
             writer.transport.abort()
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.weather is Weather.RESET:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self.mode is LinkMode.RESET:
             writer.transport.abort()
             return
         host, _, port = self.target.rpartition(":")
@@ -63,8 +63,8 @@
             return
         pair = {writer, far_writer}
         self._open |= pair
-        there = asyncio.create_task(self._pump(reader, far_writer, back=False))
-        back = asyncio.create_task(self._pump(far_reader, writer, back=True))
+        there = asyncio.create_task(self._pump(reader, far_writer, to_client=False))
+        back = asyncio.create_task(self._pump(far_reader, writer, to_client=True))
         try:
             await asyncio.wait([there, back], return_when=asyncio.FIRST_COMPLETED)
             await asyncio.sleep(0)
@@ -78,22 +78,22 @@
                 each.close()
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, back: bool
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to_client: bool
     ) -> None:
         try:
-            while data := await reader.read(CHUNK):
-                if self.weather is Weather.SLOW:
-                    await asyncio.sleep(SLOW_S)
-                await self._released(back)
+            while data := await reader.read(CHUNK_BYTES):
+                if self.mode is LinkMode.SLOW:
+                    await asyncio.sleep(SLOW_DELAY_S)
+                await self._wait_until_released(to_client)
                 writer.write(data)
                 await writer.drain()
-            await self._released(back)
+            await self._wait_until_released(to_client)
         except ConnectionError:
             writer.transport.abort()
 
-    async def _released(self, back: bool) -> None:
+    async def _wait_until_released(self, to_client: bool) -> None:
         """Wait until bytes of a direction may go on."""
-        holding = {Weather.SILENT, Weather.ONE_WAY} if back else {Weather.SILENT}
-        while self.weather in holding:
-            self._turned.clear()
-            await self._turned.wait()
+        holding = {LinkMode.SILENT, LinkMode.ONE_WAY} if to_client else {LinkMode.SILENT}
+        while self.mode in holding:
+            self._mode_changed.clear()
+            await self._mode_changed.wait()
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -9,7 +9,7 @@
 from standins.rows import StoreMode as StoreMode
 from tests.soak.backend import GUILTY_PREFIX, Backend, ServerMode
 from tests.soak.callers import probe
-from tests.soak.link import Link, Weather
+from tests.soak.link import Link, LinkMode
 from tests.soak.records import Leaving, Limit
 from tests.soak.world import ACCOUNTS, SoakWorld
 
@@ -189,12 +189,12 @@
 
     async def _turn(self, kind: str, name: str, link: Link) -> None:
         weather = self._world.rng.choice(
-            (Weather.SLOW, Weather.SILENT, Weather.ONE_WAY, Weather.RESET)
+            (LinkMode.SLOW, LinkMode.SILENT, LinkMode.ONE_WAY, LinkMode.RESET)
         )
         fault = self._world.ledger.fault(kind, f"{name} {weather.value}")
-        link.turn(weather)
+        link.set_mode(weather)
         await asyncio.sleep(self._for_s())
-        link.turn(Weather.GOOD)
+        link.set_mode(LinkMode.HEALTHY)
         self._world.thawed.append(asyncio.get_running_loop().time())
         fault.ends = time.monotonic()
 
