--- a/tests/soak/node_main.py
+++ b/tests/soak/node_main.py
@@ -12,16 +12,16 @@
 from pathlib import Path
 
 LAUNCHER = Path(__file__).resolve().parents[2] / "deploy" / "launch.py"
-LOOK_S = 0.05
-STALL_S = 0.5
-NANOSECONDS = 1e9
+POLL_INTERVAL_S = 0.05
+MIN_STALL_S = 0.5
+NANOSECONDS_PER_S = 1e9
 
-_true_time = time.time
+_real_time = time.time
 _step_s = 0.0
 
 
 def _stepped_time() -> float:
-    return _true_time() + _step_s
+    return _real_time() + _step_s
 
 
 def _read_step(*_: object) -> None:
@@ -29,31 +29,31 @@
     _step_s = float(Path(os.environ["SOAK_STEP_FILE"]).read_text("ascii"))
 
 
-def _waited_s(thread: str) -> float:
+def _runqueue_wait_s(thread: str) -> float:
     """Return how long a thread was ready to run and had no CPU (Linux `schedstat`)."""
-    return int(Path(f"/proc/{thread}/schedstat").read_text("ascii").split()[1]) / NANOSECONDS
+    return int(Path(f"/proc/{thread}/schedstat").read_text("ascii").split()[1]) / NANOSECONDS_PER_S
 
 
-def _stolen_s() -> float:
+def _steal_time_s() -> float:
     """Return how long all CPUs together were away with the host (Linux `/proc/stat`)."""
     ticks = int(Path("/proc/stat").read_text("ascii").split("\n", 1)[0].split()[8])
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def _spent() -> dict[str, float]:
+def _sample_usage() -> dict[str, float]:
     """Return what this process and the machine spent so far, in seconds.
 
     The first thread counts as well as this one, which can't go on without its lock.
     """
     return {
         "cpu_s": time.process_time(),
-        "waited_s": _waited_s("thread-self"),
-        "first_thread_waited_s": _waited_s("self"),
-        "stolen_s": _stolen_s(),
+        "waited_s": _runqueue_wait_s("thread-self"),
+        "first_thread_waited_s": _runqueue_wait_s("self"),
+        "stolen_s": _steal_time_s(),
     }
 
 
-def _note(what: str, began: float, **more: float) -> None:
+def _record_span(what: str, began: float, **more: float) -> None:
     now = time.monotonic()
     line = json.dumps({"what": what, "began": began, "ended": now, **more})
     with Path(os.environ["SOAK_STALL_FILE"]).open("a") as file:
@@ -61,15 +61,15 @@
 
 
 def _watch_stalls() -> None:
-    seen, before = time.monotonic(), _spent()
+    seen, before = time.monotonic(), _sample_usage()
     while True:
-        time.sleep(LOOK_S)
-        now, after = time.monotonic(), _spent()
+        time.sleep(POLL_INTERVAL_S)
+        now, after = time.monotonic(), _sample_usage()
         spent = {name: after[name] - before[name] for name in after}
         # The first thread may have no CPU while this one has.
         late_s = max(now - seen, spent["first_thread_waited_s"])
-        if late_s > STALL_S:
-            _note("did not run", now - late_s, **spent)
+        if late_s > MIN_STALL_S:
+            _record_span("did not run", now - late_s, **spent)
         seen, before = now, after
 
 
@@ -81,4 +81,4 @@
     runpy.run_path(str(LAUNCHER), run_name="__main__")
 finally:
     if "SOAK_STALL_FILE" in os.environ:
-        _note("left its program", time.monotonic())
+        _record_span("left its program", time.monotonic())
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -26,7 +26,7 @@
 PROBE_EVERY_S = 0.25
 STEADY_S = 4.0
 HEARTBEAT_S = 0.05
-STALL_S = 0.5
+MIN_STALL_S = 0.5
 """The soak itself stood still if it woke up so much too late: callers give a stop 0.9 s."""
 
 STALL_WINDOW_S = 2.0
@@ -79,7 +79,7 @@
             self._pauses.append((slept_at, late_s))
         while self._pauses and now - self._pauses[0][0] > STALL_WINDOW_S + late_s:
             self._pauses.popleft()
-        if sum(each for _, each in self._pauses) <= STALL_S:
+        if sum(each for _, each in self._pauses) <= MIN_STALL_S:
             return None
         began = self._pauses[0][0]
         self._pauses.clear()
