--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -58,7 +58,7 @@
 
 async def resolve_addresses(node: NodeProcess) -> list[str]:
     """Return the addresses that a node tells, or none."""
-    host, _, port = node.directory.rpartition(":")
+    host, _, port = node.directory_address.rpartition(":")
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -125,12 +125,12 @@
                 self._addresses, self._resolved_at = found, now
         if self._connection is not None:
             return
-        by_front = {node.front: node for node in self._nodes}
+        by_front = {node.advertised_address: node for node in self._nodes}
         known = [by_front[each] for each in self._addresses if each in by_front]
         if not known:
             raise NoConnection
         self._node = self._rng.choice(known)
-        host, _, port = self._node.callers.address.rpartition(":")
+        host, _, port = self._node.caller_link.address.rpartition(":")
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 self._connection = await asyncio.open_connection(host, int(port))
@@ -195,7 +195,7 @@
     )
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
-            host, _, port = node.front.rpartition(":")
+            host, _, port = node.advertised_address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             ledger.attempts.append(attempt)
             writer.write(data)
--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -14,11 +14,11 @@
 from tests.soak.records import Exit, Ledger
 
 ROOT = Path(__file__).resolve().parents[2]
-FIRST_PORT = 7100
+BASE_PORT = 7100
 STOP_S = 5.0
-LAUNCH_POLL_S = 0.02
+LAUNCH_POLL_INTERVAL_S = 0.02
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 [node]
 id = "{name}"
 hall = "{hall}"
@@ -68,10 +68,10 @@
         self.name = name
         self.host = host
         self.hall = hall
-        self.callers = Link(f"{self.host}:{FIRST_PORT}")
-        self.store = Link(store)
-        self.ready_address = f"{self.host}:{FIRST_PORT + 3}"
-        self.directory = f"{self.host}:{FIRST_PORT + 2}"
+        self.caller_link = Link(f"{self.host}:{BASE_PORT}")
+        self.store_link = Link(store)
+        self.readiness_address = f"{self.host}:{BASE_PORT + 3}"
+        self.directory_address = f"{self.host}:{BASE_PORT + 2}"
         self.process: asyncio.subprocess.Process | None = None
         self.paused = False
         self.stopping_since: float | None = None
@@ -80,20 +80,20 @@
         self._builds = builds
         self._rng = rng or random.Random(name)
         self._seeds: list[str] = []
-        self._log_begins = 0
-        self._asked = False
+        self._log_offset = 0
+        self._stop_requested = False
         self._descriptor: int | None = None
         self._watch: asyncio.Task[None] | None = None
 
     @property
-    def front(self) -> str:
+    def advertised_address(self) -> str:
         """Return the address that the directory tells for this node."""
-        return f"{self.host}:{FIRST_PORT}"
+        return f"{self.host}:{BASE_PORT}"
 
     @property
-    def seed(self) -> str:
+    def seed_address(self) -> str:
         """Return the address that other nodes have as a seed."""
-        return f"{self.host}:{FIRST_PORT + 1}"
+        return f"{self.host}:{BASE_PORT + 1}"
 
     @property
     def running(self) -> bool:
@@ -102,25 +102,25 @@
 
     async def prepare(self, seeds: list[str], first: bool) -> None:
         """Open the links and write the settings."""
-        await self.callers.start()
-        await self.store.start()
+        await self.caller_link.start()
+        await self.store_link.start()
         self._seeds = seeds
         self._write_settings(first)
         (self._folder / f"{self.name}.step").write_text("0.0", "ascii")
 
     def _write_settings(self, first: bool) -> None:
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             name=self.name,
             hall=self.hall,
             host=self.host,
-            callers=FIRST_PORT,
-            control=FIRST_PORT + 1,
-            directory=FIRST_PORT + 2,
-            readiness=FIRST_PORT + 3,
-            peers=FIRST_PORT + 4,
+            callers=BASE_PORT,
+            control=BASE_PORT + 1,
+            directory=BASE_PORT + 2,
+            readiness=BASE_PORT + 3,
+            peers=BASE_PORT + 4,
             first="true" if first else "false",
             seeds=", ".join(f'"{seed}"' for seed in self._seeds),
-            store=self.store.address,
+            store=self.store_link.address,
             stop_s=STOP_S,
         )
         (self._folder / f"{self.name}.toml").write_text(text, "utf-8")
@@ -141,7 +141,7 @@
             "SOAK_STALL_FILE": str(self._folder / f"{self.name}.stalls"),
         }
         with (self._folder / f"{self.name}.log").open("ab") as log:
-            self._log_begins = log.tell()
+            self._log_offset = log.tell()
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 str(build / "tests" / "soak" / "node_main.py"),
@@ -151,7 +151,7 @@
             )
         # A descriptor names this very process, also once its id is given to another.
         self._descriptor = os.pidfd_open(self.process.pid)
-        self._asked = False
+        self._stop_requested = False
         self.paused = False
         self.stopping_since = None
         began = time.monotonic()
@@ -167,7 +167,7 @@
             self._descriptor = None
         now = time.monotonic()
         took = None if self.stopping_since is None else now - self.stopping_since
-        self._ledger.exits.append(Exit(self.name, now, code, self._asked, took))
+        self._ledger.exits.append(Exit(self.name, now, code, self._stop_requested, took))
 
     def _send(self, number: signal.Signals) -> None:
         """Send a signal, if the process is there.
@@ -187,21 +187,21 @@
         """
         while self.running:
             with (self._folder / f"{self.name}.log").open("rb") as log:
-                log.seek(self._log_begins)
+                log.seek(self._log_offset)
                 if log.read(1):
                     return True
-            await asyncio.sleep(LAUNCH_POLL_S)
+            await asyncio.sleep(LAUNCH_POLL_INTERVAL_S)
         return False
 
     def kill(self) -> None:
         """End the process at once."""
-        self._asked = True
+        self._stop_requested = True
         self._send(signal.SIGKILL)
 
     async def stop(self) -> None:
         """Begin a planned stop."""
         await self._launched()
-        self._asked = True
+        self._stop_requested = True
         self.stopping_since = time.monotonic()
         self._send(signal.SIGTERM)
 
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -200,11 +200,11 @@
 
     async def _cut_store(self) -> None:
         node = self._world.rng.choice(self._world.nodes)
-        await self._turn("store link", node.name, node.store)
+        await self._turn("store link", node.name, node.store_link)
 
     async def _cut_callers(self) -> None:
         node = self._world.rng.choice(self._world.nodes)
-        await self._turn("callers' link", node.name, node.callers)
+        await self._turn("callers' link", node.name, node.caller_link)
 
     async def _server_link(self) -> None:
         backend = self._world.rng.choice(self._world.backends)
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -78,7 +78,7 @@
                     self.rng,
                 )
             )
-        seeds = [node.seed for node in self.nodes[:3]]
+        seeds = [node.seed_address for node in self.nodes[:3]]
         for node in self.nodes:
             await node.prepare(seeds, first=True)
         await asyncio.gather(*(node.start() for node in self.nodes))
@@ -109,8 +109,8 @@
             node.kill()
         for node in self.nodes:
             await node.gone(5.0)
-            node.callers.close()
-            node.store.close()
+            node.caller_link.close()
+            node.store_link.close()
         for backend in self.backends:
             backend.crash()
             backend.link.close()
