--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -104,7 +104,7 @@
     node: str
     at: float
     code: int
-    asked: bool
+    requested: bool
     took_s: float | None = None
 
 
