--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -353,7 +353,7 @@
         if took_s is not None:
             # Its end was seen once the soak itself went on.
             took_s -= ledger.stood_still_s(end.at - took_s, end.at)
-        if not end.asked:
+        if not end.requested:
             yield f"{end.node} ended by itself with code {end.code}"
         elif took_s is not None and end.code == 0 and took_s > STOP_S + STOP_SLACK_S:
             at = end.at - ledger.began
