--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -268,10 +268,10 @@
 
     def test_finds_unexpected_process_exits(self) -> None:
         self.ledger.exits += [
-            Exit("n1", 1.0, 0, asked=False),
-            Exit("n1", 1.0, 0, asked=True, took_s=9.0),
-            Exit("n1", 1.0, 1, asked=True, took_s=1.0),
-            Exit("n1", 1.0, -9, asked=True),
+            Exit("n1", 1.0, 0, requested=False),
+            Exit("n1", 1.0, 0, requested=True, took_s=9.0),
+            Exit("n1", 1.0, 1, requested=True, took_s=1.0),
+            Exit("n1", 1.0, -9, requested=True),
         ]
         self.assert_finding_count(checks.ends_as_asked, 3)
 
