--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -82,8 +82,8 @@
         self._seeds: list[str] = []
         self._log_offset = 0
         self._stop_requested = False
-        self._descriptor: int | None = None
-        self._watch: asyncio.Task[None] | None = None
+        self._pidfd: int | None = None
+        self._exit_watch: asyncio.Task[None] | None = None
 
     @property
     def advertised_address(self) -> str:
@@ -150,7 +150,7 @@
                 stderr=log,
             )
         # A descriptor names this very process, also once its id is given to another.
-        self._descriptor = os.pidfd_open(self.process.pid)
+        self._pidfd = os.pidfd_open(self.process.pid)
         self._stop_requested = False
         self.paused = False
         self.stopping_since = None
@@ -158,29 +158,29 @@
         self._ledger.starts.append((self.name, began))
         if build != self._builds[0]:
             self._ledger.former_builds.add((self.name, began))
-        self._watch = asyncio.create_task(self._wait(self.process, self._descriptor))
+        self._exit_watch = asyncio.create_task(self._record_exit(self.process, self._pidfd))
 
-    async def _wait(self, process: asyncio.subprocess.Process, descriptor: int) -> None:
+    async def _record_exit(self, process: asyncio.subprocess.Process, descriptor: int) -> None:
         code = await process.wait()
         os.close(descriptor)
-        if self._descriptor == descriptor:
-            self._descriptor = None
+        if self._pidfd == descriptor:
+            self._pidfd = None
         now = time.monotonic()
         took = None if self.stopping_since is None else now - self.stopping_since
         self._ledger.exits.append(Exit(self.name, now, code, self._stop_requested, took))
 
-    def _send(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         """Send a signal, if the process is there.
 
         Not by the process object: it looks whether the process ended, and takes its exit code away
         from whoever waits for that.
         """
-        if self._descriptor is None or not self.running:
+        if self._pidfd is None or not self.running:
             return
         with suppress(ProcessLookupError):
-            signal.pidfd_send_signal(self._descriptor, number)
+            signal.pidfd_send_signal(self._pidfd, number)
 
-    async def _launched(self) -> bool:
+    async def _wait_until_launched(self) -> bool:
         """Wait until the process has written its first line, so that it can take signals.
 
         Before that an interpreter is starting, which any signal ends whatever the program is.
@@ -196,37 +196,37 @@
     def kill(self) -> None:
         """End the process at once."""
         self._stop_requested = True
-        self._send(signal.SIGKILL)
+        self._send_signal(signal.SIGKILL)
 
     async def stop(self) -> None:
         """Begin a planned stop."""
-        await self._launched()
+        await self._wait_until_launched()
         self._stop_requested = True
         self.stopping_since = time.monotonic()
-        self._send(signal.SIGTERM)
+        self._send_signal(signal.SIGTERM)
 
     def pause(self) -> None:
         """Freeze the process."""
         self.paused = True
-        self._send(signal.SIGSTOP)
+        self._send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let a frozen process go on."""
         self.paused = False
-        self._send(signal.SIGCONT)
+        self._send_signal(signal.SIGCONT)
 
     async def reload(self) -> None:
         """Tell the process that its settings changed."""
-        if await self._launched():
-            self._send(signal.SIGHUP)
+        if await self._wait_until_launched():
+            self._send_signal(signal.SIGHUP)
 
     async def step_clock(self, seconds: float) -> None:
         """Let the process's time of day jump."""
         (self._folder / f"{self.name}.step").write_text(str(seconds), "ascii")
-        if await self._launched():
-            self._send(signal.SIGUSR1)
+        if await self._wait_until_launched():
+            self._send_signal(signal.SIGUSR1)
 
-    async def gone(self, within_s: float) -> bool:
+    async def wait_for_exit(self, within_s: float) -> bool:
         """Wait until the process has ended."""
         if self.process is None:
             return True
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -63,7 +63,7 @@
         self._world.busy.add(node.name)
         self._world.ledger.fault("stop", node.name, planned=True)
         await node.stop()
-        if not await node.gone(10.0):
+        if not await node.wait_for_exit(10.0):
             node.kill()
         await asyncio.sleep(0.2)
         await node.start()
@@ -140,7 +140,7 @@
         self._world.busy.add(node.name)
         fault = self._world.ledger.fault("kill", node.name)
         node.kill()
-        await node.gone(5.0)
+        await node.wait_for_exit(5.0)
         await asyncio.sleep(0.1 + self._world.rng.random())
         await node.start()
         await asyncio.sleep(1.0)
@@ -157,7 +157,7 @@
         for node in victims:
             node.kill()
         for node in victims:
-            await node.gone(5.0)
+            await node.wait_for_exit(5.0)
             await node.start()
         await asyncio.sleep(1.0)
         fault.ends = time.monotonic()
@@ -173,7 +173,7 @@
         node.pause()
         await asyncio.sleep(self._for_s())
         self._world.thawed.append(asyncio.get_running_loop().time())
-        node.wake()
+        node.resume()
         fault.ends = time.monotonic()
         self._world.busy.discard(node.name)
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -105,10 +105,10 @@
     async def end(self) -> None:
         """End all that was started."""
         for node in self.nodes:
-            node.wake()
+            node.resume()
             node.kill()
         for node in self.nodes:
-            await node.gone(5.0)
+            await node.wait_for_exit(5.0)
             node.caller_link.close()
             node.store_link.close()
         for backend in self.backends:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -312,8 +312,8 @@
             ledger = Ledger()
             node = NodeProcess("n1", "127.0.0.1", "hall-a", folder, "127.0.0.1:1", ledger)
             node.process = await asyncio.create_subprocess_exec(sys.executable, "-c", "pass")
-            node._descriptor = os.pidfd_open(node.process.pid)
-            watch = asyncio.create_task(node._wait(node.process, node._descriptor))
+            node._pidfd = os.pidfd_open(node.process.pid)
+            watch = asyncio.create_task(node._record_exit(node.process, node._pidfd))
             with mock.patch("subprocess.Popen.poll", side_effect=AssertionError):
                 node.kill()
                 await watch
