--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -3,12 +3,12 @@
 import time
 from dataclasses import dataclass, field
 
-STANDS_STILL = frozenset({"kill", "freeze", "server link"})
+LOCAL_FAULT_KINDS = frozenset({"kill", "freeze", "server link"})
 """Disruptions after which a node need not know what a server told it, or heard it late."""
 
-STOOD_STILL = "the soak stood still"
+SOAK_STALL = "the soak stood still"
 
-ALL_STAND_STILL = frozenset({"kill all", STOOD_STILL})
+GLOBAL_FAULT_KINDS = frozenset({"kill all", SOAK_STALL})
 """The same of all nodes at once."""
 
 
@@ -149,14 +149,16 @@
             return True
         for fault in self.faults:
             its_own = fault.what.partition(" ")[0] in (node, server)
-            concerned = fault.kind in ALL_STAND_STILL or (fault.kind in STANDS_STILL and its_own)
+            concerned = fault.kind in GLOBAL_FAULT_KINDS or (
+                fault.kind in LOCAL_FAULT_KINDS and its_own
+            )
             if concerned and fault.begins <= end and fault.ends >= begin:
                 return True
         return any(name == node and begin <= at <= end for name, at in self.starts)
 
     def stood_still_s(self, begin: float, end: float) -> float:
         """Return for how long the soak itself stood still within a span."""
-        spans = [(each.begins, each.ends) for each in self.faults if each.kind == STOOD_STILL]
+        spans = [(each.begins, each.ends) for each in self.faults if each.kind == SOAK_STALL]
         return sum(max(0.0, min(ends, end) - max(begins, begin)) for begins, ends in spans)
 
     def unplanned_in(self, begin: float, end: float) -> bool:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -12,7 +12,7 @@
 from tests.soak.callers import SoakCaller, probe
 from tests.soak.checks import CHECKS, RECOVERY_S, duties_by_one, limits_hold
 from tests.soak.process import ROOT
-from tests.soak.records import STOOD_STILL, Ledger
+from tests.soak.records import SOAK_STALL, Ledger
 from tests.soak.stalls import stall_lines
 from tests.soak.troubles import Failure, Troubles
 from tests.soak.world import ACCOUNTS, LIMITS, SoakWorld
@@ -62,7 +62,7 @@
 
 def note_stall(ledger: Ledger, began: float, ended: float) -> None:
     """Note that callers, servers and store stood still."""
-    fault = ledger.fault(STOOD_STILL, f"for {ended - began:.2f} s")
+    fault = ledger.fault(SOAK_STALL, f"for {ended - began:.2f} s")
     fault.begins, fault.ends = began, ended
 
 
