--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -133,7 +133,7 @@
             late = run.at - leaving.acked_at - LEAVE_S
             if run.server != leaving.server or late < 0:
                 continue
-            if not ledger.unplanned_in(leaving.acked_at - SETTLE_TIME_S, run.at):
+            if not ledger.unplanned_between(leaving.acked_at - SETTLE_TIME_S, run.at):
                 yield f"{run.request} reached {run.server} {late:.2f} s too late"
 
 
@@ -215,7 +215,7 @@
     for attempt in ledger.attempts:
         if attempt.whole or attempt.probe or not attempt.ended_at:
             continue
-        if ledger.unplanned_in(attempt.sent_at - SETTLE_TIME_S, attempt.ended_at):
+        if ledger.unplanned_between(attempt.sent_at - SETTLE_TIME_S, attempt.ended_at):
             continue
         if runs[attempt.request] or attempt.ended_at - attempt.sent_at > CLOSE_RACE_S:
             yield f"{attempt.request} at {attempt.node}: cut after " + (
@@ -231,7 +231,7 @@
         took = attempt.ended_at - attempt.sent_at
         if limit is None or attempt.probe or not attempt.ended_at or took < limit + ANSWER_SLACK_S:
             continue
-        if not ledger.unplanned_in(attempt.sent_at - SETTLE_TIME_S, attempt.ended_at):
+        if not ledger.unplanned_between(attempt.sent_at - SETTLE_TIME_S, attempt.ended_at):
             yield f"{attempt.request}: {took:.2f} s for a limit of {limit} s"
 
 
@@ -243,7 +243,9 @@
         number = int(attempt.route.removeprefix("only-"))
         acked = [v for v in ledger.versions if v.acked_at + APPLY_S < attempt.sent_at]
         begun = [v for v in ledger.versions if v.acked_at <= attempt.ended_at]
-        if not acked or ledger.unplanned_in(acked[-1].acked_at - SETTLE_TIME_S, attempt.ended_at):
+        if not acked or ledger.unplanned_between(
+            acked[-1].acked_at - SETTLE_TIME_S, attempt.ended_at
+        ):
             continue
         allowed = {v.number for v in begun if v.number >= acked[-1].number}
         if attempt.status == 404 and allowed == {number}:
@@ -352,7 +354,7 @@
         took_s = end.took_s
         if took_s is not None:
             # Its end was seen once the soak itself went on.
-            took_s -= ledger.stood_still_s(end.at - took_s, end.at)
+            took_s -= ledger.stalled_s(end.at - took_s, end.at)
         if not end.requested:
             yield f"{end.node} ended by itself with code {end.code}"
         elif took_s is not None and end.code == 0 and took_s > STOP_S + STOP_SLACK_S:
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -156,12 +156,12 @@
                 return True
         return any(name == node and begin <= at <= end for name, at in self.starts)
 
-    def stood_still_s(self, begin: float, end: float) -> float:
+    def stalled_s(self, begin: float, end: float) -> float:
         """Return for how long the soak itself stood still within a span."""
         spans = [(each.begins, each.ends) for each in self.faults if each.kind == SOAK_STALL]
         return sum(max(0.0, min(ends, end) - max(begins, begin)) for begins, ends in spans)
 
-    def unplanned_in(self, begin: float, end: float) -> bool:
+    def unplanned_between(self, begin: float, end: float) -> bool:
         """Say whether anything unplanned went on within a span."""
         return any(
             not fault.planned and fault.begins <= end and fault.ends >= begin
