--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -64,7 +64,7 @@
     """A disruption; planned work is what operators do on purpose."""
 
     kind: str
-    what: str
+    detail: str
     planned: bool
     begins: float
     ends: float = float("inf")
@@ -125,10 +125,12 @@
     former_builds: set[tuple[str, float]] = field(default_factory=set)
     healed_at: float = float("inf")
 
-    def fault(self, kind: str, what: str, planned: bool = False, for_s: float = 0.0) -> Fault:
+    def record_fault(
+        self, kind: str, detail: str, planned: bool = False, duration_s: float = 0.0
+    ) -> Fault:
         """Note a disruption that begins now."""
         now = time.monotonic()
-        fault = Fault(kind, what, planned, now, now + for_s if for_s else float("inf"))
+        fault = Fault(kind, detail, planned, now, now + duration_s if duration_s else float("inf"))
         self.faults.append(fault)
         return fault
 
@@ -148,7 +150,7 @@
         if lives and lives[-1] in self.former_builds:
             return True
         for fault in self.faults:
-            its_own = fault.what.partition(" ")[0] in (node, server)
+            its_own = fault.detail.partition(" ")[0] in (node, server)
             concerned = fault.kind in GLOBAL_FAULT_KINDS or (
                 fault.kind in LOCAL_FAULT_KINDS and its_own
             )
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -62,7 +62,7 @@
 
 def note_stall(ledger: Ledger, began: float, ended: float) -> None:
     """Note that callers, servers and store stood still."""
-    fault = ledger.fault(SOAK_STALL, f"for {ended - began:.2f} s")
+    fault = ledger.record_fault(SOAK_STALL, f"for {ended - began:.2f} s")
     fault.begins, fault.ends = began, ended
 
 
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -61,7 +61,7 @@
         if node is None or len(self._world.busy) >= 2:
             return
         self._world.busy.add(node.name)
-        self._world.ledger.fault("stop", node.name, planned=True)
+        self._world.ledger.record_fault("stop", node.name, planned=True)
         await node.stop()
         if not await node.wait_for_exit(10.0):
             node.kill()
@@ -73,12 +73,12 @@
     async def _reload_node(self) -> None:
         node = self._world.a_node()
         if node is not None:
-            self._world.ledger.fault("reload", node.name, planned=True)
+            self._world.ledger.record_fault("reload", node.name, planned=True)
             await node.reload()
 
     async def _change_config(self) -> None:
         self._world.roll_version()
-        self._world.ledger.fault("config", str(self._world.version), planned=True)
+        self._world.ledger.record_fault("config", str(self._world.version), planned=True)
 
     async def _release_server(self) -> None:
         if "release" in self._world.busy:
@@ -88,7 +88,7 @@
         await self._world.add_backend(old.service)
         await asyncio.sleep(1.0)
         self._world.backends.remove(old)
-        self._world.ledger.fault("drain", old.id, planned=True)
+        self._world.ledger.record_fault("drain", old.id, planned=True)
         self._list_as_leaving(old)
         await self._end(old)
         self._world.busy.discard("release")
@@ -138,7 +138,7 @@
         if node is None:
             return
         self._world.busy.add(node.name)
-        fault = self._world.ledger.fault("kill", node.name)
+        fault = self._world.ledger.record_fault("kill", node.name)
         node.kill()
         await node.wait_for_exit(5.0)
         await asyncio.sleep(0.1 + self._world.rng.random())
@@ -151,7 +151,7 @@
         if self._world.busy & {"all"}:
             return
         self._world.busy.add("all")
-        fault = self._world.ledger.fault("kill all", "")
+        fault = self._world.ledger.record_fault("kill all", "")
         victims = [node for node in self._world.nodes if node.name not in self._world.busy]
         self._world.busy.update(node.name for node in victims)
         for node in victims:
@@ -169,7 +169,7 @@
         if node is None:
             return
         self._world.busy.add(node.name)
-        fault = self._world.ledger.fault("freeze", node.name)
+        fault = self._world.ledger.record_fault("freeze", node.name)
         node.pause()
         await asyncio.sleep(self._for_s())
         self._world.thawed.append(asyncio.get_running_loop().time())
@@ -181,7 +181,7 @@
         node = self._world.a_node()
         if node is None:
             return
-        fault = self._world.ledger.fault("clock", node.name)
+        fault = self._world.ledger.record_fault("clock", node.name)
         await node.step_clock(self._world.rng.choice((-4.0, 4.0, 30.0)))
         await asyncio.sleep(self._for_s())
         await node.step_clock(0.0)
@@ -191,7 +191,7 @@
         weather = self._world.rng.choice(
             (LinkMode.SLOW, LinkMode.SILENT, LinkMode.ONE_WAY, LinkMode.RESET)
         )
-        fault = self._world.ledger.fault(kind, f"{name} {weather.value}")
+        fault = self._world.ledger.record_fault(kind, f"{name} {weather.value}")
         link.set_mode(weather)
         await asyncio.sleep(self._for_s())
         link.set_mode(LinkMode.HEALTHY)
@@ -215,7 +215,7 @@
         """Note a trouble of the store from its begin to its end; another one waits for that."""
         async with self._store:
             self._world.busy.add("store")
-            fault = self._world.ledger.fault("store", what)
+            fault = self._world.ledger.record_fault("store", what)
             yield
             self._world.thawed.append(asyncio.get_running_loop().time())
             fault.ends = time.monotonic()
@@ -286,7 +286,7 @@
         self._world.busy.discard("release")
 
     async def _forget_history(self) -> None:
-        self._world.ledger.fault("history gone", "", for_s=1.0)
+        self._world.ledger.record_fault("history gone", "", duration_s=1.0)
         self._world.platform.history_from = self._world.platform.version
 
     async def _guilty_request(self) -> None:
@@ -297,7 +297,7 @@
         route = self._world.rng.choice(("order", "draft", "review"))
         self._guilty += 1
         body = GUILTY_PREFIX + f" {self._guilty}".encode()
-        fault = self._world.ledger.fault("guilty request", route)
+        fault = self._world.ledger.record_fault("guilty request", route)
         for number in range(GUILTY_TIMES):
             node = self._world.rng.choice(self._world.nodes)
             name = f"guilty-{self._guilty}-{number}"
@@ -312,7 +312,7 @@
         mood = self._world.rng.choice(
             [mood for mood in ServerMode if mood is not ServerMode.HEALTHY]
         )
-        fault = self._world.ledger.fault("server", f"{backend.id} {mood.value}")
+        fault = self._world.ledger.record_fault("server", f"{backend.id} {mood.value}")
         backend.mode = mood
         await asyncio.sleep(self._for_s())
         backend.mode = ServerMode.HEALTHY
@@ -328,7 +328,7 @@
         limited = [first]
         if self._world.rng.random() < ALL_LIMITED_SHARE:
             limited = [each for each in self._world.backends if each.service == first.service]
-        fault = self._world.ledger.fault("limit", " ".join(each.id for each in limited))
+        fault = self._world.ledger.record_fault("limit", " ".join(each.id for each in limited))
         now = time.monotonic()
         limits = [Limit(each.id, per_s, now) for each in limited]
         self._world.ledger.limits.extend(limits)
@@ -350,7 +350,7 @@
         self._world.busy.add("crash")
         old = self._world.rng.choice(same)
         self._world.backends.remove(old)
-        fault = self._world.ledger.fault("crash", old.id)
+        fault = self._world.ledger.record_fault("crash", old.id)
         self._world.fall_silent(old.id)
         old.crash()
         await asyncio.sleep(LAPSE_S)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -103,7 +103,7 @@
         self.ledger.runs += [make_run(f"r{n}", "s1", at) for n, at in enumerate(times, 1)]
         self.ledger.runs.append(make_run("r6", "s1", 101.0))
         self.assert_finding_count(checks.stated_retry_times_are_kept)
-        fault = self.ledger.fault("freeze", "n1")
+        fault = self.ledger.record_fault("freeze", "n1")
         fault.begins, fault.ends = 100.9, 101.1
         self.assert_finding_count(checks.stated_retry_times_are_kept, 0)
 
@@ -121,7 +121,7 @@
             self.ledger.attempts.append(make_attempt(f"r{number}", node=node))
             self.ledger.runs.append(make_run(f"r{number}", "s1", 101.0 + 0.4 * number))
         self.assert_finding_count(checks.named_limits_are_kept)
-        frozen = self.ledger.fault("freeze", "n2")
+        frozen = self.ledger.record_fault("freeze", "n2")
         frozen.begins, frozen.ends = 100.9, 101.1
         self.assert_finding_count(checks.named_limits_are_kept, 0)
         self.ledger.faults.clear()
@@ -234,14 +234,14 @@
         self.ledger.leaving.append(Leaving("s1", 100.0))
         self.ledger.runs += [make_run("r1", "s1", at=101.0), make_run("r2", "s1", at=102.5)]
         self.assert_finding_count(checks.leaving_servers_rest)
-        self.ledger.fault("cut", "").begins = 101.0
+        self.ledger.record_fault("cut", "").begins = 101.0
         self.assert_finding_count(checks.leaving_servers_rest, 0)
 
     def test_finds_request_that_failed_without_a_fault(self) -> None:
         self.ledger.attempts.append(make_attempt("r1"))
         self.ledger.runs.append(make_run("r1", "s1"))
         self.assert_finding_count(checks.planned_work_cuts_nothing)
-        self.ledger.fault("kill", "").begins = 98.0
+        self.ledger.record_fault("kill", "").begins = 98.0
         self.assert_finding_count(checks.planned_work_cuts_nothing, 0)
 
     def test_finds_late_final_answer(self) -> None:
