--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -131,7 +131,7 @@
         attempts = [attempt for attempt in ledger.attempts if not attempt.probe]
         served = sum(1 for attempt in attempts if attempt.whole and attempt.status == 200)
         faults = [
-            f"{fault.begins - ledger.began:6.2f} {fault.kind} {fault.what}"
+            f"{fault.begins - ledger.began:6.2f} {fault.kind} {fault.detail}"
             for fault in ledger.faults
         ]
         return SoakResult(
