--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -388,7 +388,7 @@
             await troubles.restore_store(random.Random(1))
         self.assertTrue(outage.done())
         restore = world.ledger.faults[-1]
-        self.assertEqual(restore.what, "back from an older copy")
+        self.assertEqual(restore.detail, "back from an older copy")
         self.assertGreaterEqual(restore.begins, world.ledger.faults[0].ends)
 
 
