--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -43,7 +43,7 @@
         print(
             f"seed {seed}: {len(result.findings)} findings, {result.attempts} attempts, "
             f"{result.served} served, {len(result.faults)} events, "
-            f"{result.former_lives} lives of the former build",
+            f"{result.former_starts} lives of the former build",
             flush=True,
         )
         if result.findings:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -14,30 +14,30 @@
 from tests.soak.process import ROOT
 from tests.soak.records import SOAK_STALL, Ledger
 from tests.soak.stalls import stall_lines
-from tests.soak.troubles import Failure, Troubles
+from tests.soak.troubles import Disruption, FaultInjector
 from tests.soak.world import ACCOUNTS, LIMITS, SoakWorld
 
-LIMIT_SLACK = 200.0
+LIMIT_SLACK_TOKENS = 200.0
 """What one round of news between five nodes may hide, in tokens."""
 
 ROUTES = ("check", "check", "order", "order", "draft", "review")
 CALLERS_PER_ACCOUNT = 4
-THAW_S = 0.6
-PROBE_EVERY_S = 0.25
-STEADY_S = 4.0
-HEARTBEAT_S = 0.05
+RESUME_GRACE_S = 0.6
+PROBE_INTERVAL_S = 0.25
+RECOVERED_TRAFFIC_S = 4.0
+HEARTBEAT_INTERVAL_S = 0.05
 MIN_STALL_S = 0.5
 """The soak itself stood still if it woke up so much too late: callers give a stop 0.9 s."""
 
 STALL_WINDOW_S = 2.0
 """Shorter pauses count together if they come within this time: a request meets all of them."""
 
-PLANNED_GAP_S = 0.5
-TROUBLE_GAP_S = 0.45
-RESTORE_GAP_S = 4.0
-RESTORED_SHARE = 0.7
-COPY_EVERY_S = 0.5
-BEAT_EVERY_S = 1.2
+PLANNED_INTERVAL_S = 0.5
+UNPLANNED_INTERVAL_S = 0.45
+RESTORE_INTERVAL_S = 4.0
+RESTORE_PROBABILITY = 0.7
+SNAPSHOT_INTERVAL_S = 0.5
+SERVER_HEARTBEAT_INTERVAL_S = 1.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,22 +60,22 @@
         return (ROOT,) if self.former_build is None else (ROOT, self.former_build)
 
 
-def note_stall(ledger: Ledger, began: float, ended: float) -> None:
+def record_stall(ledger: Ledger, began: float, ended: float) -> None:
     """Note that callers, servers and store stood still."""
     fault = ledger.record_fault(SOAK_STALL, f"for {ended - began:.2f} s")
     fault.begins, fault.ends = began, ended
 
 
-class StallWatch:
+class StallDetector:
     """Finds when the soak itself stood still, at once or in pieces that follow each other."""
 
     def __init__(self) -> None:
         self._pauses: deque[tuple[float, float]] = deque()
 
-    def woke(self, slept_at: float, now: float) -> tuple[float, float] | None:
-        """Note a sleep of `HEARTBEAT_S`; return a span in which the soak stood still."""
-        late_s = now - slept_at - HEARTBEAT_S
-        if late_s > HEARTBEAT_S:
+    def record_sleep(self, slept_at: float, now: float) -> tuple[float, float] | None:
+        """Note a sleep of `HEARTBEAT_INTERVAL_S`; return a span in which the soak stood still."""
+        late_s = now - slept_at - HEARTBEAT_INTERVAL_S
+        if late_s > HEARTBEAT_INTERVAL_S:
             self._pauses.append((slept_at, late_s))
         while self._pauses and now - self._pauses[0][0] > STALL_WINDOW_S + late_s:
             self._pauses.popleft()
@@ -96,7 +96,7 @@
     runs: int
     faults: list[str]
     folder: Path
-    former_lives: int
+    former_starts: int
     stalls: list[str]
 
 
@@ -109,7 +109,7 @@
         # Draws of their own leave all else that a seed plays as it is.
         self._restore_rng = random.Random(f"{plan.seed} restores")
         self._world = SoakWorld(folder, self._rng, builds=plan.builds)
-        self._troubles = Troubles(self._world)
+        self._injector = FaultInjector(self._world)
         self._probes = 0
         self._over = False
         self._jobs: set[asyncio.Task[None]] = set()
@@ -118,16 +118,16 @@
         """Play the soak and check what was seen."""
         await self._world.start(self._plan.nodes)
         try:
-            await self._play()
+            await self._run_phases()
         finally:
             await self._world.end()
-        return self._judge(self._world.ledger)
+        return self._evaluate(self._world.ledger)
 
-    def _judge(self, ledger: Ledger) -> SoakResult:
+    def _evaluate(self, ledger: Ledger) -> SoakResult:
         findings = [f"{check.__name__}: {found}" for check in CHECKS for found in check(ledger)]
-        findings += limits_hold(ledger, LIMITS, LIMIT_SLACK)
+        findings += limits_hold(ledger, LIMITS, LIMIT_SLACK_TOKENS)
         calls = self._world.platform.duty_calls
-        findings += duties_by_one(calls, self._world.thawed, THAW_S)
+        findings += duties_by_one(calls, self._world.thawed, RESUME_GRACE_S)
         attempts = [attempt for attempt in ledger.attempts if not attempt.probe]
         served = sum(1 for attempt in attempts if attempt.whole and attempt.status == 200)
         faults = [
@@ -145,7 +145,7 @@
             stall_lines(self._world.folder, ledger.began),
         )
 
-    async def _play(self) -> None:
+    async def _run_phases(self) -> None:
         callers = [
             SoakCaller(
                 f"{account.name}{number}",
@@ -162,19 +162,19 @@
         work = [asyncio.create_task(caller.run(over)) for caller in callers]
         work.append(asyncio.create_task(self._probe_forever()))
         work.append(asyncio.create_task(self._watch_own_stalls()))
-        work.append(asyncio.create_task(self._copy_forever()))
-        work.append(asyncio.create_task(self._beat_forever()))
+        work.append(asyncio.create_task(self._snapshot_forever()))
+        work.append(asyncio.create_task(self._heartbeat_forever()))
         for _ in range(self._plan.rounds):
             self._restore_before_planned_work()
-            await self._phase(self._plan.planned_s, self._troubles.planned(), PLANNED_GAP_S)
-            await self._settle()
-            restores = asyncio.create_task(self._restore_now_and_then())
-            await self._phase(self._plan.chaos_s, self._troubles.unplanned(), TROUBLE_GAP_S)
+            await self._phase(self._plan.planned_s, self._injector.planned(), PLANNED_INTERVAL_S)
+            await self._wait_for_jobs()
+            restores = asyncio.create_task(self._restore_repeatedly())
+            await self._phase(self._plan.chaos_s, self._injector.unplanned(), UNPLANNED_INTERVAL_S)
             await restores
-            await self._settle()
+            await self._wait_for_jobs()
             await self._world.heal()
         self._world.ledger.healed_at = time.monotonic()
-        await asyncio.sleep(RECOVERY_S + STEADY_S)
+        await asyncio.sleep(RECOVERY_S + RECOVERED_TRAFFIC_S)
         self._over = True
         await asyncio.gather(*work, return_exceptions=True)
 
@@ -183,31 +183,31 @@
 
         It is a disruption like any other, which nobody planned.
         """
-        watch = StallWatch()
+        watch = StallDetector()
         while not self._over:
             slept_at = time.monotonic()
-            await asyncio.sleep(HEARTBEAT_S)
-            stall = watch.woke(slept_at, time.monotonic())
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            stall = watch.record_sleep(slept_at, time.monotonic())
             if stall is not None:
-                note_stall(self._world.ledger, *stall)
+                record_stall(self._world.ledger, *stall)
                 self._world.thawed.append(asyncio.get_running_loop().time())
 
     def _is_over(self) -> bool:
         return self._over
 
-    async def _phase(self, length_s: float, choices: list[Failure], gap_s: float) -> None:
+    async def _phase(self, length_s: float, choices: list[Disruption], gap_s: float) -> None:
         ends = time.monotonic() + length_s
         while time.monotonic() < ends:
             trouble = self._rng.choice(choices)
-            self._begin(trouble())
+            self._start_job(trouble())
             await asyncio.sleep(gap_s * (0.3 + 1.4 * self._rng.random()))
 
-    def _begin(self, trouble: Coroutine[None, None, None]) -> None:
+    def _start_job(self, trouble: Coroutine[None, None, None]) -> None:
         job = asyncio.create_task(trouble)
         self._jobs.add(job)
         job.add_done_callback(self._jobs.discard)
 
-    async def _settle(self) -> None:
+    async def _wait_for_jobs(self) -> None:
         """Wait until every trouble under way is over."""
         while self._jobs:
             done, _ = await asyncio.wait(set(self._jobs))
@@ -215,49 +215,49 @@
                 job.result()
 
     @property
-    def _restores(self) -> bool:
+    def _restores_enabled(self) -> bool:
         """Say whether the store comes back from older copies: the landing before can't bear it."""
         return self._plan.former_build is None
 
     def _restore_before_planned_work(self) -> None:
         """Let the store have come back just before a phase in which nothing else goes wrong."""
         rng = self._restore_rng
-        if rng.random() < RESTORED_SHARE and self._restores:
-            self._begin(self._troubles.restore_store(rng))
+        if rng.random() < RESTORE_PROBABILITY and self._restores_enabled:
+            self._start_job(self._injector.restore_store(rng))
 
-    async def _restore_now_and_then(self) -> None:
+    async def _restore_repeatedly(self) -> None:
         """Let the store come back from older copies while other troubles go on."""
-        if not self._restores:
+        if not self._restores_enabled:
             return
         rng = self._restore_rng
         ends = time.monotonic() + self._plan.chaos_s
         while True:
-            await asyncio.sleep(RESTORE_GAP_S * (0.3 + 1.4 * rng.random()))
+            await asyncio.sleep(RESTORE_INTERVAL_S * (0.3 + 1.4 * rng.random()))
             if time.monotonic() > ends:
                 return
-            self._begin(self._troubles.restore_store(rng))
+            self._start_job(self._injector.restore_store(rng))
 
-    async def _copy_forever(self) -> None:
+    async def _snapshot_forever(self) -> None:
         while not self._over:
             self._world.take_copy()
-            await asyncio.sleep(COPY_EVERY_S)
+            await asyncio.sleep(SNAPSHOT_INTERVAL_S)
 
-    async def _beat_forever(self) -> None:
+    async def _heartbeat_forever(self) -> None:
         while not self._over:
             self._world.beat()
-            await asyncio.sleep(BEAT_EVERY_S)
+            await asyncio.sleep(SERVER_HEARTBEAT_INTERVAL_S)
 
     async def _probe_forever(self) -> None:
         """Ask nodes about the newest version and about one before it, past the directory."""
         while not self._over:
-            await asyncio.sleep(PROBE_EVERY_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             node = self._rng.choice(self._world.nodes)
             recent = self._world.ledger.versions[-2:]
             number = self._rng.choice(recent).number
             self._probes += 1
             name = f"probe-{self._probes}"
             ledger = self._world.ledger
-            self._begin(probe(node, f"only-{number}", ACCOUNTS[0], name, ledger))
+            self._start_job(probe(node, f"only-{number}", ACCOUNTS[0], name, ledger))
 
 
 def run_soak(plan: SoakPlan) -> SoakResult:
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -35,10 +35,10 @@
 ALL_LIMITED_SHARE = 0.3
 """Limits that servers name, for how long, and how often all servers of a service do."""
 
-Failure = Callable[[], Coroutine[None, None, None]]
+Disruption = Callable[[], Coroutine[None, None, None]]
 
 
-class Troubles:
+class FaultInjector:
     """Each method is something that happens once, and is over when it returns."""
 
     def __init__(self, world: SoakWorld) -> None:
@@ -46,7 +46,7 @@
         self._guilty = 0
         self._store = asyncio.Lock()
 
-    def planned(self) -> list[Failure]:
+    def planned(self) -> list[Disruption]:
         """Return what operators do; nothing of it may cut a request."""
         return [
             self._roll_node,
@@ -105,7 +105,7 @@
         old.crash()
         old.link.close()
 
-    def unplanned(self) -> list[Failure]:
+    def unplanned(self) -> list[Disruption]:
         """Return what may go wrong, with some planned work between."""
         return [
             self._kill_node,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -29,9 +29,9 @@
     Run,
     Version,
 )
-from tests.soak.soak import HEARTBEAT_S, SoakPlan, StallWatch, note_stall, run_soak
+from tests.soak.soak import HEARTBEAT_INTERVAL_S, SoakPlan, StallDetector, record_stall, run_soak
 from tests.soak.stalls import stall_lines
-from tests.soak.troubles import Troubles
+from tests.soak.troubles import FaultInjector
 from tests.soak.world import SoakWorld
 
 SEED = 7
@@ -164,7 +164,7 @@
         """The soak process stalled for 3 s, so callers, servers and store were silent while nodes'
         timers ran, which cut five streams at their deadline. A stream cut 30 s later is a finding.
         """
-        note_stall(self.ledger, 100.2, 103.4)
+        record_stall(self.ledger, 100.2, 103.4)
         self.ledger.attempts.append(
             make_attempt("r1", "review", sent_at=100.0, ended_at=103.1, status=200)
         )
@@ -181,8 +181,10 @@
         1.8 s to five requests: callers and servers paused with the soak, nodes' timers did not."""
 
         def spans(*pauses: tuple[float, float]) -> list[tuple[float, float]]:
-            watch = StallWatch()
-            found = [watch.woke(at, at + HEARTBEAT_S + late_s) for at, late_s in pauses]
+            watch = StallDetector()
+            found = [
+                watch.record_sleep(at, at + HEARTBEAT_INTERVAL_S + late_s) for at, late_s in pauses
+            ]
             return [span for span in found if span is not None]
 
         self.assertEqual(spans((10.0, 0.0), (10.1, 0.01), (10.2, 0.4)), [])
@@ -381,7 +383,7 @@
         world = SoakWorld(Path(), random.Random(1))
         world.roll_version()
         world.take_copy()
-        troubles = Troubles(world)
+        troubles = FaultInjector(world)
         outage = asyncio.create_task(troubles._store_mood())
         await asyncio.sleep(0.1)
         with mock.patch("tests.soak.troubles.ENTRIES_LAPSE_S", 0.0):
@@ -416,7 +418,7 @@
             result = run_soak(plan)
         self.assertEqual(result.findings, [], result.faults)
         self.assertGreater(result.served, 300)
-        self.assertGreater(result.former_lives, 0)
+        self.assertGreater(result.former_starts, 0)
         shutil.rmtree(result.folder, ignore_errors=True)
 
 
