--- a/tests/soak/stalls.py
+++ b/tests/soak/stalls.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class StallNote(msgspec.Struct):
+class StallRecord(msgspec.Struct):
     """A line of `node_main`: a span on the steady clock, and what was spent in it, in seconds."""
 
     what: str
@@ -17,7 +17,7 @@
     stolen_s: float = 0.0
 
 
-_decoder = msgspec.json.Decoder(StallNote)
+_decoder = msgspec.json.Decoder(StallRecord)
 
 
 def stall_lines(folder: Path, began: float) -> list[str]:
@@ -28,10 +28,10 @@
         for note in _decoder.decode_lines(path.read_bytes())
     ]
     notes.sort(key=lambda each: each[0])
-    return [_line(node, note, began) for _, node, note in notes]
+    return [_format_stall(node, note, began) for _, node, note in notes]
 
 
-def _line(node: str, note: StallNote, began: float) -> str:
+def _format_stall(node: str, note: StallRecord, began: float) -> str:
     text = f"{note.began - began:7.2f} {node} {note.what}"
     if note.cpu_s is None:
         return text
