--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -13,26 +13,26 @@
 from tests.soak.records import Leaving, Limit
 from tests.soak.world import ACCOUNTS, SoakWorld
 
-SERVED_ON_S = 3.2
+DRAIN_S = 3.2
 """A leaving server serves on for this long after the list said so."""
 
-LAPSE_S = 2.0
+CRASHED_ENTRY_LAPSE_S = 2.0
 ENTRIES_LAPSE_S = 3.0
 """Entries of a restored store that no server renews lapse this long after the others are back."""
 
-MOST_LOST = 120
+MAX_LOST_WRITES = 120
 """Changes that others make and a copy lacks: versions are given out again for so much longer."""
 
-AWAY_S = 3.8
+STORE_OUTAGE_S = 3.8
 
-GUILTY_TIMES = 16
-GUILTY_GAP_S = 0.5
+GUILTY_SENDS = 16
+GUILTY_INTERVAL_S = 0.5
 """A request that ends servers comes so often, and so far between: for 8 s, more than it takes all
 servers of a service to end and to be back."""
 
 LIMITS_PER_S = (0.4, 1.0, 4.0)
-LIMITED_S = 9.0
-ALL_LIMITED_SHARE = 0.3
+LIMIT_DURATION_S = 9.0
+ALL_LIMITED_PROBABILITY = 0.3
 """Limits that servers name, for how long, and how often all servers of a service do."""
 
 Disruption = Callable[[], Coroutine[None, None, None]]
@@ -43,20 +43,20 @@
 
     def __init__(self, world: SoakWorld) -> None:
         self._world = world
-        self._guilty = 0
-        self._store = asyncio.Lock()
+        self._guilty_requests = 0
+        self._store_lock = asyncio.Lock()
 
     def planned(self) -> list[Disruption]:
         """Return what operators do; nothing of it may cut a request."""
         return [
-            self._roll_node,
-            self._roll_node,
+            self._restart_node,
+            self._restart_node,
             self._reload_node,
             self._change_config,
-            self._release_server,
+            self._replace_server,
         ]
 
-    async def _roll_node(self) -> None:
+    async def _restart_node(self) -> None:
         node = self._world.a_node()
         if node is None or len(self._world.busy) >= 2:
             return
@@ -80,7 +80,7 @@
         self._world.roll_version()
         self._world.ledger.record_fault("config", str(self._world.version), planned=True)
 
-    async def _release_server(self) -> None:
+    async def _replace_server(self) -> None:
         if "release" in self._world.busy:
             return
         self._world.busy.add("release")
@@ -90,16 +90,16 @@
         self._world.backends.remove(old)
         self._world.ledger.record_fault("drain", old.id, planned=True)
         self._list_as_leaving(old)
-        await self._end(old)
+        await self._retire_server(old)
         self._world.busy.discard("release")
 
     def _list_as_leaving(self, old: Backend) -> None:
         self._world.list_backend(old, "draining")
         self._world.ledger.leaving.append(Leaving(old.id, time.monotonic()))
 
-    async def _end(self, old: Backend) -> None:
+    async def _retire_server(self, old: Backend) -> None:
         """End a server that leaves as it said: it serves on, its entry goes, then it does."""
-        await asyncio.sleep(SERVED_ON_S)
+        await asyncio.sleep(DRAIN_S)
         self._world.unlist(old.id)
         await asyncio.sleep(0.5)
         old.crash()
@@ -113,24 +113,24 @@
             self._kill_all,
             self._freeze_node,
             self._step_clock,
-            self._cut_store,
-            self._cut_callers,
-            self._store_mood,
-            self._forget_history,
+            self._disturb_store_link,
+            self._disturb_caller_link,
+            self._disturb_store,
+            self._discard_history,
             self._lapse_entries,
-            self._leave_unheard,
-            self._server_link,
-            self._server_mood,
-            self._server_mood,
+            self._leave_during_outage,
+            self._disturb_server_link,
+            self._disturb_server,
+            self._disturb_server,
             self._crash_server,
-            self._guilty_request,
-            self._name_limits,
+            self._send_guilty_request,
+            self._state_limits,
             self._change_config,
-            self._roll_node,
+            self._restart_node,
             self._reload_node,
         ]
 
-    def _for_s(self) -> float:
+    def _draw_duration_s(self) -> float:
         return 0.3 + 3.0 * self._world.rng.random()
 
     async def _kill_node(self) -> None:
@@ -171,7 +171,7 @@
         self._world.busy.add(node.name)
         fault = self._world.ledger.record_fault("freeze", node.name)
         node.pause()
-        await asyncio.sleep(self._for_s())
+        await asyncio.sleep(self._draw_duration_s())
         self._world.thawed.append(asyncio.get_running_loop().time())
         node.resume()
         fault.ends = time.monotonic()
@@ -183,37 +183,37 @@
             return
         fault = self._world.ledger.record_fault("clock", node.name)
         await node.step_clock(self._world.rng.choice((-4.0, 4.0, 30.0)))
-        await asyncio.sleep(self._for_s())
+        await asyncio.sleep(self._draw_duration_s())
         await node.step_clock(0.0)
         fault.ends = time.monotonic()
 
-    async def _turn(self, kind: str, name: str, link: Link) -> None:
+    async def _disturb_link(self, kind: str, name: str, link: Link) -> None:
         weather = self._world.rng.choice(
             (LinkMode.SLOW, LinkMode.SILENT, LinkMode.ONE_WAY, LinkMode.RESET)
         )
         fault = self._world.ledger.record_fault(kind, f"{name} {weather.value}")
         link.set_mode(weather)
-        await asyncio.sleep(self._for_s())
+        await asyncio.sleep(self._draw_duration_s())
         link.set_mode(LinkMode.HEALTHY)
         self._world.thawed.append(asyncio.get_running_loop().time())
         fault.ends = time.monotonic()
 
-    async def _cut_store(self) -> None:
+    async def _disturb_store_link(self) -> None:
         node = self._world.rng.choice(self._world.nodes)
-        await self._turn("store link", node.name, node.store_link)
+        await self._disturb_link("store link", node.name, node.store_link)
 
-    async def _cut_callers(self) -> None:
+    async def _disturb_caller_link(self) -> None:
         node = self._world.rng.choice(self._world.nodes)
-        await self._turn("callers' link", node.name, node.caller_link)
+        await self._disturb_link("callers' link", node.name, node.caller_link)
 
-    async def _server_link(self) -> None:
+    async def _disturb_server_link(self) -> None:
         backend = self._world.rng.choice(self._world.backends)
-        await self._turn("server link", backend.id, backend.link)
+        await self._disturb_link("server link", backend.id, backend.link)
 
     @contextlib.asynccontextmanager
-    async def _store_in_hand(self, what: str) -> AsyncIterator[None]:
+    async def _store_fault(self, what: str) -> AsyncIterator[None]:
         """Note a trouble of the store from its begin to its end; another one waits for that."""
-        async with self._store:
+        async with self._store_lock:
             self._world.busy.add("store")
             fault = self._world.ledger.record_fault("store", what)
             yield
@@ -221,16 +221,16 @@
             fault.ends = time.monotonic()
             self._world.busy.discard("store")
 
-    async def _store_mood(self) -> None:
+    async def _disturb_store(self) -> None:
         if "store" in self._world.busy:
             return
         mood = self._world.rng.choice(
             (StoreMode.BUSY, StoreMode.SILENT, StoreMode.RESET, StoreMode.LOSES_WRITE_ANSWERS, None)
         )
-        async with self._store_in_hand(mood.value if mood else "slow"):
+        async with self._store_fault(mood.value if mood else "slow"):
             self._world.platform.delay_s = 0.0 if mood else 0.3
             self._world.platform.mode = mood or StoreMode.HEALTHY
-            await asyncio.sleep(self._for_s())
+            await asyncio.sleep(self._draw_duration_s())
             self._world.platform.mode = StoreMode.HEALTHY
             self._world.platform.delay_s = 0.0
 
@@ -238,9 +238,9 @@
         """The store is away so long that entries lapse; they are back a second after it is."""
         if "store" in self._world.busy:
             return
-        async with self._store_in_hand("silent, entries lapse"):
+        async with self._store_fault("silent, entries lapse"):
             self._world.platform.mode = StoreMode.SILENT
-            await asyncio.sleep(AWAY_S)
+            await asyncio.sleep(STORE_OUTAGE_S)
             lapsed = list(self._world.backends)
             for backend in lapsed:
                 self._world.unlist(backend.id)
@@ -252,9 +252,9 @@
 
     async def restore_store(self, rng: random.Random) -> None:
         """The store is away for a moment and comes back as it was some seconds before."""
-        lost = rng.randint(0, MOST_LOST)
+        lost = rng.randint(0, MAX_LOST_WRITES)
         away, age, pause = rng.random(), rng.random(), rng.random()
-        async with self._store_in_hand("back from an older copy"):
+        async with self._store_fault("back from an older copy"):
             for _ in range(lost):
                 self._world.platform.put("others", "row", {})
             self._world.platform.mode = StoreMode.RESET
@@ -266,7 +266,7 @@
         await asyncio.sleep(ENTRIES_LAPSE_S)
         self._world.lapse_others()
 
-    async def _leave_unheard(self) -> None:
+    async def _leave_during_outage(self) -> None:
         """A server leaves while the store is away, so that only its own answers say it."""
         if self._world.busy & {"store", "release"}:
             return
@@ -274,51 +274,51 @@
         old = self._world.rng.choice(self._world.backends)
         await self._world.add_backend(old.service)
         await asyncio.sleep(1.0)
-        async with self._store_in_hand(f"silent, {old.id} leaves"):
+        async with self._store_fault(f"silent, {old.id} leaves"):
             self._world.platform.mode = StoreMode.SILENT
             if old in self._world.backends:
                 self._world.backends.remove(old)
             old.leaving = True
-            await asyncio.sleep(AWAY_S + self._for_s())
+            await asyncio.sleep(STORE_OUTAGE_S + self._draw_duration_s())
             self._world.platform.mode = StoreMode.HEALTHY
             self._list_as_leaving(old)
-        await self._end(old)
+        await self._retire_server(old)
         self._world.busy.discard("release")
 
-    async def _forget_history(self) -> None:
+    async def _discard_history(self) -> None:
         self._world.ledger.record_fault("history gone", "", duration_s=1.0)
         self._world.platform.history_from = self._world.platform.version
 
-    async def _guilty_request(self) -> None:
+    async def _send_guilty_request(self) -> None:
         """A request that ends each server that runs it comes again and again, at any node."""
         if "guilty" in self._world.busy:
             return
         self._world.busy.add("guilty")
         route = self._world.rng.choice(("order", "draft", "review"))
-        self._guilty += 1
-        body = GUILTY_PREFIX + f" {self._guilty}".encode()
+        self._guilty_requests += 1
+        body = GUILTY_PREFIX + f" {self._guilty_requests}".encode()
         fault = self._world.ledger.record_fault("guilty request", route)
-        for number in range(GUILTY_TIMES):
+        for number in range(GUILTY_SENDS):
             node = self._world.rng.choice(self._world.nodes)
-            name = f"guilty-{self._guilty}-{number}"
+            name = f"guilty-{self._guilty_requests}-{number}"
             await probe(node, route, ACCOUNTS[0], name, self._world.ledger, body)
-            await asyncio.sleep(GUILTY_GAP_S * (0.3 + 1.4 * self._world.rng.random()))
+            await asyncio.sleep(GUILTY_INTERVAL_S * (0.3 + 1.4 * self._world.rng.random()))
         await self._world.returned()
         fault.ends = time.monotonic()
         self._world.busy.discard("guilty")
 
-    async def _server_mood(self) -> None:
+    async def _disturb_server(self) -> None:
         backend = self._world.rng.choice(self._world.backends)
         mood = self._world.rng.choice(
             [mood for mood in ServerMode if mood is not ServerMode.HEALTHY]
         )
         fault = self._world.ledger.record_fault("server", f"{backend.id} {mood.value}")
         backend.mode = mood
-        await asyncio.sleep(self._for_s())
+        await asyncio.sleep(self._draw_duration_s())
         backend.mode = ServerMode.HEALTHY
         fault.ends = time.monotonic()
 
-    async def _name_limits(self) -> None:
+    async def _state_limits(self) -> None:
         """One server, or all of a service, take few requests from all nodes together."""
         if "limits" in self._world.busy:
             return
@@ -326,7 +326,7 @@
         first = self._world.rng.choice(self._world.backends)
         per_s = self._world.rng.choice(LIMITS_PER_S)
         limited = [first]
-        if self._world.rng.random() < ALL_LIMITED_SHARE:
+        if self._world.rng.random() < ALL_LIMITED_PROBABILITY:
             limited = [each for each in self._world.backends if each.service == first.service]
         fault = self._world.ledger.record_fault("limit", " ".join(each.id for each in limited))
         now = time.monotonic()
@@ -334,7 +334,7 @@
         self._world.ledger.limits.extend(limits)
         for each in limited:
             each.limit_per_s = per_s
-        await asyncio.sleep(LIMITED_S)
+        await asyncio.sleep(LIMIT_DURATION_S)
         for each in limited:
             each.limit_per_s = None
         fault.ends = time.monotonic()
@@ -353,7 +353,7 @@
         fault = self._world.ledger.record_fault("crash", old.id)
         self._world.fall_silent(old.id)
         old.crash()
-        await asyncio.sleep(LAPSE_S)
+        await asyncio.sleep(CRASHED_ENTRY_LAPSE_S)
         self._world.unlist(old.id)
         await asyncio.sleep(0.5)
         service = self._world.rng.choice(("plain", "model"))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -384,7 +384,7 @@
         world.roll_version()
         world.take_copy()
         troubles = FaultInjector(world)
-        outage = asyncio.create_task(troubles._store_mood())
+        outage = asyncio.create_task(troubles._disturb_store())
         await asyncio.sleep(0.1)
         with mock.patch("tests.soak.troubles.ENTRIES_LAPSE_S", 0.0):
             await troubles.restore_store(random.Random(1))
