--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -15,7 +15,7 @@
 from tests.soak.records import SOAK_STALL, Ledger
 from tests.soak.stalls import stall_lines
 from tests.soak.troubles import Disruption, FaultInjector
-from tests.soak.world import ACCOUNTS, LIMITS, SoakWorld
+from tests.soak.world import ACCOUNTS, TOKEN_LIMITS, SoakWorld
 
 LIMIT_SLACK_TOKENS = 200.0
 """What one round of news between five nodes may hide, in tokens."""
@@ -120,14 +120,14 @@
         try:
             await self._run_phases()
         finally:
-            await self._world.end()
+            await self._world.stop()
         return self._evaluate(self._world.ledger)
 
     def _evaluate(self, ledger: Ledger) -> SoakResult:
         findings = [f"{check.__name__}: {found}" for check in CHECKS for found in check(ledger)]
-        findings += limits_hold(ledger, LIMITS, LIMIT_SLACK_TOKENS)
+        findings += limits_hold(ledger, TOKEN_LIMITS, LIMIT_SLACK_TOKENS)
         calls = self._world.platform.duty_calls
-        findings += duties_by_one(calls, self._world.thawed, RESUME_GRACE_S)
+        findings += duties_by_one(calls, self._world.resumed_at, RESUME_GRACE_S)
         attempts = [attempt for attempt in ledger.attempts if not attempt.probe]
         served = sum(1 for attempt in attempts if attempt.whole and attempt.status == 200)
         faults = [
@@ -190,7 +190,7 @@
             stall = watch.record_sleep(slept_at, time.monotonic())
             if stall is not None:
                 record_stall(self._world.ledger, *stall)
-                self._world.thawed.append(asyncio.get_running_loop().time())
+                self._world.resumed_at.append(asyncio.get_running_loop().time())
 
     def _is_over(self) -> bool:
         return self._over
@@ -239,12 +239,12 @@
 
     async def _snapshot_forever(self) -> None:
         while not self._over:
-            self._world.take_copy()
+            self._world.take_snapshot()
             await asyncio.sleep(SNAPSHOT_INTERVAL_S)
 
     async def _heartbeat_forever(self) -> None:
         while not self._over:
-            self._world.beat()
+            self._world.send_heartbeats()
             await asyncio.sleep(SERVER_HEARTBEAT_INTERVAL_S)
 
     async def _probe_forever(self) -> None:
--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -57,7 +57,7 @@
         ]
 
     async def _restart_node(self) -> None:
-        node = self._world.a_node()
+        node = self._world.pick_idle_node()
         if node is None or len(self._world.busy) >= 2:
             return
         self._world.busy.add(node.name)
@@ -71,13 +71,13 @@
         self._world.busy.discard(node.name)
 
     async def _reload_node(self) -> None:
-        node = self._world.a_node()
+        node = self._world.pick_idle_node()
         if node is not None:
             self._world.ledger.record_fault("reload", node.name, planned=True)
             await node.reload()
 
     async def _change_config(self) -> None:
-        self._world.roll_version()
+        self._world.publish_version()
         self._world.ledger.record_fault("config", str(self._world.version), planned=True)
 
     async def _replace_server(self) -> None:
@@ -134,7 +134,7 @@
         return 0.3 + 3.0 * self._world.rng.random()
 
     async def _kill_node(self) -> None:
-        node = self._world.a_node()
+        node = self._world.pick_idle_node()
         if node is None:
             return
         self._world.busy.add(node.name)
@@ -165,20 +165,20 @@
         self._world.busy.discard("all")
 
     async def _freeze_node(self) -> None:
-        node = self._world.a_node()
+        node = self._world.pick_idle_node()
         if node is None:
             return
         self._world.busy.add(node.name)
         fault = self._world.ledger.record_fault("freeze", node.name)
         node.pause()
         await asyncio.sleep(self._draw_duration_s())
-        self._world.thawed.append(asyncio.get_running_loop().time())
+        self._world.resumed_at.append(asyncio.get_running_loop().time())
         node.resume()
         fault.ends = time.monotonic()
         self._world.busy.discard(node.name)
 
     async def _step_clock(self) -> None:
-        node = self._world.a_node()
+        node = self._world.pick_idle_node()
         if node is None:
             return
         fault = self._world.ledger.record_fault("clock", node.name)
@@ -195,7 +195,7 @@
         link.set_mode(weather)
         await asyncio.sleep(self._draw_duration_s())
         link.set_mode(LinkMode.HEALTHY)
-        self._world.thawed.append(asyncio.get_running_loop().time())
+        self._world.resumed_at.append(asyncio.get_running_loop().time())
         fault.ends = time.monotonic()
 
     async def _disturb_store_link(self) -> None:
@@ -217,7 +217,7 @@
             self._world.busy.add("store")
             fault = self._world.ledger.record_fault("store", what)
             yield
-            self._world.thawed.append(asyncio.get_running_loop().time())
+            self._world.resumed_at.append(asyncio.get_running_loop().time())
             fault.ends = time.monotonic()
             self._world.busy.discard("store")
 
@@ -262,9 +262,9 @@
             self._world.restore_store(2.0 + 4.0 * age)
             self._world.platform.mode = StoreMode.HEALTHY
         await asyncio.sleep(0.1 + 0.9 * pause)
-        self._world.write_again()
+        self._world.rewrite_entries()
         await asyncio.sleep(ENTRIES_LAPSE_S)
-        self._world.lapse_others()
+        self._world.drop_stale_entries()
 
     async def _leave_during_outage(self) -> None:
         """A server leaves while the store is away, so that only its own answers say it."""
@@ -303,7 +303,7 @@
             name = f"guilty-{self._guilty_requests}-{number}"
             await probe(node, route, ACCOUNTS[0], name, self._world.ledger, body)
             await asyncio.sleep(GUILTY_INTERVAL_S * (0.3 + 1.4 * self._world.rng.random()))
-        await self._world.returned()
+        await self._world.wait_for_restarts()
         fault.ends = time.monotonic()
         self._world.busy.discard("guilty")
 
@@ -351,7 +351,7 @@
         old = self._world.rng.choice(same)
         self._world.backends.remove(old)
         fault = self._world.ledger.record_fault("crash", old.id)
-        self._world.fall_silent(old.id)
+        self._world.stop_heartbeats(old.id)
         old.crash()
         await asyncio.sleep(CRASHED_ENTRY_LAPSE_S)
         self._world.unlist(old.id)
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -20,14 +20,14 @@
 
 HALLS = ("hall-a", "hall-b")
 ACCOUNTS = (Account("north", "key-n"), Account("south", "key-s"), Account("small", "key-t"))
-LIMITS = {"small": (60.0, 120.0)}
-START_S = 2.5
-SERVERS = {"plain": 3, "model": 3}
+TOKEN_LIMITS = {"small": (60.0, 120.0)}
+STARTUP_S = 2.5
+SERVERS_PER_SERVICE = {"plain": 3, "model": 3}
 
-OLDEST_COPY_S = 8.0
+SNAPSHOT_RETENTION_S = 8.0
 """Copies of the store are kept for this long."""
 
-BACK_S = 2.5
+MAX_RESTART_DELAY_S = 2.5
 """A server that a request ended is back within this time."""
 
 
@@ -41,21 +41,21 @@
     platform: RowsPlatform = field(default_factory=RowsPlatform)
     nodes: list[NodeProcess] = field(default_factory=list)
     backends: list[Backend] = field(default_factory=list)
-    thawed: list[float] = field(default_factory=list)
+    resumed_at: list[float] = field(default_factory=list)
     busy: set[str] = field(default_factory=set)
     version: int = 0
     builds: Sequence[Path] = (ROOT,)
-    returning: set[asyncio.Task[None]] = field(default_factory=set)
+    restarts: set[asyncio.Task[None]] = field(default_factory=set)
     listed: dict[str, dict[str, object]] = field(default_factory=dict)
-    copies: deque[tuple[float, StoreSnapshot]] = field(default_factory=deque)
+    snapshots: deque[tuple[float, StoreSnapshot]] = field(default_factory=deque)
     _config: dict[str, object] = field(default_factory=dict)
-    _number: int = 0
+    _servers_started: int = 0
 
     async def start(self, nodes: int) -> None:
         """Start the store, the servers and the nodes."""
         await self.platform.start()
-        self.roll_version()
-        for service, number in SERVERS.items():
+        self.publish_version()
+        for service, number in SERVERS_PER_SERVICE.items():
             for _ in range(number):
                 await self.add_backend(service)
         await self._start_nodes(nodes)
@@ -82,27 +82,27 @@
         for node in self.nodes:
             await node.prepare(seeds, first=True)
         await asyncio.gather(*(node.start() for node in self.nodes))
-        await asyncio.sleep(START_S)
+        await asyncio.sleep(STARTUP_S)
 
-    async def returned(self) -> None:
+    async def wait_for_restarts(self) -> None:
         """Wait until the servers that a request ended are back."""
-        while self.returning:
-            await asyncio.wait(set(self.returning))
+        while self.restarts:
+            await asyncio.wait(set(self.restarts))
 
     async def heal(self) -> None:
         """Make sure that all is well again."""
-        await self.returned()
+        await self.wait_for_restarts()
         self.platform.mode = StoreMode.HEALTHY
         self.platform.delay_s = 0.0
         for node in self.nodes:
             if not node.running:
                 await node.start()
-        for service, number in SERVERS.items():
+        for service, number in SERVERS_PER_SERVICE.items():
             there = sum(1 for each in self.backends if each.service == service)
             for _ in range(number - there):
                 await self.add_backend(service)
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End all that was started."""
         for node in self.nodes:
             node.resume()
@@ -116,37 +116,37 @@
             backend.link.close()
         await self.platform.stop()
 
-    def a_node(self) -> NodeProcess | None:
+    def pick_idle_node(self) -> NodeProcess | None:
         """Return a node that nothing else has in hand."""
         free = [node for node in self.nodes if node.name not in self.busy and node.running]
         return self.rng.choice(free) if free else None
 
     async def add_backend(self, service: str, link: Link | None = None, name: str = "") -> Backend:
         """Start a server and list it; with `name` one that was there starts again."""
-        self._number += 1
-        backend = Backend(name or f"s{self._number}", service, self.ledger, self.rng)
-        backend.on_guilty_crash = self._ended_by_request
+        self._servers_started += 1
+        backend = Backend(name or f"s{self._servers_started}", service, self.ledger, self.rng)
+        backend.on_guilty_crash = self._on_guilty_crash
         await backend.start(link)
         self.backends.append(backend)
         self.list_backend(backend, "ready")
         return backend
 
-    def _ended_by_request(self, old: Backend) -> None:
+    def _on_guilty_crash(self, old: Backend) -> None:
         if old not in self.backends:
             return
         self.backends.remove(old)
-        self.fall_silent(old.id)
-        task = asyncio.create_task(self._return(old))
-        self.returning.add(task)
-        task.add_done_callback(self.returning.discard)
+        self.stop_heartbeats(old.id)
+        task = asyncio.create_task(self._restart_server(old))
+        self.restarts.add(task)
+        task.add_done_callback(self.restarts.discard)
 
-    async def _return(self, old: Backend) -> None:
+    async def _restart_server(self, old: Backend) -> None:
         """Start a server again that a request ended: under its id, or as a new one."""
         if self.rng.random() < 0.5:
-            await asyncio.sleep(BACK_S * self.rng.random())
+            await asyncio.sleep(MAX_RESTART_DELAY_S * self.rng.random())
             await self.add_backend(old.service, name=old.id)
             return
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(MAX_RESTART_DELAY_S)
         self.unlist(old.id)
         await self.add_backend(old.service)
 
@@ -155,7 +155,7 @@
         entry = {
             "service": backend.service,
             "address": backend.link.address,
-            "zone": HALLS[self._number % len(HALLS)],
+            "zone": HALLS[self._servers_started % len(HALLS)],
             "slots": 32 if backend.service == "model" else 8,
             "state": state,
             "version": "v1",
@@ -170,11 +170,11 @@
         self.listed.pop(name, None)
         self.platform.drop("servers", name)
 
-    def fall_silent(self, name: str) -> None:
+    def stop_heartbeats(self, name: str) -> None:
         """Have a server write its entry no more, which stays until it lapses."""
         self.listed.pop(name, None)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Write the entries of all servers again, as their heartbeats do."""
         if self.platform.mode is not StoreMode.HEALTHY:
             return
@@ -182,35 +182,35 @@
             entry["seq"] = int(str(entry["seq"])) + 1
             self.platform.put("servers", name, entry)
 
-    def take_copy(self) -> None:
+    def take_snapshot(self) -> None:
         """Keep a copy of the store that it may come back from."""
         now = time.monotonic()
-        self.copies.append((now, self.platform.snapshot()))
-        while now - self.copies[0][0] > OLDEST_COPY_S:
-            self.copies.popleft()
+        self.snapshots.append((now, self.platform.snapshot()))
+        while now - self.snapshots[0][0] > SNAPSHOT_RETENTION_S:
+            self.snapshots.popleft()
 
     def restore_store(self, age_s: float) -> None:
         """Let the store come back from the newest copy of at least an age."""
         wanted = time.monotonic() - age_s
-        older = [copy for at, copy in self.copies if at <= wanted]
-        self.platform.restore(older[-1] if older else self.copies[0][1])
-        self.copies.clear()
-        self.take_copy()
+        older = [copy for at, copy in self.snapshots if at <= wanted]
+        self.platform.restore(older[-1] if older else self.snapshots[0][1])
+        self.snapshots.clear()
+        self.take_snapshot()
 
-    def write_again(self) -> None:
+    def rewrite_entries(self) -> None:
         """Write what the operator and the servers wrote, as these do after the store's return."""
         self.platform.put("op", "config", self._config)
         for name, entry in self.listed.items():
             self.platform.put("servers", name, entry)
 
-    def lapse_others(self) -> None:
+    def drop_stale_entries(self) -> None:
         """Remove the entries that no server renews."""
         names = [key for table, _, key in self.platform.rows if table == "servers"]
         for name in names:
             if name not in self.listed:
                 self.platform.drop("servers", name)
 
-    def roll_version(self) -> None:
+    def publish_version(self) -> None:
         """Let the operator write the next configuration; one route is in this version only."""
         self.version += 1 + self.rng.randint(0, 3)
         routes = [
@@ -257,7 +257,7 @@
 
 
 def _tenant(account: Account) -> dict[str, object]:
-    rate, burst = LIMITS.get(account.name, (0.0, 0.0))
+    rate, burst = TOKEN_LIMITS.get(account.name, (0.0, 0.0))
     return {
         "name": account.name,
         "apiKeys": [account.key],
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -381,8 +381,8 @@
         self,
     ) -> None:
         world = SoakWorld(Path(), random.Random(1))
-        world.roll_version()
-        world.take_copy()
+        world.publish_version()
+        world.take_snapshot()
         troubles = FaultInjector(world)
         outage = asyncio.create_task(troubles._disturb_store())
         await asyncio.sleep(0.1)
