--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak over real gateway processes on loopback."""
+"""Randomized fault-injection soak tests that run real gateway processes on loopback."""
