--- a/tests/soak/backend.py
+++ b/tests/soak/backend.py
@@ -1,4 +1,5 @@
-"""Backend servers that fail as told: plain ones, and model servers that answer in events."""
+"""Simulated backend servers with injected failures: plain HTTP servers, and model servers that
+stream server-sent events."""
 
 import asyncio
 import random
@@ -16,17 +17,17 @@
 SLOW_FACTOR = 6.0
 
 RETRY_AFTER_S = 1.8
-"""A server that states a time to retry wants no requests before."""
+"""Retry-After of a rejecting server, which should get no requests before it has passed."""
 
 GUILTY_PREFIX = b"the request that ends servers"
-"""Beginning of the bodies that no server survives."""
+"""Prefix of the request bodies that crash every server."""
 
 GUILTY_CRASH_DELAY_S = 0.05
-"""A server ends so long after it began to run one of these."""
+"""A server crashes this long after it started to run a request that crashes servers."""
 
 
 class ServerMode(StrEnum):
-    """What a server does wrong with part of its requests."""
+    """How a server responds to its requests; most failures affect only a share of them."""
 
     HEALTHY = "good"
     GRAY_FAILURE = "failures while healthy"
@@ -36,21 +37,21 @@
     TRUNCATES = "breaks off answers"
     ANSWERS_TWICE = "second answers"
     SLOW = "slow"
-    HANGS = "takes requests and says nothing"
+    HANGS = "accepts requests and never answers"
 
 
 def plain_body(request: str, server: str) -> bytes:
-    """Return the only whole body that a server gives for a request."""
+    """Return the complete body with which a server answers a request."""
     return f"answer to {request} by {server}".encode()
 
 
 def event_of(request: str, server: str, number: int) -> bytes:
-    """Return an event of a request's stream."""
+    """Return one server-sent event of a request's stream."""
     return f"id: {number}\ndata: {request} {server} piece {number}\n\n".encode()
 
 
 class Backend:
-    """One incarnation of a server."""
+    """One incarnation of a server, which callers reach through a `Link`."""
 
     def __init__(self, name: str, service: str, ledger: Ledger, rng: random.Random) -> None:
         self.id = name
@@ -70,7 +71,7 @@
         self.address = ""
 
     async def start(self, link: Link | None = None) -> None:
-        """Listen, behind a new link or at an address that another server had."""
+        """Listen behind a new link, or behind `link`, which had another server as its target."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
         if link is None:
@@ -81,7 +82,7 @@
             link.target = self.address
 
     def crash(self) -> None:
-        """End at once, with all connections."""
+        """Stop listening and abort all connections."""
         self.down = True
         self._ledger.end_limits(self.id)
         if self._server is not None:
@@ -90,7 +91,7 @@
             writer.transport.abort()
 
     async def _crash_if_guilty(self, arrival: Arrival) -> None:
-        """End under a request that no server survives; anything else goes on."""
+        """Crash if the request is one that crashes servers; otherwise do nothing."""
         if not arrival.body.startswith(GUILTY_PREFIX):
             return
         await asyncio.sleep(GUILTY_CRASH_DELAY_S)
@@ -120,19 +121,19 @@
 
     async def _answer(self, arrival: Arrival, writer: asyncio.StreamWriter) -> None:
         expected = arrival.get("expect-instance")
-        strikes = self._rng.random() < self.failure_probability
+        faulty = self._rng.random() < self.failure_probability
         if expected is not None and expected != self.id:
             self._reject(arrival, writer, 421)
-        elif self.mode is ServerMode.REJECTS and strikes:
+        elif self.mode is ServerMode.REJECTS and faulty:
             self._reject(arrival, writer, 503)
-        elif self.mode is ServerMode.REJECTS_WITH_RETRY_AFTER and strikes:
+        elif self.mode is ServerMode.REJECTS_WITH_RETRY_AFTER and faulty:
             name = arrival.get("request-id") or ""
             self._ledger.declined.append(Declined(name, self.id, time.monotonic(), RETRY_AFTER_S))
             self._reject(arrival, writer, 503, f"Retry-After: {RETRY_AFTER_S}\r\n")
         elif self.service == "model":
-            await self._answer_stream(arrival, writer, strikes)
+            await self._answer_stream(arrival, writer, faulty)
         else:
-            await self._answer_plain(arrival, writer, strikes)
+            await self._answer_plain(arrival, writer, faulty)
 
     def _record_run(self, arrival: Arrival) -> None:
         tokens = arrival.get("token-count") or "5,5"
@@ -151,23 +152,23 @@
             )
         )
 
-    def _head(self, arrival: Arrival, status: int, more: str) -> bytes:
+    def _head(self, arrival: Arrival, status: int, fields: str) -> bytes:
         if self.leaving:
-            more = f"Server-Leaving: 1\r\n{more}"
+            fields = f"Server-Leaving: 1\r\n{fields}"
         if self.limit_per_s is not None:
-            more = f"Server-Limit: {self.limit_per_s}\r\n{more}"
+            fields = f"Server-Limit: {self.limit_per_s}\r\n{fields}"
         return (
-            f"HTTP/1.1 {status} X\r\nRequest-Id: {arrival.get('request-id')}\r\n{more}\r\n"
+            f"HTTP/1.1 {status} X\r\nRequest-Id: {arrival.get('request-id')}\r\n{fields}\r\n"
         ).encode()
 
     def _reject(
-        self, arrival: Arrival, writer: asyncio.StreamWriter, status: int, more: str = ""
+        self, arrival: Arrival, writer: asyncio.StreamWriter, status: int, fields: str = ""
     ) -> None:
-        more += "Not-Executed: 1\r\nContent-Length: 0\r\n"
-        writer.write(self._head(arrival, status, more))
+        fields += "Not-Executed: 1\r\nContent-Length: 0\r\n"
+        writer.write(self._head(arrival, status, fields))
 
     async def _answer_plain(
-        self, arrival: Arrival, writer: asyncio.StreamWriter, strikes: bool
+        self, arrival: Arrival, writer: asyncio.StreamWriter, faulty: bool
     ) -> None:
         self._record_run(arrival)
         await self._crash_if_guilty(arrival)
@@ -175,42 +176,42 @@
         await asyncio.sleep(PLAIN_ANSWER_S * (SLOW_FACTOR if slow else 1.0))
         if self.mode is ServerMode.HANGS:
             await asyncio.sleep(3_600)
-        if self.mode is ServerMode.RESETS_AFTER_RUN and strikes:
+        if self.mode is ServerMode.RESETS_AFTER_RUN and faulty:
             reset(writer)
             raise ConnectionResetError
-        failed = self.mode is ServerMode.GRAY_FAILURE and strikes
+        failed = self.mode is ServerMode.GRAY_FAILURE and faulty
         request = arrival.get("request-id") or ""
         body = b"failed" if failed else plain_body(request, self.id)
-        more = f"Server-Stamp: {self.id}\r\nContent-Length: {len(body)}\r\n"
-        data = self._head(arrival, 500 if failed else 200, more) + body
-        if self.mode is ServerMode.TRUNCATES and strikes:
+        fields = f"Server-Stamp: {self.id}\r\nContent-Length: {len(body)}\r\n"
+        data = self._head(arrival, 500 if failed else 200, fields) + body
+        if self.mode is ServerMode.TRUNCATES and faulty:
             writer.write(data[: -len(body) // 2])
             await writer.drain()
             writer.close()
             raise ConnectionResetError
         writer.write(data)
-        if self.mode is ServerMode.ANSWERS_TWICE and strikes:
-            writer.write(self._head(arrival, 200, more) + body)
+        if self.mode is ServerMode.ANSWERS_TWICE and faulty:
+            writer.write(self._head(arrival, 200, fields) + body)
 
     async def _answer_stream(
-        self, arrival: Arrival, writer: asyncio.StreamWriter, strikes: bool
+        self, arrival: Arrival, writer: asyncio.StreamWriter, faulty: bool
     ) -> None:
         self._record_run(arrival)
         await self._crash_if_guilty(arrival)
         if self.mode is ServerMode.HANGS:
             await asyncio.sleep(3_600)
-        if self.mode is ServerMode.RESETS_AFTER_RUN and strikes:
+        if self.mode is ServerMode.RESETS_AFTER_RUN and faulty:
             reset(writer)
             raise ConnectionResetError
         request = arrival.get("request-id") or ""
-        more = (
+        fields = (
             f"Server-Stamp: {self.id}\r\nContent-Type: text/event-stream\r\n"
             "Transfer-Encoding: chunked\r\n"
         )
-        writer.write(self._head(arrival, 200, more))
+        writer.write(self._head(arrival, 200, fields))
         breaks_at = (
             EVENTS_PER_STREAM // 2
-            if self.mode in (ServerMode.TRUNCATES, ServerMode.GRAY_FAILURE) and strikes
+            if self.mode in (ServerMode.TRUNCATES, ServerMode.GRAY_FAILURE) and faulty
             else None
         )
         for number in range(int(arrival.get("last-event-id") or 0) + 1, EVENTS_PER_STREAM + 1):
@@ -226,5 +227,5 @@
             writer.write(chunk(data))
             await writer.drain()
         writer.write(LAST_CHUNK)
-        if self.mode is ServerMode.ANSWERS_TWICE and strikes:
+        if self.mode is ServerMode.ANSWERS_TWICE and faulty:
             writer.write(self._head(arrival, 200, "Content-Length: 0\r\n"))
