--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections until the process behind them is gone, and remember all."""
+"""Simulated callers that reuse connections and record every attempt in the ledger."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 DEADLINE_S = 3.0
 LATE_ANSWER_WAIT_S = 0.6
-"""Callers wait this long beyond the deadline, so that late answers are seen."""
+"""Callers wait this much longer than the deadline, so that late answers are recorded."""
 
 DIRECTORY_POLL_INTERVAL_S = 2.0
 THINK_TIME_S = 0.12
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """A client account as its callers know it."""
+    """Name and API key of a client account."""
 
     name: str
     key: str
@@ -36,7 +36,7 @@
     after_event: int,
     body: bytes | None = None,
 ) -> tuple[str, bytes, bytes]:
-    """Return a request's first line, its body and all its bytes."""
+    """Return a request's first line, its body, and the encoded request."""
     method = "GET" if route.startswith(("check", "only")) else "POST"
     line = f"{method} /{route}/x HTTP/1.1"
     if body is None:
@@ -57,7 +57,7 @@
 
 
 async def resolve_addresses(node: NodeProcess) -> list[str]:
-    """Return the addresses that a node tells, or none."""
+    """Return the addresses in a node's directory answer; an empty list if it gives none."""
     host, _, port = node.directory_address.rpartition(":")
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -76,11 +76,11 @@
 
 
 class NoConnection(Exception):
-    """No connection came about."""
+    """The caller knows no address or could not connect to it."""
 
 
 class SoakCaller:
-    """One caller of one account; every attempt has an id of its own."""
+    """Sends the requests of one caller; each attempt has a new request id."""
 
     def __init__(
         self,
@@ -103,9 +103,9 @@
         self._node: NodeProcess | None = None
         self._connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def run(self, until: Callable[[], bool]) -> None:
-        """Send one request after another."""
-        while not until():
+    async def run(self, is_expired: Callable[[], bool]) -> None:
+        """Send one request after another until `is_expired`."""
+        while not is_expired():
             await asyncio.sleep(THINK_TIME_S * (0.5 + self._rng.random()))
             try:
                 await self._connect()
@@ -117,7 +117,10 @@
         self._drop()
 
     async def _connect(self) -> None:
-        """Keep the open connection, whatever the directory says; else take a new one."""
+        """Refresh the addresses when due, and open a connection if none is open.
+
+        An open connection is kept even if its node is no longer in the directory.
+        """
         now = time.monotonic()
         if now - self._resolved_at > DIRECTORY_POLL_INTERVAL_S:
             found = await resolve_addresses(self._rng.choice(self._nodes))
@@ -125,8 +128,8 @@
                 self._addresses, self._resolved_at = found, now
         if self._connection is not None:
             return
-        by_front = {node.advertised_address: node for node in self._nodes}
-        known = [by_front[each] for each in self._addresses if each in by_front]
+        by_address = {node.advertised_address: node for node in self._nodes}
+        known = [by_address[each] for each in self._addresses if each in by_address]
         if not known:
             raise NoConnection
         self._node = self._rng.choice(known)
@@ -138,7 +141,7 @@
             raise NoConnection from error
 
     async def send(self, route: str, after_event: int = 0) -> None:
-        """Send a request on the open connection and note how it ended."""
+        """Send a request on the open connection and record its outcome."""
         assert self._connection is not None and self._node is not None
         reader, writer = self._connection
         self._request_count += 1
@@ -159,8 +162,8 @@
         except (OSError, TimeoutError):
             pass
         attempt.ended_at = time.monotonic()
-        ends = not attempt.whole or "close" in attempt.headers.get("connection", "")
-        if ends:
+        closed = not attempt.whole or "close" in attempt.headers.get("connection", "")
+        if closed:
             self._drop()
 
     def _drop(self) -> None:
@@ -175,13 +178,13 @@
     account: Account,
     request: str,
     ledger: Ledger,
-    guilty: bytes | None = None,
+    guilty_body: bytes | None = None,
 ) -> None:
-    """Ask a node directly, past the directory, what it makes of a route and a key.
+    """Send one request directly to a node, on a new connection, and record the attempt.
 
-    With `guilty` it is a request with this body that no server survives.
+    With `guilty_body` it is a request with this body, which crashes servers, instead of a probe.
     """
-    line, body, data = make_request(request, route, account, 5, 0, guilty)
+    line, body, data = make_request(request, route, account, 5, 0, guilty_body)
     attempt = Attempt(
         request,
         route,
@@ -191,7 +194,7 @@
         node.name,
         time.monotonic(),
         10,
-        probe=guilty is None,
+        probe=guilty_body is None,
     )
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
