--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,7 @@
-"""The promises, checked from what was seen outside the product; each check returns findings."""
+"""Checks of the guarantees of the gateway, based only on what was recorded outside its processes.
+
+Each check yields its findings; the soak prints them after the check's name.
+"""
 
 import re
 from collections import defaultdict
@@ -15,31 +18,50 @@
 from tests.soak.records import Attempt, Ledger, Run
 
 SETTLE_TIME_S = 3.0
-"""Bounds hold once nothing unplanned happened for this long."""
+"""Time bounds apply only after this long without an unplanned fault."""
 
+# These four are bounds in the settings of the nodes, see `SETTINGS_TEMPLATE` in process.py.
 APPLY_S = 2.0
 LEAVE_S = 2.0
 LEASE_S = 1.5
 STOP_S = 5.0
+
 STOP_SLACK_S = 1.0
 ANSWER_SLACK_S = 0.5
+
 CLOSE_RACE_S = 0.2
+"""A request that never ran and was cut this soon may have crossed the close of its connection."""
+
 IN_FLIGHT_S = 0.5
+"""Requests that were in flight when a server stated a limit or a retry time arrive within this."""
+
 SERVER_LIMIT_WINDOW_S = 4.0
+
 MAX_EARLY_REQUESTS = 2
+"""Requests of one node that may reach a server before its stated retry time."""
+
 RECOVERY_S = 8.0
 MIN_RECOVERED_SHARE = 0.9
+"""Share of the requests that must succeed from `RECOVERY_S` after the last fault on."""
+
 MAX_LATE_GUILTY_SENDS = 3
+"""Sends of a request that crashes servers after it should be blocked."""
+
 ACCOUNT_LIMIT_WINDOW_S = 8.0
+"""`limit_window_s` of the settings."""
+
 OVERSHOOT_FACTOR = 1.1
+
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses by which the gateway guarantees that the request did not run and never will."""
+
 STREAM_ROUTES = frozenset({"draft", "review"})
 REPEATABLE_ROUTES = frozenset({"check", "review"})
 EVENT_PATTERN = re.compile(rb"id: (\d+)\ndata: (\S+) (\S+) piece (\d+)\n\n")
 
 
 def runs_by_request(ledger: Ledger) -> dict[str, list[Run]]:
-    """Return the runs of each request."""
+    """Group the runs by request id."""
     found: dict[str, list[Run]] = defaultdict(list)
     for run in ledger.runs:
         found[run.request].append(run)
@@ -47,7 +69,7 @@
 
 
 def own_whole_answers(ledger: Ledger) -> Iterable[str]:
-    """Each success is the whole answer of a server that ran this very request."""
+    """Each success is the complete answer of a server that ran this request."""
     runs = runs_by_request(ledger)
     for attempt in ledger.attempts:
         if not attempt.whole or not 200 <= attempt.status < 300:
@@ -55,7 +77,7 @@
         servers = {run.server for run in runs[attempt.request]}
         stamp = attempt.headers.get("server-stamp", "")
         if attempt.headers.get("request-id") != attempt.request or stamp not in servers:
-            yield f"{attempt.request}: answered with the head of {attempt.headers}"
+            yield f"{attempt.request}: answered with the header fields {attempt.headers}"
         elif attempt.route in STREAM_ROUTES:
             yield from _check_whole_stream(attempt, servers, stamp)
         elif attempt.answer != plain_body(attempt.request, stamp):
@@ -63,33 +85,33 @@
 
 
 def _check_whole_stream(attempt: Attempt, servers: set[str], stamp: str) -> Iterable[str]:
-    pieces = EVENT_PATTERN.findall(attempt.answer)
-    numbers = [int(piece[0]) for piece in pieces]
+    events = EVENT_PATTERN.findall(attempt.answer)
+    numbers = [int(event[0]) for event in events]
     if numbers != list(range(attempt.after_event + 1, EVENTS_PER_STREAM + 1)):
-        yield f"{attempt.request}: a whole stream has the events {numbers}"
-    rebuilt = b"".join(event_of(attempt.request, p[2].decode(), int(p[0])) for p in pieces)
+        yield f"{attempt.request}: a complete stream has the events {numbers}"
+    rebuilt = b"".join(event_of(attempt.request, e[2].decode(), int(e[0])) for e in events)
     if rebuilt != attempt.answer:
-        yield f"{attempt.request}: a stream has bytes of no event"
-    makers = {piece[2].decode() for piece in pieces}
-    if not makers <= servers:
-        yield f"{attempt.request}: pieces of {makers - servers}, which did not run it"
-    if attempt.route == "draft" and makers != {stamp}:
-        yield f"{attempt.request}: a stream that may not be resumed has pieces of {makers}"
+        yield f"{attempt.request}: a stream has bytes that belong to no event"
+    senders = {event[2].decode() for event in events}
+    if not senders <= servers:
+        yield f"{attempt.request}: events of {senders - servers}, which did not run it"
+    if attempt.route == "draft" and senders != {stamp}:
+        yield f"{attempt.request}: a stream that may not be resumed has events of {senders}"
 
 
 def cut_streams_are_in_order(ledger: Ledger) -> Iterable[str]:
-    """A stream that broke off has whole events in order as far as it came."""
+    """A stream that broke off has complete events, without gaps and in order."""
     for attempt in ledger.attempts:
         if attempt.whole or attempt.route not in STREAM_ROUTES or attempt.status != 200:
             continue
-        numbers = [int(piece[0]) for piece in EVENT_PATTERN.findall(attempt.answer)]
+        numbers = [int(event[0]) for event in EVENT_PATTERN.findall(attempt.answer)]
         first = attempt.after_event + 1
         if numbers != list(range(first, first + len(numbers))):
             yield f"{attempt.request}: a cut stream has the events {numbers}"
 
 
 def at_most_once(ledger: Ledger) -> Iterable[str]:
-    """What may not be repeated runs once at most."""
+    """A request that may not be repeated runs at most once."""
     routes = {attempt.request: attempt.route for attempt in ledger.attempts}
     for request, runs in runs_by_request(ledger).items():
         if routes.get(request) in ("order", "draft") and len(runs) > 1:
@@ -97,7 +119,7 @@
 
 
 def promises_kept(ledger: Ledger) -> Iterable[str]:
-    """What was answered as not run has not run and never does."""
+    """A request answered with a status that promises it did not run has not run on any server."""
     runs = runs_by_request(ledger)
     for attempt in ledger.attempts:
         if attempt.status in NOT_EXECUTED_STATUSES and runs[attempt.request]:
@@ -107,27 +129,27 @@
 
 
 def nothing_unasked(ledger: Ledger) -> Iterable[str]:
-    """Servers run what callers sent, unchanged, under the account's name, without its key."""
+    """Servers run only what callers sent: unchanged, under their account, without its key."""
     sent = {attempt.request: attempt for attempt in ledger.attempts}
     for run in ledger.runs:
         attempt = sent.get(run.request)
         if attempt is None:
             yield f"{run.server} ran {run.request!r}, which no caller sent"
         elif run.line != attempt.line or run.body != attempt.body:
-            yield f"{run.request}: line or body were changed"
+            yield f"{run.request}: line or body was changed"
         elif run.account != attempt.account or run.key_seen:
             yield f"{run.request}: ran for {run.account}, key passed on: {run.key_seen}"
 
 
 def attempts_bounded(ledger: Ledger) -> Iterable[str]:
-    """No request runs on more servers than its route allows."""
+    """No request runs on more servers than its route allows attempts."""
     for request, runs in runs_by_request(ledger).items():
         if len({run.server for run in runs}) > 2:
             yield f"{request}: ran on {len(runs)} servers"
 
 
 def leaving_servers_rest(ledger: Ledger) -> Iterable[str]:
-    """A server that leaves gets no new work after a while, in calm times."""
+    """Without unplanned faults a server listed as leaving gets no requests after `LEAVE_S`."""
     for leaving in ledger.leaving:
         for run in ledger.runs:
             late = run.at - leaving.acked_at - LEAVE_S
@@ -138,48 +160,48 @@
 
 
 def own_word_of_leaving_counts(ledger: Ledger) -> Iterable[str]:
-    """A node that passed on a server's word that it leaves sends it nothing new after a while."""
+    """A node that forwarded a server's Server-Leaving field sends it nothing after `LEAVE_S`."""
     sent = {attempt.request: attempt for attempt in ledger.attempts}
-    heard: dict[tuple[str, str], float] = {}
+    noticed: dict[tuple[str, str], float] = {}
     for attempt in ledger.attempts:
         if attempt.whole and attempt.headers.get("server-leaving") == "1":
             key = (attempt.node, attempt.headers.get("server-stamp", ""))
-            heard[key] = min(heard.get(key, attempt.ended_at), attempt.ended_at)
+            noticed[key] = min(noticed.get(key, attempt.ended_at), attempt.ended_at)
     for run in ledger.runs:
-        asked = sent.get(run.request)
-        said_at = heard.get((asked.node, run.server)) if asked is not None else None
-        if asked is None or said_at is None or asked.sent_at <= said_at + LEAVE_S:
+        match = sent.get(run.request)
+        noticed_at = noticed.get((match.node, run.server)) if match is not None else None
+        if match is None or noticed_at is None or match.sent_at <= noticed_at + LEAVE_S:
             continue
-        if not ledger.disturbed(asked.node, run.server, said_at, run.at):
-            late_s = run.at - said_at - LEAVE_S
-            yield f"{run.request}: {asked.node} sent it to {run.server} {late_s:.2f} s too late"
+        if not ledger.disturbed(match.node, run.server, noticed_at, run.at):
+            late_s = run.at - noticed_at - LEAVE_S
+            yield f"{run.request}: {match.node} sent it to {run.server} {late_s:.2f} s too late"
 
 
 def stated_retry_times_are_kept(ledger: Ledger) -> Iterable[str]:
-    """A node sends a server nothing before the time it stated, but for what was under way."""
+    """A node sends a server nothing before its stated retry time, except requests in flight."""
     node_of = {attempt.request: attempt.node for attempt in ledger.attempts}
     arrived = [(run.request, run.server, run.at) for run in ledger.runs]
     arrived += [(each.request, each.server, each.at) for each in ledger.declined]
-    by_way: dict[tuple[str, str], list[float]] = defaultdict(list)
+    arrivals: dict[tuple[str, str], list[float]] = defaultdict(list)
     for request, server, at in arrived:
-        by_way[node_of.get(request, ""), server].append(at)
-    for asked in ledger.declined:
-        node = node_of.get(asked.request, "")
-        begin, end = asked.at + IN_FLIGHT_S, asked.at + asked.retry_after_s
-        late = [at for at in by_way[node, asked.server] if begin < at < end]
-        excused = ledger.disturbed(node, asked.server, asked.at, end)
+        arrivals[node_of.get(request, ""), server].append(at)
+    for declined in ledger.declined:
+        node = node_of.get(declined.request, "")
+        begin, end = declined.at + IN_FLIGHT_S, declined.at + declined.retry_after_s
+        late = [at for at in arrivals[node, declined.server] if begin < at < end]
+        excused = ledger.disturbed(node, declined.server, declined.at, end)
         if len(late) > MAX_EARLY_REQUESTS and not excused:
-            yield f"{asked.request}: {node} sent {len(late)} too early to {asked.server}"
+            yield f"{declined.request}: {node} sent {len(late)} too early to {declined.server}"
 
 
 def named_limits_are_kept(ledger: Ledger) -> Iterable[str]:
-    """Nodes that passed a server's limit on keep it together, but for those that stood still."""
+    """Nodes that forwarded a server's limit keep it together, except those disturbed by faults."""
     node_of = {attempt.request: attempt.node for attempt in ledger.attempts}
-    told: dict[tuple[str, str], list[float]] = defaultdict(list)
+    forwarded: dict[tuple[str, str], list[float]] = defaultdict(list)
     for attempt in ledger.attempts:
         if attempt.whole and "server-limit" in attempt.headers:
             key = (attempt.node, attempt.headers.get("server-stamp", ""))
-            told[key].append(attempt.ended_at)
+            forwarded[key].append(attempt.ended_at)
     for limit in ledger.limits:
         begins = limit.begins + SETTLE_TIME_S - SERVER_LIMIT_WINDOW_S
         arrived = sorted(
@@ -187,30 +209,30 @@
             for run in ledger.runs
             if run.server == limit.server
             and begins <= run.at < limit.ends
-            and _knew_limit(ledger, told, node_of.get(run.request, ""), run, limit.begins)
+            and _knew_limit(ledger, forwarded, node_of.get(run.request, ""), run, limit.begins)
         )
-        most = 1.5 * limit.per_s * SERVER_LIMIT_WINDOW_S + 5
+        maximum = 1.5 * limit.per_s * SERVER_LIMIT_WINDOW_S + 5
         for first in arrived:
             number = sum(first <= at < first + SERVER_LIMIT_WINDOW_S for at in arrived)
-            if number > most:
-                yield f"{limit.server} named {limit.per_s} a second and got {number} in 4 s"
+            if number > maximum:
+                yield f"{limit.server} stated a limit of {limit.per_s}/s and got {number} in 4 s"
                 break
 
 
 def _knew_limit(
     ledger: Ledger,
-    told: dict[tuple[str, str], list[float]],
+    forwarded: dict[tuple[str, str], list[float]],
     node: str,
     run: Run,
     since: float,
 ) -> bool:
-    """Say whether a node had passed a limit on before a request that it sent, and was sound."""
-    heard = [at for at in told[node, run.server] if since <= at <= run.at - IN_FLIGHT_S]
-    return bool(heard) and not ledger.disturbed(node, run.server, run.at - SETTLE_TIME_S, run.at)
+    """Return whether an undisturbed node had forwarded the limit before it sent this request."""
+    known = [at for at in forwarded[node, run.server] if since <= at <= run.at - IN_FLIGHT_S]
+    return bool(known) and not ledger.disturbed(node, run.server, run.at - SETTLE_TIME_S, run.at)
 
 
 def planned_work_cuts_nothing(ledger: Ledger) -> Iterable[str]:
-    """In calm times every request that was read is answered whole."""
+    """Without unplanned faults every request that a node read gets a complete answer."""
     runs = runs_by_request(ledger)
     for attempt in ledger.attempts:
         if attempt.whole or attempt.probe or not attempt.ended_at:
@@ -224,7 +246,7 @@
 
 
 def answers_in_time(ledger: Ledger) -> Iterable[str]:
-    """In calm times a request has its final answer soon after its route's time limit."""
+    """Without unplanned faults a request is answered by shortly after its route's timeout."""
     limits = {"check": 1.0, "order": 1.0}
     for attempt in ledger.attempts:
         limit = limits.get(attempt.route)
@@ -232,22 +254,25 @@
         if limit is None or attempt.probe or not attempt.ended_at or took < limit + ANSWER_SLACK_S:
             continue
         if not ledger.unplanned_between(attempt.sent_at - SETTLE_TIME_S, attempt.ended_at):
-            yield f"{attempt.request}: {took:.2f} s for a limit of {limit} s"
+            yield f"{attempt.request}: {took:.2f} s for a timeout of {limit} s"
 
 
 def versions_in_force(ledger: Ledger) -> Iterable[str]:
-    """In calm times every node handles by the newest version soon after its acknowledgement."""
+    """Without unplanned faults each node applies a version within `APPLY_S` of its acknowledgement.
+
+    The route `only-N` exists in version N only, so a probe of it shows which version a node has.
+    """
     for attempt in ledger.attempts:
         if not attempt.probe or not attempt.whole or attempt.status == 503:
             continue
         number = int(attempt.route.removeprefix("only-"))
         acked = [v for v in ledger.versions if v.acked_at + APPLY_S < attempt.sent_at]
-        begun = [v for v in ledger.versions if v.acked_at <= attempt.ended_at]
+        written = [v for v in ledger.versions if v.acked_at <= attempt.ended_at]
         if not acked or ledger.unplanned_between(
             acked[-1].acked_at - SETTLE_TIME_S, attempt.ended_at
         ):
             continue
-        allowed = {v.number for v in begun if v.number >= acked[-1].number}
+        allowed = {v.number for v in written if v.number >= acked[-1].number}
         if attempt.status == 404 and allowed == {number}:
             yield f"{attempt.request}: {attempt.node} did not know version {number}"
         if attempt.status != 404 and number not in allowed:
@@ -255,16 +280,16 @@
 
 
 def versions_never_revert(ledger: Ledger) -> Iterable[str]:
-    """Within one life of a process, versions only rise."""
+    """A process never goes back to an older version."""
     probes = [a for a in ledger.attempts if a.probe and a.whole and a.status == 200]
     for attempt in probes:
         number = int(attempt.route.removeprefix("only-"))
-        life = max(
+        started_at = max(
             (at for name, at in ledger.starts if name == attempt.node and at < attempt.sent_at),
             default=0.0,
         )
         for earlier in probes:
-            same = earlier.node == attempt.node and life < earlier.sent_at
+            same = earlier.node == attempt.node and started_at < earlier.sent_at
             newer = int(earlier.route.removeprefix("only-")) > number
             if same and newer and earlier.ended_at < attempt.sent_at:
                 yield f"{attempt.request}: {attempt.node} went back to version {number}"
@@ -272,12 +297,12 @@
 
 
 def guilty_requests_are_held(ledger: Ledger) -> Iterable[str]:
-    """A request under which three servers ended reaches servers three times more at most."""
-    began: dict[bytes, list[float]] = defaultdict(list)
+    """A request that crashed three servers reaches servers at most three more times."""
+    starts: dict[bytes, list[float]] = defaultdict(list)
     for run in ledger.runs:
         if run.body.startswith(GUILTY_PREFIX):
-            began[run.body].append(run.at)
-    for body, times in began.items():
+            starts[run.body].append(run.at)
+    for body, times in starts.items():
         times.sort()
         late = [
             at
@@ -289,21 +314,29 @@
 
 
 def limits_hold(ledger: Ledger, limit: dict[str, tuple[float, float]], slack: float) -> list[str]:
-    """No account runs more in a window than its rate, its burst and what news may hide."""
+    """No account spends more in a window than rate and burst allow, with a tolerance.
+
+    `limit` maps an account to its rate (tokens per second) and burst (tokens). `slack` is in
+    tokens: what nodes may spend before they learn of each other's requests.
+    """
     findings = []
     for account, (rate, burst) in limit.items():
         runs = [run for run in ledger.runs if run.account == account]
-        most = (rate * ACCOUNT_LIMIT_WINDOW_S + burst) * OVERSHOOT_FACTOR + slack
+        maximum = (rate * ACCOUNT_LIMIT_WINDOW_S + burst) * OVERSHOOT_FACTOR + slack
         for index, first in enumerate(runs):
             total = sum(r.tokens for r in runs[index:] if r.at < first.at + ACCOUNT_LIMIT_WINDOW_S)
-            if total > most:
-                findings.append(f"{account}: {total} tokens in a window, at most {most:.0f}")
+            if total > maximum:
+                findings.append(f"{account}: {total} tokens in a window, maximum {maximum:.0f}")
                 break
     return findings
 
 
-def duties_by_one(calls: list[DutyCall], thawed: list[float], thaw_s: float) -> Iterable[str]:
-    """Usage of a window is told once; fences rise; holders don't take turns within a lease."""
+def duties_by_one(calls: list[DutyCall], resumed_at: list[float], grace_s: float) -> Iterable[str]:
+    """Usage of a window is reported once, fences rise, and no two holders alternate within a lease.
+
+    Calls within `grace_s` after a process or link resumed may be late ones of a former holder, so
+    they count neither for the order of fences nor for the alternation.
+    """
     windows: dict[int, dict[str, int]] = {}
     holders: dict[tuple[str, str], dict[int, str]] = defaultdict(dict)
     newest: dict[str, int] = {}
@@ -315,11 +348,11 @@
             counts = call.body["counts"]
             assert isinstance(counts, dict)
             if windows.setdefault(window, counts) != counts:
-                yield f"window {window} was told as {windows[window]} and as {counts}"
+                yield f"window {window} was reported as {windows[window]} and as {counts}"
         known = holders[(subject, "")].setdefault(call.fence, call.holder)
         if known != call.holder:
-            yield f"{subject}: fence {call.fence} of {known} and {call.holder}"
-        if any(0 <= call.at - at < thaw_s for at in thawed):
+            yield f"{subject}: fence {call.fence} used by {known} and {call.holder}"
+        if any(0 <= call.at - at < grace_s for at in resumed_at):
             continue
         if call.fence < newest.get(subject, 0):
             yield f"{subject}: fence {call.fence} after {newest[subject]}"
@@ -331,13 +364,13 @@
 
 def _alternating_holders(subject: str, sequence: list[tuple[float, str]]) -> Iterable[str]:
     for index, (at, holder) in enumerate(sequence):
-        others = False
+        interrupted = False
         for later, other in sequence[index + 1 :]:
             if later - at >= LEASE_S:
                 break
             if other != holder:
-                others = True
-            elif others:
+                interrupted = True
+            elif interrupted:
                 yield f"{subject}: {holder} acted before and after another within a lease"
                 break
 
@@ -349,23 +382,26 @@
 
 
 def ends_as_asked(ledger: Ledger) -> Iterable[str]:
-    """Processes end by the soak's signals only, and a planned stop in time and with code 0."""
+    """Processes exit only on the soak's signals; a planned stop is in time and has exit code 0."""
     for end in ledger.exits:
         took_s = end.took_s
         if took_s is not None:
-            # Its end was seen once the soak itself went on.
+            # A stalled soak notices the exit late.
             took_s -= ledger.stalled_s(end.at - took_s, end.at)
         if not end.requested:
-            yield f"{end.node} ended by itself with code {end.code}"
+            yield f"{end.node} exited unexpectedly with code {end.code}"
         elif took_s is not None and end.code == 0 and took_s > STOP_S + STOP_SLACK_S:
             at = end.at - ledger.began
-            yield f"{end.node}: a planned stop took {took_s:.1f} s, its end was seen at {at:.2f}"
+            yield f"{end.node}: a planned stop took {took_s:.1f} s, its exit was seen at {at:.2f}"
         elif end.code not in (0, -9):
-            yield f"{end.node}: ended with code {end.code}"
+            yield f"{end.node}: exited with code {end.code}"
 
 
 def served_after_healing(ledger: Ledger) -> Iterable[str]:
-    """After the last trouble is over, requests are served again."""
+    """`RECOVERY_S` after the last fault, requests are served again.
+
+    The account `small` is left out because its limit rejects requests.
+    """
     late = [
         attempt
         for attempt in ledger.attempts
@@ -374,7 +410,7 @@
     ]
     good = [attempt for attempt in late if attempt.whole and attempt.status == 200]
     if len(good) < MIN_RECOVERED_SHARE * len(late) or not late:
-        yield f"{len(good)} of {len(late)} requests were served after all was healed"
+        yield f"{len(good)} of {len(late)} requests were served after the last fault"
 
 
 CHECKS: tuple[Callable[[Ledger], Iterable[str]], ...] = (
