--- a/tests/soak/former.py
+++ b/tests/soak/former.py
@@ -1,4 +1,4 @@
-"""Sources of an earlier commit, for soaks in which two builds serve side by side."""
+"""Extracts the sources of an earlier commit, for soaks in which two builds serve concurrently."""
 
 import subprocess
 from pathlib import Path
@@ -6,17 +6,19 @@
 from tests.soak.process import ROOT
 
 FORMER_COMMIT = "c96abaf"
-"""The landing before this code: its nodes may still run while this one's are started."""
+"""The commit deployed before this code. Its nodes may still run while those of this code start."""
 
 
 class CommitNotFound(Exception):
-    """The repository's history lacks a commit."""
+    """The commit is not in the repository's history, such as in a shallow clone."""
 
 
 def extract_sources(commit: str, folder: Path) -> Path:
-    """Put the sources of a commit into a folder; they come out of this repository's history."""
+    """Extract the sources of a commit of this repository into `folder`; return the folder."""
     archive = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True, check=False)
     if archive.returncode:
-        raise CommitNotFound(f"no sources of {commit} here: {archive.stderr.decode().strip()}")
+        raise CommitNotFound(
+            f"cannot extract the sources of {commit}: {archive.stderr.decode().strip()}"
+        )
     subprocess.run(["tar", "-x", "-C", str(folder)], input=archive.stdout, check=True)
     return folder
