--- a/tests/soak/link.py
+++ b/tests/soak/link.py
@@ -1,4 +1,4 @@
-"""A loopback proxy for one address: slow, reset, silent or cut one way."""
+"""A TCP proxy for one loopback address that can delay, hold back or reset connections."""
 
 import asyncio
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class LinkMode(StrEnum):
-    """How a link carries bytes."""
+    """How a link forwards bytes; `ONE_WAY` holds back only those to the client."""
 
     HEALTHY = "good"
     SLOW = "slow"
@@ -18,7 +18,7 @@
 
 
 class Link:
-    """Carries connections to a target, which may change; bytes that are held back come later."""
+    """Proxies connections to a target, which may change; held-back bytes are delivered later."""
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -34,20 +34,20 @@
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def close(self) -> None:
-        """End the link and all it carries."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset_all()
 
     def set_mode(self, mode: LinkMode) -> None:
-        """Change how bytes are carried from now on."""
+        """Set how bytes are forwarded from now on."""
         self.mode = mode
         self._mode_changed.set()
         if mode is LinkMode.RESET:
             self.reset_all()
 
     def reset_all(self) -> None:
-        """Reset every connection under way."""
+        """Reset all open connections."""
         for writer in list(self._open):
             writer.transport.abort()
 
@@ -57,23 +57,25 @@
             return
         host, _, port = self.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        pair = {writer, far_writer}
+        pair = {writer, target_writer}
         self._open |= pair
-        there = asyncio.create_task(self._pump(reader, far_writer, to_client=False))
-        back = asyncio.create_task(self._pump(far_reader, writer, to_client=True))
+        to_target_task = asyncio.create_task(self._pump(reader, target_writer, to_client=False))
+        to_client_task = asyncio.create_task(self._pump(target_reader, writer, to_client=True))
         try:
-            await asyncio.wait([there, back], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                [to_target_task, to_client_task], return_when=asyncio.FIRST_COMPLETED
+            )
             await asyncio.sleep(0)
         except asyncio.CancelledError:
             pass
         finally:
             self._open -= pair
-            there.cancel()
-            back.cancel()
+            to_target_task.cancel()
+            to_client_task.cancel()
             for each in pair:
                 each.close()
 
@@ -92,8 +94,8 @@
             writer.transport.abort()
 
     async def _wait_until_released(self, to_client: bool) -> None:
-        """Wait until bytes of a direction may go on."""
-        holding = {LinkMode.SILENT, LinkMode.ONE_WAY} if to_client else {LinkMode.SILENT}
-        while self.mode in holding:
+        """Wait until the mode lets bytes of this direction pass."""
+        blocking = {LinkMode.SILENT, LinkMode.ONE_WAY} if to_client else {LinkMode.SILENT}
+        while self.mode in blocking:
             self._mode_changed.clear()
             await self._mode_changed.wait()
