--- a/tests/soak/node_main.py
+++ b/tests/soak/node_main.py
@@ -1,6 +1,8 @@
-"""The product's own start with a time of day that steps: SIGUSR1 reads the step from a file.
+"""Starts a node through its launcher, with a wall clock that the soak can step.
 
-A thread notes when the process did not run, and what it and the machine did meanwhile.
+On SIGUSR1 the step is read from the file `SOAK_STEP_FILE`. If `SOAK_STALL_FILE` is set, a thread
+records there each span in which the process did not run, with the CPU time of the process and the
+machine in that span.
 """
 
 import json
@@ -30,20 +32,20 @@
 
 
 def _runqueue_wait_s(thread: str) -> float:
-    """Return how long a thread was ready to run and had no CPU (Linux `schedstat`)."""
+    """Return how long a thread has been runnable without a CPU (Linux `schedstat`)."""
     return int(Path(f"/proc/{thread}/schedstat").read_text("ascii").split()[1]) / NANOSECONDS_PER_S
 
 
 def _steal_time_s() -> float:
-    """Return how long all CPUs together were away with the host (Linux `/proc/stat`)."""
+    """Return the steal time of all CPUs together (Linux `/proc/stat`)."""
     ticks = int(Path("/proc/stat").read_text("ascii").split("\n", 1)[0].split()[8])
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
 def _sample_usage() -> dict[str, float]:
-    """Return what this process and the machine spent so far, in seconds.
+    """Return cumulative CPU, run queue wait and steal times in seconds.
 
-    The first thread counts as well as this one, which can't go on without its lock.
+    The main thread is sampled as well as this one, which can't run while that one holds the GIL.
     """
     return {
         "cpu_s": time.process_time(),
@@ -61,16 +63,16 @@
 
 
 def _watch_stalls() -> None:
-    seen, before = time.monotonic(), _sample_usage()
+    last_at, before = time.monotonic(), _sample_usage()
     while True:
         time.sleep(POLL_INTERVAL_S)
         now, after = time.monotonic(), _sample_usage()
-        spent = {name: after[name] - before[name] for name in after}
-        # The first thread may have no CPU while this one has.
-        late_s = max(now - seen, spent["first_thread_waited_s"])
+        used = {name: after[name] - before[name] for name in after}
+        # The main thread may have been without a CPU while this one had one.
+        late_s = max(now - last_at, used["first_thread_waited_s"])
         if late_s > MIN_STALL_S:
-            _record_span("did not run", now - late_s, **spent)
-        seen, before = now, after
+            _record_span("did not run", now - late_s, **used)
+        last_at, before = now, after
 
 
 time.time = _stepped_time
