--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -1,4 +1,4 @@
-"""Gateway nodes as real processes, and the signals that the soak sends them."""
+"""Runs gateway nodes as processes and controls them by signals."""
 
 import asyncio
 import os
@@ -49,9 +49,9 @@
 
 
 class NodeProcess:
-    """One instance's process, with links for its callers and to the store.
+    """Runs the process of one node, with a link for its callers and one to the store.
 
-    Each life runs one of the `builds`, folders of sources of which the first are the tested ones.
+    Each start runs one of the `builds`: folders of sources, of which the first is the tested one.
     """
 
     def __init__(
@@ -87,21 +87,21 @@
 
     @property
     def advertised_address(self) -> str:
-        """Return the address that the directory tells for this node."""
+        """Return the caller address that the directory lists for this node."""
         return f"{self.host}:{BASE_PORT}"
 
     @property
     def seed_address(self) -> str:
-        """Return the address that other nodes have as a seed."""
+        """Return the control address, which other nodes have in their seeds."""
         return f"{self.host}:{BASE_PORT + 1}"
 
     @property
     def running(self) -> bool:
-        """Say whether the process is there."""
+        """Return whether the process was started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
     async def prepare(self, seeds: list[str], first: bool) -> None:
-        """Open the links and write the settings."""
+        """Open the links and write the settings of the first start."""
         await self.caller_link.start()
         await self.store_link.start()
         self._seeds = seeds
@@ -126,9 +126,9 @@
         (self._folder / f"{self.name}.toml").write_text(text, "utf-8")
 
     async def start(self) -> None:
-        """Start the process; its log goes on in one file over all its lives.
+        """Start the process; the logs of all its starts are appended to one file.
 
-        Only the first start of all is told as such, as on the platform.
+        Later starts have `first_start = false` in their settings, as on the platform.
         """
         if self.process is not None:
             self._write_settings(first=False)
@@ -149,7 +149,7 @@
                 stdout=log,
                 stderr=log,
             )
-        # A descriptor names this very process, also once its id is given to another.
+        # A pidfd refers to this process even after its id was reused.
         self._pidfd = os.pidfd_open(self.process.pid)
         self._stop_requested = False
         self.paused = False
@@ -160,20 +160,20 @@
             self._ledger.former_builds.add((self.name, began))
         self._exit_watch = asyncio.create_task(self._record_exit(self.process, self._pidfd))
 
-    async def _record_exit(self, process: asyncio.subprocess.Process, descriptor: int) -> None:
+    async def _record_exit(self, process: asyncio.subprocess.Process, pidfd: int) -> None:
         code = await process.wait()
-        os.close(descriptor)
-        if self._pidfd == descriptor:
+        os.close(pidfd)
+        if self._pidfd == pidfd:
             self._pidfd = None
         now = time.monotonic()
         took = None if self.stopping_since is None else now - self.stopping_since
         self._ledger.exits.append(Exit(self.name, now, code, self._stop_requested, took))
 
     def _send_signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process is there.
+        """Send a signal if the process is running.
 
-        Not by the process object: it looks whether the process ended, and takes its exit code away
-        from whoever waits for that.
+        This doesn't use the process object's own method: it polls for the exit, which takes the
+        exit code away from the task that waits for it.
         """
         if self._pidfd is None or not self.running:
             return
@@ -181,9 +181,10 @@
             signal.pidfd_send_signal(self._pidfd, number)
 
     async def _wait_until_launched(self) -> bool:
-        """Wait until the process has written its first line, so that it can take signals.
+        """Wait for the process's first output, after which it handles signals.
 
-        Before that an interpreter is starting, which any signal ends whatever the program is.
+        Until then the interpreter is still starting, and any signal ends the process. Return False
+        if the process exited.
         """
         while self.running:
             with (self._folder / f"{self.name}.log").open("rb") as log:
@@ -194,44 +195,44 @@
         return False
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Send SIGKILL."""
         self._stop_requested = True
         self._send_signal(signal.SIGKILL)
 
     async def stop(self) -> None:
-        """Begin a planned stop."""
+        """Send SIGTERM once the process handles it, which begins a planned stop."""
         await self._wait_until_launched()
         self._stop_requested = True
         self.stopping_since = time.monotonic()
         self._send_signal(signal.SIGTERM)
 
     def pause(self) -> None:
-        """Freeze the process."""
+        """Suspend the process with SIGSTOP."""
         self.paused = True
         self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.paused = False
         self._send_signal(signal.SIGCONT)
 
     async def reload(self) -> None:
-        """Tell the process that its settings changed."""
+        """Send SIGHUP, on which the process reloads its settings."""
         if await self._wait_until_launched():
             self._send_signal(signal.SIGHUP)
 
     async def step_clock(self, seconds: float) -> None:
-        """Let the process's time of day jump."""
+        """Offset the process's wall clock by `seconds` from the machine's."""
         (self._folder / f"{self.name}.step").write_text(str(seconds), "ascii")
         if await self._wait_until_launched():
             self._send_signal(signal.SIGUSR1)
 
-    async def wait_for_exit(self, within_s: float) -> bool:
-        """Wait until the process has ended."""
+    async def wait_for_exit(self, timeout_s: float) -> bool:
+        """Wait for the process to exit; return False on timeout."""
         if self.process is None:
             return True
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await self.process.wait()
         except TimeoutError:
             return False
