--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -1,20 +1,21 @@
-"""What callers, backend servers and the operator saw; the checks read nothing else."""
+"""Records of what callers, backend servers and the operator observed, which the checks evaluate."""
 
 import time
 from dataclasses import dataclass, field
 
 LOCAL_FAULT_KINDS = frozenset({"kill", "freeze", "server link"})
-"""Disruptions after which a node need not know what a server told it, or heard it late."""
+"""Faults of a node or a server after which the node may not know what the server stated, or may
+have received it late."""
 
-SOAK_STALL = "the soak stood still"
+SOAK_STALL = "soak stalled"
 
 GLOBAL_FAULT_KINDS = frozenset({"kill all", SOAK_STALL})
-"""The same of all nodes at once."""
+"""Faults with the same effect on all nodes."""
 
 
 @dataclass(slots=True)
 class Run:
-    """A request that a backend server began to work on."""
+    """A request that a backend server started to run."""
 
     request: str
     server: str
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class Declined:
-    """A request that a server turned away, stating when to retry."""
+    """A request that a server rejected with a Retry-After."""
 
     request: str
     server: str
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """A request as its caller saw it; times are monotonic seconds."""
+    """A request and its outcome as the caller saw them; times are monotonic seconds."""
 
     request: str
     route: str
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class Fault:
-    """A disruption; planned work is what operators do on purpose."""
+    """An injected fault, or planned work of operators if `planned`."""
 
     kind: str
     detail: str
@@ -72,7 +73,7 @@
 
 @dataclass(slots=True)
 class Version:
-    """A configuration that the store acknowledged."""
+    """A configuration version that the store acknowledged, with the API keys it contains."""
 
     number: int
     acked_at: float
@@ -81,7 +82,7 @@
 
 @dataclass(slots=True)
 class Leaving:
-    """A server that the list told as leaving or dropped in order."""
+    """A server that the server list reports as leaving from `acked_at` on."""
 
     server: str
     acked_at: float
@@ -89,7 +90,7 @@
 
 @dataclass(slots=True)
 class Limit:
-    """A limit that a server named in its answers, of requests a second from all nodes."""
+    """A limit that a server states in its answers, in requests per second from all nodes."""
 
     server: str
     per_s: float
@@ -99,7 +100,10 @@
 
 @dataclass(slots=True)
 class Exit:
-    """The end of a process; `asked` tells whether the soak's signal ended it."""
+    """The exit of a process; `requested` is True if the soak sent a signal to end it.
+
+    `took_s` is the time since the beginning of a planned stop, if there was one.
+    """
 
     node: str
     at: float
@@ -110,7 +114,7 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Everything that was seen in one soak."""
+    """Holds everything that was recorded in one soak."""
 
     began: float = field(default_factory=time.monotonic)
     runs: list[Run] = field(default_factory=list)
@@ -128,43 +132,44 @@
     def record_fault(
         self, kind: str, detail: str, planned: bool = False, duration_s: float = 0.0
     ) -> Fault:
-        """Note a disruption that begins now."""
+        """Record a fault that begins now, and lasts until `ends` is set if it has no duration."""
         now = time.monotonic()
         fault = Fault(kind, detail, planned, now, now + duration_s if duration_s else float("inf"))
         self.faults.append(fault)
         return fault
 
     def end_limits(self, server: str) -> None:
-        """Note that a server names no limit any more, as its next life doesn't."""
+        """Record that a server states no limit any more, as a restarted one doesn't."""
         now = time.monotonic()
         for limit in self.limits:
             if limit.server == server:
                 limit.ends = min(limit.ends, now)
 
     def disturbed(self, node: str, server: str, begin: float, end: float) -> bool:
-        """Say whether a node, its way to a server or the soak itself stood still within a span.
+        """Return whether a fault hit a node, a server or the link between them within a span.
 
-        A life of a former build counts as that: it does not know what was built since.
+        A stall of the soak, a start of the node and a node that runs a former build also count: a
+        former build may lack what is checked.
         """
-        lives = [start for start in self.starts if start[0] == node and start[1] <= end]
-        if lives and lives[-1] in self.former_builds:
+        starts = [start for start in self.starts if start[0] == node and start[1] <= end]
+        if starts and starts[-1] in self.former_builds:
             return True
         for fault in self.faults:
-            its_own = fault.detail.partition(" ")[0] in (node, server)
-            concerned = fault.kind in GLOBAL_FAULT_KINDS or (
-                fault.kind in LOCAL_FAULT_KINDS and its_own
+            local = fault.detail.partition(" ")[0] in (node, server)
+            relevant = fault.kind in GLOBAL_FAULT_KINDS or (
+                fault.kind in LOCAL_FAULT_KINDS and local
             )
-            if concerned and fault.begins <= end and fault.ends >= begin:
+            if relevant and fault.begins <= end and fault.ends >= begin:
                 return True
         return any(name == node and begin <= at <= end for name, at in self.starts)
 
     def stalled_s(self, begin: float, end: float) -> float:
-        """Return for how long the soak itself stood still within a span."""
+        """Return for how long the soak process was stalled within a span."""
         spans = [(each.begins, each.ends) for each in self.faults if each.kind == SOAK_STALL]
         return sum(max(0.0, min(ends, end) - max(begins, begin)) for begins, ends in spans)
 
     def unplanned_between(self, begin: float, end: float) -> bool:
-        """Say whether anything unplanned went on within a span."""
+        """Return whether any unplanned fault overlaps a span."""
         return any(
             not fault.planned and fault.begins <= end and fault.ends >= begin
             for fault in self.faults
