--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: a world, callers, and faults drawn from a seed; then what was seen is checked."""
+"""Runs one soak: callers and faults drawn from a seed; then the checks of what was recorded."""
 
 import asyncio
 import random
@@ -18,19 +18,27 @@
 from tests.soak.world import ACCOUNTS, TOKEN_LIMITS, SoakWorld
 
 LIMIT_SLACK_TOKENS = 200.0
-"""What one round of news between five nodes may hide, in tokens."""
+"""Tokens that five nodes may spend in one gossip interval, before they learn of each other's."""
 
 ROUTES = ("check", "check", "order", "order", "draft", "review")
 CALLERS_PER_ACCOUNT = 4
+
 RESUME_GRACE_S = 0.6
+"""Duty calls this soon after a process or link resumed may be late ones of a former holder."""
+
 PROBE_INTERVAL_S = 0.25
+
 RECOVERED_TRAFFIC_S = 4.0
+"""Traffic goes on for this long after `RECOVERY_S`; its requests show whether nodes recovered."""
+
 HEARTBEAT_INTERVAL_S = 0.05
+
 MIN_STALL_S = 0.5
-"""The soak itself stood still if it woke up so much too late: callers give a stop 0.9 s."""
+"""A wake-up this late counts as a stall of the soak process. It is less than the 0.9 s that
+a planned stop has in reserve for its callers."""
 
 STALL_WINDOW_S = 2.0
-"""Shorter pauses count together if they come within this time: a request meets all of them."""
+"""Pauses within this time are added up, as they may all delay the same request."""
 
 PLANNED_INTERVAL_S = 0.5
 UNPLANNED_INTERVAL_S = 0.45
@@ -42,9 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """How long a soak goes on, with how many nodes; times in seconds.
+    """Parameters of a soak; each round has a phase of planned work and one with faults.
 
-    With a `former_build`, a folder of sources, each life of a node runs these or the tested ones.
+    With a `former_build`, a folder of sources, each start of a node runs either these sources or
+    the tested ones.
     """
 
     seed: int
@@ -56,24 +65,24 @@
 
     @property
     def builds(self) -> tuple[Path, ...]:
-        """Return the folders whose sources nodes run."""
+        """Return the folders of the sources that nodes run, the tested ones first."""
         return (ROOT,) if self.former_build is None else (ROOT, self.former_build)
 
 
 def record_stall(ledger: Ledger, began: float, ended: float) -> None:
-    """Note that callers, servers and store stood still."""
+    """Record that callers, servers and store, which run in the soak process, were stalled."""
     fault = ledger.record_fault(SOAK_STALL, f"for {ended - began:.2f} s")
     fault.begins, fault.ends = began, ended
 
 
 class StallDetector:
-    """Finds when the soak itself stood still, at once or in pieces that follow each other."""
+    """Detects stalls of the soak process: one long pause, or several short ones close together."""
 
     def __init__(self) -> None:
         self._pauses: deque[tuple[float, float]] = deque()
 
     def record_sleep(self, slept_at: float, now: float) -> tuple[float, float] | None:
-        """Note a sleep of `HEARTBEAT_INTERVAL_S`; return a span in which the soak stood still."""
+        """Record a sleep of `HEARTBEAT_INTERVAL_S`; return the span of a stall, if any."""
         late_s = now - slept_at - HEARTBEAT_INTERVAL_S
         if late_s > HEARTBEAT_INTERVAL_S:
             self._pauses.append((slept_at, late_s))
@@ -88,7 +97,7 @@
 
 @dataclass(slots=True)
 class SoakResult:
-    """What the checks found, and how much was seen."""
+    """Findings of the checks, and counts and events of the soak."""
 
     findings: list[str]
     attempts: int
@@ -101,12 +110,12 @@
 
 
 class Soak:
-    """One soak in its world."""
+    """Runs one soak and evaluates it."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self._plan = plan
         self._rng = random.Random(plan.seed)
-        # Draws of their own leave all else that a seed plays as it is.
+        # A separate generator, so that restores don't change what else a seed draws.
         self._restore_rng = random.Random(f"{plan.seed} restores")
         self._world = SoakWorld(folder, self._rng, builds=plan.builds)
         self._injector = FaultInjector(self._world)
@@ -115,7 +124,7 @@
         self._jobs: set[asyncio.Task[None]] = set()
 
     async def run(self) -> SoakResult:
-        """Play the soak and check what was seen."""
+        """Run the soak and check what was recorded."""
         await self._world.start(self._plan.nodes)
         try:
             await self._run_phases()
@@ -179,15 +188,15 @@
         await asyncio.gather(*work, return_exceptions=True)
 
     async def _watch_own_stalls(self) -> None:
-        """Note when the soak itself stands still: its callers, servers and store do so with it.
+        """Record stalls of the soak process, which also stall its callers, servers and store.
 
-        It is a disruption like any other, which nobody planned.
+        They count as unplanned faults.
         """
-        watch = StallDetector()
+        detector = StallDetector()
         while not self._over:
             slept_at = time.monotonic()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
-            stall = watch.record_sleep(slept_at, time.monotonic())
+            stall = detector.record_sleep(slept_at, time.monotonic())
             if stall is not None:
                 record_stall(self._world.ledger, *stall)
                 self._world.resumed_at.append(asyncio.get_running_loop().time())
@@ -195,20 +204,20 @@
     def _is_over(self) -> bool:
         return self._over
 
-    async def _phase(self, length_s: float, choices: list[Disruption], gap_s: float) -> None:
-        ends = time.monotonic() + length_s
+    async def _phase(self, duration_s: float, choices: list[Disruption], interval_s: float) -> None:
+        ends = time.monotonic() + duration_s
         while time.monotonic() < ends:
-            trouble = self._rng.choice(choices)
-            self._start_job(trouble())
-            await asyncio.sleep(gap_s * (0.3 + 1.4 * self._rng.random()))
+            disruption = self._rng.choice(choices)
+            self._start_job(disruption())
+            await asyncio.sleep(interval_s * (0.3 + 1.4 * self._rng.random()))
 
-    def _start_job(self, trouble: Coroutine[None, None, None]) -> None:
-        job = asyncio.create_task(trouble)
+    def _start_job(self, disruption: Coroutine[None, None, None]) -> None:
+        job = asyncio.create_task(disruption)
         self._jobs.add(job)
         job.add_done_callback(self._jobs.discard)
 
     async def _wait_for_jobs(self) -> None:
-        """Wait until every trouble under way is over."""
+        """Wait until all running disruptions and probes are over."""
         while self._jobs:
             done, _ = await asyncio.wait(set(self._jobs))
             for job in done:
@@ -216,17 +225,17 @@
 
     @property
     def _restores_enabled(self) -> bool:
-        """Say whether the store comes back from older copies: the landing before can't bear it."""
+        """Return whether store restores are injected; a former build may not handle them."""
         return self._plan.former_build is None
 
     def _restore_before_planned_work(self) -> None:
-        """Let the store have come back just before a phase in which nothing else goes wrong."""
+        """Maybe start a store restore at the beginning of a phase without other faults."""
         rng = self._restore_rng
         if rng.random() < RESTORE_PROBABILITY and self._restores_enabled:
             self._start_job(self._injector.restore_store(rng))
 
     async def _restore_repeatedly(self) -> None:
-        """Let the store come back from older copies while other troubles go on."""
+        """Restore the store from older snapshots while other faults are injected."""
         if not self._restores_enabled:
             return
         rng = self._restore_rng
@@ -248,7 +257,7 @@
             await asyncio.sleep(SERVER_HEARTBEAT_INTERVAL_S)
 
     async def _probe_forever(self) -> None:
-        """Ask nodes about the newest version and about one before it, past the directory."""
+        """Probe nodes directly for the newest configuration version and the one before it."""
         while not self._over:
             await asyncio.sleep(PROBE_INTERVAL_S)
             node = self._rng.choice(self._world.nodes)
@@ -261,6 +270,6 @@
 
 
 def run_soak(plan: SoakPlan) -> SoakResult:
-    """Play one soak in a folder of its own."""
+    """Run one soak in a new temporary folder."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{plan.seed}-"))
     return asyncio.run(Soak(plan, folder).run())
