--- a/tests/soak/stalls.py
+++ b/tests/soak/stalls.py
@@ -1,4 +1,4 @@
-"""What nodes noted of spans in which they did not run, and of their ends."""
+"""Reads the spans that nodes recorded in which they did not run, and their exits."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 
 class StallRecord(msgspec.Struct):
-    """A line of `node_main`: a span on the steady clock, and what was spent in it, in seconds."""
+    """A line written by `node_main`: a span in monotonic seconds, and the CPU usage in it."""
 
     what: str
     began: float
@@ -21,22 +21,22 @@
 
 
 def stall_lines(folder: Path, began: float) -> list[str]:
-    """Return a line for each note of a folder's nodes, in order; times in seconds from `began`."""
-    notes = [
-        (note.began, path.stem, note)
+    """Return a line per record of all nodes in a folder, by time in seconds since `began`."""
+    records = [
+        (record.began, path.stem, record)
         for path in folder.glob("*.stalls")
-        for note in _decoder.decode_lines(path.read_bytes())
+        for record in _decoder.decode_lines(path.read_bytes())
     ]
-    notes.sort(key=lambda each: each[0])
-    return [_format_stall(node, note, began) for _, node, note in notes]
+    records.sort(key=lambda each: each[0])
+    return [_format_stall(node, record, began) for _, node, record in records]
 
 
-def _format_stall(node: str, note: StallRecord, began: float) -> str:
-    text = f"{note.began - began:7.2f} {node} {note.what}"
-    if note.cpu_s is None:
+def _format_stall(node: str, record: StallRecord, began: float) -> str:
+    text = f"{record.began - began:7.2f} {node} {record.what}"
+    if record.cpu_s is None:
         return text
-    waited_s = max(note.waited_s, note.first_thread_waited_s)
+    waited_s = max(record.waited_s, record.first_thread_waited_s)
     return (
-        f"{text} for {note.ended - note.began:.2f} s: {note.cpu_s:.2f} s on a CPU, "
-        f"{waited_s:.2f} s ready to run, {note.stolen_s:.2f} s taken by the host"
+        f"{text} for {record.ended - record.began:.2f} s: {record.cpu_s:.2f} s on a CPU, "
+        f"{waited_s:.2f} s ready to run, {record.stolen_s:.2f} s taken by the host"
     )
