--- a/tests/soak/troubles.py
+++ b/tests/soak/troubles.py
@@ -1,4 +1,4 @@
-"""What happens in a soak: planned work of operators, and troubles that nobody planned."""
+"""Disruptions that a soak injects: planned work of operators, and unplanned faults."""
 
 import asyncio
 import contextlib
@@ -6,7 +6,7 @@
 import time
 from collections.abc import AsyncIterator, Callable, Coroutine
 
-from standins.rows import StoreMode as StoreMode
+from standins.rows import StoreMode
 from tests.soak.backend import GUILTY_PREFIX, Backend, ServerMode
 from tests.soak.callers import probe
 from tests.soak.link import Link, LinkMode
@@ -14,32 +14,35 @@
 from tests.soak.world import ACCOUNTS, SoakWorld
 
 DRAIN_S = 3.2
-"""A leaving server serves on for this long after the list said so."""
+"""A leaving server keeps serving for this long after the server list reported it as leaving."""
 
 CRASHED_ENTRY_LAPSE_S = 2.0
+"""The entry of a crashed server lapses after this time."""
+
 ENTRIES_LAPSE_S = 3.0
-"""Entries of a restored store that no server renews lapse this long after the others are back."""
+"""After a restore, entries that no server renews lapse this long after the others are rewritten."""
 
 MAX_LOST_WRITES = 120
-"""Changes that others make and a copy lacks: versions are given out again for so much longer."""
+"""Maximum number of writes of other users that a restore loses. Their versions are reused."""
 
 STORE_OUTAGE_S = 3.8
+"""Minimum duration of an outage in which entries lapse or a server leaves."""
 
 GUILTY_SENDS = 16
 GUILTY_INTERVAL_S = 0.5
-"""A request that ends servers comes so often, and so far between: for 8 s, more than it takes all
-servers of a service to end and to be back."""
+"""A request that crashes servers is sent this many times at this mean interval: for 8 s, longer
+than all servers of a service need to crash and restart."""
 
 LIMITS_PER_S = (0.4, 1.0, 4.0)
 LIMIT_DURATION_S = 9.0
 ALL_LIMITED_PROBABILITY = 0.3
-"""Limits that servers name, for how long, and how often all servers of a service do."""
+"""Limits that servers state, for how long, and how likely all servers of a service do."""
 
 Disruption = Callable[[], Coroutine[None, None, None]]
 
 
 class FaultInjector:
-    """Each method is something that happens once, and is over when it returns."""
+    """Injects disruptions: each method causes one and returns when it is over."""
 
     def __init__(self, world: SoakWorld) -> None:
         self._world = world
@@ -47,7 +50,7 @@
         self._store_lock = asyncio.Lock()
 
     def planned(self) -> list[Disruption]:
-        """Return what operators do; nothing of it may cut a request."""
+        """Return the planned work of operators, none of which may cut a request."""
         return [
             self._restart_node,
             self._restart_node,
@@ -98,7 +101,7 @@
         self._world.ledger.leaving.append(Leaving(old.id, time.monotonic()))
 
     async def _retire_server(self, old: Backend) -> None:
-        """End a server that leaves as it said: it serves on, its entry goes, then it does."""
+        """Stop a leaving server after its drain time, once its entry was removed."""
         await asyncio.sleep(DRAIN_S)
         self._world.unlist(old.id)
         await asyncio.sleep(0.5)
@@ -106,7 +109,7 @@
         old.link.close()
 
     def unplanned(self) -> list[Disruption]:
-        """Return what may go wrong, with some planned work between."""
+        """Return unplanned faults, mixed with some planned work."""
         return [
             self._kill_node,
             self._kill_node,
@@ -188,11 +191,11 @@
         fault.ends = time.monotonic()
 
     async def _disturb_link(self, kind: str, name: str, link: Link) -> None:
-        weather = self._world.rng.choice(
+        mode = self._world.rng.choice(
             (LinkMode.SLOW, LinkMode.SILENT, LinkMode.ONE_WAY, LinkMode.RESET)
         )
-        fault = self._world.ledger.record_fault(kind, f"{name} {weather.value}")
-        link.set_mode(weather)
+        fault = self._world.ledger.record_fault(kind, f"{name} {mode.value}")
+        link.set_mode(mode)
         await asyncio.sleep(self._draw_duration_s())
         link.set_mode(LinkMode.HEALTHY)
         self._world.resumed_at.append(asyncio.get_running_loop().time())
@@ -212,7 +215,7 @@
 
     @contextlib.asynccontextmanager
     async def _store_fault(self, what: str) -> AsyncIterator[None]:
-        """Note a trouble of the store from its begin to its end; another one waits for that."""
+        """Record a store fault for the duration of the block; concurrent ones wait for its end."""
         async with self._store_lock:
             self._world.busy.add("store")
             fault = self._world.ledger.record_fault("store", what)
@@ -224,18 +227,18 @@
     async def _disturb_store(self) -> None:
         if "store" in self._world.busy:
             return
-        mood = self._world.rng.choice(
+        mode = self._world.rng.choice(
             (StoreMode.BUSY, StoreMode.SILENT, StoreMode.RESET, StoreMode.LOSES_WRITE_ANSWERS, None)
         )
-        async with self._store_fault(mood.value if mood else "slow"):
-            self._world.platform.delay_s = 0.0 if mood else 0.3
-            self._world.platform.mode = mood or StoreMode.HEALTHY
+        async with self._store_fault(mode.value if mode else "slow"):
+            self._world.platform.delay_s = 0.0 if mode else 0.3
+            self._world.platform.mode = mode or StoreMode.HEALTHY
             await asyncio.sleep(self._draw_duration_s())
             self._world.platform.mode = StoreMode.HEALTHY
             self._world.platform.delay_s = 0.0
 
     async def _lapse_entries(self) -> None:
-        """The store is away so long that entries lapse; they are back a second after it is."""
+        """Make the store silent until entries lapse; servers rewrite them a second afterwards."""
         if "store" in self._world.busy:
             return
         async with self._store_fault("silent, entries lapse"):
@@ -251,14 +254,17 @@
                     self._world.list_backend(backend, "ready")
 
     async def restore_store(self, rng: random.Random) -> None:
-        """The store is away for a moment and comes back as it was some seconds before."""
+        """Make the store reset connections for a moment, then restore it from an older snapshot.
+
+        All values are drawn before waiting for a concurrent store fault.
+        """
         lost = rng.randint(0, MAX_LOST_WRITES)
-        away, age, pause = rng.random(), rng.random(), rng.random()
+        outage, age, pause = rng.random(), rng.random(), rng.random()
         async with self._store_fault("back from an older copy"):
             for _ in range(lost):
                 self._world.platform.put("others", "row", {})
             self._world.platform.mode = StoreMode.RESET
-            await asyncio.sleep(0.2 + 1.3 * away)
+            await asyncio.sleep(0.2 + 1.3 * outage)
             self._world.restore_store(2.0 + 4.0 * age)
             self._world.platform.mode = StoreMode.HEALTHY
         await asyncio.sleep(0.1 + 0.9 * pause)
@@ -267,7 +273,7 @@
         self._world.drop_stale_entries()
 
     async def _leave_during_outage(self) -> None:
-        """A server leaves while the store is away, so that only its own answers say it."""
+        """Let a server leave while the store is silent, so that only its own answers report it."""
         if self._world.busy & {"store", "release"}:
             return
         self._world.busy.add("release")
@@ -290,7 +296,7 @@
         self._world.platform.history_from = self._world.platform.version
 
     async def _send_guilty_request(self) -> None:
-        """A request that ends each server that runs it comes again and again, at any node."""
+        """Send a request that crashes each server that runs it to random nodes, again and again."""
         if "guilty" in self._world.busy:
             return
         self._world.busy.add("guilty")
@@ -309,17 +315,17 @@
 
     async def _disturb_server(self) -> None:
         backend = self._world.rng.choice(self._world.backends)
-        mood = self._world.rng.choice(
-            [mood for mood in ServerMode if mood is not ServerMode.HEALTHY]
+        mode = self._world.rng.choice(
+            [mode for mode in ServerMode if mode is not ServerMode.HEALTHY]
         )
-        fault = self._world.ledger.record_fault("server", f"{backend.id} {mood.value}")
-        backend.mode = mood
+        fault = self._world.ledger.record_fault("server", f"{backend.id} {mode.value}")
+        backend.mode = mode
         await asyncio.sleep(self._draw_duration_s())
         backend.mode = ServerMode.HEALTHY
         fault.ends = time.monotonic()
 
     async def _state_limits(self) -> None:
-        """One server, or all of a service, take few requests from all nodes together."""
+        """Have one server, or all of a service, state a limit of requests from all nodes."""
         if "limits" in self._world.busy:
             return
         self._world.busy.add("limits")
@@ -343,7 +349,7 @@
         self._world.busy.discard("limits")
 
     async def _crash_server(self) -> None:
-        """A server is lost; its address may go to one of another service."""
+        """Crash a server; its address may be reused by a server of another service."""
         same = [each for each in self._world.backends if each.service == "plain"]
         if "crash" in self._world.busy or len(same) < 2:
             return
