--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""The world of a soak: its store, its backend servers, its node processes and configurations."""
+"""The environment of a soak: the store, backend servers, node processes and configurations."""
 
 import asyncio
 import os
@@ -9,8 +9,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from standins.rows import RowsPlatform, StoreSnapshot
-from standins.rows import StoreMode as StoreMode
+from standins.rows import RowsPlatform, StoreMode, StoreSnapshot
 from tests.gateway_world import HOST
 from tests.soak.backend import Backend
 from tests.soak.callers import Account
@@ -21,19 +20,21 @@
 HALLS = ("hall-a", "hall-b")
 ACCOUNTS = (Account("north", "key-n"), Account("south", "key-s"), Account("small", "key-t"))
 TOKEN_LIMITS = {"small": (60.0, 120.0)}
+"""Rate (tokens per second) and burst (tokens) of the accounts that have a limit."""
+
 STARTUP_S = 2.5
 SERVERS_PER_SERVICE = {"plain": 3, "model": 3}
 
 SNAPSHOT_RETENTION_S = 8.0
-"""Copies of the store are kept for this long."""
+"""Snapshots of the store are kept for this long."""
 
 MAX_RESTART_DELAY_S = 2.5
-"""A server that a request ended is back within this time."""
+"""A server that a request crashed, or one in its place, is started within this time."""
 
 
 @dataclass(slots=True)
 class SoakWorld:
-    """What a soak plays with; `busy` names what troubles have in hand."""
+    """Holds the components of a soak; `busy` has the names of what disruptions currently use."""
 
     folder: Path
     rng: random.Random
@@ -85,12 +86,12 @@
         await asyncio.sleep(STARTUP_S)
 
     async def wait_for_restarts(self) -> None:
-        """Wait until the servers that a request ended are back."""
+        """Wait until the servers that requests crashed are restarted or replaced."""
         while self.restarts:
             await asyncio.wait(set(self.restarts))
 
     async def heal(self) -> None:
-        """Make sure that all is well again."""
+        """Remove all faults, and start missing nodes and servers."""
         await self.wait_for_restarts()
         self.platform.mode = StoreMode.HEALTHY
         self.platform.delay_s = 0.0
@@ -98,12 +99,12 @@
             if not node.running:
                 await node.start()
         for service, number in SERVERS_PER_SERVICE.items():
-            there = sum(1 for each in self.backends if each.service == service)
-            for _ in range(number - there):
+            present = sum(1 for each in self.backends if each.service == service)
+            for _ in range(number - present):
                 await self.add_backend(service)
 
     async def stop(self) -> None:
-        """End all that was started."""
+        """Stop everything that was started."""
         for node in self.nodes:
             node.resume()
             node.kill()
@@ -117,12 +118,12 @@
         await self.platform.stop()
 
     def pick_idle_node(self) -> NodeProcess | None:
-        """Return a node that nothing else has in hand."""
+        """Return a random running node that no disruption uses, or None."""
         free = [node for node in self.nodes if node.name not in self.busy and node.running]
         return self.rng.choice(free) if free else None
 
     async def add_backend(self, service: str, link: Link | None = None, name: str = "") -> Backend:
-        """Start a server and list it; with `name` one that was there starts again."""
+        """Start a server and list it; `name` is the id of a server that is restarted."""
         self._servers_started += 1
         backend = Backend(name or f"s{self._servers_started}", service, self.ledger, self.rng)
         backend.on_guilty_crash = self._on_guilty_crash
@@ -141,7 +142,7 @@
         task.add_done_callback(self.restarts.discard)
 
     async def _restart_server(self, old: Backend) -> None:
-        """Start a server again that a request ended: under its id, or as a new one."""
+        """Restart a server that a request crashed under its id, or start a new one in its place."""
         if self.rng.random() < 0.5:
             await asyncio.sleep(MAX_RESTART_DELAY_S * self.rng.random())
             await self.add_backend(old.service, name=old.id)
@@ -151,7 +152,7 @@
         await self.add_backend(old.service)
 
     def list_backend(self, backend: Backend, state: str) -> None:
-        """Write a server's entry as the server does."""
+        """Write a server's entry to the store, as the server does."""
         entry = {
             "service": backend.service,
             "address": backend.link.address,
@@ -166,16 +167,16 @@
         self.platform.put("servers", backend.id, entry)
 
     def unlist(self, name: str) -> None:
-        """Remove a server's entry, as the store does once it has ended."""
+        """Remove a server's entry, as the store does once it has lapsed."""
         self.listed.pop(name, None)
         self.platform.drop("servers", name)
 
     def stop_heartbeats(self, name: str) -> None:
-        """Have a server write its entry no more, which stays until it lapses."""
+        """Stop renewing a server's entry, which stays in the store until it lapses."""
         self.listed.pop(name, None)
 
     def send_heartbeats(self) -> None:
-        """Write the entries of all servers again, as their heartbeats do."""
+        """Renew the entries of all servers, as their heartbeats do."""
         if self.platform.mode is not StoreMode.HEALTHY:
             return
         for name, entry in self.listed.items():
@@ -183,22 +184,22 @@
             self.platform.put("servers", name, entry)
 
     def take_snapshot(self) -> None:
-        """Keep a copy of the store that it may come back from."""
+        """Keep a snapshot that the store may be restored from, and drop expired ones."""
         now = time.monotonic()
         self.snapshots.append((now, self.platform.snapshot()))
         while now - self.snapshots[0][0] > SNAPSHOT_RETENTION_S:
             self.snapshots.popleft()
 
     def restore_store(self, age_s: float) -> None:
-        """Let the store come back from the newest copy of at least an age."""
+        """Restore the newest snapshot of at least this age, or else the oldest one."""
         wanted = time.monotonic() - age_s
-        older = [copy for at, copy in self.snapshots if at <= wanted]
+        older = [snapshot for at, snapshot in self.snapshots if at <= wanted]
         self.platform.restore(older[-1] if older else self.snapshots[0][1])
         self.snapshots.clear()
         self.take_snapshot()
 
     def rewrite_entries(self) -> None:
-        """Write what the operator and the servers wrote, as these do after the store's return."""
+        """Rewrite the configuration and entries, as the operator and servers do after a restore."""
         self.platform.put("op", "config", self._config)
         for name, entry in self.listed.items():
             self.platform.put("servers", name, entry)
@@ -211,7 +212,7 @@
                 self.platform.drop("servers", name)
 
     def publish_version(self) -> None:
-        """Let the operator write the next configuration; one route is in this version only."""
+        """Write the next configuration; its route `only-N` exists in version N only."""
         self.version += 1 + self.rng.randint(0, 3)
         routes = [
             _route("check", "safe", "plain", 1_000),
