--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -206,7 +206,7 @@
     async def _place(self, job: Job) -> Placement | None:
         share = self._trial_share(job.service, job.route.name, not job.tried)
         max_wait_s = max_queue_wait_s(job, self._now())
-        answer_s = min(PERMIT_TIMEOUT_S, PERMIT_TIMEOUT_SHARE * job.route.target_s)
+        permit_timeout_s = min(PERMIT_TIMEOUT_S, PERMIT_TIMEOUT_SHARE * job.route.target_s)
         engine = self._engine(job.service)
         return await self._placer.place(
             PlacementRequest(
@@ -216,7 +216,7 @@
                 job.tried,
                 share,
                 max_wait_s=max_wait_s,
-                answer_s=answer_s,
+                permit_timeout_s=permit_timeout_s,
             )
         )
 
--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -22,7 +22,7 @@
     """What a request needs of a server.
 
     `max_wait_s` is how long it may wait for a permit of a server with a limit if no other server is
-    free, and `answer_s` is the timeout for the answer of the node that grants permits.
+    free, and `permit_timeout_s` is the timeout for the answer of the node that grants permits.
     """
 
     service: str
@@ -32,7 +32,7 @@
     trial_share: float = 0.0
     moved: bool = False
     max_wait_s: float = 0.0
-    answer_s: float = PERMIT_TIMEOUT_S
+    permit_timeout_s: float = PERMIT_TIMEOUT_S
 
 
 class Placer:
@@ -57,7 +57,7 @@
                 break
             view = choice.view
             limited = view.limit_per_s is not None
-            if not limited or await self._permits.take(view, timeout_s=request.answer_s):
+            if not limited or await self._permits.take(view, timeout_s=request.permit_timeout_s):
                 return self._reserve(choice, request, limited)
         return await self._wait_for_permit(request)
 
@@ -65,10 +65,12 @@
         choice = None
         if refused >= MAX_REFUSED_PERMITS:
             limited = self._balancer.group(request.service).limited.names
-            choice = self._choose_without(request, request.excluded | limited)
-        return choice or self._choose_without(request, request.excluded)
+            choice = self._choose_excluding(request, request.excluded | limited)
+        return choice or self._choose_excluding(request, request.excluded)
 
-    def _choose_without(self, request: PlacementRequest, excluded: frozenset[str]) -> Choice | None:
+    def _choose_excluding(
+        self, request: PlacementRequest, excluded: frozenset[str]
+    ) -> Choice | None:
         return self._balancer.choose(
             request.service,
             request.facts,
@@ -83,7 +85,7 @@
         view = self._balancer.group(request.service).closed.first_permitted(request.excluded)
         if view is None or view.standing.held_until - self._now() > request.max_wait_s:
             return None
-        if not await self._permits.take(view, request.max_wait_s, request.answer_s):
+        if not await self._permits.take(view, request.max_wait_s, request.permit_timeout_s):
             return None
         if not view.is_open(self._now()):
             return None
