--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -31,7 +31,7 @@
         self,
         own_id: str,
         own_hall: str,
-        own_peer: str,
+        own_peer_address: str,
         balancer: LoadBalancer,
         members: Membership,
         send: Callable[[PermitAsk | PermitAnswer, str], None],
@@ -45,7 +45,7 @@
         self._logged_at = now()
         self._grantors = GrantorSelector(own_id)
         self._issuer = PermitIssuer(limit_lookup(balancer))
-        self.permits = PermitClient(self._issuer, self._grantors, own_peer, send, now)
+        self.permits = PermitClient(self._issuer, self._grantors, own_peer_address, send, now)
 
     def refresh(self, serving: bool) -> None:
         """Update which nodes serve; once a gossip round is enough."""
--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -176,14 +176,14 @@
         self,
         issuer: PermitIssuer,
         grantors: GrantorSelector,
-        own_peer: str = "",
+        own_peer_address: str = "",
         send: Callable[[PermitAsk, str], None] = lambda _ask, _address: None,
         now: Callable[[], float] = monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self._issuer = issuer
         self._grantors = grantors
-        self._own_peer = own_peer
+        self._own_peer = own_peer_address
         self._send = send
         self._now = now
         self._sleep = sleep
