--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -69,7 +69,7 @@
 
     def __init__(self, hall: str) -> None:
         self.views: dict[str, ServerView] = {}
-        self.work: dict[str, int] = {}
+        self.placed_work: dict[str, int] = {}
         self.estimators: dict[str, SpeedEstimator] = {}
         self.on_placed: Callable[[], None] = _ignore_placement
         self.has_connection: Callable[[str], bool] = _no_connection
@@ -282,7 +282,7 @@
             fetched, fetching_s = chosen.prefix.tokens - cached, chosen.costs.fetch_cost_s(cached)
             cached = chosen.prefix.tokens
         work = prefill_work(facts.prompt_tokens, cached)
-        self.work[service] = self.work.get(service, 0) + work
+        self.placed_work[service] = self.placed_work.get(service, 0) + work
         self.estimator(service).record_placed(work)
         placement = self._reserve(view, work, now)
         placement.uncached = max(0, facts.prompt_tokens - cached)
--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -355,7 +355,7 @@
             self.forwarder.limits.spent,
             self.balancer.loads(),
             self.sharing.sends(now),
-            self.balancer.work,
+            self.balancer.placed_work,
             self.neighbours.serving,
             power_of(node.cores, node.link_mbps),
             now - self.plans.store_reached_at,
--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -113,7 +113,7 @@
         if index is None or now - self._demand_recorded_at < PLAN_INTERVAL_S:
             return
         self._demand_recorded_at = now
-        self._work.record(OWN_INCARNATION, self._balancer.work)
+        self._work.record(OWN_INCARNATION, self._balancer.placed_work)
         self._work.merge_peers(self._sharing.members.all_states())
         for service in index.services.values():
             if service.renting is None:
--- a/tests/test_gateway_placements.py
+++ b/tests/test_gateway_placements.py
@@ -274,7 +274,7 @@
         self.assertEqual((target.prefill, target.work, target.fetch_from), (0, 0, ""))
         balancer.record_first_event(target, 9.0)
         balancer.record_completion(target, 9.0)
-        self.assertEqual(balancer.work, {})
+        self.assertEqual(balancer.placed_work, {})
         self.assertEqual(balancer.estimator("model").speed(10.0), PRIOR)
         self.assertEqual(target.view.slowness.factor(9.0), 1.0)
         again = balancer.place("model", make_facts("a", "y"), FAST_LINKS, 10.0)
