--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -67,10 +67,10 @@
         now = self._now()
         # Excludes servers of a version on trial, which run in addition to the ordered ones.
         group = self._balancer.group(service)
-        servers = [view.server for view in group.allowed()]
+        servers = [view.server for view in group.allowed_servers()]
         planner = self._planner(service)
         usual_per_s = self._sharing.requests_per_s(service, now) / max(1, len(servers))
-        planner.unavailable = group.unavailable(now, renting.boot_s)
+        planner.unavailable = group.unavailable_count(now, renting.boot_s)
         planner.unavailable += group.limited.lost_servers(now, usual_per_s, renting.boot_s)
         for order in planner.orders(renting, servers, now):
             grant = self._keeper.grant()
--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -246,7 +246,7 @@
         """
         return version in self._accepted_versions and self._rule.allows(version)
 
-    def allowed(self) -> list[ServerView]:
+    def allowed_servers(self) -> list[ServerView]:
         """Return the servers whose version gets work, including leaving ones."""
         return [view for view in self.views.values() if self.allows(view.server.version)]
 
@@ -366,7 +366,7 @@
             view for view in views if view.standing.declined_until > now and not view.server.leaving
         ]
 
-    def unavailable(self, now: float, longer_than_s: float) -> int:
+    def unavailable_count(self, now: float, longer_than_s: float) -> int:
         """Return the number of servers that reject requests of any node for longer than that.
 
         Servers that are leaving do not count.
--- a/tests/test_server_notices.py
+++ b/tests/test_server_notices.py
@@ -398,10 +398,10 @@
         balancer.apply([Server("s1", "model", "h:1", "a", 64)])
         for step in range(20):
             balancer.notices.merge_peer_declines({"s1": 1.0}, 10.0 + 0.2 * step)
-        self.assertEqual(balancer.group("model").unavailable(13.8, 4.0), 1)
+        self.assertEqual(balancer.group("model").unavailable_count(13.8, 4.0), 1)
         self.assertEqual(balancer.declined(13.8), {})
         balancer.notices.merge_peer_declines({"s1": 1.0}, 30.0)
-        self.assertEqual(balancer.group("model").unavailable(30.0, 4.0), 0)
+        self.assertEqual(balancer.group("model").unavailable_count(30.0, 4.0), 0)
 
     def test_servers_that_decline_for_longer_than_a_boot_are_replaced(self) -> None:
         balancer = LoadBalancer("a")
@@ -410,8 +410,8 @@
         for name in ("s0", "s1"):
             balancer.views[name].record_decline(10.0, 3.0)
         balancer.views["s0"].record_decline(13.0, 3.0)
-        self.assertEqual(group.unavailable(13.0, 4.0), 1)
-        self.assertEqual(group.unavailable(16.5, 4.0), 0)
+        self.assertEqual(group.unavailable_count(13.0, 4.0), 1)
+        self.assertEqual(group.unavailable_count(16.5, 4.0), 0)
         renting = Renting(0, 8, 4.0, 0.25, {"a": 1.0, "b": 1.0})
         planner = RentingPlanner("model")
         usual = planner.need(renting)
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -314,7 +314,7 @@
     ("others ask a full server later", ServerNotices, "merge_peer_declines", lambda *_: None,
      NOTICES),
     ("callers come back when any server is free", Refusals, "wait_s", lambda *_: None, NOTICES),
-    ("servers that turn away are made up for", ServerGroup, "unavailable", lambda *_: 0, NOTICES),
+    ("servers that turn away are made up for", ServerGroup, "unavailable_count", lambda *_: 0, NOTICES),
     ("requests to a limited server need a permit", PermitClient, "take", _grant_always,
      SERVER_LIMITS),
     ("one node grants for a server", GrantorSelector, "address", lambda *_: None, PERMITS),
