--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -142,7 +142,7 @@
 
     def __init__(self, own_id: str) -> None:
         self._own_id = own_id
-        self._peers: dict[str, str] = {}
+        self._addresses: dict[str, str] = {}
         self._halls: dict[str, str] = {}
         self._selected: dict[str, str] = {}
 
@@ -153,8 +153,8 @@
         halls = {each.id: each.hall for each in eligible}
         if serving or not halls:
             halls[self._own_id] = own_hall
-        if peers != self._peers or halls != self._halls:
-            self._peers, self._halls, self._selected = peers, halls, {}
+        if peers != self._addresses or halls != self._halls:
+            self._addresses, self._halls, self._selected = peers, halls, {}
 
     def address(self, view: ServerView) -> str | None:
         """Return the address of a server's grantor, or None if this node is the grantor."""
@@ -162,7 +162,7 @@
         if node is None:
             node = self._select(view)
             self._selected[view.server.id] = node
-        return self._peers.get(node)
+        return self._addresses.get(node)
 
     def _select(self, view: ServerView) -> str:
         same_hall = [name for name, hall in self._halls.items() if hall == view.server.hall]
@@ -183,7 +183,7 @@
     ) -> None:
         self._issuer = issuer
         self._grantors = grantors
-        self._own_peer = own_peer_address
+        self._own_peer_address = own_peer_address
         self._send = send
         self._now = now
         self._sleep = sleep
@@ -252,7 +252,7 @@
         self._serial += 1
         age_s = now - view.standing.limit.observed_at
         ask = PermitAsk(
-            self._own_peer, self._serial, view.server.id, limit, age_s, number, max_wait_s
+            self._own_peer_address, self._serial, view.server.id, limit, age_s, number, max_wait_s
         )
         address = self._grantors.address(view)
         if address is None:
