--- a/src/moledale/gateway/balance.py
+++ b/src/moledale/gateway/balance.py
@@ -29,7 +29,7 @@
 
 
 def _no_connection(_: str) -> bool:
-    """Return that there is no idle connection."""
+    """Return False: no connection is idle."""
     return False
 
 
@@ -46,25 +46,29 @@
     """Ignore a silent server."""
 
 
-def _ignore_outcome(_: Placement, _series: str, _failed: bool, _took_s: float) -> None:
+def _ignore_outcome(_: Placement, _series: str, _failed: bool, _took: float) -> None:
     """Ignore an outcome."""
 
 
 OutcomeCallback = Callable[[Placement, str, bool, float], None]
-"""Receives the outcome of a placement: its series, whether it failed, and its time in seconds or
-relative to the expected time."""
+"""Receives the outcome of a placement: the series that it belongs to (a route, or a route with
+`PACE_SUFFIX`), whether it failed, and how long it took. That is relative to the expected time for
+the first event of an engine, in seconds otherwise."""
 
 PACE_SUFFIX = "/pace"
-"""Suffix of the series that holds the time between the events of a route's streams."""
+"""Suffix of the series that holds the mean time between the events of a route's streams."""
 
 
 class LoadBalancer:
     """Tracks the servers of all services with their load, and chooses a server for each request.
 
     `has_connection` returns whether there is an idle connection to a server, and `idle_servers`
-    returns all servers with one, the most recently used first. `on_silent` is called with a server
-    that should have sent something: existing connections to it may stay silent although new ones
-    work.
+    returns all servers with one, the most recently used first. `on_placed` is called after a
+    request was placed on an engine, and `on_outcome` with the outcomes of requests. `on_silent` is
+    called with a server that should have sent something: existing connections to it may stay silent
+    although new ones work.
+
+    `placed_work` is all prefill work that this node placed so far, by service.
     """
 
     def __init__(self, hall: str) -> None:
@@ -93,8 +97,8 @@
         gone = [view.server for name, view in self.views.items() if name not in listed]
         for server in gone:
             self.notices.retain_statements(self.views.pop(server.id))
-        for service, here in by_service.items():
-            for view in self.group(service).apply(here.values()):
+        for service, listed_servers in by_service.items():
+            for view in self.group(service).apply(listed_servers.values()):
                 self.views[view.server.id] = view
                 self.notices.restore_statements(view)
                 self._add_peer_loads(view)
@@ -103,7 +107,7 @@
     def declined(self, now: float) -> dict[str, float]:
         """Return the servers that rejected this node's requests, to send to peers.
 
-        The value is the time in seconds for which a server is set aside.
+        The values are the seconds for which they stay deprioritized.
         """
         return self.notices.declines_to_broadcast(self._groups.values(), now)
 
@@ -116,7 +120,7 @@
         return sum(len(group.limited.names) for group in self._groups.values())
 
     def group(self, service: str) -> ServerGroup:
-        """Return the servers of a service."""
+        """Return the group of a service's servers, which is created if there is none yet."""
         group = self._groups.get(service)
         if group is None:
             group = ServerGroup(self._hall, self._load_delay_s, self._rng)
@@ -131,7 +135,7 @@
         return load_delay_s(view, speed, now) + FAILURE_PENALTY_S * view.failed_share
 
     def apply_peer_states(self, states: Iterable[NodeState]) -> None:
-        """Replace the load and the speed estimates of peers by those of the live ones."""
+        """Replace the loads and speed estimates of peers by those that all live peers state."""
         states = list(states)
         for service in {service for state in states for service in state.speeds}:
             speeds = (state.speeds.get(service) for state in states)
@@ -144,19 +148,19 @@
             self.apply_peer_loads(state.id, state.loads)
 
     def apply_peer_loads(self, node: str, loads: Loads) -> None:
-        """Replace the load counted for a node by `loads`."""
+        """Replace the load that a peer has on each server by `loads`."""
         before = self._peer_loads.get(node, {})
         if before is loads:
             return
         self._peer_loads[node] = loads
         for name in before.keys() | loads.keys():
             view = self.views.get(name)
-            was, now = before.get(name, (0, 0)), loads.get(name, (0, 0))
-            if view is not None and was != now:
-                view.add_peer_load(now[0] - was[0], now[1] - was[1])
+            old, new = before.get(name, (0, 0)), loads.get(name, (0, 0))
+            if view is not None and old != new:
+                view.add_peer_load(new[0] - old[0], new[1] - old[1])
 
     def _add_peer_loads(self, view: ServerView) -> None:
-        """Add the load of peers to a server that is new here."""
+        """Count the known loads of peers on a server that is new to the list."""
         peer_loads = [
             loads[view.server.id] for loads in self._peer_loads.values() if view.server.id in loads
         ]
@@ -171,7 +175,7 @@
         return {view.server.id: (view.running, view.prefill_tokens) for view in busy}
 
     def has_alternative(self, service: str, now: float, tried: frozenset[str]) -> bool:
-        """Return whether an untried server may get work and is not set aside."""
+        """Return whether an untried server without a stated limit is eligible for work."""
         return self.group(service).has_alternative(now, tried)
 
     def choose(
@@ -186,8 +190,8 @@
     ) -> Choice | None:
         """Choose a server without counting the request there; return None if there is none.
 
-        With a `trial_share`, a server is preferred from those that take this share of the load for
-        a new version. With `only`, that server is used.
+        With a `trial_share`, one of the servers that take this share of the load for a new version
+        is preferred. With `only`, that server is used.
         """
         group = self.group(service)
         home = None
@@ -349,7 +353,10 @@
         self.record_outcome(placement, True, now - placement.sent_at)
 
     def record_outcome(self, placement: Placement, failed: bool, took: float) -> None:
-        """Report an answer, or that there was none, unless the placement was reported already."""
+        """Report an answer or the lack of one, unless the placement was reported already.
+
+        `took` is as in `OutcomeCallback`.
+        """
         if not placement.outcome_recorded:
             placement.outcome_recorded = True
             self.on_outcome(placement, placement.route, failed, took)
