--- a/src/moledale/gateway/choice.py
+++ b/src/moledale/gateway/choice.py
@@ -10,7 +10,7 @@
 from moledale.gateway.server_view import ServerView
 
 FAILURE_PENALTY_S = 0.4
-"""Cost of a server whose recent answers all failed, scaled by its share of failures."""
+"""Cost added to a server, multiplied by the share of its recent answers that failed."""
 
 CROSS_HALL_RTT_S = 0.001
 """Minimum round trip time to another hall; it only decides between otherwise equal servers."""
@@ -33,14 +33,18 @@
 
 
 def affinity_key(parts: tuple[PromptPart, ...]) -> str:
-    """Return the key that requests have in common if they should go to the same server."""
+    """Return the key that requests have in common if they should go to the same server.
+
+    The last of several parts usually differs between requests, so the part before it is the key. An
+    empty string is returned without parts.
+    """
     if not parts:
         return ""
     return parts[-2].id if len(parts) > 1 else parts[0].id
 
 
 def plain_cost_s(view: ServerView, hall: str) -> float:
-    """Estimate the time until the answer of a plain service."""
+    """Return the expected time to a plain server's answer, with a penalty for recent failures."""
     queue_factor = 1 + view.total_running / max(1, view.server.slots)
     cross_hall_s = CROSS_HALL_RTT_S if view.server.hall != hall else 0.0
     return view.answer_s * queue_factor + cross_hall_s + FAILURE_PENALTY_S * view.failed_share
@@ -51,7 +55,7 @@
 ) -> CachedPrefix:
     """Return the longest prefix of a prompt that a healthy server has cached.
 
-    Servers that leave are included.
+    Servers that are leaving are included.
     """
     best = CachedPrefix()
     for view in holders:
