--- a/src/moledale/gateway/closed_servers.py
+++ b/src/moledale/gateway/closed_servers.py
@@ -1,7 +1,7 @@
 """Servers of a service that get no requests for now, and those that state a limit.
 
-They are tracked as they change, in the order in which they open again, so that no request has to
-scan them to find that all are closed.
+Both are updated as servers change, and closed servers are ordered by when they open again, so that
+no request has to scan the servers to find that all are closed.
 """
 
 import random
@@ -10,13 +10,17 @@
 from moledale.gateway.server_view import ServerView
 
 MIN_USUAL_PER_S = 1e-3
-"""Servers that get fewer requests per second than this lose nothing by a limit."""
+"""Minimum usual request rate of a server, since the lost capacity is divided by it. Servers that
+get fewer requests lose nothing by a limit."""
 
 NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
 class LimitedServers:
-    """The servers that state a limit of requests from all nodes together."""
+    """The servers that state a limit on the requests of all nodes together.
+
+    `names` are their ids.
+    """
 
     def __init__(self) -> None:
         self.names: set[str] = set()
@@ -76,7 +80,7 @@
 
 
 class ClosedServers:
-    """The servers that are leaving, back off or are on hold for lack of a permit."""
+    """The servers that are leaving, backing off or on hold for lack of a permit."""
 
     def __init__(self, rng: random.Random) -> None:
         self._closed: set[str] = set()
@@ -110,7 +114,7 @@
         return len(self._closed) == total
 
     def next_reopened(self, now: float) -> ServerView | None:
-        """Return a server that is open by now and not updated since, or None."""
+        """Return a server that has opened by now but was not updated since, or None."""
         for view in self._earliest():
             if not view.is_closed(now):
                 return view
@@ -122,7 +126,7 @@
         return found[0] if found else None
 
     def opens_in_s(self, now: float) -> float | None:
-        """Return the seconds until the first server opens, or None if none is known to."""
+        """Return the seconds until the first server opens, or None if none is due to open."""
         return min((view.standing.opens_in_s(now) for view in self._earliest()), default=None)
 
     def _earliest(self) -> list[ServerView]:
