--- a/src/moledale/gateway/ended_servers.py
+++ b/src/moledale/gateway/ended_servers.py
@@ -1,4 +1,4 @@
-"""Servers that are leaving or gone, of which an older copy of the store may not know.
+"""Departures of servers, which an older copy of the store may not contain.
 
 A store restored from such a copy lists these servers as they were before. Their entries are ignored
 for a while: a server that is gone never writes again, so its entry lapses.
@@ -12,25 +12,25 @@
 from moledale.gateway.messages import Server
 
 MAX_REMEMBERED_SERVERS = 2_000
-"""Maximum servers that are remembered: more than a large system has."""
+"""Maximum departures that are remembered: more than a large system has servers."""
 
 
 class Departure(msgspec.Struct, frozen=True):
-    """What is known of a departure: `gone`, or leaving with the time left if that is known."""
+    """A server that is gone, or else leaving, with `leaves_s` as the time it has left if known."""
 
     gone: bool
     leaves_s: float | None = None
 
 
 class DepartureLog:
-    """Departures that this node saw, and those that entries of a restored store contradict."""
+    """Holds the departures seen by this node, and which of them a restored store contradicts."""
 
     def __init__(self) -> None:
         self._seen: LRUCache[str, Departure] = LRUCache(MAX_REMEMBERED_SERVERS)
         self._contradicted: dict[str, Departure] = {}
 
     def observe(self, before: Iterable[str], listed: Mapping[str, Server]) -> None:
-        """Record the departures that the next list of the same era contains."""
+        """Record the departures between a list, given by its ids, and the next of the same era."""
         for name in before:
             if name not in listed:
                 self.record(name, Departure(gone=True))
