--- a/src/moledale/gateway/engine_costs.py
+++ b/src/moledale/gateway/engine_costs.py
@@ -33,7 +33,10 @@
 
 
 def prefill_work(prompt: int, cached: int) -> int:
-    """Return the prefill work of a prompt beyond its cached prefix, in tokens of a short prompt."""
+    """Return the prefill work of a prompt beyond its cached prefix.
+
+    Its unit is the work of one token of a short prompt; a token of a long prompt is more work.
+    """
     cached = min(cached, prompt)
     return prompt - cached + int(ATTENTION_WORK_FACTOR * (prompt * prompt - cached * cached))
 
@@ -55,7 +58,7 @@
     """Return the delay of an uncached prompt of usual size, compared with an idle server.
 
     An idle and healthy server has a delay of zero, whatever the estimated speed. So a change of the
-    estimate keeps the order of such servers, and only those with work are estimated anew.
+    estimate keeps the order of such servers, and only those with work need a new estimate.
     """
     concurrent = view.total_running
     work = speed.remaining_work(view.total_prefill) + speed.residual_work
@@ -82,7 +85,7 @@
         return MIN_FETCH_SPEEDUP_FACTOR * took_s < self.speed.prefill_s(saved, concurrent)
 
     def prefill_s(self, cached: int, concurrent: int = 0) -> float:
-        """Return the time from the start of prefill until a server has the whole prompt."""
+        """Return the expected prefill time of the prompt, with a prefix fetch if that is faster."""
         prompt = self.facts.prompt_tokens
         if self.should_fetch(cached, concurrent):
             remaining_s = self.speed.prefill_s(prefill_work(prompt, self.prefix.tokens), concurrent)
