--- a/src/moledale/gateway/evacuation.py
+++ b/src/moledale/gateway/evacuation.py
@@ -22,7 +22,7 @@
 from moledale.log import Event, emit
 
 LIST_AGE_S = 0.5
-"""About how old a server's time left in the list is when it is read."""
+"""Approximate age of the time left that the list states, which is reduced by it."""
 
 END_MARGIN_S = 0.3
 """Streams should have left a server this long before it ends: a few events of 30 ms and the
@@ -36,20 +36,23 @@
 """Maximum concurrent moves from one server: they queue at its link, so more would not be faster."""
 
 MOVE_TIMEOUT_MARGIN_S = 1.0
-"""Timeout of a move beyond the time of its copy, for other moves that queue at the links."""
+"""Time added to a copy's own for the timeout of a move, since other moves queue at the links."""
 
 ASSUMED_FIRST_TOKEN_S = 0.3
-"""Assumed time to the first event of a stream without any yet."""
+"""Assumed time to the first event of a stream that has none yet."""
 
 ASSUMED_EVENT_INTERVAL_S = 0.03
-"""Assumed time between two events where none was seen yet."""
+"""Assumed time between two events of a stream that has fewer than two so far."""
 
 CROSS_HALL_COPY_FACTOR = 2.0
 """A copy to another hall takes this many times as long as one within a hall."""
 
 
 class Moved(msgspec.Struct, frozen=True):
-    """A copy that a run can continue from; `handle` names it at its source."""
+    """A copy that a run can continue from.
+
+    `handle` identifies it at its source, and `events` is the number of events made until then.
+    """
 
     handle: str
     events: int = 0
@@ -63,7 +66,7 @@
 
 
 class Engines(Protocol):
-    """Orders to model servers."""
+    """Sends orders to model servers."""
 
     async def move(
         self, source: str, run: str, target: str, last: bool, timeout_s: float
@@ -85,7 +88,12 @@
 
 
 class StreamRun(msgspec.Struct, eq=False):
-    """A stream in flight; `continuation` is resolved once the run was stopped to be moved."""
+    """A stream in flight.
+
+    `events` counts all events of the run, `server_events` those of its current server.
+    `event_tokens` is the number of tokens per event. `stopping` is set once the run is being
+    stopped for a move, and `continuation` is resolved after that, with None if the move failed.
+    """
 
     facts: RequestFacts
     service: str
@@ -102,7 +110,7 @@
     )
 
     def record_events(self, number: int, now: float) -> None:
-        """Record new events; those of an earlier server don't count for the pace of this one."""
+        """Record new events; the interval between events is measured on the current server only."""
         if not self.server_events:
             self.first_event_at = now
         self.events += number
@@ -114,8 +122,8 @@
         max_events = max(1, self.facts.answer_tokens // self.event_tokens)
         if self.server_events < 2:
             return ASSUMED_FIRST_TOKEN_S + max_events * ASSUMED_EVENT_INTERVAL_S
-        pace = (self.last_event_at - self.first_event_at) / (self.server_events - 1)
-        return max(0, max_events - self.events) * pace - (now - self.last_event_at)
+        interval_s = (self.last_event_at - self.first_event_at) / (self.server_events - 1)
+        return max(0, max_events - self.events) * interval_s - (now - self.last_event_at)
 
     def tokens(self) -> int:
         """Return the tokens in the server's KV cache."""
@@ -123,7 +131,7 @@
 
 
 class Evacuation:
-    """Watches for servers that are leaving, and moves this node's streams off them.
+    """Moves this node's streams off servers that are leaving.
 
     `default_notice_s` is the time that a server has left if the list doesn't state it.
     """
@@ -151,8 +159,8 @@
     def servers_changed(self, gone: Iterable[Server] = ()) -> None:
         """Start to evacuate servers that are leaving or `gone`.
 
-        Some just disappear from the list and serve on for a while. Servers that crashed disappear
-        from it as well; moves from them fail at once.
+        A server that is gone from the list may serve on for a while. Crashed servers are among
+        those too; moves from them fail at once.
         """
         now = self._now()
         leaving = {
@@ -185,7 +193,7 @@
             task.add_done_callback(self._tasks.discard)
 
     def forget(self, run: StreamRun) -> None:
-        """Forget a stream that has ended on this node, and release a copy it did not use."""
+        """Stop tracking a stream that ended at this node, and release a copy it did not use."""
         run.done = True
         self.runs.discard(run)
         self._planned.discard(run)
@@ -195,7 +203,7 @@
                 self._release_unused(unused)
 
     def _release_unused(self, unused: Continuation) -> None:
-        """Release a copy that is not used, since its caller left."""
+        """Release a copy that is not used, since the stream has ended."""
         unused.placement.end()
         task = asyncio.get_running_loop().create_task(
             self._engines.release(unused.source, unused.handle)
@@ -232,8 +240,8 @@
             )
             if target is None:
                 return
-            used = await self._copy(run, server, engine, target)
-            if not used:
+            moved = await self._copy(run, server, engine, target)
+            if not moved:
                 target.end()
 
     async def _copy(
