--- a/src/moledale/gateway/limit_sharing.py
+++ b/src/moledale/gateway/limit_sharing.py
@@ -1,4 +1,4 @@
-"""How nodes keep the limits that servers state together: who grants, and what they exchange."""
+"""A node's part in keeping the limits that servers state for all nodes together."""
 
 from collections.abc import Callable
 
@@ -25,7 +25,10 @@
 
 
 class LimitSharing:
-    """A node's part in limits that hold for all nodes; `send` sends a message to an address."""
+    """Issues and requests permits, and exchanges limits with other nodes.
+
+    `send` sends a message to an address.
+    """
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         self.permits = PermitClient(self._issuer, self._grantors, own_peer_address, send, now)
 
     def refresh(self, serving: bool) -> None:
-        """Update which nodes serve; once a gossip round is enough."""
+        """Update which nodes may grant permits; called once per gossip round."""
         now = self._now()
         self._grantors.refresh(self._own_hall, serving, self._members.alive(now))
         self._issuer.reachable_share = self._members.reachable_share(now)
@@ -57,7 +60,7 @@
             self._logged_at = now
 
     def _log_counts(self, seconds: float) -> None:
-        """Log how many permits were requested and granted here."""
+        """Log how many permits were requested from this node and granted in the last `seconds`."""
         counts = self._issuer.take_counts()
         busiest = sorted(counts, key=lambda server: -counts[server].asked)[:MAX_LOGGED_SERVERS]
         for server in busiest:
@@ -84,14 +87,17 @@
         self._send(self.permits.grant(message), message.peer)
 
     def on_state(self, state: NodeState) -> None:
-        """Merge the limits that a node observed itself."""
+        """Merge the limits in a peer's state, which that peer observed itself."""
         if state.limits:
             self._balancer.notices.merge_peer_limits(state.limits, state.id, self._now())
 
-    def on_placed(self, news: PlacementNews) -> None:
-        """Count requests that a build without limits sent to servers that this node grants for."""
-        state = self._members.state_of(news.id, news.life, news.sequence)
+    def on_placed(self, placements: PlacementNews) -> None:
+        """Count requests that a peer sent without permits, since its build has no limits.
+
+        Only servers that this node issues permits for are affected.
+        """
+        state = self._members.state_of(placements.id, placements.life, placements.sequence)
         if state is None or state.limits is not None:
             return
-        for each in news.placed:
+        for each in placements.placed:
             self._issuer.record_unpermitted(each.server, self._now())
