--- a/src/moledale/gateway/permits.py
+++ b/src/moledale/gateway/permits.py
@@ -2,9 +2,9 @@
 
 For each such server one node, the grantor, issues the permits. It is selected by a hash that is the
 same on all nodes, so the limit is kept whichever nodes receive the requests. A node asks the
-grantor before each send; after a rejection it sends the server nothing until the stated time. If
-the grantor can't be reached, no other node stands in for it: the server gets nothing from the
-asking node for a moment, and another grantor is selected once the silent one counts as gone.
+grantor before each send; if that refuses, the node sends the server nothing until the stated time.
+If the grantor can't be reached, no other node replaces it at once: the asking node pauses the
+server briefly, and another grantor is selected once the silent one is no longer considered alive.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 event loop."""
 
 SILENT_GRANTOR_PAUSE_S = 0.3
-"""A server whose grantor did not answer gets nothing for this long: more than one gossip round."""
+"""Time that a server is on hold if its grantor did not answer: more than one gossip round."""
 
 BATCH_S = 0.02
 """Permits for this much time are requested at once, so that high limits don't cost a call per
@@ -40,15 +40,15 @@
 
 
 LimitLookup = Callable[[str, float], float | None]
-"""Return a server's limit, or None if it states none any more. The number is the limit to return
-for a server that is not listed."""
+"""Returns the limit of the server with this id, or None if it states none any more. For a server
+that is not listed, the second argument is returned."""
 
 
 class PermitAsk(msgspec.Struct, array_like=True, tag="ask-permit"):
     """A request for permits; `per_s` is the limit as the sender observed it `age_s` ago.
 
-    The answer goes to `peer` with the same `serial`. The first permit may be for a moment up to
-    `most_wait_s` from now.
+    The answer goes to the address `peer` with the same `serial`. The first permit may become valid
+    up to `most_wait_s` from now.
     """
 
     peer: str
@@ -70,7 +70,7 @@
 
 
 class UnusedPermits(msgspec.Struct):
-    """Permits of one answer that were not used yet, granted for a limit of `per_s`."""
+    """Unused permits of one answer, which were granted under a limit of `per_s`."""
 
     number: int
     expires_at: float
@@ -88,9 +88,9 @@
     """Issues permits for the servers that this node is the grantor of.
 
     `limit_of` returns a server's limit as known here, and for an unknown server the limit that the
-    asking node reported. `reachable_share` is the share of serving nodes that this node hears from.
-    The others may be cut off by a partition and have a grantor of their own, so only this share of
-    a limit is granted.
+    asking node reported. `reachable_share` is the share of serving nodes that are reachable from
+    this one. The others may be cut off by a partition and have a grantor of their own, so only this
+    share of a limit is granted.
     """
 
     def __init__(self, limit_of: LimitLookup) -> None:
@@ -135,9 +135,9 @@
 
 
 class GrantorSelector:
-    """Selects the node that grants for a server among the serving nodes, those of its hall first.
+    """Selects a server's grantor among the serving nodes, those of its hall first.
 
-    Nodes whose state carries no limits don't grant.
+    Nodes whose state carries no limits run a build that can't grant permits.
     """
 
     def __init__(self, own_id: str) -> None:
@@ -147,14 +147,14 @@
         self._selected: dict[str, str] = {}
 
     def refresh(self, own_hall: str, serving: bool, alive: Iterable[NodeState]) -> None:
-        """Update which nodes serve."""
+        """Update which nodes may be selected; `serving` states whether this node serves."""
         eligible = [each for each in alive if each.serving and each.limits is not None]
-        peers = {each.id: each.peer for each in eligible}
+        addresses = {each.id: each.peer for each in eligible}
         halls = {each.id: each.hall for each in eligible}
         if serving or not halls:
             halls[self._own_id] = own_hall
-        if peers != self._addresses or halls != self._halls:
-            self._addresses, self._halls, self._selected = peers, halls, {}
+        if addresses != self._addresses or halls != self._halls:
+            self._addresses, self._halls, self._selected = addresses, halls, {}
 
     def address(self, view: ServerView) -> str | None:
         """Return the address of a server's grantor, or None if this node is the grantor."""
@@ -194,18 +194,21 @@
     async def take(
         self, view: ServerView, max_wait_s: float = 0.0, timeout_s: float = PERMIT_TIMEOUT_S
     ) -> bool:
-        """Return whether a request may be sent to a server, after a wait of up to `max_wait_s`.
+        """Get a permit for a request to a server; return whether it was granted and is valid now.
+
+        `max_wait_s` is how long to wait until a permit becomes valid, and `timeout_s` how long for
+        the grantor's answer. A server without a limit needs no permit.
 
         While the call is in flight, no other request of this node selects the server.
         """
-        limit = view.limit_per_s
-        if limit is None or self._take_unused(view.server.id, limit):
+        limit_per_s = view.limit_per_s
+        if limit_per_s is None or self._take_unused(view.server.id, limit_per_s):
             return True
-        # A batch for a later moment would be used before then by requests that don't wait.
-        number = 1 if max_wait_s else max(1, int(limit * BATCH_S))
+        # Requests that don't wait would use the rest of a batch before it becomes valid.
+        number = 1 if max_wait_s else max(1, int(limit_per_s * BATCH_S))
         asked_at = self._now()
         view.hold_until(asked_at + timeout_s)
-        answer = await self._ask(view, limit, number, max_wait_s, timeout_s)
+        answer = await self._ask(view, limit_per_s, number, max_wait_s, timeout_s)
         now = self._now()
         if answer is None:
             view.hold_until(now + SILENT_GRANTOR_PAUSE_S)
@@ -215,7 +218,7 @@
             return False
         if answer.number > 1:
             self._unused[view.server.id] = UnusedPermits(
-                answer.number - 1, now + PERMIT_TTL_S, limit
+                answer.number - 1, now + PERMIT_TTL_S, limit_per_s
             )
         view.hold_until(0.0)
         if answer.wait_s > 0:
@@ -246,13 +249,19 @@
         return unused.expires_at >= self._now() and unused.per_s == limit_per_s
 
     async def _ask(
-        self, view: ServerView, limit: float, number: int, max_wait_s: float, timeout_s: float
+        self, view: ServerView, limit_per_s: float, number: int, max_wait_s: float, timeout_s: float
     ) -> PermitAnswer | None:
         now = self._now()
         self._serial += 1
         age_s = now - view.standing.limit.observed_at
         ask = PermitAsk(
-            self._own_peer_address, self._serial, view.server.id, limit, age_s, number, max_wait_s
+            self._own_peer_address,
+            self._serial,
+            view.server.id,
+            limit_per_s,
+            age_s,
+            number,
+            max_wait_s,
         )
         address = self._grantors.address(view)
         if address is None:
@@ -275,7 +284,7 @@
 
 
 def limit_lookup(balancer: LoadBalancer) -> LimitLookup:
-    """Return a lookup of the limits in a node's book of servers."""
+    """Return a lookup of the limits of the servers that a balancer tracks."""
 
     def limit_of(server: str, reported_per_s: float) -> float | None:
         view = balancer.views.get(server)
