--- a/src/moledale/gateway/placing.py
+++ b/src/moledale/gateway/placing.py
@@ -12,7 +12,7 @@
 from moledale.gateway.server_view import Placement
 
 MAX_REFUSED_PERMITS = 2
-"""Permits refused to one request before it takes a server without a limit, if there is one."""
+"""Refused permits after which a request goes to a server without a limit, if there is one."""
 
 MAX_PERMIT_REQUESTS = 8
 """Maximum permits that one request asks for when all servers state limits: each takes 1 ms."""
@@ -22,7 +22,9 @@
     """What a request needs of a server.
 
     `max_wait_s` is how long it may wait for a permit of a server with a limit if no other server is
-    free, and `permit_timeout_s` is the timeout for the answer of the node that grants permits.
+    free, and `permit_timeout_s` is the timeout for the answer of the node that grants permits. With
+    a `trial_share`, a server that takes this share of the load for a new version is preferred. A
+    `moved` request brings its KV cache along.
     """
 
     service: str
@@ -48,8 +50,8 @@
     async def place(self, request: PlacementRequest) -> Placement | None:
         """Choose a server and count the request there; return None if none is available in time.
 
-        Where the server states no limit, nothing is awaited between the two, so no other request
-        comes in between.
+        If the server states no limit, nothing is awaited between the two steps, so no other request
+        can change the load in between.
         """
         for refused in range(MAX_PERMIT_REQUESTS):
             choice = self._choose(request, refused)
@@ -81,7 +83,7 @@
         )
 
     async def _wait_for_permit(self, request: PlacementRequest) -> Placement | None:
-        """Place the request on the server with the next permit, within `max_wait_s`."""
+        """Wait up to `max_wait_s` for the next permit of any server; place the request there."""
         view = self._balancer.group(request.service).closed.first_permitted(request.excluded)
         if view is None or view.standing.held_until - self._now() > request.max_wait_s:
             return None
