--- a/src/moledale/gateway/server_ends.py
+++ b/src/moledale/gateway/server_ends.py
@@ -1,9 +1,9 @@
-"""Detection of a crashed server after an answer of it broke off.
+"""Detection of crashed servers after answers of them broke off.
 
 An answer may break off though its server is alive: a connection was reset, or the answer was
 corrupt. Only a server that accepts no connection any more has crashed, and only then do the
-requests that ran there count as suspects. All requests of this node that broke off there are
-checked together.
+requests that ran there are suspected of the crash. One check covers all requests of this node that
+broke off at a server.
 """
 
 import asyncio
@@ -67,7 +67,7 @@
         self._on_checked(broken, await self._has_crashed(broken.server))
 
     async def _has_crashed(self, server: Server) -> bool:
-        """Try to connect; a new connection is kept for the next request."""
+        """Return whether the server accepts no connection; a new one is kept for reuse."""
         if self._pool.has_idle(server.id):
             return False
         try:
