--- a/src/moledale/gateway/server_group.py
+++ b/src/moledale/gateway/server_group.py
@@ -34,8 +34,8 @@
 ms and is charged for. One would do unless it is slower; the others cover that case."""
 
 UNORDERED_VERSION_DELAY_S = 30.0
-"""A version that appears without a roll-out order gets work after this time. It is longer than an
-order takes to arrive. Without it, servers replaced in another way would never be used."""
+"""A version that appears without a roll-out order gets work after this time, which is longer than
+an order takes to arrive. Servers replaced without an order would otherwise never be used."""
 
 RECOVERED_RATIO = 0.01
 """A server counts as healthy again when its share of failures and its slowdown fall below this."""
@@ -121,7 +121,7 @@
         self._update_versions()
 
     def update(self, view: ServerView) -> None:
-        """Update counts and order after a change of a server's load or standing."""
+        """Update the counts and indexes after a change of a server's load or standing."""
         name = view.server.id
         running, prefill = self._counted_load.get(name, (0, 0))
         self._counted_load[name] = counted = (view.total_running, view.total_prefill)
@@ -141,7 +141,7 @@
             queue.put(view, quantize(self._load_delay_s(view, self._now)))
 
     def _reopen_closed(self, now: float) -> None:
-        """Make servers available as soon as they may get requests, before the next tick."""
+        """Update the servers that have opened by now, without waiting for the next tick."""
         self._now = max(self._now, now)
         while view := self.closed.next_reopened(self._now):
             self.update(view)
@@ -227,7 +227,7 @@
         self._trial = None
 
     def _accept_unordered_versions(self) -> None:
-        """Accept versions that have been present for long without a roll-out order."""
+        """Accept versions present for longer than `UNORDERED_VERSION_DELAY_S` without an order."""
         unordered = {
             version
             for version, since in self._present_since.items()
@@ -275,14 +275,16 @@
         return ranked(self._rule.target, new)[: max(1, round(share / (1.0 - share) * current))]
 
     def _new_and_current(self) -> tuple[list[str], int]:
-        """Return the target version's servers and the number of those in use, without leaving
-        ones."""
+        """Return the ids of the target version's servers, and how many servers are in use.
+
+        Servers that are leaving are left out.
+        """
         staying = [view.server for view in self.views.values() if not view.server.leaving]
         new = [server.id for server in staying if server.version == self._rule.target]
         return new, sum(1 for server in staying if self.allows(server.version))
 
     def is_eligible(self, view: ServerView, excluded: frozenset[str]) -> bool:
-        """Return whether a server may get new work."""
+        """Return whether a server may get new work and is neither deprioritized nor excluded."""
         if view.server.id in excluded or not self._is_available(view):
             return False
         return self.allows(view.server.version)
@@ -298,11 +300,14 @@
         home: str | None = None,
         connected: Iterable[str] = (),
     ) -> list[ServerView]:
-        """Return the servers to weigh for a request; ones set aside only if there are no others."""
+        """Return the servers to weigh for a request, deprioritized ones only if all are.
+
+        `connected` are the servers of any service with an idle connection, by id.
+        """
         self._reopen_closed(now)
         found = {view.server.id: view for view in holders if self.is_eligible(view, excluded)}
-        named = [home] if home is not None else []
-        for name in (*named, *self._connected(connected)):
+        homes = [home] if home is not None else []
+        for name in (*homes, *self._connected(connected)):
             view = self.views.get(name)
             if view is not None and self.is_eligible(view, excluded):
                 found[name] = view
@@ -314,6 +319,7 @@
         return list(found.values()) or self._fallback_candidates(excluded)
 
     def _connected(self, names: Iterable[str]) -> list[str]:
+        """Return the first few of `names` that are servers of this service."""
         found: list[str] = []
         for name in names:
             if name in self.views:
@@ -323,9 +329,9 @@
         return found
 
     def _fallback_candidates(self, excluded: frozenset[str]) -> list[ServerView]:
-        """Return the open servers of allowed versions; ones set aside only if there are no others.
+        """Return the open servers of allowed versions, deprioritized ones only if all of them are.
 
-        If no allowed version is present, any version that is not rejected counts, unless the rule
+        If none has an allowed version, any version that is not rejected counts, unless the rule
         keeps work from its target version.
         """
         if self.closed.all_closed(len(self.views)):
@@ -349,15 +355,15 @@
         self._reopen_closed(now)
         if self.closed.all_closed(len(self.views)):
             return self.closed.opens_in_s(now)
-        first = None
+        earliest_s = None
         for view in self.views.values():
             if view.server.leaving or not self.allows(view.server.version):
                 continue
             wait_s = view.standing.opens_in_s(now)
             if wait_s == 0.0:
                 return 0.0
-            first = wait_s if first is None else min(first, wait_s)
-        return first
+            earliest_s = wait_s if earliest_s is None else min(earliest_s, wait_s)
+        return earliest_s
 
     def declined(self, now: float) -> list[ServerView]:
         """Return the servers that are not leaving and rejected requests of this node."""
@@ -367,9 +373,9 @@
         ]
 
     def unavailable_count(self, now: float, longer_than_s: float) -> int:
-        """Return the number of servers that reject requests of any node for longer than that.
+        """Return the number of servers that have rejected requests for longer than `longer_than_s`.
 
-        Servers that are leaving do not count.
+        Requests of any node count. Servers that are leaving are left out.
         """
         views = (self.views[name] for name in self._degraded)
         standings = (view.standing for view in views if not view.server.leaving)
@@ -380,9 +386,9 @@
         )
 
     def has_alternative(self, now: float, tried: frozenset[str]) -> bool:
-        """Return whether an untried server may get work and is not set aside.
+        """Return whether an untried server is eligible for work.
 
-        Servers that state a limit do not count, since they may have no permit left.
+        Servers that state a limit are left out, since they may have no permit left.
         """
         self._now = max(self._now, now)
         excluded = tried | self.limited.names
