--- a/src/moledale/gateway/server_list.py
+++ b/src/moledale/gateway/server_list.py
@@ -23,7 +23,7 @@
 """A change of more packets is fetched instead; departures are always broadcast."""
 
 NEVER_S = -1e9
-"""A time before any that is sent."""
+"""Placeholder for a time that never came; it is before any that is sent."""
 
 
 class ListHead(msgspec.Struct, frozen=True, array_like=True):
@@ -73,7 +73,7 @@
 
     @property
     def empty(self) -> bool:
-        """Return whether it contains no servers."""
+        """Return whether this part contains no servers."""
         return not (self.leaving or self.gone or self.changed)
 
 
@@ -113,9 +113,9 @@
 class ChangeResult(msgspec.Struct):
     """The effect of one part of a change.
 
-    With `is_new` it was not received before. With `confirmed` this node has the list that the
-    change leads to. With `servers_differ` the usable servers are other than before. With
-    `needs_fetch` the list has to be fetched.
+    `is_new`: the part was not received before. `confirmed`: this node now has the list that the
+    change leads to. `servers_differ`: the usable servers changed. `needs_fetch`: the list has to be
+    fetched.
     """
 
     is_new: bool = False
@@ -125,14 +125,14 @@
 
 
 class _DepartureMark(msgspec.Struct, frozen=True):
-    """A server that is leaving, or gone (None), as of a version."""
+    """A server's departure as of a version; `leaving` is None if the server is gone."""
 
     version: EraVersion
     leaving: Leaving | None
 
 
 class ServerList(msgspec.Struct):
-    """The newest known list, and departures that are known beyond it."""
+    """The newest known list, and known departures that it does not contain."""
 
     era_version: EraVersion = EraVersion()
     digest: int = 0
@@ -161,7 +161,7 @@
         return result
 
     def _departure_of(self, server: str) -> Departure | None:
-        """Return a server's departure that is known beyond the list, if any."""
+        """Return a server's known departure that the list does not contain, if any."""
         mark = self._departure_marks.get(server)
         if mark is None:
             return self._departure_log.contradicted_departure(server)
@@ -189,7 +189,10 @@
         return len(self._departure_marks) < marks_before
 
     def update_from_peer(self, raw: bytes, era_version: EraVersion) -> bool:
-        """Adopt a peer's encoded list; return whether it differs. ValueError if unreadable."""
+        """Adopt a peer's encoded list; return whether it differs.
+
+        Raise ValueError if it can't be decoded.
+        """
         servers = msgspec.msgpack.decode(raw, type=list[Server])
         if era_version < self.era_version:
             return False
@@ -276,6 +279,7 @@
         return any_new
 
     def _with_first_leaves_s(self, server: Server) -> Server:
+        """Return a server with the time left that was first reported if it was leaving already."""
         known = self.servers.get(server.id)
         mark = self._departure_marks.get(server.id)
         if server.leaving and known is not None and known.leaving:
@@ -285,6 +289,7 @@
         return server
 
     def _replace(self, servers: dict[str, Server], era_version: EraVersion) -> bool:
+        """Replace the list; return whether the usable servers may have changed."""
         raw = _encode(servers)
         digest = digest_of(raw)
         differs = digest != self.digest or self.version < 0 or bool(self._departure_marks)
@@ -295,6 +300,7 @@
         return differs
 
     def _advance_to(self, era_version: EraVersion) -> None:
+        """Adopt a version, and drop the marks that it covers."""
         if era_version.is_restored_since(self.era_version):
             self._departure_log.on_store_restored(self.servers)
         self.era_version = era_version
@@ -328,7 +334,7 @@
 
 
 def _pack(empty: ServerChange, items: Iterable[Leaving | str | Server]) -> list[ServerChange]:
-    """Fill packets one after the other."""
+    """Distribute items over packets in order, each of which is a copy of `empty`."""
     capacity = MAX_PACKET_BYTES - len(msgspec.msgpack.encode(empty))
     parts = [ServerDelta()]
     free = capacity
@@ -346,6 +352,7 @@
 
 
 def _delta_between(before: dict[str, Server], after: dict[str, Server]) -> ServerDelta:
+    """Return the delta that leads from one list to another."""
     result = ServerDelta(gone=[name for name in before if name not in after])
     for name, server in after.items():
         known = before.get(name)
