--- a/src/moledale/gateway/server_model.py
+++ b/src/moledale/gateway/server_model.py
@@ -57,7 +57,7 @@
 smaller difference, noise decides the slope."""
 
 MIN_WORK_GAP_TOKENS = 1.0
-"""Minimum difference in work between the prompts of a pair, because the slope divides by it."""
+"""Minimum difference in work between the prompts of a pair, in tokens: the slope divides by it."""
 
 MAX_CLEAN_QUEUE_RATIO = 0.3
 """Maximum work queued ahead of a clean sample, as a share of the prompt's own work. Clean samples
@@ -91,8 +91,8 @@
 """Number of requests that the scaled hold time counts as after a change."""
 
 REFIT_INTERVAL_S = 0.5
-"""Minimum time between fits. A fit with 160 samples takes 1 to 2 ms of processor time (measured
-under other load), which is too much for each request."""
+"""Minimum time between fits. A fit with 160 samples takes 1 to 2 ms of processor time, which is too
+much for each request."""
 
 HOLD_SMOOTHING = 0.03
 WORK_SMOOTHING = 0.01
@@ -136,7 +136,7 @@
     crowding: float = 0.0
 
     def prefill_s(self, work: float, concurrent: float = 0.0) -> float:
-        """Return the prefill time of `work`, which is given in tokens of a short prompt."""
+        """Return the prefill time of `work`, given in the unit of `engine_costs.prefill_work`."""
         return work * (1.0 + self.crowding * concurrent) / self.read_per_s
 
     def remaining_work(self, queued_ahead: float) -> float:
@@ -237,7 +237,10 @@
 
 
 class SpeedEstimator(msgspec.Struct):
-    """Estimates the speed of the servers of one service at one node."""
+    """Estimates the speed of the servers of one service at one node.
+
+    `changes` counts the detected changes of speed.
+    """
 
     _samples: deque[PrefillSample] = msgspec.field(
         default_factory=lambda: deque(maxlen=MAX_SAMPLES)
@@ -310,7 +313,7 @@
 
     @property
     def last_speed(self) -> Speed:
-        """Return the combined estimate of the last fit, without a new one."""
+        """Return the combined estimate of the last fit, without a refit."""
         return self._speed
 
     def _refit(self, now: float) -> None:
@@ -331,7 +334,7 @@
         self._speed = combine_speeds(self._local_speed, self._peer_speeds)
 
     def _fit(self, prior: Speed) -> Speed:
-        """Return the estimate from the samples, with the rate of `prior` as a prior."""
+        """Return the estimate; `prior` is weighed in for rate and crowding, and kept otherwise."""
         if len(self._samples) < 2:
             return prior
         used = [sample for sample in self._samples if sample.is_clean]
