--- a/src/moledale/gateway/server_notices.py
+++ b/src/moledale/gateway/server_notices.py
@@ -1,9 +1,9 @@
 """What servers state about themselves in their answers, and how it affects later choices.
 
 A server's answer is the newest information about it: it is leaving, it asks for a later retry, or
-it is not the server that was meant. The server list may lag behind by seconds, or by as long as the
-store is down, so it never overrides what a server stated. Only another incarnation of the server
-does, which has another id or another address.
+it is not the server that the request was meant for. The server list may lag behind by seconds, or
+by as long as the store is down, so it never overrides what a server stated. Only another
+incarnation of the server does, which has another id or another address.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,7 +22,7 @@
 """Status of a server that accepts no more requests for now."""
 
 MISDIRECTED_REQUEST = 421
-"""Status of a server that is not the one that was meant: that one is gone from its address."""
+"""Status of a server that a request was not meant for: that one is gone from its address."""
 
 MISDIRECTED_PAUSE_S = 4.0
 """A server that is gone from its address gets no requests for this long: until its entry has lapsed
@@ -40,9 +40,9 @@
 
 
 class ServerNotices:
-    """Holds what servers stated about themselves, apart from the list.
+    """Holds what servers stated about themselves, independent of the list.
 
-    `views` are the known servers, `group` returns the servers of a service.
+    `views` are the known servers by id, and `group` returns the servers of a service.
     """
 
     def __init__(self, views: dict[str, ServerView], group: Callable[[str], ServerGroup]) -> None:
@@ -55,7 +55,7 @@
         )
 
     def applied_to(self, servers: Iterable[Server]) -> list[Server]:
-        """Return a list of servers with those marked that stated that they are leaving."""
+        """Return the servers, with those marked as leaving that stated so themselves."""
         self._leaving_ahead_of_list = set()
         return [self._with_leaving_statement(server) for server in servers]
 
@@ -67,13 +67,13 @@
         return msgspec.structs.replace(server, leaving=True)
 
     def retain_statements(self, view: ServerView) -> None:
-        """Keep the statements of a server whose entry is gone: it may be back in a moment."""
+        """Keep the lasting statements of a server whose entry is gone, since it may come back."""
         lasting_statements = view.standing.lasting_statements()
         if lasting_statements is not None:
             self._lasting_statements[view.server.id, view.server.address] = lasting_statements
 
     def restore_statements(self, view: ServerView) -> None:
-        """Restore the statements that a listed server made before its entry was gone."""
+        """Restore the statements that a server made before its entry was gone, if it has any."""
         lasting_statements = self._lasting_statements.pop(
             (view.server.id, view.server.address), None
         )
@@ -90,10 +90,13 @@
         sent_at: float,
         now: float,
     ) -> None:
-        """Apply what an answer states about its server, except that it is leaving."""
+        """Apply what an answer states about its server, except that it is leaving.
+
+        `not_run` is set if the request was not executed, `sent_at` is when it was sent.
+        """
         if status == MISDIRECTED_REQUEST:
             self._back_off(view, MISDIRECTED_PAUSE_S, now)
-            # The answer of another server at the address says nothing about the one that was meant.
+            # Another server answered at this address, which states nothing about this server.
             return
         if status == SERVICE_UNAVAILABLE and (not_run or stated.retry_after_s is not None):
             self._back_off(view, stated.retry_after_s, now)
@@ -128,7 +131,7 @@
             (view.server.id, view.standing.limit.to_broadcast(now))
             for view in views[:MAX_BROADCAST_SERVERS]
         )
-        return {name: news for name, news in updates if news is not None}
+        return {name: update for name, update in updates if update is not None}
 
     def merge_peer_limits(self, limits: dict[str, LimitNews], source: str, now: float) -> None:
         """Merge the limits that another node observed itself."""
@@ -167,7 +170,7 @@
     def merge_peer_declines(self, declined: dict[str, float], now: float) -> None:
         """Merge the servers that rejected another node's requests.
 
-        That node retries them first, so that this node learns the result before it tries.
+        That node retries them first, so that this node has the result before it retries them too.
         """
         for name, wait_s in declined.items():
             view = self._views.get(name)
