--- a/src/moledale/gateway/server_order.py
+++ b/src/moledale/gateway/server_order.py
@@ -1,4 +1,4 @@
-"""Priority queues of servers and the hash ring of prompts: lookups do not scan all servers."""
+"""Priority queues of servers and the hash ring of prompts, which avoid scans of all servers."""
 
 import heapq
 import random
@@ -10,11 +10,11 @@
 from moledale.gateway.server_view import ServerView
 
 COST_STEP_S = 0.002
-"""Costs that differ by less count as equal. Prompts with a common prefix then go to the same
-servers, and others are spread: nodes without observations, as after a restart of all of them,
-estimate equal costs for all servers and would send their first requests to the same ones. Plain
-requests are spread at random. In both cases a server with an idle connection comes first, since a
-new connection takes 1 ms of this step."""
+"""Costs that differ by less count as equal, so that other criteria decide. An idle connection comes
+first, since a new one takes 1 ms of this step. After that, prompts with a common prefix go to the
+same servers, other prompts are spread by hash, and plain requests at random. Nodes without
+observations, as after a restart of all of them, estimate equal costs for all servers and would
+otherwise send their first requests to the same ones."""
 
 POINTS_PER_SERVER = 4
 """Points of a server on the hash ring. A few suffice, since the choice also weighs the load."""
@@ -26,7 +26,7 @@
 """A queue is rebuilt when it holds this many times as many entries as servers."""
 
 MIN_REBUILD_ENTRIES = 64
-"""A queue with fewer entries is never worth rebuilding."""
+"""Queues with fewer entries are not rebuilt, since that would save little."""
 
 
 def quantize(cost_s: float) -> int:
@@ -126,5 +126,5 @@
 
     def _points_of(self, server: str) -> list[int]:
         """Return a server's points, cut from a single hash since hashing is most of the work."""
-        whole = xxhash.xxh3_128_intdigest(server.encode())
-        return [whole >> (POINT_BITS * number) & POINT_MASK for number in range(POINTS_PER_SERVER)]
+        digest = xxhash.xxh3_128_intdigest(server.encode())
+        return [digest >> (POINT_BITS * number) & POINT_MASK for number in range(POINTS_PER_SERVER)]
