--- a/src/moledale/gateway/server_standing.py
+++ b/src/moledale/gateway/server_standing.py
@@ -1,22 +1,22 @@
-"""What one node knows of a server's readiness, by its own answers and by other nodes.
+"""What one node knows of a server's readiness, from its own requests and from other nodes.
 
-This module uses no clock and no socket. Each statement expires by itself, and none overrides
-another:
+This module uses no clock and no socket. A deprioritized server gets requests only if no other one
+may. Each statement expires by itself, and none overrides another:
 
 | statement | source | effect | ends |
 |---|---|---|---|
 | leaving | list, answer, other nodes | no new requests | with the server's incarnation |
 | retry later | rejection that states a time | no requests of this node | at the stated time |
-| declined | rejection | last choice | after a pause, or at the stated time |
-| declined to peers | other nodes | last choice | half a second after theirs |
+| declined | rejection | deprioritized | after a pause, or at the stated time |
+| declined to peers | other nodes | deprioritized | half a second after theirs |
 | rate limit | answers, other nodes | a permit for each send | with a later answer without it |
 | no permit | the grantor | no requests of this node | when it may be asked again |
-| silence, failure | connections | last choice | after a pause, longer each time |
+| silence, failure | connections | deprioritized | after a pause, longer each time |
 
 A request that the server accepts clears earlier declines. That a server is leaving is kept with its
 list entry (`ServerNotices`). Another incarnation of the server, which has another id or address,
-starts with none of these. If its entry lapses, only short-lived statements end: a later retry and a
-rate limit, which the server asked for itself, are kept.
+starts with none of these. If a server's entry lapses, only its short-lived statements are dropped:
+the time to retry and the rate limit are kept, since the server stated them itself.
 """
 
 import msgspec
@@ -25,17 +25,17 @@
 
 FAILURE_PAUSE_INITIAL_S = 0.5
 FAILURE_PAUSE_MAX_S = 3.0
-"""A silent server is the last choice for the initial pause, which doubles with each further failure
+"""A silent server is deprioritized for the initial pause, which doubles with each further failure
 up to the maximum."""
 
 DECLINE_PAUSE_INITIAL_S = 0.25
 DECLINE_PAUSE_MAX_S = 3.0
-"""A server that rejected a request without a time to retry is the last choice for the initial
-pause, which doubles with each further rejection up to the maximum. A server that rejects everything
-looks idle, so without this it attracts requests."""
+"""A server that rejected a request without a time to retry is deprioritized for the initial pause,
+which doubles with each further rejection up to the maximum. A server that rejects everything looks
+idle and would otherwise attract requests."""
 
 MAX_DOUBLINGS = 32
-"""Maximum doublings of a pause: it grows no longer after that, whatever its initial value is."""
+"""Maximum doublings of a pause, which has reached its maximum by then."""
 
 DECLINE_STREAK_GAP_S = 1.0
 """A server counts as declining until it accepts a request, or until it was not tried for this long:
@@ -63,11 +63,14 @@
     held_until: float = 0.0
 
     def pause(self, until: float) -> None:
-        """Treat the server as silent until some time."""
+        """Deprioritize the server as a silent one until the given time."""
         self.paused_until = max(self.paused_until, until)
 
     def record_failure(self, now: float) -> None:
-        """Record that the server can't be reached or broke off: pause it, longer each time."""
+        """Record that the server can't be reached or broke off an answer, and pause it.
+
+        The pause gets longer each time.
+        """
         self.failures += 1
         self.paused_until = now + exponential_pause_s(
             FAILURE_PAUSE_INITIAL_S, self.failures, FAILURE_PAUSE_MAX_S
@@ -108,7 +111,7 @@
             self.declined_since = now
 
     def combined_declined_until(self) -> float:
-        """Return until when the server is deprioritized since it rejected requests of any node."""
+        """Return until when rejected requests of any node deprioritize the server."""
         return max(self.declined_until, self.peers_declined_until)
 
     def is_deprioritized(self, now: float) -> bool:
@@ -116,15 +119,15 @@
         return max(self.paused_until, self.combined_declined_until()) > now
 
     def is_held(self, now: float) -> bool:
-        """Return whether there is no permit for the server yet."""
+        """Return whether the server is on hold, for lack of a permit."""
         return self.held_until > now
 
     def opens_in_s(self, now: float) -> float:
-        """Return how long the server gets no requests of this node."""
+        """Return for how many seconds the server gets no requests of this node."""
         return max(0.0, self.retry_at - now, self.held_until - now)
 
     def lasting_statements(self) -> "ServerStanding | None":
-        """Return what outlasts a lapse of the server's entry, or None if there is nothing."""
+        """Return the statements that outlast a lapse of the server's entry, or None."""
         if not self.retry_at and not self.limit.is_known:
             return None
         return ServerStanding(
