--- a/src/moledale/gateway/server_view.py
+++ b/src/moledale/gateway/server_view.py
@@ -1,4 +1,4 @@
-"""A backend server as one node sees it, and what answers and silence tell about it."""
+"""A backend server as one node sees it, with estimates from its answers and silences."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -34,8 +34,11 @@
 class ServerView(msgspec.Struct, eq=False):
     """A server as this node sees it; `on_change` is called on each change of its load or standing.
 
-    `standing` is what is known of its readiness. `peers_running` and `peers_prefill` are the
-    requests and prompt tokens that other nodes have there. All times are monotonic seconds.
+    `running` and `prefill_tokens` are the requests of this node there and their prompt tokens that
+    wait for prefill, `peers_running` and `peers_prefill` those of other nodes. `failed_share` and
+    `answer_s` are moving averages over its answers. `standing` is what is known of its readiness.
+    `cached` holds the prompt parts in its cache with their tokens, the least recently used first.
+    All times are monotonic seconds.
     """
 
     server: Server
@@ -60,18 +63,18 @@
             self.on_change(self)
 
     def add_peer_load(self, running: int, prefill: int) -> None:
-        """Add to the load of other nodes there; the numbers may be negative."""
+        """Add to the load that other nodes have there; the numbers may be negative."""
         self.peers_running += running
         self.peers_prefill += prefill
         self.notify_change()
 
     def pause(self, until: float) -> None:
-        """Treat the server as silent until some time."""
+        """Deprioritize the server as a silent one until the given time."""
         self.standing.pause(until)
         self.notify_change()
 
     def hold_until(self, until: float) -> None:
-        """Select the server for no request before some time, since there is no permit for it."""
+        """Send the server no requests before the given time, for lack of a permit."""
         self.standing.held_until = until
         self.notify_change()
 
@@ -92,11 +95,11 @@
 
     @property
     def limit_per_s(self) -> float | None:
-        """Return the requests per second accepted from all nodes, None without a limit."""
+        """Return the requests per second accepted from all nodes, or None without a limit."""
         return self.standing.limit.per_s
 
     def is_open(self, now: float) -> bool:
-        """Return whether the server may get requests at all."""
+        """Return whether the server is neither leaving nor backing off."""
         return not self.server.leaving and self.standing.retry_at <= now
 
     def is_closed(self, now: float) -> bool:
@@ -127,11 +130,11 @@
     def is_silent(self, now: float) -> bool:
         """Return whether no data came for so long that the server may be unreachable."""
         if self.server.slots < MIN_ENGINE_SLOTS:
-            limit = max(MIN_PLAIN_SILENCE_S, PLAIN_SILENCE_FACTOR * self.answer_s)
+            max_silence_s = max(MIN_PLAIN_SILENCE_S, PLAIN_SILENCE_FACTOR * self.answer_s)
         else:
-            known = self.running > 1 or self.standing.failures
-            limit = ENGINE_SILENCE_S if known else SINGLE_REQUEST_SILENCE_S
-        return self.silent_s(now) > limit
+            use_short_limit = self.running > 1 or self.standing.failures
+            max_silence_s = ENGINE_SILENCE_S if use_short_limit else SINGLE_REQUEST_SILENCE_S
+        return self.silent_s(now) > max_silence_s
 
     def record_cached(self, parts: tuple[PromptPart, ...], capacity: int) -> list[str]:
         """Record a prompt's parts as cached at the server; return the ids of evicted parts."""
@@ -165,10 +168,12 @@
     """A request counted on a server until it ends.
 
     `work`, `uncached`, `queued_ahead` (prompt tokens) and `concurrent` (requests) are the estimates
-    at the time of the choice. `cumulative_work` is all work placed there up to and with it. It
-    fetches `fetched` tokens of its prefix from the server at `fetch_from`. `outcome_recorded` is
-    set once its answer, or the lack of one, counted for its server's version, and `permitted` if
-    the server states a limit and a permit was granted.
+    at the time of the choice. `prefill` is the part of `work` that still counts as queued, 0
+    after the first token. `cumulative_work` is all work placed there so far, including this
+    request. The server fetches `fetched` tokens of the prefix from the one at `fetch_from`.
+    `first_at` is when the first event came. `outcome_recorded` is set once the answer, or the lack
+    of one, was reported for the server's version, and `permitted` if the server states a limit and
+    a permit was granted.
     """
 
     view: ServerView
@@ -207,7 +212,7 @@
 
 
 def record_answer(view: ServerView, failed: bool, took_s: float) -> None:
-    """Update a server's estimates by an answer."""
+    """Update a server's estimates with an answer."""
     view.standing.failures = 0
     view.failed_share += EWMA_WEIGHT * (float(failed) - view.failed_share)
     view.answer_s += EWMA_WEIGHT * (min(took_s, 2.0) - view.answer_s)
@@ -215,7 +220,7 @@
 
 
 def record_silence(view: ServerView, now: float) -> None:
-    """Record that a server can't be reached or broke off: pause it, longer each time."""
+    """Record that a server can't be reached or broke off an answer: pause it, longer each time."""
     view.standing.record_failure(now)
     view.failed_share += EWMA_WEIGHT * (1.0 - view.failed_share)
     view.notify_change()
