--- a/src/moledale/gateway/stated_limit.py
+++ b/src/moledale/gateway/stated_limit.py
@@ -1,4 +1,4 @@
-"""The rate limit that a server stated, as one node knows it by answers and by other nodes."""
+"""The rate limit that a server states, as one node knows it from answers and from other nodes."""
 
 import math
 
@@ -9,7 +9,7 @@
 
 
 class LimitNews(msgspec.Struct, frozen=True, array_like=True):
-    """A limit that a node observed itself `age_s` ago; None if there is none any more."""
+    """A limit that a node observed itself `age_s` ago; `per_s` is None if it was removed."""
 
     per_s: float | None
     age_s: float
@@ -18,8 +18,9 @@
 class StatedLimit(msgspec.Struct):
     """Requests per second that a server accepts from all nodes, None if it states no limit.
 
-    The last observation, at `observed_at`, counts; `limited_since` is when the first of the limits
-    in a row was observed. Times are monotonic seconds.
+    The last observation, at `observed_at`, counts; `first_hand` is set if this node made it.
+    `limited_since` is when the current series of limits without a break began. Times are monotonic
+    seconds.
     """
 
     per_s: float | None = None
@@ -29,14 +30,14 @@
 
     @property
     def is_known(self) -> bool:
-        """Return whether any limit, or the end of one, was observed."""
+        """Return whether any limit, or the removal of one, was observed."""
         return self.observed_at > -math.inf
 
     def update_from_answer(self, per_s: float | None, sent_at: float, now: float) -> bool:
         """Apply what an answer stated; return whether the limit changed.
 
         Answers may arrive out of order. The answer to a request that was sent before the last
-        observation can lower the limit, but neither raise nor end it.
+        observation can lower the limit, but neither raise nor remove it.
         """
         if self._loosens(per_s) and sent_at < self.observed_at:
             return False
