--- a/src/moledale/gateway/turns.py
+++ b/src/moledale/gateway/turns.py
@@ -17,13 +17,14 @@
 """Maximum share of a target that a request waits for the grantor's answer."""
 
 MAX_RETRY_AFTER_S = 10.0
-"""Maximum time after which callers are asked to retry: the limits may be gone by then."""
+"""Maximum time after which callers are asked to retry: the limits may be removed by then."""
 
 
 def max_queue_wait_s(job: Job, now: float) -> float:
     """Return for how many seconds a request may wait for a permit.
 
-    A stream that broke off waits from its last event on, since to go on late is better than never.
+    For a stream that broke off, the wait counts from its last event: a late continuation is better
+    than none.
     """
     rank = DEFAULT_RANK if job.caller.priority is None else max(0, job.caller.priority)
     max_s = QUEUE_WAIT_SHARE * job.route.target_s / (rank + 1)
@@ -32,10 +33,10 @@
 
 
 class RetryScheduler:
-    """Gives rejected callers times to retry, one after the other.
+    """Assigns successive retry times to rejected callers.
 
-    Given the same time, all would retry together, and all but one in vain. `node_count` returns how
-    many nodes share the permits.
+    With the same time, all would retry together, and all but one would be rejected again.
+    `node_count` returns how many nodes share the permits.
     """
 
     def __init__(self, node_count: Callable[[], int], now: Callable[[], float]) -> None:
@@ -44,7 +45,10 @@
         self._next_at: dict[str, float] = {}
 
     def next_retry_s(self, service: str, earliest_s: float, permits_per_s: float) -> float:
-        """Return the seconds until a service has a free permit for one more caller."""
+        """Return the seconds after which the next rejected caller of a service should retry.
+
+        No permit is free before `earliest_s`; `permits_per_s` is the rate of all nodes together.
+        """
         now = self._now()
         interval_s = self._node_count() / permits_per_s
         retry_at = max(now + earliest_s, self._next_at.get(service, 0.0) + interval_s)
