--- a/src/moledale/gateway/duties.py
+++ b/src/moledale/gateway/duties.py
@@ -122,7 +122,7 @@
         counts = total_counts(window, self._sharing.usage, self._sharing.members.all_states())
         if not counts:
             return
-        if window in self._frozen or self._is_first_to_report(window):
+        if window in self._frozen or self._may_freeze(window):
             frozen = await self._freeze(self._frozen.get(window, WindowRow(window, counts)))
         else:
             frozen = await self._read_stored(window)
@@ -147,7 +147,7 @@
         else:
             emit(Event.USAGE_FAILED, window=window, why=trouble.detail)
 
-    def _is_first_to_report(self, window: int) -> bool:
+    def _may_freeze(self, window: int) -> bool:
         """Return whether the store would still have counts that another holder stored.
 
         It would if the window ended in this era. For an earlier window, only this node can have
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -347,7 +347,7 @@
     ("a missing row is no free lease", LeaseKeeper, "_may_acquire_without_row",
      lambda *_: True, LEASE),
     ("what is known of a row ends with its era", LeaseKeeper, "_enter_era", lambda *_: None, LEASE),
-    ("windows whose counts may be lost aren't counted anew", Duties, "_is_first_to_report",
+    ("windows whose counts may be lost aren't counted anew", Duties, "_may_freeze",
      lambda *_: True, "tests.test_usage_reports"),
     ("counts kept in a later era are taken back", Duties, "_void", _keep_window_counts,
      "tests.test_usage_reports"),
