--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -55,7 +55,7 @@
         self.on_crash: Callable[[ObservedCrash], None] = _ignore
         self.on_cleared: Callable[[bytes], None] = _ignore
         self.on_block: Callable[[Block], None] = _ignore
-        self._watch = CrashDetector(pool, self._on_probe_result, now)
+        self._crash_detector = CrashDetector(pool, self._on_probe_result, now)
         self._now = now
         self._seen_locally: set[bytes] = set()
 
@@ -80,7 +80,7 @@
         if placement.view.server.leaving:
             self._record_failure(placement)
         else:
-            self._watch.record_broken(placement, job.fingerprint)
+            self._crash_detector.record_broken(placement, job.fingerprint)
 
     def record_served(self, job: Job) -> None:
         """Record that a server survived a request, which clears it of suspicion."""
