--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -36,7 +36,7 @@
     ) -> None:
         self._dialect = dialect
         self._balancer = balancer
-        self._turns = turns
+        self._retry_scheduler = turns
         self._now = now
         self._rng = random.Random()
 
@@ -61,7 +61,7 @@
             return NO_SERVER_RETRY_S
         limit_per_s = self._balancer.group(job.service).limited.total_per_s()
         if wait_s > 0 and limit_per_s:
-            return self._turns.next_retry_s(job.service, wait_s, limit_per_s)
+            return self._retry_scheduler.next_retry_s(job.service, wait_s, limit_per_s)
         usual_s = NO_SERVER_RETRY_S if last.outcome is AttemptOutcome.NOT_SENT else NOT_RUN_RETRY_S
         return wait_s if wait_s > 0 else usual_s
 
