--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -50,7 +50,7 @@
         self.judge = Judge()
         self.evidence = Evidence()
         self.tried = 0
-        self._tried_here: Counter[str] = Counter()
+        self._tried_by_route: Counter[str] = Counter()
 
     @property
     def order(self) -> RolloutOrder:
@@ -69,11 +69,11 @@
     def record_trial(self, route: str) -> None:
         """Record that this node sends a request of a route to the new version."""
         self.own.tried += 1
-        self._tried_here[route] += 1
+        self._tried_by_route[route] += 1
 
     def is_undertested(self, route: str) -> bool:
         """Return whether this node has sent the new version too few requests of a route."""
-        return self._tried_here[route] < MIN_TRIALS_PER_ROUTE
+        return self._tried_by_route[route] < MIN_TRIALS_PER_ROUTE
 
     def arm_of(self, version: str) -> Arm:
         """Return the arm of the comparison that a server's version belongs to."""
@@ -95,7 +95,7 @@
         on_change: Callable[[RolloutNews], None],
         local_time: Callable[[float], float | None],
         serving: Callable[[], int],
-        began_at: float,
+        started_at: float,
         exposure: Exposure,
         era: StoreEra | None = None,
     ) -> None:
@@ -105,7 +105,7 @@
         self._on_change = on_change
         self._local_time = local_time
         self._serving = serving
-        self._began_at = began_at
+        self._started_at = started_at
         self._exposure = exposure
         self._era = era or StoreEra()
         self._rng = random.Random()
@@ -218,7 +218,7 @@
         Nodes without a part in the free requests, most of which get a request now and then, decide
         at random: 8 in 100 of one or two requests would always be counted as none.
         """
-        own, part = rollout.own, self._exposure.per_node(self._sharers(rollout))
+        own, part = rollout.own, self._exposure.per_node(self._count_sharing_nodes(rollout))
         usual_share = min(max_share, part.share)
         if not part.free:
             return usual_share if self._rng.random() < usual_share else 0.0
@@ -230,14 +230,14 @@
             return 0.0
         return usual_share if part.within_share(own.requests, own.tried) else max_share
 
-    def _sharers(self, rollout: ServiceRollout) -> int:
+    def _count_sharing_nodes(self, rollout: ServiceRollout) -> int:
         """Return how many nodes share the free requests, 0 if this one has no part in them.
 
         A process that started after the order has none: the node's previous incarnation may have
         used up its part.
         """
         ordered_at = self._local_time(rollout.order.ordered_s)
-        if ordered_at is None or ordered_at < self._began_at:
+        if ordered_at is None or ordered_at < self._started_at:
             return 0
         return self._serving()
 
