--- a/src/moledale/gateway/upstream.py
+++ b/src/moledale/gateway/upstream.py
@@ -60,7 +60,7 @@
         self._headers: list[tuple[bytes, bytes]] = []
         self._head: AnswerHead | None = None
         self._chunks: deque[bytes] = deque()
-        self._unread = 0
+        self._unread_bytes = 0
         self._complete = False
         self._cut: Cut | None = None
         self._ends_on_close = False
@@ -200,8 +200,8 @@
         if self._complete:
             return
         self._chunks.append(body)
-        self._unread += len(body)
-        if self._unread > MAX_UNREAD_BYTES and self.transport is not None:
+        self._unread_bytes += len(body)
+        if self._unread_bytes > MAX_UNREAD_BYTES and self.transport is not None:
             self.transport.pause_reading()
 
     def on_message_complete(self) -> None:
@@ -210,9 +210,9 @@
             self._complete = True
 
     def _resume_reading(self) -> None:
-        if self._unread > MAX_UNREAD_BYTES and self.transport is not None and not self.closed:
+        if self._unread_bytes > MAX_UNREAD_BYTES and self.transport is not None and not self.closed:
             self.transport.resume_reading()
-        self._unread = 0
+        self._unread_bytes = 0
 
     async def _wait(self) -> None:
         self._waiter = asyncio.get_running_loop().create_future()
