--- a/src/moledale/gateway/accounts.py
+++ b/src/moledale/gateway/accounts.py
@@ -101,7 +101,7 @@
     the window is not known, and the bucket refills at the bare rate.
     """
 
-    rate: float
+    rate_per_s: float
     burst: float
     level: float
     updated_at: float
@@ -112,12 +112,12 @@
     def fill_per_s(self) -> float:
         """Return the refill per second once all spending within the window is known."""
         window_s = self.recent.window_s
-        return self.rate + self.burst / window_s if window_s > 0 else self.rate
+        return self.rate_per_s + self.burst / window_s if window_s > 0 else self.rate_per_s
 
     def refill(self, now: float) -> None:
         """Add what accrued since the last update."""
         unknown_s = max(0.0, min(now, self.unknown_until) - self.updated_at)
-        gained = unknown_s * self.rate + (now - self.updated_at - unknown_s) * self.fill_per_s
+        gained = unknown_s * self.rate_per_s + (now - self.updated_at - unknown_s) * self.fill_per_s
         self.level = min(self.burst, self.level + gained)
         self.updated_at = now
 
@@ -129,18 +129,18 @@
 
     def debit(self, amount: float) -> None:
         """Subtract what was spent at a peer."""
-        self.level = max(self.level - amount, -MAX_DEBT_S * self.rate)
+        self.level = max(self.level - amount, -MAX_DEBT_S * self.rate_per_s)
         self.recent.add(amount, self.updated_at)
 
     def take(self, amount: float, now: float) -> float:
         """Take an amount; return 0.0, or the seconds until it is available."""
         self.refill(now)
         missing = min(amount, self.burst) - self.level
-        fill_per_s = self.rate if now < self.unknown_until else self.fill_per_s
+        fill_per_s = self.rate_per_s if now < self.unknown_until else self.fill_per_s
         wait_s = max(0.0, missing) / fill_per_s
         window_s = self.recent.window_s
         if window_s > 0:
-            limit = self.rate * window_s + self.burst
+            limit = self.rate_per_s * window_s + self.burst
             wait_s = max(wait_s, self.recent.wait_s(amount, limit, now))
         if wait_s > 0:
             return wait_s
@@ -233,8 +233,8 @@
             if not self._first_start:
                 bucket.reset(self._start_level(account), now)
             self._buckets[account.name] = bucket
-        elif bucket.rate != account.rate_per_s or bucket.burst != burst:
+        elif bucket.rate_per_s != account.rate_per_s or bucket.burst != burst:
             bucket.refill(now)
-            bucket.rate, bucket.burst = account.rate_per_s, burst
+            bucket.rate_per_s, bucket.burst = account.rate_per_s, burst
             bucket.level = min(bucket.level, burst)
         return bucket
