--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -46,7 +46,7 @@
 
     def __init__(self, update: RolloutNews) -> None:
         self.update = update
-        self.own = TrialCounts(update.order.revision)
+        self.own_counts = TrialCounts(update.order.revision)
         self.judge = Judge()
         self.evidence = Evidence()
         self.tried = 0
@@ -68,7 +68,7 @@
 
     def record_trial(self, route: str) -> None:
         """Record that this node sends a request of a route to the new version."""
-        self.own.tried += 1
+        self.own_counts.tried += 1
         self._tried_by_route[route] += 1
 
     def is_undertested(self, route: str) -> bool:
@@ -164,7 +164,7 @@
                 from_peer=from_peer,
             )
         known.update = update
-        known.own.revision = update.order.revision
+        known.own_counts.revision = update.order.revision
         self._balancer.group(service).set_rule(rule_of(update))
         self._on_change(update)
 
@@ -184,7 +184,7 @@
     def trial_counts(self) -> dict[str, TrialCounts]:
         """Return what this node saw of versions that are not decided on yet."""
         return {
-            service: rollout.own
+            service: rollout.own_counts
             for service, rollout in self.services.items()
             if not rollout.phase.ended
         }
@@ -201,7 +201,7 @@
         group = self._balancer.group(service)
         if not first_send or not group.has_version(rollout.order.target):
             return 0.0
-        rollout.own.requests += 1
+        rollout.own_counts.requests += 1
         if rollout.phase is Phase.RISING:
             max_share = min(RISING_SHARE, group.new_version_share())
             return max_share if self._rng.random() < max_share else 0.0
@@ -218,7 +218,7 @@
         Nodes without a part in the free requests, most of which get a request now and then, decide
         at random: 8 in 100 of one or two requests would always be counted as none.
         """
-        own, part = rollout.own, self._exposure.per_node(self._count_sharing_nodes(rollout))
+        own, part = rollout.own_counts, self._exposure.per_node(self._count_sharing_nodes(rollout))
         usual_share = min(max_share, part.share)
         if not part.free:
             return usual_share if self._rng.random() < usual_share else 0.0
@@ -246,7 +246,7 @@
         server = placement.view.server
         rollout = self.services.get(server.service)
         if rollout is not None and not rollout.phase.ended:
-            rollout.own.seen.observe(rollout.arm_of(server.version), series, failed, took_s)
+            rollout.own_counts.seen.observe(rollout.arm_of(server.version), series, failed, took_s)
 
     def step(self) -> None:
         """Evaluate what all nodes saw so far; a version found bad gets no more requests."""
@@ -254,7 +254,9 @@
             if rollout.phase.ended:
                 continue
             peer_counts = self._peer_counts(service, rollout.order.revision)
-            rollout.evidence = merged([rollout.own.seen, *(each.seen for each in peer_counts)])
+            rollout.evidence = merged(
+                [rollout.own_counts.seen, *(each.seen for each in peer_counts)]
+            )
             rollout.tried = sum(tally.count for tally in rollout.evidence.new.values())
             if rollout.judge.observe(rollout.evidence, rollout.phase is not Phase.MOVING):
                 self.advance(service, Phase.ROLLED_BACK, "the new version's answers are worse")
--- a/tests/test_rollout_timing.py
+++ b/tests/test_rollout_timing.py
@@ -66,7 +66,7 @@
         rollout = rollouts.services["model"]
         for route, new in (("review", 30), ("order", 3)):
             for _ in range(200):
-                rollout.own.seen.observe(Arm.OLD, route, False, 0.1)
+                rollout.own_counts.seen.observe(Arm.OLD, route, False, 0.1)
             for _ in range(new):
-                rollout.own.seen.observe(Arm.NEW, route, False, 0.1)
+                rollout.own_counts.seen.observe(Arm.NEW, route, False, 0.1)
         rollouts.step()
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -290,7 +290,7 @@
         self.rollouts.services[SERVICE].record_trial("r")
         self.era.observe(2)
         self.rollouts.apply_order(self.order(80, era=2, target="v3"))
-        own = self.rollouts.services[SERVICE].own
+        own = self.rollouts.services[SERVICE].own_counts
         self.assertEqual((own.tried, own.revision), (1, 80))
 
 
