--- a/src/moledale/gateway/reply.py
+++ b/src/moledale/gateway/reply.py
@@ -16,10 +16,12 @@
 class Reply:
     """Writes one response to a transport; with `bodiless` only its head, as for HEAD."""
 
-    def __init__(self, transport: asyncio.Transport, close: bool, bodiless: bool = False) -> None:
+    def __init__(
+        self, transport: asyncio.Transport, close_after: bool, bodiless: bool = False
+    ) -> None:
         self._transport = transport
         self._bodiless = bodiless
-        self.close = close
+        self.close_after = close_after
         self.status = 0
         self.complete = False
         self._chunked = False
@@ -44,7 +46,7 @@
             lines.append(b"Transfer-Encoding: chunked")
         else:
             lines.append(b"Content-Length: %d" % length)
-        if self.close:
+        if self.close_after:
             lines.append(b"Connection: close")
         self._transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
@@ -70,7 +72,7 @@
 
     def abort(self) -> None:
         """Close the connection so that what was sent cannot be taken for a complete response."""
-        self.close = True
+        self.close_after = True
         self._transport.abort()
 
     async def drain(self) -> None:
