--- a/src/moledale/gateway/inbound.py
+++ b/src/moledale/gateway/inbound.py
@@ -185,7 +185,7 @@
         if self._transport is None:
             return
         close = request.closing or self._listener.closing
-        self._reply = Reply(self._transport, close, request.head.bodiless)
+        self._reply = Reply(self._transport, close_after, request.head.bodiless)
         self._task = asyncio.get_running_loop().create_task(self._run(request, self._reply))
 
     async def _run(self, request: InboundRequest, reply: Reply) -> None:
@@ -202,7 +202,7 @@
             return
         if not reply.complete:
             transport.abort()
-        elif reply.close:
+        elif reply.close_after:
             transport.close()
         else:
             transport.resume_reading()
@@ -236,7 +236,7 @@
         if self._task is not None:
             self._waiting.clear()
             return
-        reply = Reply(self._transport, close=True)
+        reply = Reply(self._transport, close_after=True)
         reply.send_whole(status, [JSON_TYPE], b'{"error":"%s"}' % reason)
         self._transport.close()
 
