--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -183,7 +183,7 @@
             Caller(None, 0),
             "model",
             109.0,
-            Reply(None, close=False),  # type: ignore[arg-type]
+            Reply(None, close_after=False),  # type: ignore[arg-type]
             EventSplitter(""),
         )
         self.assertAlmostEqual(max_queue_wait_s(job, 100.2), 0.8)
