--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -55,7 +55,7 @@
         self.on_crash: Callable[[ObservedCrash], None] = _ignore
         self.on_cleared: Callable[[bytes], None] = _ignore
         self.on_block: Callable[[Block], None] = _ignore
-        self._crash_detector = CrashDetector(pool, self._on_probe_result, now)
+        self._crash_detector = CrashDetector(pool, self._on_server_checked, now)
         self._now = now
         self._seen_locally: set[bytes] = set()
 
@@ -104,7 +104,7 @@
             each for each in self._seen_locally if self.quarantine.is_suspect(each)
         }
 
-    def _on_probe_result(self, broken: BrokenRequests, ended: bool) -> None:
+    def _on_server_checked(self, broken: BrokenRequests, ended: bool) -> None:
         if not ended:
             for placement in broken.placements:
                 self._record_failure(placement)
--- a/tools/without_gateway.py
+++ b/tools/without_gateway.py
@@ -295,7 +295,7 @@
     ("a node that lacks blocks is told", QuarantineSharing, "on_peer_digest", lambda *_: None,
      BLOCKS),
     ("blocks are kept in the store", QuarantineStore, "_write", _write_nothing, BLOCKS),
-    ("an end is one failure of a version", RequestGuard, "_on_probe_result", _count_each_failure,
+    ("an end is one failure of a version", RequestGuard, "_on_server_checked", _count_each_failure,
      BLOCKS),
     ("a server that starts again is another", entries, "INCARNATION_SEPARATOR", "",
      "tests.test_platform_store tests.test_restarted_servers"),
