--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -383,7 +383,7 @@
         elif job.may_have_run:
             self._give_up(job, Refusal(502, "the server broke off"))
         else:
-            self._give_up(job, self._refusals.retry_later(job, last))
+            self._give_up(job, self._refusals.not_run_refusal(job, last))
 
     def _give_up(self, job: Job, refusal: Refusal) -> None:
         if job.reply.started:
--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -44,7 +44,7 @@
         """Return why a request gets no server although its service has some."""
         return ALL_LIMITED if self._balancer.group(job.service).limited.names else ALL_BACK_OFF
 
-    def retry_later(self, job: Job, last: Attempt) -> Refusal:
+    def not_run_refusal(self, job: Job, last: Attempt) -> Refusal:
         """Return the refusal of a request that no server ran."""
         return Refusal(503, last.why, add_jitter(self._rng, self._retry_after_s(job, last)))
 
