--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -122,7 +122,7 @@
             new_ready=sum(1 for view in new if not view.server.leaving),
             old_running=sum(view.total_running for view in old),
             tried=rollout.tried,
-            untested_routes=_count_lacking_routes(rollout),
+            untested_routes=_count_untested_routes(rollout),
         )
 
     def _in_phase_s(self, service: str, rollout: ServiceRollout) -> float:
@@ -172,7 +172,7 @@
     return phase if phase.ended else Phase.TRIAL
 
 
-def _count_lacking_routes(rollout: ServiceRollout) -> int:
+def _count_untested_routes(rollout: ServiceRollout) -> int:
     """Return the number of routes with traffic on which the new servers gave too few answers."""
     return sum(
         1 for route in _routes(rollout.evidence.old) if not _has_enough_answers(rollout, route)
