--- a/src/moledale/gateway/accounts.py
+++ b/src/moledale/gateway/accounts.py
@@ -32,7 +32,7 @@
 
 START_TOLERANCE_SHARE = 0.5
 """Share of a limit's tolerance that all starting nodes hold together; the rest is for what they
-admit before they hear of each other.
+admit before they receive each other's updates.
 """
 
 SLICE_S = 0.25
@@ -97,8 +97,9 @@
 class Bucket(msgspec.Struct):
     """A token bucket that spending of peers may take below zero.
 
-    The window of `recent` is 0.0 if limits have none. Until `unknown_until`, the spending within
-    the window is not known, and the bucket refills at the bare rate.
+    `level` is what may be spent now, as of `updated_at`. The window of `recent` is 0.0 if limits
+    have none. Until `unknown_until`, the spending within the window is not known, and the bucket
+    refills at the bare rate.
     """
 
     rate_per_s: float
@@ -154,7 +155,8 @@
 
     `window_s` is the period in which an account may use its burst once more; with 0.0 only the rate
     counts. `tolerance` is how far limits may be exceeded in it, and `starting_nodes` returns how
-    many nodes may be starting to serve at the same time.
+    many nodes may be starting to serve at the same time. `first_start` is set when the whole system
+    starts for the first time.
     """
 
     def __init__(
@@ -197,7 +199,7 @@
         """Return the level of a bucket when its node starts and cannot know what was spent.
 
         If the limit is small against its tolerance this is the whole burst: a single prompt may
-        take that much, and with a lower level was refused for a second or more after a start.
+        take that much, and a lower level would have it refused for a second or more after a start.
         """
         burst = burst_of(account)
         if self._window_s <= 0:
