--- a/src/moledale/gateway/admission.py
+++ b/src/moledale/gateway/admission.py
@@ -29,7 +29,6 @@
 RETRY_JITTER_RATIO = 0.5
 """Retry delays are extended by up to this ratio, so that callers do not retry all at once."""
 
-
 BLOCKED_REASON = "servers ended under this request"
 """Reason sent to callers for a request that is blocked because servers crashed while running it."""
 
@@ -47,9 +46,9 @@
 class Admission:
     """Checks each request against the newest plan that this node has.
 
-    Callers treat 401 and 404 as final. If `newer_plan` says that a newer plan is on its way, which
-    may allow the request, they are told to retry instead. `blocked_s` returns how long an account's
-    request is blocked from all servers.
+    Callers treat 401 and 404 as final. If `newer_plan` returns that a newer plan is known to exist,
+    which may allow the request, they are told to retry instead. `blocked_s` returns for how many
+    seconds an account's request is blocked from all servers.
     """
 
     def __init__(
@@ -100,10 +99,10 @@
         caller = self._admit_caller(index, route, facts, request)
         if isinstance(caller, Refusal):
             return caller
-        limit = route.time_limit_s
+        limit_s = route.time_limit_s
         if facts.deadline_s is not None:
-            limit = min(limit, facts.deadline_s - DEADLINE_MARGIN_S)
-        if limit <= 0:
+            limit_s = min(limit_s, facts.deadline_s - DEADLINE_MARGIN_S)
+        if limit_s <= 0:
             return Refusal(503, "no time is left", MIN_RETRY_S)
         return Job(
             request,
@@ -111,7 +110,7 @@
             route,
             caller,
             choose_service(route, self._rng.random()),
-            request.arrived_at + limit,
+            request.arrived_at + limit_s,
             reply,
             EventSplitter(facts.resumed_after),
         )
