--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -37,7 +37,7 @@
 
 Read = TypeVar("Read")
 Refuse = Callable[[Reply, InboundRequest, Refusal], None]
-"""Sends a final response of this node."""
+"""Sends a refusal as this node's final response."""
 
 
 class AnswerReader:
@@ -130,7 +130,7 @@
         return await connection.head()
 
     async def _read_unless_silent(
-        self, job: Job, view: ServerView, wait: Callable[[], Awaitable[Read]]
+        self, job: Job, view: ServerView, read: Callable[[], Awaitable[Read]]
     ) -> Read:
         """Wait for more of a stream; a resumable one is cut off if its server falls silent.
 
@@ -138,12 +138,12 @@
         arrived in the meantime is read first.
         """
         if not job.route.repeatable or job.sends >= job.route.max_servers:
-            return await wait()
+            return await read()
         silent_polls = 0
         while True:
             try:
                 async with asyncio.timeout(SILENCE_POLL_INTERVAL_S):
-                    return await wait()
+                    return await read()
             except TimeoutError:
                 silent_polls = silent_polls + 1 if view.is_silent(self._now()) else 0
             if silent_polls > 1 and self._may_try_elsewhere(job):
@@ -199,7 +199,10 @@
     async def _relay_long_body(
         self, job: Job, connection: UpstreamConnection, head: AnswerHead, first_part: bytes
     ) -> None:
-        """Relay a long response in chunks as it arrives; cut off, it cannot look complete."""
+        """Relay a long response in chunks as it arrives.
+
+        With chunked encoding the caller can tell a response that was cut off from a complete one.
+        """
         job.reply.start(head.status, self._dialect.answer_headers(head), CHUNKED)
         job.reply.send(first_part)
         while (data := await connection.chunk()) is not None:
@@ -222,12 +225,12 @@
     ) -> Attempt:
         """Relay events as they arrive, whole ones only."""
         placement = run.placement
-        first = True
+        is_first = True
         view = placement.view
         while (data := await self._read_unless_silent(job, view, connection.chunk)) is not None:
             view.last_data_at = self._now()
-            if first:
-                first = False
+            if is_first:
+                is_first = False
                 self._balancer.record_first_event(placement, self._now())
                 job.may_have_run = True
                 self._count_usage(job)
