--- a/src/moledale/gateway/calls.py
+++ b/src/moledale/gateway/calls.py
@@ -10,7 +10,7 @@
 from moledale.gateway.upstream import AnswerCut, ConnectFailed, UpstreamConnection, connect
 
 MAX_IDLE_CONNECTIONS = 4
-"""Idle connections kept to one address: calls to it seldom overlap more."""
+"""Idle connections kept to one address: seldom more calls to it overlap."""
 
 MAX_IDLE_S = 20.0
 """Connections that are idle for longer are closed; callees close theirs after about as long."""
@@ -27,14 +27,14 @@
 
 
 class CallFailed(msgspec.Struct, frozen=True):
-    """A call without a whole response; with `sent` it may have had its effect."""
+    """A call without a whole response; if it was `sent`, it may have taken effect."""
 
     detail: str
     sent: bool
 
 
 class HttpCaller:
-    """Calls one address over a few kept connections; a failed one is never reused."""
+    """Calls one address over a few idle connections; one whose call failed is never reused."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -51,7 +51,7 @@
         """Send one request and return its whole response."""
         connection: UpstreamConnection | None = None
         sent = False
-        # If the call fails, these are as old as its connection and as likely dead.
+        # Closed if the call fails: they are as old as its connection and as likely dead.
         idle = list(self._idle)
         try:
             async with asyncio.timeout(timeout_s):
