--- a/src/moledale/gateway/dialect.py
+++ b/src/moledale/gateway/dialect.py
@@ -20,7 +20,7 @@
         ...
 
     def attempt_head(self, head: RequestHead, facts: AttemptFacts, length: int) -> bytes:
-        """Return the head of a request as it is sent to a server."""
+        """Return the head of a request with a body of `length` bytes as it is sent to a server."""
         ...
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
