--- a/src/moledale/gateway/duties.py
+++ b/src/moledale/gateway/duties.py
@@ -41,7 +41,6 @@
 """Number of windows before the current one that a new holder reports: 10 s, as late as reports may
 be."""
 
-
 STORE_RESTORED_REASON = "the store came back from an older copy"
 ROW_UNREADABLE_REASON = "the row in its place can't be read"
 """Logged reasons why the counts of a window can't be stored."""
@@ -55,7 +54,10 @@
 
 
 class Duties:
-    """Reports usage and runs the other duties while the lease is held."""
+    """Reports usage and runs the other duties while the lease is held.
+
+    `step_lock` is held while the duties run.
+    """
 
     def __init__(
         self,
@@ -111,12 +113,12 @@
         current = usage.window_of(self._sharing.time() - SETTLE_S)
         if self._first_window is None:
             self._first_window = current
-        first = max(self._first_window - BACKFILL_WINDOWS, current - BACKFILL_WINDOWS - 1)
-        for window in range(first, current):
+        earliest = max(self._first_window - BACKFILL_WINDOWS, current - BACKFILL_WINDOWS - 1)
+        for window in range(earliest, current):
             if window not in self._finished_windows:
                 await self._report_window(window)
-        self._finished_windows = {window for window in self._finished_windows if window >= first}
-        self._frozen = {window: row for window, row in self._frozen.items() if window >= first}
+        self._finished_windows = {window for window in self._finished_windows if window >= earliest}
+        self._frozen = {window: row for window, row in self._frozen.items() if window >= earliest}
 
     async def _report_window(self, window: int) -> None:
         counts = total_counts(window, self._sharing.usage, self._sharing.members.all_states())
@@ -135,8 +137,8 @@
         grant = self._keeper.grant()
         if grant is None:
             return
-        trouble = await self._orders.report_usage(self._node, grant.epoch, window, frozen.counts)
-        if trouble is None:
+        failure = await self._orders.report_usage(self._node, grant.epoch, window, frozen.counts)
+        if failure is None:
             self._finished_windows.add(window)
             emit(
                 Event.USAGE_REPORTED,
@@ -145,13 +147,14 @@
                 counted=sum(counts.values()),
             )
         else:
-            emit(Event.USAGE_FAILED, window=window, why=trouble.detail)
+            emit(Event.USAGE_FAILED, window=window, why=failure.detail)
 
     def _may_freeze(self, window: int) -> bool:
-        """Return whether the store would still have counts that another holder stored.
+        """Return whether no counts that another holder stored for a window can have been lost.
 
-        It would if the window ended in this era. For an earlier window, only this node can have
-        stored counts if it has held the lease since the window's end.
+        If the window ended in this era, the store still has any counts that another holder stored.
+        For an earlier window, only this node can have stored counts if it has held the lease since
+        the window's end.
         """
         usage = self._sharing.usage
         ended_at = self._now() - (self._sharing.time() - usage.end_of(window))
