--- a/src/moledale/gateway/events.py
+++ b/src/moledale/gateway/events.py
@@ -4,7 +4,10 @@
 
 
 class EventSplitter:
-    """Holds back a partial event, counts whole ones, and tracks the id of the last one."""
+    """Holds back a partial event, counts whole ones, and tracks the id of the last one.
+
+    `after` is the id of the last event that the caller already has.
+    """
 
     def __init__(self, after: str = "") -> None:
         self.last_id = after
