--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -59,7 +59,9 @@
     `trial_share` is called with a service, a route and whether this is a request's first send. It
     returns the share of the load that servers of a version on trial bear if the request goes to one
     of them, and 0 if it goes to the others. `starting_nodes` returns how many nodes may be starting
-    to serve at the same time.
+    to serve at the same time. `newer_plan` returns whether a newer plan is known to exist, and
+    `list_is_current` whether requests may rely on the list of servers. `first_start` is set when
+    the whole system starts for the first time. `handled` counts the requests of callers.
     """
 
     def __init__(
@@ -146,7 +148,7 @@
 
     def _log_served(self, job: Job, placement: Placement, attempt: Attempt) -> None:
         now = self._now()
-        first = placement.first_at or now
+        first_at = placement.first_at or now
         emit(
             Event.SERVED,
             request=job.facts.id,
@@ -160,7 +162,7 @@
             fetched=placement.fetched,
             ahead=placement.queued_ahead,
             beside=placement.concurrent,
-            first_ms=round((first - job.request.arrived_at) * 1000),
+            first_ms=round((first_at - job.request.arrived_at) * 1000),
             target_ms=round(job.route.target_s * 1000),
             pause_ms=round(job.longest_pause_s * 1000),
             gap_ms=round(job.route.gap_s * 1000),
@@ -173,16 +175,16 @@
         """Try servers until one responds or no further attempt is allowed."""
         self._sharing.record_request(job.service, self._now())
         last = Attempt(AttemptOutcome.NOT_SENT, why=NO_SERVER)
-        moved: Continuation | None = None
+        continuation: Continuation | None = None
         while True:
-            if moved is None and not await self._list_is_current():
+            if continuation is None and not await self._list_is_current():
                 if not job.sends:
                     last = _stale_list_attempt()
                 break
             # Timers do not advance while the machine is suspended, so the timeout may fire late.
             if job.left_s(self._now()) <= 0:
                 raise TimeoutError
-            placement = await self._place(job) if moved is None else moved.placement
+            placement = await self._place(job) if continuation is None else continuation.placement
             if placement is None:
                 if last.why == NO_SERVER and self._refusals.wait_s(job):
                     last = Attempt(
@@ -190,8 +192,8 @@
                     )
                 break
             placement.route = job.route.name
-            attempt = await self._attempt(job, placement, moved)
-            moved = attempt.continuation
+            attempt = await self._attempt(job, placement, continuation)
+            continuation = attempt.continuation
             if attempt.outcome is AttemptOutcome.ANSWERED:
                 self.guard.record_served(job)
                 self._log_served(job, placement, attempt)
@@ -237,19 +239,26 @@
             return False
         return self._sharing.may_repeat(job.service, self._now())
 
-    async def _attempt(self, job: Job, placement: Placement, moved: Continuation | None) -> Attempt:
-        """Send the request to one server and relay its response."""
+    async def _attempt(
+        self, job: Job, placement: Placement, continuation: Continuation | None
+    ) -> Attempt:
+        """Send the request to one server and relay its response.
+
+        A stream that was moved there continues from `continuation`.
+        """
         engine = self._engine(job.service)
         event_tokens = engine.event_tokens if engine is not None else 1
         run = StreamRun(
             job.facts, job.service, placement, event_tokens, events=job.splitter.event_count
         )
         try:
-            return await self._send_and_read(job, run, moved)
+            return await self._send_and_read(job, run, continuation)
         finally:
             self.evacuation.forget(run)
 
-    async def _send_and_read(self, job: Job, run: StreamRun, moved: Continuation | None) -> Attempt:
+    async def _send_and_read(
+        self, job: Job, run: StreamRun, continuation: Continuation | None
+    ) -> Attempt:
         placement = run.placement
         view = placement.view
         server = view.server
@@ -262,18 +271,18 @@
                 record_silence(view, self._now())
                 emit(Event.CONNECT_FAILED, request=job.facts.id, server=server.id, why=str(error))
                 return Attempt(AttemptOutcome.NOT_SENT, why="no connection")
-            if moved is None and not view.is_open(self._now()):
+            if continuation is None and not view.is_open(self._now()):
                 # The server announced this while the connection was being made.
                 self._pool.release_unused(server.id, connection)
                 connection = None
                 return Attempt(
                     AttemptOutcome.NOT_SENT, why="the server leaves or asked for a later retry"
                 )
-            if moved is None and not await self._still_permitted(placement):
+            if continuation is None and not await self._still_permitted(placement):
                 self._pool.release_unused(server.id, connection)
                 connection = None
                 return Attempt(AttemptOutcome.NOT_SENT, why="the server named a limit")
-            self._send(job, connection, placement, moved)
+            self._send(job, connection, placement, continuation)
             if job.route.kind is Kind.STREAM:
                 self.evacuation.runs.add(run)
             try:
@@ -303,7 +312,10 @@
         return await self._permits.take(placement.view)
 
     def _log_unanswered(self, job: Job, placement: Placement, attempt: Attempt) -> None:
-        """Log a send without a usable response; if it broke off, with the request's fingerprint."""
+        """Log a send without a usable response.
+
+        If the response broke off, the line includes the request's fingerprint.
+        """
         broken = attempt.outcome is AttemptOutcome.BROKEN
         emit(
             Event.ATTEMPT_ENDED,
@@ -322,7 +334,10 @@
         )
 
     def _record_unanswered(self, job: Job, placement: Placement) -> None:
-        """Count a failure of the server's version if the target passed without an outcome."""
+        """Count a failure of the server's version if the target passed without an outcome.
+
+        An outcome that was recorded already is not counted again.
+        """
         waited_s = self._now() - placement.sent_at
         if job.was_sent and waited_s >= job.route.target_s:
             self._balancer.record_outcome(placement, True, waited_s)
@@ -344,24 +359,26 @@
         job: Job,
         connection: UpstreamConnection,
         placement: Placement,
-        moved: Continuation | None,
+        continuation: Continuation | None,
     ) -> None:
         now = self._now()
         if job.sends:
             self._sharing.record_repeat(job.service, now)
         job.sends += 1
         job.was_sent = True
-        after = job.splitter.last_id if job.splitter.event_count else ""
-        if moved is not None:
-            after = job.splitter.last_id or NO_EVENT_ID
+        after_event = job.splitter.last_id if job.splitter.event_count else ""
+        if continuation is not None:
+            after_event = job.splitter.last_id or NO_EVENT_ID
         facts = AttemptFacts(
             placement.view.server.id,
             job.caller.account,
             job.left_s(now),
             job.caller.priority,
-            after_event=after,
-            continued_from=f"{moved.source}/{moved.handle}" if moved is not None else "",
-            fetch_from=placement.fetch_from if moved is None else "",
+            after_event=after_event,
+            continued_from=(
+                f"{continuation.source}/{continuation.handle}" if continuation is not None else ""
+            ),
+            fetch_from=placement.fetch_from if continuation is None else "",
         )
         body = job.request.body
         head = job.request.head
