--- a/src/moledale/gateway/inbound.py
+++ b/src/moledale/gateway/inbound.py
@@ -19,7 +19,7 @@
 """Interval of the check for callers that are too slow; the limits in force are of seconds."""
 
 MAX_PIPELINED_REQUESTS = 4
-"""Requests of a connection that are read before the current one is answered."""
+"""Requests of a connection that are queued behind the current one before reading pauses."""
 
 MAX_UNSENT_BYTES = 262_144
 """Bytes buffered for a caller before reading from its server pauses, to bound the memory of slow
@@ -32,7 +32,10 @@
 
 
 class Listener(msgspec.Struct):
-    """State shared by all connections of one listening address."""
+    """State shared by all connections of one listening address.
+
+    With `closing` set, each request that starts has its connection closed after the response.
+    """
 
     handle: Handler
     limits: Callable[[], Limits]
@@ -100,7 +103,7 @@
             self._task.cancel()
 
     def eof_received(self) -> bool | None:
-        """Let the transport close: a caller that ends its sending has disconnected."""
+        """Let the transport close: a caller that closes its sending side has disconnected."""
         return None
 
     def pause_writing(self) -> None:
@@ -184,7 +187,7 @@
         request = self._waiting.popleft()
         if self._transport is None:
             return
-        close = request.closing or self._listener.closing
+        close_after = request.closing or self._listener.closing
         self._reply = Reply(self._transport, close_after, request.head.bodiless)
         self._task = asyncio.get_running_loop().create_task(self._run(request, self._reply))
 
