--- a/src/moledale/gateway/job.py
+++ b/src/moledale/gateway/job.py
@@ -19,7 +19,13 @@
 
 
 class AttemptOutcome(StrEnum):
-    """How an attempt ended."""
+    """How an attempt ended.
+
+    `ANSWERED`: the response was relayed to the caller. `NOT_SENT`: no server got the request.
+    `NOT_RUN`: the server states that it did not run the request. `FAILED`: the response reports a
+    failure of the server, and was not relayed. `BROKEN`: the response was cut off or is not valid.
+    `MOVED`: the stream continues on another server.
+    """
 
     ANSWERED = "answered"
     NOT_SENT = "not sent"
@@ -48,8 +54,9 @@
 class Job(msgspec.Struct):
     """A request in progress: its caller, route and deadline, and the servers tried so far.
 
-    `usage_counted` is set once it counts towards the usage of its account, `was_sent` once any
-    server got it.
+    `sends` is how often it was sent, and `may_have_run` is set once a server may have run it.
+    `usage_counted` is set once it counts towards the usage of its account, `was_sent` once it was
+    sent to any server. `longest_pause_s` is the longest time between two relayed events.
     """
 
     request: InboundRequest
