--- a/src/moledale/gateway/lease_keeper.py
+++ b/src/moledale/gateway/lease_keeper.py
@@ -28,7 +28,7 @@
 LEASE_TABLE = "leases"
 LEASE_KEY = "duties"
 CALL_TIMEOUT_S = 1.0
-"""Timeout of a renewal: a third of the lease."""
+"""Timeout of a call to the store: a third of the lease."""
 
 TTL_FACTOR = 1.05
 """Time to live, as a multiple of the minimum time between the actions of two successive holders
@@ -73,7 +73,11 @@
 
 
 class LeaseKeeper:
-    """Acquires, renews and releases the lease on behalf of one node."""
+    """Acquires, renews and releases the lease on behalf of one node.
+
+    `nonce` identifies the node's incarnation in the operations that it writes. `first_start` is set
+    when the whole system starts for the first time, so that no lost grant can still be valid.
+    """
 
     def __init__(
         self, node: str, store: Store, bounds: Bounds, nonce: str, first_start: bool = True
@@ -116,7 +120,7 @@
         return LeaseNews(grant.epoch, self.lease.version, age, self._version_era)
 
     def lease_to_relay(self, now: float) -> HeldLease | None:
-        """Return the lease as received from its holder, for nodes that don't hear the holder.
+        """Return the lease as received from its holder, for nodes that the holder cannot reach.
 
         Renewals that were relayed to this node are excluded: nodes would relay them back and forth,
         each time with a slightly lower age, and the lease of a holder that is gone would never
@@ -167,7 +171,7 @@
         """Perform the lease action that is due; `rank` staggers the attempts of the candidates.
 
         While a candidate can't read the row, it multiplies its read interval by `backoff_scale`,
-        which is 1 for a node alone. If the factor is above 1, a candidate that just started assumes
+        which is 1 for a node without peers. If it is above 1, a candidate that just started assumes
         that the lease is held until it should have received a renewal.
         """
         now = monotonic()
@@ -210,12 +214,12 @@
         if isinstance(outcome, Err):
             return
         now = monotonic()
-        reading = outcome.ok_value
-        self._clock.record_answer(reading.store_s, sent_at)
-        self._enter_era(reading.era, now)
-        for row in reading.rows:
+        snapshot = outcome.ok_value
+        self._clock.record_answer(snapshot.store_s, sent_at)
+        self._enter_era(snapshot.era, now)
+        for row in snapshot.rows:
             if row.key == LEASE_KEY:
-                self._observe_row(row, reading.store_s, now)
+                self._observe_row(row, snapshot.store_s, now)
                 return
         self.lease.record_read(None, ABSENT_VERSION, now)
         if self._may_acquire_without_row(now):
