--- a/src/moledale/gateway/pool.py
+++ b/src/moledale/gateway/pool.py
@@ -14,7 +14,8 @@
 class ConnectionPool:
     """Idle connections by server id: the most recently used is reused first, so that few are kept.
 
-    Servers are ordered by the time at which a connection to them was last released.
+    Servers are ordered by the time at which a connection to them was last released. `opened` counts
+    the attempts to open a new connection.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -60,8 +61,8 @@
     def discard(self, server: str) -> None:
         """Close the idle connections to a server that fell silent or is gone.
 
-        With four idle connections to a silent server, four non-repeatable requests were lost to
-        them one after the other; with this, only the one that detects the silence is.
+        Otherwise four idle connections to a silent server would cost four non-repeatable requests,
+        one after the other, and not only the one that detects the silence.
         """
         for connection in self._idle.pop(server, []):
             connection.close()
