--- a/src/moledale/gateway/rate.py
+++ b/src/moledale/gateway/rate.py
@@ -14,7 +14,7 @@
     _at: float | None = None
 
     def observe(self, count: int, now: float) -> None:
-        """Record the counter's value, at the interval at which its rate is to be updated."""
+        """Record the counter's value, and update the rate from its increase."""
         if self._at is not None and now > self._at:
             step_s = now - self._at
             rate = (count - self._count) / step_s
