--- a/src/moledale/gateway/refusals.py
+++ b/src/moledale/gateway/refusals.py
@@ -31,12 +31,12 @@
         self,
         dialect: Dialect,
         balancer: LoadBalancer,
-        turns: RetryScheduler,
+        retry_scheduler: RetryScheduler,
         now: Callable[[], float],
     ) -> None:
         self._dialect = dialect
         self._balancer = balancer
-        self._retry_scheduler = turns
+        self._retry_scheduler = retry_scheduler
         self._now = now
         self._rng = random.Random()
 
@@ -66,21 +66,21 @@
         return wait_s if wait_s > 0 else usual_s
 
     def wait_s(self, job: Job) -> float | None:
-        """Return the seconds until any server of the request's service is open, or None."""
+        """Return the seconds until any server of the service is open, None if it has no server."""
         return self._balancer.group(job.service).retry_in_s(self._now())
 
     def refuse(
-        self, reply: Reply, request: InboundRequest, refusal: Refusal, name: str = ""
+        self, reply: Reply, request: InboundRequest, refusal: Refusal, request_id: str = ""
     ) -> None:
         """Log a refusal, and send it as the final response."""
         emit(
             Event.REFUSED,
-            request=name,
+            request=request_id,
             status=refusal.status,
             why=refusal.reason,
             again_s=refusal.retry_after_s,
             held_ms=round((self._now() - request.arrived_at) * 1000),
         )
         body = b'{"error":"%s"}' % refusal.reason.encode()
-        headers = self._dialect.refusal_headers(name, refusal.retry_after_s)
+        headers = self._dialect.refusal_headers(request_id, refusal.retry_after_s)
         reply.send_whole(refusal.status, headers, body)
