--- a/src/moledale/gateway/renting.py
+++ b/src/moledale/gateway/renting.py
@@ -121,8 +121,8 @@
         """Return the recent work, in tokens per second."""
         if len(self._totals) < 2:
             return 0.0
-        (begin, first), (end, last) = self._totals[0], self._totals[-1]
-        return (last - first) / (end - begin)
+        (begin, first_total), (end, last_total) = self._totals[0], self._totals[-1]
+        return (last_total - first_total) / (end - begin)
 
     @property
     def active_s(self) -> float:
@@ -261,6 +261,7 @@
         return self._place_on_demand(renting, wanted, spot, ordered)
 
     def _recent_maximum(self, maximum: int, now: float) -> int:
+        """Return the largest maximum within `ON_DEMAND_RELEASE_DELAY_S`, including this one."""
         self._recent_maxima.append((now, maximum))
         while now - self._recent_maxima[0][0] > ON_DEMAND_RELEASE_DELAY_S:
             self._recent_maxima.popleft()
@@ -300,7 +301,7 @@
     def _due_orders(
         self, renting: Renting, hall: str, spot: bool, wanted: int, running: int, now: float
     ) -> list[Order]:
-        """Return an order if it would change something."""
+        """Return the order for `wanted` servers of a kind in a hall, or none if it is not due."""
         state = self.states.setdefault((hall, spot), OrderState())
         if now < state.refused_until:
             return []
