--- a/src/moledale/gateway/renting_duty.py
+++ b/src/moledale/gateway/renting_duty.py
@@ -20,7 +20,11 @@
 
 
 class RentingDuty:
-    """Records the demand of all services, and places the orders of the holder's planners."""
+    """Records the demand of all services, and places the orders of the holder's planners.
+
+    `index` returns the plan in force, None before the first one. `first_start` is set when the
+    whole system starts for the first time.
+    """
 
     def __init__(
         self,
