--- a/src/moledale/gateway/reply.py
+++ b/src/moledale/gateway/reply.py
@@ -14,7 +14,10 @@
 
 
 class Reply:
-    """Writes one response to a transport; with `bodiless` only its head, as for HEAD."""
+    """Writes one response to a transport; with `bodiless` only its head, as for HEAD.
+
+    With `close_after` the connection is to be closed after the response.
+    """
 
     def __init__(
         self, transport: asyncio.Transport, close_after: bool, bodiless: bool = False
