--- a/src/moledale/gateway/request_guard.py
+++ b/src/moledale/gateway/request_guard.py
@@ -1,4 +1,4 @@
-"""Detection of requests that crash servers, which are then kept from servers.
+"""Detection of requests that crash servers, which are then blocked from all servers.
 
 A caller retries such a request under a new id, at any node; if each arrival counted for itself,
 each would crash another server. So broken responses of crashed servers are counted by the
@@ -37,7 +37,7 @@
 
 
 class RequestGuard:
-    """Blocks requests that crash servers, with what this node knows of them.
+    """Blocks requests that crash servers, based on crashes seen by this node and its peers.
 
     `on_crash` is called for server crashes seen by this node, `on_cleared` for suspected requests
     that a server survived, and `on_block` for blocked requests whose crashes this node has seen.
@@ -97,15 +97,15 @@
         self._record_crash(server, requests, at)
 
     def block_suspects(self) -> None:
-        """Block the requests that crash servers."""
+        """Block the suspected requests that turn out to crash servers."""
         for block in self.quarantine.block_guilty(self._now()):
             self._announce_block(block)
         self._seen_locally = {
             each for each in self._seen_locally if self.quarantine.is_suspect(each)
         }
 
-    def _on_server_checked(self, broken: BrokenRequests, ended: bool) -> None:
-        if not ended:
+    def _on_server_checked(self, broken: BrokenRequests, crashed: bool) -> None:
+        if not crashed:
             for placement in broken.placements:
                 self._record_failure(placement)
             return
