--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -17,14 +17,16 @@
 """Maximum writes of a status in one step: the first may conflict with an existing status, and the
 second with one that another holder wrote meanwhile."""
 
-
 EVIDENCE_SHARE = 0.04
 """Share of a route's requests that the new servers must have answered: half of what a trial sends
 them on average. A higher share would keep a good version waiting on routes with few requests."""
 
 
 class RolloutDuty:
-    """Advances roll-outs on behalf of all nodes."""
+    """Advances roll-outs on behalf of all nodes.
+
+    `local_time` converts a time on the store's clock to this machine's monotonic clock.
+    """
 
     def __init__(
         self,
@@ -99,7 +101,10 @@
     async def _complete(
         self, service: str, rollout: ServiceRollout, holds_lease: Callable[[], bool]
     ) -> None:
-        """End the old servers; nodes learn of it once the store has the status."""
+        """Complete a roll-out, which ends the old servers.
+
+        The phase advances, and peers learn of it, once the store has the final status.
+        """
         if await self._write(rollout, Phase.COMPLETED, holds_lease):
             self._rollouts.advance(service, Phase.COMPLETED, "no requests run at old servers")
 
@@ -180,6 +185,7 @@
 
 
 def _routes(series: Iterable[str]) -> list[str]:
+    """Return the series that stand for routes, which leaves out those of the pace of streams."""
     return [name for name in series if not name.endswith(PACE_SUFFIX)]
 
 
