--- a/src/moledale/gateway/rollouts.py
+++ b/src/moledale/gateway/rollouts.py
@@ -42,7 +42,11 @@
 
 
 class ServiceRollout:
-    """One node's state of a service's roll-out."""
+    """One node's state of a service's roll-out.
+
+    `own_counts` is what this node sent and saw, `evidence` what all nodes are known to have seen,
+    and `tried` the number of answers of the new version in that.
+    """
 
     def __init__(self, update: RolloutNews) -> None:
         self.update = update
@@ -85,7 +89,7 @@
 
     `on_change` is called with each change that peers should learn of at once. `local_time` converts
     a time on the store's clock to this machine's monotonic clock. `serving` returns how many nodes
-    serve, 0 if this one does not.
+    serve, 0 if this one does not. `started_at` is when this process started (monotonic time).
     """
 
     def __init__(
@@ -192,7 +196,7 @@
     def trial_share(self, service: str, route: str, first_send: bool) -> float:
         """Return the load share of a version on trial if a request is to go to it, else 0.
 
-        Repeats never go to it. While there are few new servers, they get no more than as many old
+        Retries never go to it. While there are few new servers, they get no more than as many old
         ones would: a burst on them looks like a slow version.
         """
         rollout = self.services.get(service)
@@ -215,20 +219,20 @@
 
         At a share of `max_share` the new servers have no more to do than the old ones.
 
-        Nodes without a part in the free requests, most of which get a request now and then, decide
-        at random: 8 in 100 of one or two requests would always be counted as none.
+        Nodes without a part in the free requests decide at random. Most of them get only a request
+        now and then, and by count, a share of 8 in 100 of one or two requests would allow none.
         """
-        own, part = rollout.own_counts, self._exposure.per_node(self._count_sharing_nodes(rollout))
-        usual_share = min(max_share, part.share)
-        if not part.free:
+        own, limit = rollout.own_counts, self._exposure.per_node(self._count_sharing_nodes(rollout))
+        usual_share = min(max_share, limit.share)
+        if not limit.free:
             return usual_share if self._rng.random() < usual_share else 0.0
         undertested = rollout.is_undertested(route)
         if self._rng.random() >= (MAX_FREE_SHARE if undertested else max_share):
             return 0.0
-        reserved = 0.0 if undertested else RESERVED_SHARE * part.free
-        if not part.allows(own.requests, own.tried + reserved):
+        reserved = 0.0 if undertested else RESERVED_SHARE * limit.free
+        if not limit.allows(own.requests, own.tried + reserved):
             return 0.0
-        return usual_share if part.within_share(own.requests, own.tried) else max_share
+        return usual_share if limit.within_share(own.requests, own.tried) else max_share
 
     def _count_sharing_nodes(self, rollout: ServiceRollout) -> int:
         """Return how many nodes share the free requests, 0 if this one has no part in them.
