--- a/src/moledale/gateway/upstream.py
+++ b/src/moledale/gateway/upstream.py
@@ -22,7 +22,10 @@
 
 
 class Cut(StrEnum):
-    """Why a response ended before it was complete."""
+    """Why a response ended before it was complete.
+
+    `GARBLED` ones are not valid or belong to another request; `SLOW` ones this node gave up on.
+    """
 
     RESET = "reset"
     CLOSED = "closed"
