--- a/src/moledale/gateway/usage.py
+++ b/src/moledale/gateway/usage.py
@@ -14,7 +14,7 @@
 
     A node's time of day may jump. Each node broadcasts how far its time of day is ahead of the
     store's clock, and all use the median, so that jumps on fewer than half of the machines change
-    nothing.
+    nothing. In the methods `wall` is this machine's time of day, and `now` its monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         return None if self._store_minus_local_s is None else now + self._store_minus_local_s
 
     def offset_s(self, wall: float, now: float) -> float | None:
-        """Return how far this machine's time of day is ahead of the store's clock."""
+        """Return how far this machine's time of day is ahead of the store's clock, if known."""
         return (
             None if self._store_minus_local_s is None else wall - (now + self._store_minus_local_s)
         )
