--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -143,7 +143,7 @@
             SERVERS_PATH,
             self.archive,
             lambda: self.list.era_version,
-            self._fetched,
+            self._on_fetched,
             self._read_without_peers,
         )
         self._store = store
@@ -364,7 +364,7 @@
         if head is not None:
             self._send_changes(split_into_packets(head, base, self._control, difference), True)
 
-    def _fetched(self, version: EraVersion, raw: bytes) -> None:
+    def _on_fetched(self, version: EraVersion, raw: bytes) -> None:
         """Adopt a complete list that was fetched from a peer."""
         try:
             differs = self.list.update_from_peer(raw, version)
--- a/tests/list_world.py
+++ b/tests/list_world.py
@@ -123,7 +123,7 @@
         if source is None or not source.alive or world.is_partitioned(source.name, self.node.name):
             return
         self.fetch_count += 1
-        self.node.watch._fetched(source.watch.list.era_version, source.watch.list.raw)
+        self.node.watch._on_fetched(source.watch.list.era_version, source.watch.list.raw)
 
     def is_behind(self, _now: float) -> bool:
         """Return whether a newer list is being fetched."""
@@ -280,7 +280,7 @@
         run_to_completion(self.nodes[0].watch._read())
         raw, version = self.nodes[0].watch.list.raw, self.nodes[0].watch.list.era_version
         for node in self.nodes:
-            node.watch._fetched(version, raw)
+            node.watch._on_fetched(version, raw)
             node.watch._record_read(0.0, STORE_CLOCK_START_S)
             for other in self.nodes:
                 node.neighbours.addresses.add(f"{other.name}:2", 0.0)
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -500,7 +500,7 @@
         peer = ServerList()
         peer.update_from_store([make_server(1)], era_version(5))
         self.watch.on_head(ListHead(5, peer.digest, self.now - 0.3, era=1), "n2:3", 1.0)
-        self.watch._fetched(era_version(5), peer.raw)
+        self.watch._on_fetched(era_version(5), peer.raw)
         self.assertTrue(self.current())
         self.assertEqual(self.store.reads, 0)
         self.now += MAX_LIST_AGE_SHARE * LEAVE_S - 0.2
