--- a/src/moledale/gateway/answers.py
+++ b/src/moledale/gateway/answers.py
@@ -152,7 +152,7 @@
     def _may_try_elsewhere(self, job: Job) -> bool:
         now = self._now()
         other = self._balancer.has_alternative(job.service, now, job.tried)
-        return other and self._sharing.may_repeat(job.service, now)
+        return other and self._sharing.may_retry(job.service, now)
 
     async def _read_whole(self, connection: UpstreamConnection) -> bytes:
         parts = []
--- a/src/moledale/gateway/forwarder.py
+++ b/src/moledale/gateway/forwarder.py
@@ -237,7 +237,7 @@
             return False
         if not self.guard.may_retry(job):
             return False
-        return self._sharing.may_repeat(job.service, self._now())
+        return self._sharing.may_retry(job.service, self._now())
 
     async def _attempt(
         self, job: Job, placement: Placement, continuation: Continuation | None
@@ -363,7 +363,7 @@
     ) -> None:
         now = self._now()
         if job.sends:
-            self._sharing.record_repeat(job.service, now)
+            self._sharing.record_retry(job.service, now)
         job.sends += 1
         job.was_sent = True
         after_event = job.splitter.last_id if job.splitter.event_count else ""
--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -65,11 +65,11 @@
         """Count a caller's request for a service."""
         self._budget(service).record_request(now)
 
-    def record_repeat(self, service: str, now: float) -> None:
+    def record_retry(self, service: str, now: float) -> None:
         """Count a retry: a send of a request after its first one."""
         self._budget(service).record_retry(now)
 
-    def may_repeat(self, service: str, now: float) -> bool:
+    def may_retry(self, service: str, now: float) -> bool:
         """Return whether the retry budget shared by all nodes allows one more retry."""
         alive = self.members.alive(now)
         peers = [state.sends[service] for state in alive if service in state.sends]
