--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -161,8 +161,8 @@
         self._newest_head: ListHead | None = None
         self._fresh_at = -1e9
         self._read_s = NEVER_S
-        self._returned_s = NEVER_S
-        self._returned_at = -1e9
+        self._outage_ended_s = NEVER_S
+        self._outage_ended_at = -1e9
         self._failed_at = -1e9
         self._stale_read_at = -1e9
         self._restored_at = -1e9
@@ -185,7 +185,7 @@
         if not self.known:
             return None
         at = self.list.era_version
-        return ListHead(at.number, self.list.digest, self._read_s, self._returned_s, at.era)
+        return ListHead(at.number, self.list.digest, self._read_s, self._outage_ended_s, at.era)
 
     async def watch(self) -> None:
         """Read the list whenever it is due on this node, forever."""
@@ -269,7 +269,9 @@
 
         Called each gossip round, since lists are read less often.
         """
-        lapsed = self._retains_lapsed and self._now() - self._returned_at >= LAPSED_ENTRY_GRACE_S
+        lapsed = (
+            self._retains_lapsed and self._now() - self._outage_ended_at >= LAPSED_ENTRY_GRACE_S
+        )
         if self._now() - self._restored_at >= RESTORED_ENTRY_LAPSE_S:
             lapsed = self.list.trust_entries() or lapsed
         if lapsed:
@@ -302,7 +304,7 @@
             self._on_stale_read(listed)
             return False
         if self._failed_at > self._fresh_at and sent_at - self._fresh_at > MIN_OUTAGE_S:
-            self._returned_at, self._returned_s = sent_at, listed.store_s
+            self._outage_ended_at, self._outage_ended_s = sent_at, listed.store_s
         base = self.list.digest
         unchanged = before is not None and not listed.changed and base == digest
         difference = None if unchanged else self.list.update_from_store(listed.servers, listed.at)
@@ -337,8 +339,8 @@
         known, self._era = self._era, self.list.era_version.era
         if not self.list.era_version.is_restored_since(EraVersion(known)):
             return
-        self._restored_at = self._returned_at = self._now()
-        self._read_s = self._returned_s = NEVER_S
+        self._restored_at = self._outage_ended_at = self._now()
+        self._read_s = self._outage_ended_s = NEVER_S
         if self._newest_head is not None and self.list.is_from_older_era(self._newest_head):
             self._newest_head = None
         self._publish()
@@ -413,8 +415,8 @@
         if head.era > self.list.era_version.era > UNKNOWN_ERA:
             return
         if returned_at is not None and head.read_s - self._read_s > MIN_OUTAGE_S:
-            self._returned_at = max(self._returned_at, returned_at)
-            self._returned_s = max(self._returned_s, head.returned_s)
+            self._outage_ended_at = max(self._outage_ended_at, returned_at)
+            self._outage_ended_s = max(self._outage_ended_s, head.returned_s)
 
     def _on_changed(self, from_store: bool) -> None:
         """Archive, publish and log a list that differs from the one before."""
@@ -434,7 +436,7 @@
         """Publish the list, with servers added that may only have lapsed during an outage."""
         servers = self.list.usable()
         kept = []
-        if self._now() - self._returned_at < LAPSED_ENTRY_GRACE_S:
+        if self._now() - self._outage_ended_at < LAPSED_ENTRY_GRACE_S:
             listed = {server.address for server in servers}
             before = (server for server in self._published if server.address not in listed)
             kept = [server for server in before if not server.leaving]
