--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -18,7 +18,7 @@
 MEMBER_TABLE = "members"
 MAX_PORT = 65_535
 
-STORE_TIMEOUT_S = 0.8
+CALL_TIMEOUT_S = 0.8
 """Timeout of a store call; 200 times its usual duration."""
 
 RETRY_INITIAL_S = 0.2
@@ -79,12 +79,12 @@
 
     async def _write(self) -> bool:
         value = self._own_address.encode()
-        trouble = await self._store.put(MEMBER_TABLE, self._node, value, STORE_TIMEOUT_S)
+        trouble = await self._store.put(MEMBER_TABLE, self._node, value, CALL_TIMEOUT_S)
         return trouble is None
 
     async def _read(self) -> bool:
         sent_at = monotonic()
-        outcome = await self._store.read(MEMBER_TABLE, STORE_TIMEOUT_S)
+        outcome = await self._store.read(MEMBER_TABLE, CALL_TIMEOUT_S)
         if not isinstance(outcome, Ok):
             return False
         now = monotonic()
