--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -171,7 +171,7 @@
             ),
         )
         self.quarantine = QuarantineSharing(self.forwarder.guard, self._send_quarantine)
-        self._blocks = QuarantineStore(
+        self._quarantine_store = QuarantineStore(
             store,
             self.forwarder.guard,
             self.quarantine,
@@ -288,7 +288,7 @@
         start("fleet of peers", self.fleet.fetch.run)
         start("members", registration.run)
         start("duties", self._duties_forever)
-        start("blocks", self._blocks.run)
+        start("blocks", self._quarantine_store.run)
         start("pool", self._sweep_pool_forever)
         start("callers", lambda: sweep_forever(self._caller_listener))
         start("questions", lambda: sweep_forever(self._control_listener))
