--- a/src/moledale/gateway/quarantine_sharing.py
+++ b/src/moledale/gateway/quarantine_sharing.py
@@ -68,7 +68,7 @@
     """Sends a message to the serving nodes, to all nodes (`everyone`), or to one `peer`."""
 
     def __call__(
-        self, news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
+        self, message: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
     ) -> None:
         """Send the message."""
         ...
--- a/tests/test_quarantine_nodes.py
+++ b/tests/test_quarantine_nodes.py
@@ -208,11 +208,11 @@
 
     def make_sender(self, own: str) -> Callable[..., None]:
         def send(
-            news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
+            message: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
         ) -> None:
             for name in [peer] if peer is not None else self.sharing:
-                if name != own and not self.is_lost(news):
-                    self.sharing[name].on_message(news)
+                if name != own and not self.is_lost(message):
+                    self.sharing[name].on_message(message)
 
         return send
 
@@ -322,9 +322,9 @@
         async def work(network: Network) -> None:
             sizes: list[int] = []
 
-            def send(news: QuarantineMessage, **_: object) -> None:
-                if isinstance(news, EndNews):
-                    sizes.append(len(news.requests))
+            def send(message: QuarantineMessage, **_: object) -> None:
+                if isinstance(message, EndNews):
+                    sizes.append(len(message.requests))
 
             sharing = QuarantineSharing(RequestGuard(ConnectionPool(monotonic)), send)
             requests = [b"r%d" % number for number in range(150)]
