--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -238,7 +238,7 @@
         """Handle the list head of a peer's state; fetch the list from the peer if it is newer."""
         if self.list.is_from_older_era(head):
             return
-        self._record_return(head)
+        self._record_outage_end(head)
         self._record_head(head)
         if self.list.confirm_head(head):
             self._reset_on_restore()
@@ -250,7 +250,7 @@
         """Apply a change received from a peer, and relay it the first time."""
         if self.list.is_from_older_era(change.head):
             return
-        self._record_return(change.head)
+        self._record_outage_end(change.head)
         self._record_head(change.head)
         result = self.list.apply_change(change)
         self._reset_on_restore()
@@ -319,7 +319,7 @@
             self._send_unchanged()
         else:
             self._on_changed(from_store=True)
-            self._send_difference(base, difference)
+            self._send_delta(base, difference)
         return True
 
     def _on_stale_read(self, listed: StoredList) -> None:
@@ -361,7 +361,7 @@
         if head is not None:
             self._send_confirmation(ServerChange(head, head.digest, self._control))
 
-    def _send_difference(self, base: int, difference: ServerDelta) -> None:
+    def _send_delta(self, base: int, difference: ServerDelta) -> None:
         head = self.head()
         if head is not None:
             self._send_changes(split_into_packets(head, base, self._control, difference), True)
@@ -406,7 +406,7 @@
             self._fresh_at = read_at
         self._read_s = max(self._read_s, store_s)
 
-    def _record_return(self, head: ListHead) -> None:
+    def _record_outage_end(self, head: ListHead) -> None:
         """Record the end of the store's outage as the reading node stated it.
 
         A node whose own list was not interrupted ignores it.
