--- a/src/moledale/gateway/backoff.py
+++ b/src/moledale/gateway/backoff.py
@@ -33,5 +33,5 @@
         return self._pause_s * (1.0 - JITTER + 2 * JITTER * self._rng.random())
 
     def reset(self) -> None:
-        """Start again from the initial pause, after a call that did not fail."""
+        """Start again from the initial pause, after a successful call."""
         self._pause_s = 0.0
