--- a/src/moledale/gateway/builds.py
+++ b/src/moledale/gateway/builds.py
@@ -20,7 +20,7 @@
 
 
 FORMATS = formats_digest()
-"""Digest of this build. Builds that send none are older than the digest."""
+"""Digest of this build's formats; earlier builds send an empty one."""
 
 
 class BuildWatch:
