--- a/src/moledale/gateway/cold_start.py
+++ b/src/moledale/gateway/cold_start.py
@@ -46,7 +46,7 @@
     async def wait(self, known: Callable[[], bool], coming: Callable[[], bool]) -> None:
         """Wait until a document is `known`, or until this node should read it from the store.
 
-        It should not do so while the document is `coming` from a peer.
+        It does not read while the document is `coming` from a peer.
         """
         began_at = self._now()
         while True:
