--- a/src/moledale/gateway/directory.py
+++ b/src/moledale/gateway/directory.py
@@ -27,6 +27,7 @@
 keeps nodes from flapping."""
 
 HASH_KEY = "callers"
+"""Key of the rendezvous hash that orders nodes of equal power."""
 
 MAX_POWER = 20.0
 """Cap of a node's power (see `power_of`): beyond it, more makes no difference."""
