--- a/src/moledale/gateway/document_archive.py
+++ b/src/moledale/gateway/document_archive.py
@@ -16,7 +16,7 @@
 from moledale.gateway.store_era import UNKNOWN_ERA, EraVersion
 
 PIECE_BYTES = 16_384
-"""Takes 26 ms on a link of 5 Mbit/s."""
+"""Size of a piece, which takes 26 ms on a link of 5 Mbit/s."""
 
 MAX_DOCUMENTS = 4
 """Documents kept as bases for deltas; operators may change the plan several times a second."""
@@ -142,16 +142,19 @@
         if not digest:
             return None
         base = request.have if request.have in self._documents else ""
-        name, frame = self._frame(digest, base)
-        offset = request.offset if request.frame == name else 0
+        frame_digest, frame = self._frame(digest, base)
+        offset = request.offset if request.frame == frame_digest else 0
         data = frame[offset : offset + PIECE_BYTES]
         if not self._budget.take(len(data), self.now()):
             return None
         version = self._documents[digest].version
         size = len(frame)
-        return DocumentPiece(version.number, digest, base, name, size, offset, data, version.era)
+        return DocumentPiece(
+            version.number, digest, base, frame_digest, size, offset, data, version.era
+        )
 
     def _frame(self, digest: str, base: str) -> tuple[str, bytes]:
+        """Return the digest and bytes of the newest document's frame for a base, cached."""
         found = self._frames.get(base)
         if found is None:
             frame = encode(self._documents[digest].raw, self._documents[base].raw if base else b"")
