--- a/src/moledale/gateway/document_fetch.py
+++ b/src/moledale/gateway/document_fetch.py
@@ -41,7 +41,7 @@
 times a second."""
 
 NEWER_VERSION_TTL_S = 5.0
-"""A claim of a newer document is discarded if nobody delivers the document within this time."""
+"""Sources of a newer document are discarded if none delivers it within this time."""
 
 
 def piece_path(path: str, request: PieceRequest) -> str:
@@ -121,7 +121,10 @@
             self._newer_known.clear()
 
     async def _fetch_newest(self) -> None:
-        """Fetch pieces until no source has a newer document than this node."""
+        """Fetch pieces until no source has a newer document than this node.
+
+        Give up after `NEWER_VERSION_TTL_S`, and read the store if no piece arrives.
+        """
         fallback_delay_s = self._fallback_delay_s()
         last_piece_at = monotonic()
         while True:
@@ -143,9 +146,11 @@
                 last_piece_at = monotonic()
 
     def _fallback_delay_s(self) -> float:
+        """Return a random time without a piece after which the store is read."""
         return STORE_FALLBACK_S + STORE_FALLBACK_JITTER_S * self._rng.random()
 
     def _newer_sources(self) -> dict[str, Source]:
+        """Drop sources that have nothing newer than this node, and return the others."""
         own = self._own_version()
         self._sources = {name: each for name, each in self._sources.items() if each.version > own}
         return self._sources
