--- a/src/moledale/gateway/fleet_watch.py
+++ b/src/moledale/gateway/fleet_watch.py
@@ -71,11 +71,10 @@
 """Interval at which a node in reserve checks whether a read is due. Its turn comes only after
 seconds, and fewer wake-ups leave more of its instance to requests."""
 
-
 RESERVE_READ_DELAY_S = 2.0
-"""A node in reserve reads for itself after this time without news of a read. Serving nodes
-send their states to it once a second each; with a shorter delay all nodes in reserve would read at
-times."""
+"""A node in reserve reads for itself after this time without learning of another read. Serving
+nodes send their states to it once a second each; with a shorter delay all nodes in reserve would
+read at times."""
 
 RESERVE_READ_JITTER_S = 0.5
 """Nodes in reserve delay reads by a random time up to this, for each `neighbours.MAX_MESH_PEERS`
@@ -118,7 +117,8 @@
     each change, `send_changes` sends changes to peers, and `send_confirmation` informs the nodes
     that might read next that nothing changed. `backoff_scale` returns more than 1.0 on a node in
     reserve in a large cluster (see `Neighbours.backoff_scale`). `leave_s` is the time after which a
-    leaving server may get no new work. `cold_start` decides when a starting node reads the store
+    leaving server may get no new work. `control` is this node's address for fetches by peers, whose
+    rate is limited by `link_mbps`. `cold_start` decides when a starting node reads the store
     first; without it, it does at once.
     """
 
@@ -159,6 +159,9 @@
         self._now = now
         self._cold_start = cold_start
         self._newest_head: ListHead | None = None
+        # `_fresh_at` and `_read_s` are when this node's list was last read from the store, here or
+        # at a peer: on the monotonic clock and on the store's clock. The same holds for the end of
+        # the store's last outage, `_outage_ended_at` and `_outage_ended_s`.
         self._fresh_at = -1e9
         self._read_s = NEVER_S
         self._outage_ended_s = NEVER_S
@@ -307,19 +310,19 @@
             self._outage_ended_at, self._outage_ended_s = sent_at, listed.store_s
         base = self.list.digest
         unchanged = before is not None and not listed.changed and base == digest
-        difference = None if unchanged else self.list.update_from_store(listed.servers, listed.at)
-        marks_dropped = unchanged and self.list.confirm_version(listed.at)
+        delta = None if unchanged else self.list.update_from_store(listed.servers, listed.at)
+        departure_marks_dropped = unchanged and self.list.confirm_version(listed.at)
         self._reset_on_restore()
         self._record_read(sent_at, listed.store_s)
-        if marks_dropped:
+        if departure_marks_dropped:
             self._publish()
-        if difference is None:
+        if delta is None:
             self.archive.update_version(self.list.era_version)
             self.drop_lapsed()
             self._send_unchanged()
         else:
             self._on_changed(from_store=True)
-            self._send_delta(base, difference)
+            self._send_delta(base, delta)
         return True
 
     def _on_stale_read(self, listed: StoredList) -> None:
@@ -353,18 +356,19 @@
         return StoredList(servers, at.number, self._read_s, era=at.era)
 
     async def _read_without_peers(self) -> bool:
-        """Read the list from the store when no peer delivers it; return as `_read` does."""
+        """Read the list from the store when no peer delivers it; return whether that succeeded."""
         return await asyncio.shield(self._start_read())
 
     def _send_unchanged(self) -> None:
+        """Send a confirmation that a read found the list unchanged."""
         head = self.head()
         if head is not None:
             self._send_confirmation(ServerChange(head, head.digest, self._control))
 
-    def _send_delta(self, base: int, difference: ServerDelta) -> None:
+    def _send_delta(self, base: int, delta: ServerDelta) -> None:
         head = self.head()
         if head is not None:
-            self._send_changes(split_into_packets(head, base, self._control, difference), True)
+            self._send_changes(split_into_packets(head, base, self._control, delta), True)
 
     def _on_fetched(self, version: EraVersion, raw: bytes) -> None:
         """Adopt a complete list that was fetched from a peer."""
@@ -411,11 +415,11 @@
 
         A node whose own list was not interrupted ignores it.
         """
-        returned_at = self._true_time.to_local(head.returned_s)
+        ended_at = self._true_time.to_local(head.returned_s)
         if head.era > self.list.era_version.era > UNKNOWN_ERA:
             return
-        if returned_at is not None and head.read_s - self._read_s > MIN_OUTAGE_S:
-            self._outage_ended_at = max(self._outage_ended_at, returned_at)
+        if ended_at is not None and head.read_s - self._read_s > MIN_OUTAGE_S:
+            self._outage_ended_at = max(self._outage_ended_at, ended_at)
             self._outage_ended_s = max(self._outage_ended_s, head.returned_s)
 
     def _on_changed(self, from_store: bool) -> None:
@@ -435,11 +439,11 @@
     def _publish(self) -> None:
         """Publish the list, with servers added that may only have lapsed during an outage."""
         servers = self.list.usable()
-        kept = []
+        retained = []
         if self._now() - self._outage_ended_at < LAPSED_ENTRY_GRACE_S:
             listed = {server.address for server in servers}
-            before = (server for server in self._published if server.address not in listed)
-            kept = [server for server in before if not server.leaving]
-        self._retains_lapsed = bool(kept)
-        self._published = [*servers, *kept]
+            missing = (server for server in self._published if server.address not in listed)
+            retained = [server for server in missing if not server.leaving]
+        self._retains_lapsed = bool(retained)
+        self._published = [*servers, *retained]
         self._on_servers(self._published)
