--- a/src/moledale/gateway/gossip.py
+++ b/src/moledale/gateway/gossip.py
@@ -67,9 +67,11 @@
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
-
 OTHER_KINDS = "others"
+"""Kind under which messages are counted beyond `MAX_UNREADABLE_KINDS`."""
+
 NO_KIND = "no message"
+"""Kind of datagrams that name none."""
 
 
 def claimed_kind(data: bytes) -> str:
@@ -116,7 +118,7 @@
             emit(Event.FORMAT_REFUSED, kind=kind, sender=sender, why=why)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a peer's port is closed: its silence shows it too."""
+        """Ignore errors such as a closed port of a peer; a silent peer is detected by a timeout."""
 
     def send(self, message: Message, addresses: list[str]) -> None:
         """Send a message to each address; do nothing while the socket is not open."""
