--- a/src/moledale/gateway/messages.py
+++ b/src/moledale/gateway/messages.py
@@ -14,7 +14,7 @@
 
     @property
     def bodiless(self) -> bool:
-        """Return whether the answer has no body (HEAD)."""
+        """Return whether the answer to this request has no body (HEAD)."""
         return self.method == b"HEAD"
 
     def get(self, name: bytes) -> bytes | None:
@@ -51,8 +51,8 @@
 class Placed(msgspec.Struct, frozen=True, array_like=True):
     """A prompt that a node placed on a server, and the node's load there including it.
 
-    `work` is the work of this prompt; `running` and `prefill` are totals of the node's requests on
-    the server.
+    `work` is the prefill work of this prompt; `running` and `prefill` are totals of the node's
+    requests on the server.
     """
 
     server: str
@@ -103,7 +103,8 @@
     """Metadata of an answer, independent of the names of its headers.
 
     `stamped` is set if a backend server marked the answer as its own, `not_run` if the request was
-    not executed, and `closes` if the server closes the connection after it.
+    not executed, and `closes` if the server closes the connection after it. `keep_alive_s` is for
+    how long the server keeps an idle connection open, None if it does not state it.
     """
 
     request_id: str | None
