--- a/src/moledale/gateway/neighbours.py
+++ b/src/moledale/gateway/neighbours.py
@@ -120,7 +120,7 @@
         return self.serving != before
 
     def promoted_without_counts(self, now: float) -> bool:
-        """Return whether this node serves but did not get its peers' counts before.
+        """Return whether this node, if it has just begun to serve, lacks its peers' counts.
 
         In a large cluster, nodes in reserve only get brief states.
         """
@@ -161,14 +161,16 @@
             serving = [each for each in serving if each.hall == hall]
         return [each.peer for each in serving]
 
-    def brief_targets(self, own: NodeState, sent: list[str], now: float) -> list[str]:
-        """Return the addresses that get only the brief state in this round."""
+    def brief_targets(self, own: NodeState, full_targets: list[str], now: float) -> list[str]:
+        """Return the addresses besides `full_targets` that get the brief state in this round."""
         slow = self._round % ROUNDS_PER_SLOW_ROUND == 0
         if not self.is_large(now) or not (
             (slow and self.serving) or self._admits_before_listened(own, now)
         ):
             return []
-        return [address for address in self.addresses.known(now) if address not in set(sent)]
+        return [
+            address for address in self.addresses.known(now) if address not in set(full_targets)
+        ]
 
     def _admits_before_listened(self, own: NodeState, now: float) -> bool:
         """Return whether this node admits requests before it can know which others do.
@@ -181,13 +183,13 @@
         return bool(own.spent) and not self.has_listened(now)
 
     def possible_readers(self, now: float) -> list[str]:
-        """Return who may read the list next: all nodes, or the serving ones in a large cluster."""
+        """Return the nodes that may read the list next: in a large cluster the serving ones."""
         if not self.is_large(now):
             return self.addresses.known(now)
         return [each.peer for each in self.members.alive(now) if each.serving]
 
     def change_targets(self, own: NodeState, now: float) -> list[str]:
-        """Return who gets a change from its reader: all, or relays in a large cluster."""
+        """Return the nodes that get a change from its reader: all, or relays in a large cluster."""
         if not self.is_large(now):
             return self.addresses.known(now)
         return list(
