--- a/src/moledale/gateway/node.py
+++ b/src/moledale/gateway/node.py
@@ -304,20 +304,20 @@
 
     async def _drain(self) -> None:
         """Leave the directory, finish requests in flight and stop within `bounds.stop_s`."""
-        began = monotonic()
+        began_at = monotonic()
         self.standing = Standing.LEAVING
-        self._leaving_since = began
+        self._leaving_since = began_at
         emit(Event.DRAINING, node=self.settings.node.id)
         self._caller_listener.closing = True
         self._send_state()
         release = asyncio.create_task(self._release_lease())
-        end = began + max(0.5, self.settings.bounds.stop_s - STOP_MARGIN_S)
-        earliest_end = began + min_stop_s(self.settings.bounds)
+        end_at = began_at + max(0.5, self.settings.bounds.stop_s - STOP_MARGIN_S)
+        earliest_end_at = began_at + min_stop_s(self.settings.bounds)
         quiet_since = monotonic()
-        while (now := monotonic()) < end:
+        while (now := monotonic()) < end_at:
             if self._caller_listener.busy():
                 quiet_since = now
-            elif now >= earliest_end and now - quiet_since >= STOP_QUIET_S:
+            elif now >= earliest_end_at and now - quiet_since >= STOP_QUIET_S:
                 break
             await asyncio.sleep(0.05)
         release.cancel()
@@ -389,9 +389,9 @@
             self.neighbours.record_busy(now)
         hints = self.neighbours.hints(now)
         targets = self.neighbours.state_targets(own, now)
-        news = StateNews(own, hints)
+        full = StateNews(own, hints)
         large = self.neighbours.is_large(now)
-        self._gossip.send(self._packer.pack(news, targets) if large else news, targets)
+        self._gossip.send(self._packer.pack(full, targets) if large else full, targets)
         brief = self.neighbours.brief_targets(own, targets, now)
         if everyone:
             sent = set(targets)
@@ -419,7 +419,7 @@
         self._gossip.send(PlacementNews(node.id, self.incarnation, self._sequence, placed), targets)
 
     def _send_quarantine(
-        self, news: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
+        self, message: QuarantineMessage, *, everyone: bool = False, peer: str | None = None
     ) -> None:
         if self._gossip is None:
             return
@@ -430,7 +430,7 @@
             targets = self.neighbours.all_addresses(now)
         else:
             targets = self.neighbours.possible_readers(now)
-        self._gossip.send(news, targets)
+        self._gossip.send(message, targets)
 
     def _engine_of(self, server: str) -> Engine | None:
         """Return the engine of a server's service, None for an unknown or plain server."""
@@ -442,6 +442,7 @@
         return service.engine if service is not None else None
 
     async def _gossip_forever(self) -> None:
+        """Send the state each gossip round, and run what is due once per round."""
         suspension = SuspensionWatch()
         while True:
             if slept_s := suspension.slept_s():
@@ -478,11 +479,11 @@
             self.sharing.apply_placements(message, self.balancer, self._engine_of)
             return
         if isinstance(message, PackedState):
-            news = self._unpacker.unpack(message)
-            if news is None:
+            unpacked = self._unpacker.unpack(message)
+            if unpacked is None:
                 self.members.record_alive(message.id, message.life, now)
             else:
-                self._on_state(news, now)
+                self._on_state(unpacked, now)
             return
         self._on_state(message, now)
 
@@ -522,24 +523,24 @@
             version = EraVersion(number=state.plan_version)
             self.plans.fetch.add_source(state.control, version, state.power, now)
 
-    def _on_rollout_changed(self, news: RolloutNews) -> None:
+    def _on_rollout_changed(self, rollout: RolloutNews) -> None:
         """Broadcast a changed roll-out; drain old servers once requests move to the new ones."""
-        if news.phase is Phase.MOVING:
-            self._drain_old_servers(news)
-        if self._gossip is not None and self._rollouts_sent.get(news.order.service) != news:
-            self._rollouts_sent[news.order.service] = news
+        if rollout.phase is Phase.MOVING:
+            self._drain_old_servers(rollout)
+        if self._gossip is not None and self._rollouts_sent.get(rollout.order.service) != rollout:
+            self._rollouts_sent[rollout.order.service] = rollout
             self._send_state()
 
-    def _drain_old_servers(self, news: RolloutNews) -> None:
+    def _drain_old_servers(self, rollout: RolloutNews) -> None:
         """Drain servers of the old version before the roll-out's duration is over."""
-        order = news.order
+        order = rollout.order
         now = monotonic()
         ordered_at = self.sharing.true_time.to_local(order.ordered_s)
         began_at = now if ordered_at is None else ordered_at
-        ends = max(now, began_at + OLD_SERVERS_END_SHARE * order.duration_s)
+        end_at = max(now, began_at + OLD_SERVERS_END_SHARE * order.duration_s)
         views = self.balancer.group(order.service).views.values()
         old = [view.server for view in views if view.server.version != order.target]
-        self.forwarder.evacuation.evacuate_by(old, ends)
+        self.forwarder.evacuation.evacuate_by(old, end_at)
 
     def _serving_count(self) -> int:
         """Return how many nodes serve, or 0 if this one does not."""
@@ -576,6 +577,7 @@
         return self.neighbours.watch_rank(self._own_state(), monotonic())
 
     def _list_read_rank(self) -> int:
+        """Return this node's rank among the readers of the server list, serving nodes first."""
         return self.neighbours.rank(self._own_state(), monotonic(), reserve_first=False)
 
     def _apply_servers(self, servers: list[Server]) -> None:
@@ -611,6 +613,7 @@
     # Duties and maintenance
 
     async def _duties_forever(self) -> None:
+        """Compete for the lease and run the duties of its holder, unless this node is leaving."""
         while True:
             now = monotonic()
             if self.standing is not Standing.LEAVING and self.neighbours.has_listened(now):
