--- a/src/moledale/gateway/outside.py
+++ b/src/moledale/gateway/outside.py
@@ -137,7 +137,7 @@
         ...
 
     async def watch_plan(self, position: EraVersion, wait_s: float) -> Result[PlanUpdate, Failure]:
-        """Return the newest plan once there is one after `position`, or after `wait_s`."""
+        """Return what changed after `position`, once there is a change or after `wait_s`."""
         ...
 
     async def write_rollout(
