--- a/src/moledale/gateway/peers.py
+++ b/src/moledale/gateway/peers.py
@@ -77,14 +77,20 @@
 class NodeState(msgspec.Struct, array_like=True):
     """The state that a node sends to others; `life` is new at each start of its process.
 
+    `peer` is the node's gossip address and `control` its address for control requests.
+    `plan_version` is -1 without a plan. `started` counts started requests by usage window and
+    account, `spent` what the node granted of each account's limit, `sends` requests and retries
+    within the retry window by service, and `work` the prefill work placed by service. `power` is
+    the node's capacity (see `directory.power_of`), `offset_s` how far its time of day is ahead of
+    the store's clock, and `speeds` are its estimates by service. A `brief` state lacks most counts.
     `age_s` is the time since the process started. `store_age_s` is the time since the store last
     answered its watch, and grows without bound while it does not.
     `lease_heard` is the lease as received from its holder, relayed to nodes that have no contact
     with the holder. `servers` identifies the list of backend servers that the node has. `rollouts`
     are the version roll-outs that it knows, and `trials` its evidence on the undecided ones, by
     service. `blocks` is a digest of the requests that get no server there, None before it received
-    any. `leaving` are servers that announced in answers that they leave, as long as the list does
-    not say so, and `declined` those that rejected requests of this node, with the seconds left of
+    any. `leaving` are servers that announced in answers that they leave, until the list marks them
+    as leaving, and `declined` those that rejected requests of this node, with the seconds left of
     their backoff. `limits` are those that servers stated to this node, None from builds without
     limits. `formats` is a digest of the formats that its build sends, empty from builds without
     one. `era` is that of the store, None from builds without eras.
