--- a/src/moledale/gateway/plan.py
+++ b/src/moledale/gateway/plan.py
@@ -10,6 +10,7 @@
 import msgspec
 
 TOKENS = "tokens"
+"""Unit of account limits that count tokens; any other unit counts requests."""
 
 
 class Kind(StrEnum):
@@ -37,7 +38,8 @@
     `split` distributes the requests over services. `max_servers` is the maximum number of servers
     that one request may be sent to. `target_s` is the time within which an answer earns its full
     value, and `gap_s` the longest pause with which a stream still does. A `public` route needs no
-    key. With `resumable` a broken stream may be continued at another server.
+    API key. With `resumable` a broken stream may be continued at another server. `priority` applies
+    to callers whose account has none; 0 is the most urgent.
     """
 
     name: str
@@ -104,8 +106,8 @@
 class Account(msgspec.Struct, frozen=True):
     """A client account with its API keys and its rate limit, a token bucket.
 
-    `unit` says whether `rate_per_s` and `burst` count requests or tokens; a rate of 0 sets no
-    limit. `default_tokens` is charged for a request that does not state its tokens.
+    `unit` is what `rate_per_s` and `burst` count, tokens or requests (see `TOKENS`); a rate of 0
+    sets no limit. `default_tokens` is charged for a request that does not state its tokens.
     """
 
     name: str
@@ -177,6 +179,7 @@
 
 
 def _host_name(host: str) -> str:
+    """Return a Host header's name in lower case, without the port."""
     return host.lower().partition(":")[0]
 
 
