--- a/src/moledale/gateway/plan_watch.py
+++ b/src/moledale/gateway/plan_watch.py
@@ -57,6 +57,8 @@
     after a plan was adopted, with whether it came from the store, so that it can be announced to
     peers. `on_rollout` is called with roll-outs, which operators order in the same place.
     `cold_start` decides when a starting node asks the store; without it the node asks at once.
+    `backoff_scale` lengthens the pauses between retries (see `Backoff`), and `link_mbps` limits
+    what peers may fetch from this node.
     `store_reached_at` is the monotonic time of the last answer to a watch, far in the past after a
     failed one.
     """
@@ -143,6 +145,7 @@
         return True
 
     def _apply_update(self, update: PlanUpdate) -> None:
+        """Pass on the roll-outs of a store's answer, and adopt its plan if there is one."""
         for rollout in update.rollouts:
             self._on_rollout(rollout)
         if update.plan is not None:
@@ -158,6 +161,7 @@
         self._adopt_plan(plan, raw, from_store=False)
 
     def _adopt_plan(self, plan: Plan, raw: bytes, from_store: bool) -> None:
+        """Adopt a plan unless a newer one is in force; archive and announce an adopted one."""
         if not self._adopt(plan):
             return
         self._version = plan.version
