--- a/src/moledale/gateway/quarantine_sharing.py
+++ b/src/moledale/gateway/quarantine_sharing.py
@@ -23,7 +23,7 @@
 """Minimum interval at which a node sends its blocks to a peer whose digest differs."""
 
 MAX_FINGERPRINTS_PER_DATAGRAM = 64
-"""As many requests as run on a server at once; such a datagram has 1.2 KB."""
+"""Maximum number of requests in one datagram: as many as run on a server at once, about 1.2 KB."""
 
 
 class EndNews(msgspec.Struct, array_like=True, tag="ended"):
@@ -55,7 +55,7 @@
 
 
 class BlockNews(msgspec.Struct, array_like=True, tag="blocks"):
-    """Blocks that the sender has; `all` is set if it has no others."""
+    """Blocks that the sender has; `all` is set if these are all of them."""
 
     blocks: list[ToldBlock]
     all: bool = False
@@ -110,7 +110,11 @@
             self._merge_blocks(message)
 
     def on_peer_digest(self, peer: str, peer_digest: int | None) -> None:
-        """Compare a peer's digest with this node's; send it this node's blocks if they differ."""
+        """Compare a peer's digest with this node's; send it this node's blocks if they differ.
+
+        This is done at most once per `PEER_SYNC_INTERVAL_S` and peer, and only once synced. An
+        equal digest makes this node synced.
+        """
         own = self._guard.quarantine.digest()
         if peer_digest == own:
             self.synced = True
