--- a/src/moledale/gateway/quarantine_store.py
+++ b/src/moledale/gateway/quarantine_store.py
@@ -30,7 +30,6 @@
 """First and longest pause after a failed call. Nothing depends on a quick retry: peers have the
 blocks that the store lacks."""
 
-
 MAX_REMOVALS_PER_READ = 16
 """Expired rows that are removed after one read; each takes a store call, and none is urgent."""
 
@@ -46,7 +45,7 @@
     """Writes the blocks that this node decided, and reads all blocks if no peer sends them.
 
     Blocks are written again when the store came back from an older copy and may have lost them.
-    `is_serving` says whether this node serves callers, and `backoff_scale` stretches the pauses
+    `is_serving` says whether this node serves callers, and `backoff_scale` lengthens the pauses
     between retries (see `Backoff`).
     """
 
@@ -75,16 +74,16 @@
         store.era.on_restored.append(self._requeue_written)
 
     async def run(self) -> None:
-        """Write and read blocks whenever that is due, forever."""
+        """Write queued blocks, and read all blocks if no peer sent them, forever."""
         while True:
             await self._wait_for_work()
             if self._needs_read():
-                done = await self._read()
+                record_success = await self._read()
             elif self._unwritten:
-                done = await self._write()
+                record_success = await self._write()
             else:
                 continue
-            if done:
+            if record_success:
                 self._backoff.reset()
                 self._health.record_success()
             else:
@@ -111,22 +110,24 @@
     def _unexpired(self, blocks: dict[bytes, Block]) -> dict[bytes, Block]:
         """Return the blocks that have not expired."""
         now = self._now()
-        return {name: block for name, block in blocks.items() if not block.is_expired(now)}
+        return {key: block for key, block in blocks.items() if not block.is_expired(now)}
 
     def _needs_read(self) -> bool:
         """Return whether this node serves callers but has not received the blocks from a peer.
 
-        A node listens to its peers before it serves, for longer than they take to send their state.
+        A node listens to its peers before it serves, for longer than they take to send their state,
+        so if it is not synced by then, no peer that it reaches has the blocks.
         """
         return self._is_serving() and not self._sharing.synced
 
     async def _read(self) -> bool:
+        """Read all blocks and remove expired rows; return whether the read succeeded."""
         outcome = await self._store.read(BLOCK_TABLE, CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
             self._health.record_failure(outcome.err_value.detail)
             return False
-        reading = outcome.ok_value
-        blocks = [self._decode_block(row, reading.store_s) for row in reading.rows]
+        snapshot = outcome.ok_value
+        blocks = [self._decode_block(row, snapshot.store_s) for row in snapshot.rows]
         known = [block for block in blocks if block is not None]
         for block in known:
             if not block.is_expired(self._now()):
@@ -136,7 +137,10 @@
         return True
 
     def _decode_block(self, row: StateRow, store_s: float) -> Block | None:
-        """Return a row's block; None, logged, if the row is corrupt. Such a row is not removed."""
+        """Return a row's block; None, logged, if the row is corrupt. Such a row is not removed.
+
+        `store_s` is the store's clock at the read.
+        """
         fingerprint = parse_or_log(BLOCK_TABLE, row.key, lambda: bytes.fromhex(row.key))
         stored = decode_row(BLOCK_TABLE, row, StoredBlock)
         if fingerprint is None or stored is None:
@@ -147,22 +151,25 @@
         """Remove the rows of expired blocks; those left are removed after the next read."""
         for block in expired[:MAX_REMOVALS_PER_READ]:
             key = block.fingerprint.hex()
-            trouble = await self._store.remove(BLOCK_TABLE, key, CALL_TIMEOUT_S)
-            if trouble is not None:
-                self._health.record_failure(trouble.detail)
+            failure = await self._store.remove(BLOCK_TABLE, key, CALL_TIMEOUT_S)
+            if failure is not None:
+                self._health.record_failure(failure.detail)
                 return
 
     async def _write(self) -> bool:
-        """Write one block; it replaces the row of an earlier block of the same request."""
+        """Write one block, replacing the row of an earlier block of the same request.
+
+        Return whether that succeeded.
+        """
         fingerprint, block = next(iter(self._unwritten.items()))
         store_s = self._true_time.to_store(self._now())
         if store_s is None:
             return False
         stored = StoredBlock(store_s + block.until - self._now(), block.times)
         value = msgspec.json.encode(stored)
-        trouble = await self._store.put(BLOCK_TABLE, fingerprint.hex(), value, CALL_TIMEOUT_S)
-        if trouble is not None:
-            self._health.record_failure(trouble.detail)
+        failure = await self._store.put(BLOCK_TABLE, fingerprint.hex(), value, CALL_TIMEOUT_S)
+        if failure is not None:
+            self._health.record_failure(failure.detail)
             return False
         if self._unwritten.get(fingerprint) is block:
             del self._unwritten[fingerprint]
