--- a/src/moledale/gateway/questions.py
+++ b/src/moledale/gateway/questions.py
@@ -59,7 +59,7 @@
             self._send_addresses(reply, own)
 
     def _send_piece(self, reply: Reply, archive: DocumentArchive, query: str) -> None:
-        """Answer a peer that fetches a document; 503 without one or while others fetch it."""
+        """Answer a peer that fetches a document; 503 without one or over the rate limit."""
         try:
             wanted = msgspec.convert(dict(parse_qsl(query)), PieceRequest, strict=False)
         except msgspec.ValidationError:
