--- a/src/moledale/gateway/registration.py
+++ b/src/moledale/gateway/registration.py
@@ -25,11 +25,11 @@
 """First pause after a failed call."""
 
 RETRY_MAX_S = 1.0
-"""Longest pause of a node alone; it grows with the number of nodes."""
+"""Longest pause at a backoff scale of 1.0; the scale grows with the number of nodes."""
 
 JITTER_S = 0.5
 """After a restore of the store, nodes register again after a random delay of up to this time per
-`neighbours.MAX_MESH_PEERS` nodes."""
+`neighbours.MAX_MESH_PEERS` nodes, so that they do not all write at once."""
 
 
 class Registration:
@@ -37,7 +37,7 @@
 
     A restore of the store, which starts a new era, may have lost the row. The read also returns the
     store's clock, from which `true_time` derives the age of server lists. `backoff_scale`
-    stretches pauses as the number of nodes grows (see `Backoff`).
+    lengthens pauses as the number of nodes grows (see `Backoff`).
     """
 
     def __init__(
@@ -69,7 +69,7 @@
             await asyncio.sleep(JITTER_S * self._backoff_scale() * self._rng.random())
 
     async def _register(self) -> None:
-        """Write this node's row and read all rows, retrying what fails."""
+        """Write this node's row and read all rows, until both succeeded."""
         registered = read = False
         while not (registered and read):
             registered = registered or await self._write()
@@ -79,8 +79,8 @@
 
     async def _write(self) -> bool:
         value = self._own_address.encode()
-        trouble = await self._store.put(MEMBER_TABLE, self._node, value, CALL_TIMEOUT_S)
-        return trouble is None
+        failure = await self._store.put(MEMBER_TABLE, self._node, value, CALL_TIMEOUT_S)
+        return failure is None
 
     async def _read(self) -> bool:
         sent_at = monotonic()
