--- a/src/moledale/gateway/settings.py
+++ b/src/moledale/gateway/settings.py
@@ -16,9 +16,11 @@
 class Identity(Table, frozen=True):
     """Identity of this node and the addresses on which it listens (`host:port`).
 
-    `first_start` is set if the whole system starts for the first time, so that no request was
-    served before. `cores` and `link_mbps` describe the instance, and `halls` lists all halls in
-    which nodes may serve.
+    `callers` accepts requests of callers, `control`, `directory` and `readiness` accept control
+    requests, and `peers` is the gossip address. `seeds` are addresses on other nodes' hosts, whose
+    gossip port is taken to be that of `peers`. `first_start` is set if the whole system starts for
+    the first time, so that no request was served before. `cores` and `link_mbps` describe the
+    instance, and `halls` lists all halls in which nodes may serve.
     """
 
     id: str
@@ -53,8 +55,9 @@
 
     Within each `limit_window_s` an account may use its rate over that time plus its burst; with 0.0
     the burst is granted only once. The total of a window may be exceeded by the fraction
-    `limit_share` of it plus `limit_tokens`. By the time a new server version is found to be bad, it
-    may have received the fraction `exposure_share` of the requests plus `exposure_free`.
+    `limit_share` of it plus `limit_tokens`. Usage is counted in windows of `usage_window_s`. By the
+    time a new server version is found to be bad, it may have received the fraction `exposure_share`
+    of the requests plus `exposure_free`.
     """
 
     stop_s: float = 8.0
