--- a/src/moledale/gateway/sharing.py
+++ b/src/moledale/gateway/sharing.py
@@ -58,7 +58,7 @@
         self.usage.count(account, self.time())
 
     def time(self) -> float:
-        """Return true time in seconds since the epoch."""
+        """Return the time that all nodes agree on (see `TrueTime`), in seconds since the epoch."""
         return self.true_time.now(self._wall(), self._now())
 
     def record_request(self, service: str, now: float) -> None:
@@ -109,16 +109,17 @@
         balancer.apply_peer_states(alive)
 
     def apply_placements(
-        self, news: PlacementNews, balancer: LoadBalancer, engine: EngineOf
+        self, message: PlacementNews, balancer: LoadBalancer, engine: EngineOf
     ) -> None:
         """Apply a peer's placements since its last full state."""
-        state = self.members.state_of(news.id, news.life, news.sequence)
+        state = self.members.state_of(message.id, message.life, message.sequence)
         if state is None:
             return
-        for each in news.placed:
+        for each in message.placed:
             balancer.apply_peer_placement(state.id, state.loads, each, engine(each.server))
 
     def _budget(self, service: str) -> RetryBudget:
+        """Return the retry budget of a service, created at its first use."""
         budget = self._budgets.get(service)
         if budget is None:
             bounds = self._bounds
