--- a/src/moledale/gateway/state_packing.py
+++ b/src/moledale/gateway/state_packing.py
@@ -33,9 +33,9 @@
 _decoder = msgspec.msgpack.Decoder(StateNews)
 
 
-def pack_snapshot(news: StateNews) -> PackedState:
+def pack_snapshot(message: StateNews) -> PackedState:
     """Return a state compressed as a snapshot, which can be read without another one."""
-    return _compress(news, _encoder.encode(news), NO_BASE, b"")
+    return _compress(message, _encoder.encode(message), NO_BASE, b"")
 
 
 class StatePacker(msgspec.Struct):
@@ -46,54 +46,57 @@
     _rounds_since_snapshot: int = 0
     _snapshot_targets: set[str] = msgspec.field(default_factory=set)
 
-    def pack(self, news: StateNews, targets: Iterable[str]) -> PackedState:
+    def pack(self, message: StateNews, targets: Iterable[str]) -> PackedState:
         """Return a state packed for some addresses.
 
         It is a delta, or a snapshot if one is due or a target did not get the last one, such as a
         node that has just become the lease holder.
         """
-        raw = _encoder.encode(news)
+        raw = _encoder.encode(message)
         self._rounds_since_snapshot += 1
         if self._rounds_since_snapshot < ROUNDS_PER_SNAPSHOT and self._snapshot_targets.issuperset(
             targets
         ):
-            return _compress(news, raw, self._snapshot_sequence, self._snapshot)
+            return _compress(message, raw, self._snapshot_sequence, self._snapshot)
         self._snapshot, self._snapshot_sequence, self._rounds_since_snapshot = (
             raw,
-            news.state.sequence,
+            message.state.sequence,
             0,
         )
         self._snapshot_targets = set(targets)
-        return _compress(news, raw, NO_BASE, b"")
+        return _compress(message, raw, NO_BASE, b"")
 
 
 class StateUnpacker(msgspec.Struct):
-    """Unpacks the states of all other nodes, keeping their last snapshots."""
+    """Unpacks the states of all other nodes, keeping their last snapshots.
+
+    `_snapshots` holds the incarnation, sequence and bytes of each by node.
+    """
 
     _snapshots: OrderedDict[str, tuple[int, int, bytes]] = msgspec.field(
         default_factory=OrderedDict
     )
 
     def unpack(self, packed: PackedState) -> StateNews | None:
-        """Return a state, or None if its base is not known here or it is unreadable."""
+        """Return a state, or None if its snapshot is missing or it is unreadable."""
         base = b""
         if packed.base != NO_BASE:
-            life, sequence, base = self._snapshots.get(packed.id, (0, NO_BASE, b""))
-            if (life, sequence) != (packed.life, packed.base):
+            incarnation, sequence, base = self._snapshots.get(packed.id, (0, NO_BASE, b""))
+            if (incarnation, sequence) != (packed.life, packed.base):
                 return None
         try:
             raw = _decompressor(base).decompress(packed.frame, max_output_size=MAX_UNPACKED_BYTES)
-            news = _decoder.decode(raw)
+            message = _decoder.decode(raw)
         except (zstandard.ZstdError, msgspec.DecodeError):
             return None
-        if packed.base == NO_BASE and not news.state.brief:
-            self._store_snapshot(news, raw)
-        return news
-
-    def _store_snapshot(self, news: StateNews, raw: bytes) -> None:
-        state = news.state
-        life, sequence, _ = self._snapshots.get(state.id, (0, NO_BASE, b""))
-        if life == state.life and sequence >= state.sequence:
+        if packed.base == NO_BASE and not message.state.brief:
+            self._store_snapshot(message, raw)
+        return message
+
+    def _store_snapshot(self, message: StateNews, raw: bytes) -> None:
+        state = message.state
+        incarnation, sequence, _ = self._snapshots.get(state.id, (0, NO_BASE, b""))
+        if incarnation == state.life and sequence >= state.sequence:
             return
         self._snapshots[state.id] = (state.life, state.sequence, raw)
         self._snapshots.move_to_end(state.id)
@@ -101,14 +104,14 @@
             self._snapshots.popitem(last=False)
 
 
-def _compress(news: StateNews, raw: bytes, base: int, dictionary: bytes) -> PackedState:
+def _compress(message: StateNews, raw: bytes, base: int, dictionary: bytes) -> PackedState:
     parameters = zstandard.ZstdCompressionParameters.from_level(
         COMPRESSION_LEVEL, write_checksum=True
     )
     compressor = zstandard.ZstdCompressor(
         compression_params=parameters, dict_data=_dictionary(dictionary)
     )
-    return PackedState(news.state.id, news.state.life, base, compressor.compress(raw))
+    return PackedState(message.state.id, message.state.life, base, compressor.compress(raw))
 
 
 def _decompressor(base: bytes) -> zstandard.ZstdDecompressor:
