--- a/src/moledale/gateway/store_era.py
+++ b/src/moledale/gateway/store_era.py
@@ -17,7 +17,10 @@
 
 
 class EraVersion(msgspec.Struct, frozen=True, order=True):
-    """A version and the era in which it was assigned; any version of a later era is newer."""
+    """A version and the era in which it was assigned; any version of a later era is newer.
+
+    The default is older than any version of the store.
+    """
 
     era: int = UNKNOWN_ERA
     number: int = -1
