--- a/src/moledale/gateway/work.py
+++ b/src/moledale/gateway/work.py
@@ -24,8 +24,8 @@
         if before is None:
             return
         for service, amount in work.items():
-            more = max(0, amount - before.get(service, 0))
-            self.total[service] = self.total.get(service, 0) + more
+            increase = max(0, amount - before.get(service, 0))
+            self.total[service] = self.total.get(service, 0) + increase
 
     def merge_peers(self, states: Iterable[NodeState]) -> None:
         """Record the counters of other nodes, and drop incarnations that are no longer known."""
@@ -38,4 +38,4 @@
 
 
 OWN_INCARNATION = -1
-"""Key of this process, whose counters are known from the beginning."""
+"""Key of this process, whose counters are recorded from the beginning and never dropped."""
