--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -61,7 +61,7 @@
         self._clock = clock
         self._rng = rng
         self._waiting = ReservationQueue(hall, load_tracker, bundle, max_waiting, clock)
-        self._leaving_servers = Evacuator(
+        self._evacuator = Evacuator(
             hall, servers, load_tracker, self._waiting, bundle, self._redirect, clock
         )
         self._guard = GenerationGuard(servers, clock)
@@ -330,7 +330,7 @@
         emit(Event.SERVER_LEAVING, server=message.server, source=message.source)
         notice = DEFAULT_NOTICE_S if message.seconds_left is None else message.seconds_left
         records = [record for record in self.streams.live() if record.server == view.id]
-        self._leaving_servers.evacuate(view, records, notice)
+        self._evacuator.evacuate(view, records, notice)
 
     def _on_gone(self, message: ServerGone) -> None:
         view = self.load_tracker.views.get(message.server)
