--- a/src/moledale/core/rollout_evidence.py
+++ b/src/moledale/core/rollout_evidence.py
@@ -222,15 +222,15 @@
     control: Control = msgspec.field(default_factory=Control)
     count: int = 0
     cusum: float = 0.0
-    _seen: Tally = msgspec.field(default_factory=Tally)
+    _previous: Tally = msgspec.field(default_factory=Tally)
 
     def observe(self, old: Tally, new: Tally, with_times: bool) -> bool:
         """Update from the counts as they are now; return whether the version is bad."""
         self.control.observe(old)
-        fresh = new.since(self._seen)
+        fresh = new.since(self._previous)
         if fresh.count <= 0:
             return self.exceeds_threshold
-        self._seen = new.copy()
+        self._previous = new.copy()
         self.count += fresh.count
         bad = fresh.count_bad(self.control.slow_bucket if with_times else None)
         expected = self.control.expected_bad_share
