--- a/src/moledale/core/rollouts.py
+++ b/src/moledale/core/rollouts.py
@@ -201,7 +201,7 @@
     moving_s: float
     new_ready: int
     old_running: int
-    tried: int
+    new_answers: int
     untested_routes: int
 
 
@@ -225,10 +225,10 @@
 def _after_trial(seen: Progress) -> Phase:
     if seen.elapsed < EARLIEST_RISE_SHARE:
         return Phase.TRIAL
-    if seen.new_ready and seen.tried >= MIN_ANSWERS and not seen.untested_routes:
+    if seen.new_ready and seen.new_answers >= MIN_ANSWERS and not seen.untested_routes:
         return Phase.RISING
     if seen.elapsed < latest_rise_share(seen.duration_s):
         return Phase.TRIAL
-    if seen.new_ready and seen.tried >= MIN_ANSWERS:
+    if seen.new_ready and seen.new_answers >= MIN_ANSWERS:
         return Phase.RISING
     return Phase.ROLLED_BACK if seen.elapsed >= 1.0 - RISING_DURATION_SHARE else Phase.TRIAL
--- a/src/moledale/gateway/rollout_duty.py
+++ b/src/moledale/gateway/rollout_duty.py
@@ -126,7 +126,7 @@
             moving_s=in_phase_s,
             new_ready=sum(1 for view in new if not view.server.leaving),
             old_running=sum(view.total_running for view in old),
-            tried=rollout.tried,
+            new_answers=rollout.tried,
             untested_routes=_count_untested_routes(rollout),
         )
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -325,7 +325,7 @@
         "moving_s": MIN_MOVING_S,
         "new_ready": 3,
         "old_running": 5,
-        "tried": 40,
+        "new_answers": 40,
         "untested_routes": 0,
     }
     return Progress(**{**values, **changes})  # type: ignore[arg-type]
@@ -341,7 +341,7 @@
         )
 
     def test_version_without_evidence_or_servers_is_not_adopted(self) -> None:
-        for lacking in ({"tried": 2}, {"new_ready": 0}):
+        for lacking in ({"new_answers": 2}, {"new_ready": 0}):
             self.assertIs(
                 next_phase(make_progress(elapsed=LATEST_RISE_SHARE, **lacking)), Phase.TRIAL
             )
