--- a/src/moledale/core/breaker.py
+++ b/src/moledale/core/breaker.py
@@ -24,7 +24,10 @@
 
 
 class Breaker:
-    """A circuit breaker whose wait doubles each time, with jitter between half and all of it."""
+    """A circuit breaker that admits one probe after a wait, which doubles with each failed probe.
+
+    Each wait is shortened by jitter to between half and all of its length.
+    """
 
     state: str
 
@@ -47,7 +50,7 @@
         )
 
     def allows(self, now: float) -> bool:
-        """Return whether a call may be made at `now`; after the wait, one probe at a time."""
+        """Return whether to make a call at `now`; after the wait, the first one is the probe."""
         if self.state == CLOSED:
             return True
         if self.state == OPEN and now >= self._open_until:
@@ -56,7 +59,7 @@
         return False
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until the next call may be tried."""
+        """Return the seconds left of the wait until a probe; 0.0 if closed or the wait is over."""
         return 0.0 if self.state == CLOSED else max(0.0, self._open_until - now)
 
     def record_success(self) -> bool:
@@ -73,13 +76,13 @@
         self._failures += 1
         if self.state == OPEN:
             return False
-        began = self.state == CLOSED and self._failures >= self._limits.failure_threshold
-        if began or self.state == PROBING:
+        opened = self.state == CLOSED and self._failures >= self._limits.failure_threshold
+        if opened or self.state == PROBING:
             self._open(now)
-        return began
+        return opened
 
     def record_cancelled(self, now: float) -> None:
-        """Record a call that was cancelled before its outcome was known."""
+        """Record a call that ended without a known outcome; such a probe counts as failed."""
         if self.state == PROBING:
             self._open(now)
 
