--- a/src/moledale/core/duties.py
+++ b/src/moledale/core/duties.py
@@ -6,7 +6,7 @@
 from moledale.core.hashing import ranked
 
 CANDIDATES_PER_HALL = 4
-"""Nodes of a hall that compete for its lease; more would only read its row more often."""
+"""Nodes of a hall that compete for its lease; more would only add reads of its row."""
 
 SUBSTITUTES_PER_HALL = 2
 """Nodes of other halls that compete for the lease of a hall without nodes."""
@@ -19,8 +19,8 @@
 
     The first nodes of a hall by rendezvous hash are the candidates for its lease. A hall without
     nodes gets candidates from the other halls. If the node lists differ, more or other nodes may
-    try, and the table decides between them. When all candidates die, they drop out of the list and
-    the next nodes follow.
+    try, and the conditional write to the table decides between them. Candidates that die drop out
+    of the list, and the next nodes by hash replace them.
     """
     active = [view for view in nodes if not view.leaving]
     halls_with_nodes = {view.hall for view in active} | {own_hall}
