--- a/src/moledale/core/fingerprint.py
+++ b/src/moledale/core/fingerprint.py
@@ -1,4 +1,4 @@
-"""Request digests that are the same for each repetition of a request, on every node."""
+"""Digests by which every node recognises repetitions of a request."""
 
 from collections.abc import Iterable
 
