--- a/src/moledale/core/freshness.py
+++ b/src/moledale/core/freshness.py
@@ -5,7 +5,11 @@
 
 
 class Verdict(StrEnum):
-    """Whether a node accepts new requests, and if not, why."""
+    """Whether a node accepts new requests, and if not, why.
+
+    `UNCONFIRMED`: it has not confirmed its bundle as the newest. `ISOLATED`: it has reached neither
+    the table nor any peer for too long.
+    """
 
     SERVE = "serve"
     UNCONFIRMED = "unconfirmed"
@@ -31,9 +35,10 @@
     """Decide whether to accept new requests.
 
     A node serves nothing before it has confirmed a head. After that, an outage of the table stops
-    no node, since no bundle can be accepted during it. But a node that reaches neither the table
-    nor any peer may be the only one that is cut off, so it accepts no new work after a grace period
-    of `grace_s`. A node that knows of a newer version than its own doesn't serve by the old one.
+    no node, since no new bundle can become the head during it. But a node that reaches neither the
+    table nor any peer may be the only one that is cut off, so it accepts no new work after a grace
+    period of `grace_s`. A node that knows of a newer version than its own accepts no requests until
+    it has adopted that version.
     """
     if view.version == 0 or view.confirmed_ago_s is None:
         return Verdict.UNCONFIRMED
