--- a/src/moledale/core/hashing.py
+++ b/src/moledale/core/hashing.py
@@ -30,7 +30,7 @@
 
 
 def ring_successors(own: str, candidates: Iterable[str], count: int) -> list[str]:
-    """Return the `count` candidates that follow a name on a hash ring, the same on every node."""
+    """Return the `count` candidates that come next after `own` on a ring of hashed names."""
     position = _position(own)
     return nsmallest(count, candidates, key=lambda name: (_position(name) - position) % RING_SIZE)
 
