--- a/src/moledale/core/leases.py
+++ b/src/moledale/core/leases.py
@@ -42,7 +42,7 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """Proof of a held lease; orders carry its epoch. `until` and `since` are monotonic times."""
+    """Proof of a lease held from `since` to `until` (monotonic times); orders carry its epoch."""
 
     name: str
     epoch: int
@@ -96,18 +96,21 @@
         return LeaseAction.READ
 
     def next_row(self, operation: str, min_epoch: int = 1) -> LeaseRow:
-        """Return the row to write to acquire or renew the lease; acquiring raises the epoch."""
+        """Return the row to write to acquire or renew the lease.
+
+        Acquiring raises the epoch by one, and to at least `min_epoch`.
+        """
         if self.state == HELD and self.row is not None:
             return LeaseRow(self._node, self.row.epoch, operation)
         epoch = self.row.epoch + 1 if self.row is not None else 1
         return LeaseRow(self._node, max(epoch, min_epoch), operation)
 
     def set_version(self, version: int) -> None:
-        """Set the version to renew from, if the row changed since the last renewal."""
+        """Set the row version that the next write replaces, if another write has changed it."""
         self.version = version
 
     def reset(self) -> None:
-        """Discard what was read of the row, as it is no longer valid."""
+        """Discard the row that was read, and treat the lease as vacant."""
         self.row = None
         self.version = 0
         self._vacate()  # type: ignore[attr-defined]
@@ -147,13 +150,15 @@
     """Return whether a fenced order may be sent now.
 
     A server that checks fences rejects an old epoch itself. For one that doesn't, the order must
-    end within the lease, and a new holder first waits for the longest order that the previous
-    holder may have sent at the end of its lease.
+    end within the lease, as an order takes up to `order_max_s`. A new holder also waits first until
+    any order that the previous holder sent at the end of its lease must have ended.
     """
     if not grant.valid(now):
         return False
     if checks_fence:
         return True
-    ends_inside = now + order_max_s < grant.until
-    waited_out = grant.epoch == 1 or now >= grant.since + ttl_s * MARGIN_SHARE + order_max_s
-    return ends_inside and waited_out
+    ends_within_lease = now + order_max_s < grant.until
+    previous_orders_ended = (
+        grant.epoch == 1 or now >= grant.since + ttl_s * MARGIN_SHARE + order_max_s
+    )
+    return ends_within_lease and previous_orders_ended
