--- a/src/moledale/core/limits.py
+++ b/src/moledale/core/limits.py
@@ -59,7 +59,7 @@
     level: float = 20.0
 
     def record_request(self) -> None:
-        """Add the share that a request earns."""
+        """Add `share` to the budget for a request, up to `max_level`."""
         self.level = min(self.max_level, self.level + self.share)
 
     def try_spend(self) -> bool:
