--- a/src/moledale/core/pacing.py
+++ b/src/moledale/core/pacing.py
@@ -1,35 +1,36 @@
 """Request pacing by the generic cell rate algorithm (ITU-T I.371, virtual scheduling).
 
-A rate is kept in each span of time by handing out slots. Times are seconds of one steady clock.
-Each slot is due one interval after the one before. It may be taken earlier by what was saved while
-no requests came, one interval or `BURST_S`, and it may be reserved in advance by a caller that
-waits for it.
+Slots are handed out at a rate, each due one interval after the previous one. After a time without
+requests slots may be taken early, by at most `Pacer.burst_tolerance_s`, so that a short burst is
+possible. A caller that waits may reserve a slot in advance. Times are seconds of one monotonic
+clock.
 """
 
 import msgspec
 
 BURST_S = 0.25
-"""Requests for this much time may come at once, and two in any case: without saved slots, a server
-of one request per second would be idle from each slot until the next caller asks."""
+"""A burst may use the slots of this much time at once, and two slots in any case: without a burst
+allowance, a server of one request per second would be idle from each slot until the next caller
+asks."""
 
 MIN_RATE_PER_S = 0.1
 """Lower rates are raised to this one: a server that stated a rate of zero would get no request, so
 its next rate would never be learned."""
 
 STEEP_DROP_RATIO = 0.5
-"""A rate that falls below this ratio of the previous one is treated as an unrelated one."""
+"""After a drop below this ratio of the previous rate, slots saved at that rate don't count."""
 
 OVERBOOKING_FACTOR = 2.0
 """Rejected callers are given retry times at this many requests per slot, since some of them don't
 return."""
 
 MAX_EXTRA_WAIT_S = 2.0
-"""No caller is told to retry later than this after the next slot is free, since the rate may
-rise."""
+"""Maximum time from the next free slot to the retry time of a rejected caller, as the rate may
+rise before."""
 
 
 class SlotReservation(msgspec.Struct, frozen=True):
-    """A slot that was taken, `wait_s` from now; or, if not `granted`, when to ask again."""
+    """A slot that starts in `wait_s`; or, if not `granted`, the time until the caller may retry."""
 
     granted: bool
     wait_s: float
@@ -47,7 +48,7 @@
 
     @classmethod
     def without_credit(cls, per_s: float, now: float) -> "Pacer":
-        """Return a pacer without a free slot: another node may just have used the last ones."""
+        """Return a pacer without a free slot: another node may just have used the saved ones."""
         pacer = cls(max(MIN_RATE_PER_S, per_s), now)
         pacer.next_at = now + pacer.interval_s + pacer.burst_tolerance_s
         return pacer
@@ -70,15 +71,15 @@
         per_s = max(MIN_RATE_PER_S, per_s)
         if per_s == self.per_s:
             return
-        change = per_s / self.per_s
+        ratio = per_s / self.per_s
         self.per_s = per_s
         self.last_retry_at = min(self.last_retry_at, now)
         latest = now + self.interval_s + self.burst_tolerance_s
-        if change < STEEP_DROP_RATIO:
+        if ratio < STEEP_DROP_RATIO:
             self.next_at = latest
         elif self.next_at > now:
             # Small changes may be frequent: restarting the wait on each would never free a slot.
-            self.next_at = min(latest, now + (self.next_at - now) / change)
+            self.next_at = min(latest, now + (self.next_at - now) / ratio)
 
     def take(self, now: float, max_wait_s: float = 0.0, count: int = 1) -> SlotReservation:
         """Reserve `count` slots, the first within `max_wait_s`; else return when to retry."""
@@ -89,7 +90,10 @@
         return SlotReservation(True, wait_s)
 
     def record_external(self, now: float) -> None:
-        """Count a request sent without a slot; even many delay the next slot only a little."""
+        """Count a request that was sent without a slot.
+
+        However many there are, the next slot is due within an interval plus `MAX_EXTRA_WAIT_S`.
+        """
         latest = now + MAX_EXTRA_WAIT_S + self.interval_s
         self.next_at = max(self.next_at, min(latest, max(self.next_at, now) + self.interval_s))
 
