--- a/src/moledale/core/quarantine.py
+++ b/src/moledale/core/quarantine.py
@@ -1,8 +1,8 @@
-"""Blocks requests that crash servers, and tells them from those that merely ran there.
+"""Blocks requests that crash servers, as opposed to those that merely ran on a crashed one.
 
-A request that crashes each server which starts to run it (a "query of death") comes again: from its
+A request that crashes each server which starts to run it (a "query of death") is retried by its
 caller, at any node, under a new id. It is recognised by its fingerprint, so the state here outlives
-a single arrival. Each crash counts against all requests that ran on the server, since the one that
+a single attempt. Each crash counts against all requests that ran on the server, since the one that
 caused it isn't known. A second crash under the same request points to it, unless other servers
 crashed at the same moment, as they do when a hall is lost. A request that a server answers is
 cleared.
@@ -100,7 +100,7 @@
         return fingerprint in self._crashes_by_request
 
     def strikes(self, fingerprint: bytes) -> float:
-        """Return how many crashes a request explains.
+        """Return the number of crashes that a request explains, which may be a fraction.
 
         Of servers that crashed at the same time it explains only the share that it ran on.
         """
@@ -126,7 +126,7 @@
         return [block for block in blocked if block is not None]
 
     def wait_s(self, fingerprint: bytes, now: float) -> float:
-        """Return for how long a request may not run; 0.0 if it may run now."""
+        """Return the seconds for which a request may not run; 0.0 if it may run now."""
         block = self.blocks.get(fingerprint)
         if block is not None and block.until > now:
             return block.until - now
