--- a/src/moledale/core/queueing.py
+++ b/src/moledale/core/queueing.py
@@ -99,7 +99,10 @@
 
 
 def estimated_wait_s(queued_ahead: int, free_slots: int, slots: int, service_s: float) -> float:
-    """Estimate the wait of a request behind `queued_ahead` others on `slots` slots in all."""
+    """Estimate the wait of a request behind `queued_ahead` others, in seconds.
+
+    Of `slots` slots `free_slots` are free, and each request occupies one for `service_s`.
+    """
     if slots == 0:
         return float("inf")
     if queued_ahead < free_slots:
