--- a/src/moledale/core/reclaim.py
+++ b/src/moledale/core/reclaim.py
@@ -5,18 +5,19 @@
 from enum import StrEnum
 
 NOTICE_MARGIN_S = 0.5
-"""Part of a notice that plans never use."""
+"""Time at the end of a notice that plans leave unused, as a safety margin."""
 
 
 MAX_TRANSFER_TO_PREFILL_RATIO = 4.0
 """A transfer may take this many times as long as a new prefill, as it uses no server's compute."""
 
 IDLE_RETURN_SHARE = 0.5
-"""Share of the idle sessions that are expected to have another turn soon."""
+"""Estimated share of the idle sessions that have another turn soon and so use their cache."""
 
 
 class ReclaimAction(StrEnum):
-    """The ways to bring a stream through a reclaim."""
+    """What to do with a session: let its stream finish on the leaving server, move the KV cache to
+    another server, or prefill the context there again."""
 
     FINISH = "finish"
     MOVE = "move"
@@ -52,47 +53,47 @@
     prefill_tokens_per_s: float
 
 
-def plan(streams: Sequence[HeldSession], view: ReclaimView) -> dict[str, ReclaimAction]:
+def plan(sessions: Sequence[HeldSession], view: ReclaimView) -> dict[str, ReclaimAction]:
     """Choose an action for each session.
 
     Streams that finish within the notice stay. The others move in order of the prefill time that a
-    move saves per second of link time, weighted by priority and for idle caches by the chance of a
-    return, as long as their transfers fit in the notice. What doesn't fit is prefilled elsewhere,
-    which needs nothing from the leaving server.
+    move saves per second of link time, as long as their transfers fit in the notice. Immediate
+    streams count twice, and idle caches by the chance that they are used again. What doesn't fit
+    is prefilled elsewhere, which needs nothing from the leaving server.
     """
     usable_s = max(0.0, view.notice_s - NOTICE_MARGIN_S)
     actions = {
-        stream.id: ReclaimAction.FINISH
-        for stream in streams
-        if not stream.idle and stream.remaining_s <= usable_s
+        session.id: ReclaimAction.FINISH
+        for session in sessions
+        if not session.idle and session.remaining_s <= usable_s
     }
-    rest = [stream for stream in streams if stream.id not in actions]
-    rest.sort(key=lambda stream: (-_value_per_s(stream, view), stream.id))
+    rest = [session for session in sessions if session.id not in actions]
+    rest.sort(key=lambda session: (-_value_per_s(session, view), session.id))
     link_used_s = 0.0
-    for stream in rest:
-        transfer_s = _transfer_s(stream, view)
+    for session in rest:
+        transfer_s = _transfer_s(session, view)
         fits = link_used_s + transfer_s <= usable_s
-        if fits and transfer_s <= _prefill_s(stream, view) * MAX_TRANSFER_TO_PREFILL_RATIO:
-            actions[stream.id] = ReclaimAction.MOVE
+        if fits and transfer_s <= _prefill_s(session, view) * MAX_TRANSFER_TO_PREFILL_RATIO:
+            actions[session.id] = ReclaimAction.MOVE
             link_used_s += transfer_s
         else:
-            actions[stream.id] = ReclaimAction.PREFILL
+            actions[session.id] = ReclaimAction.PREFILL
     return actions
 
 
-def _transfer_s(stream: HeldSession, view: ReclaimView) -> float:
+def _transfer_s(session: HeldSession, view: ReclaimView) -> float:
     return (
-        stream.kv_bytes / view.bandwidth_bytes_per_s
+        session.kv_bytes / view.bandwidth_bytes_per_s
         if view.bandwidth_bytes_per_s > 0
         else float("inf")
     )
 
 
-def _prefill_s(stream: HeldSession, view: ReclaimView) -> float:
-    return stream.context_tokens / view.prefill_tokens_per_s
+def _prefill_s(session: HeldSession, view: ReclaimView) -> float:
+    return session.context_tokens / view.prefill_tokens_per_s
 
 
-def _value_per_s(stream: HeldSession, view: ReclaimView) -> float:
-    saved = _prefill_s(stream, view) * (2.0 if stream.immediate else 1.0)
-    saved *= IDLE_RETURN_SHARE if stream.idle else 1.0
-    return saved / max(1e-6, _transfer_s(stream, view))
+def _value_per_s(session: HeldSession, view: ReclaimView) -> float:
+    saved_s = _prefill_s(session, view) * (2.0 if session.immediate else 1.0)
+    saved_s *= IDLE_RETURN_SHARE if session.idle else 1.0
+    return saved_s / max(1e-6, _transfer_s(session, view))
