--- a/src/moledale/core/renting.py
+++ b/src/moledale/core/renting.py
@@ -1,4 +1,4 @@
-"""Decides which instances to rent in which hall and class, from demand, prices and refusals."""
+"""Plans which instances to rent and return, from demand, prices and refusals."""
 
 import math
 from collections import Counter, defaultdict
@@ -8,10 +8,10 @@
 from moledale.bundle.schema import Bundle, InstanceClass, Market, Price
 
 HYSTERESIS_SHARE = 0.15
-"""Capacity that exceeds the need by less than this share is kept, to avoid oscillation."""
+"""Capacity that exceeds the required one by less than this share is kept, to avoid oscillation."""
 
 MAX_ON_DEMAND_SHARE = 0.6
-"""On-demand share of the need when only recomputed tokens count, and cost doesn't."""
+"""On-demand share of the required capacity if only recomputed tokens count, and cost doesn't."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,30 +69,33 @@
     on_demand: float = 0.0
     count: Counter[str] = field(default_factory=Counter)
 
-    def add(self, hall: str, item: InstanceClass, market: Market, sign: int = 1) -> None:
+    def add(self, hall: str, instance_class: InstanceClass, market: Market, sign: int = 1) -> None:
         """Add an instance to the totals, or subtract it with a `sign` of -1."""
-        self.capacity[hall] += sign * item.decode_tokens_per_s
+        self.capacity[hall] += sign * instance_class.decode_tokens_per_s
         self.count[hall] += sign
         if market is Market.ON_DEMAND:
-            self.on_demand += sign * item.decode_tokens_per_s
+            self.on_demand += sign * instance_class.decode_tokens_per_s
 
     def surviving_capacity(self) -> float:
         """Return the capacity left after the loss of as many halls as must be survived."""
-        sizes = sorted(self.capacity.values(), reverse=True)
-        return sum(sizes[self.bundle.renting.survive_halls :])
+        capacities = sorted(self.capacity.values(), reverse=True)
+        return sum(capacities[self.bundle.renting.survive_halls :])
 
 
 def required_capacity(bundle: Bundle, demand_tokens_per_s: float) -> float:
-    """Return the capacity that must be left after a loss, in tokens per second."""
+    """Return the capacity that must be left after a loss of halls, in tokens per second.
+
+    It exceeds the demand so that the instances are used up to `utilization` only.
+    """
     wanted = max(demand_tokens_per_s, bundle.renting.least_tokens_per_s)
     return wanted / bundle.renting.utilization
 
 
 def on_demand_share(bundle: Bundle) -> float:
-    """Return the share of the need that is rented on demand, where it can't be reclaimed.
+    """Return the share of the required capacity to rent on demand, where it can't be reclaimed.
 
     On-demand instances cost more and lose no caches. So their share follows the weight of
-    recomputed tokens against that of cost, up to `MAX_ON_DEMAND_SHARE`, unless the bundle states
+    recomputed tokens against that of cost, up to `MAX_ON_DEMAND_SHARE`, unless the bundle sets
     it.
     """
     stated = bundle.renting.on_demand_share
@@ -103,12 +106,12 @@
 
 
 def plan(bundle: Bundle, view: RentView) -> list[Rent | Return]:
-    """Return the changes to make now: at most `most_changes`; returns only without any rents."""
+    """Return the changes to make now, at most `most_changes`: either rents or returns."""
     fleet = _Fleet(bundle)
     for held in view.held:
-        item = bundle.instance_class(held.instance_class)
-        if item is not None:
-            fleet.add(held.hall, item, held.market)
+        instance_class = bundle.instance_class(held.instance_class)
+        if instance_class is not None:
+            fleet.add(held.hall, instance_class, held.market)
     target = required_capacity(bundle, view.demand_tokens_per_s)
     changes: list[Rent | Return] = []
     while fleet.surviving_capacity() < target and len(changes) < bundle.renting.most_changes:
@@ -116,9 +119,9 @@
         if chosen is None:
             break
         changes.append(chosen)
-        item = bundle.instance_class(chosen.instance_class)
-        assert item is not None
-        fleet.add(chosen.hall, item, chosen.market)
+        instance_class = bundle.instance_class(chosen.instance_class)
+        assert instance_class is not None
+        fleet.add(chosen.hall, instance_class, chosen.market)
     if not changes:
         changes.extend(_plan_returns(bundle, fleet, view.held, target))
     return changes
@@ -149,29 +152,29 @@
 
 
 def _hall_has_room(bundle: Bundle, fleet: _Fleet, hall: str) -> bool:
-    most = next((item.most_instances for item in bundle.halls if item.name == hall), 0)
-    return fleet.count[hall] < most
+    max_instances = next((each.most_instances for each in bundle.halls if each.name == hall), 0)
+    return fleet.count[hall] < max_instances
 
 
 def _rank(bundle: Bundle, fleet: _Fleet, price: Price, market: Market) -> tuple[float, str, str]:
-    """Rank by price per token a second of surviving capacity that the rent adds."""
-    item = bundle.instance_class(price.instance_class)
-    assert item is not None
-    asked = price.reclaimable if market is Market.RECLAIMABLE else price.on_demand
+    """Return a sort key: the price per token per second of surviving capacity that is added."""
+    instance_class = bundle.instance_class(price.instance_class)
+    assert instance_class is not None
+    price_asked = price.reclaimable if market is Market.RECLAIMABLE else price.on_demand
     before = fleet.surviving_capacity()
-    fleet.add(price.hall, item, market)
+    fleet.add(price.hall, instance_class, market)
     gained = fleet.surviving_capacity() - before
-    fleet.add(price.hall, item, market, -1)
+    fleet.add(price.hall, instance_class, market, -1)
     # A rent in the largest hall adds no surviving capacity; the small term prefers other halls.
-    added = gained + 1e-3 * item.decode_tokens_per_s / (1.0 + fleet.capacity[price.hall])
-    return (asked / added if added > 0 else math.inf, price.hall, price.instance_class)
+    added = gained + 1e-3 * instance_class.decode_tokens_per_s / (1.0 + fleet.capacity[price.hall])
+    return (price_asked / added if added > 0 else math.inf, price.hall, price.instance_class)
 
 
 def _plan_returns(
     bundle: Bundle, fleet: _Fleet, held: Sequence[HeldInstance], target: float
 ) -> list[Rent | Return]:
-    """Return idle instances that the need doesn't require, most expensive first."""
-    found: list[Rent | Return] = []
+    """Return the idle instances that `target` doesn't require, most expensive first."""
+    returns: list[Rent | Return] = []
     prices = {(price.hall, price.instance_class): price for price in bundle.prices}
 
     def price_of(item: HeldInstance) -> float:
@@ -181,18 +184,18 @@
         return price.on_demand if item.market is Market.ON_DEMAND else price.reclaimable
 
     for item in sorted(held, key=lambda one: (-price_of(one), one.id)):
-        known = bundle.instance_class(item.instance_class)
-        if not item.idle or len(found) >= bundle.renting.most_changes:
+        instance_class = bundle.instance_class(item.instance_class)
+        if not item.idle or len(returns) >= bundle.renting.most_changes:
             continue
-        if known is None:
-            found.append(Return(item.id, item.hall))
+        if instance_class is None:
+            returns.append(Return(item.id, item.hall))
             continue
-        fleet.add(item.hall, known, item.market, -1)
+        fleet.add(item.hall, instance_class, item.market, -1)
         keeps_share = item.market is Market.RECLAIMABLE or (
             fleet.on_demand >= on_demand_share(bundle) * target
         )
         if fleet.surviving_capacity() >= target * (1 + HYSTERESIS_SHARE) and keeps_share:
-            found.append(Return(item.id, item.hall))
+            returns.append(Return(item.id, item.hall))
         else:
-            fleet.add(item.hall, known, item.market)
-    return found
+            fleet.add(item.hall, instance_class, item.market)
+    return returns
