--- a/src/moledale/core/rollout_evidence.py
+++ b/src/moledale/core/rollout_evidence.py
@@ -108,7 +108,7 @@
     def since(self, before: "Tally") -> "Tally":
         """Return what was counted since `before`.
 
-        A count that fell, because a node was forgotten, yields none.
+        A count that fell, because a node's counts were dropped, yields zero.
         """
         times = {
             bucket: number - before.times.get(bucket, 0)
@@ -161,17 +161,17 @@
 
 def merged(parts: Iterable[Evidence]) -> Evidence:
     """Return the sum of what several nodes counted."""
-    whole = Evidence()
+    total = Evidence()
     for part in parts:
-        whole.add(part)
-    return whole
+        total.add(part)
+    return total
 
 
 class Control(msgspec.Struct):
-    """The control group of a series: the median time of recent answers, the bad ones of all.
+    """The control group of a series: the median time of recent answers, and the bad ones of all.
 
-    The median follows within a few answers when all servers become slow, while a share of bad
-    answers needs many answers to be known. Answers in `slow_bucket` or above are slow.
+    The median follows within a few answers when all servers become slow, while estimating the
+    share of bad answers takes many. Answers in `slow_bucket` or above are slow.
     """
 
     count: int = 0
@@ -180,26 +180,26 @@
     recent_bad_share: float = 0.0
     _snapshots: deque[Tally] = msgspec.field(default_factory=lambda: deque([Tally()]))
 
-    def observe(self, now: Tally) -> None:
-        """Update from the counts as they are now."""
-        fresh = now.since(self._snapshots[-1])
+    def observe(self, counts: Tally) -> None:
+        """Update from the current counts of the old servers."""
+        fresh = counts.since(self._snapshots[-1])
         if fresh.count <= 0:
             self.recent_bad_share = 0.0
             return
-        self._snapshots.append(now.copy())
+        self._snapshots.append(counts.copy())
         while (
             len(self._snapshots) > 2
-            and now.since(self._snapshots[1]).count >= RECENT_CONTROL_ANSWERS
+            and counts.since(self._snapshots[1]).count >= RECENT_CONTROL_ANSWERS
         ):
             self._snapshots.popleft()
-        middle = now.since(self._snapshots[0]).median_bucket()
-        if middle is not None:
-            self.slow_bucket = max(middle + SLOW_BUCKETS, bucket_of(MIN_SLOW_S))
+        median = counts.since(self._snapshots[0]).median_bucket()
+        if median is not None:
+            self.slow_bucket = max(median + SLOW_BUCKETS, bucket_of(MIN_SLOW_S))
         self.count += fresh.count
         bad = fresh.count_bad(self.slow_bucket)
         self.bad += bad
-        known = self.bad_share * PRIOR_ANSWERS
-        self.recent_bad_share = (bad + known) / (fresh.count + PRIOR_ANSWERS)
+        prior_bad = self.bad_share * PRIOR_ANSWERS
+        self.recent_bad_share = (bad + prior_bad) / (fresh.count + PRIOR_ANSWERS)
 
     @property
     def bad_share(self) -> float:
@@ -225,7 +225,10 @@
     _previous: Tally = msgspec.field(default_factory=Tally)
 
     def observe(self, old: Tally, new: Tally, with_times: bool) -> bool:
-        """Update from the counts as they are now; return whether the version is bad."""
+        """Update from the current counts of both arms; return whether the version is bad.
+
+        `with_times` counts slow answers as bad, otherwise only failed ones are.
+        """
         self.control.observe(old)
         fresh = new.since(self._previous)
         if fresh.count <= 0:
@@ -243,7 +246,7 @@
 
     @property
     def exceeds_threshold(self) -> bool:
-        """Return whether so many bad answers are unlikely to be due to chance alone."""
+        """Return whether there are too many bad answers to be explained by chance alone."""
         return self.cusum > BASE_THRESHOLD + LOG_THRESHOLD_FACTOR * log(1 + self.count)
 
 
@@ -256,8 +259,8 @@
     def observe(self, evidence: Evidence, with_times: bool = True) -> bool:
         """Update from what all nodes counted until now; return whether the version is bad.
 
-        Once the old servers bear less load than the new ones they are no control for times, and
-        only failures count: `with_times` is False then.
+        Once the old servers bear less load than the new ones, their times are no valid control.
+        Then `with_times` must be False, and only failures count.
         """
         for name, new in evidence.new.items():
             judge = self.series.setdefault(name, SeriesJudge())
