--- a/src/moledale/core/rollouts.py
+++ b/src/moledale/core/rollouts.py
@@ -2,8 +2,8 @@
 
 The new servers start alongside the old ones and get a small share of the requests until the version
 is either found bad, which any node may decide, or adopted, which only the holder of the duties
-lease decides. Phases only ever rise, so nodes that receive them in any order agree, and none goes
-back.
+lease decides. A phase is only ever replaced by a higher one, so nodes agree whatever the order in
+which they receive updates.
 """
 
 from enum import IntEnum
@@ -11,13 +11,12 @@
 import msgspec
 
 TRIAL_SHARE_RATIO = 0.8
-"""Part of the share of requests allowed to a bad version that a trial uses; the rest is reserved
-for streams that move, and for requests whose count is lost with a node."""
+"""Part of `Exposure.share` that a trial uses; the rest is reserved for streams that move, and for
+requests whose count is lost with a node."""
 
 TRIAL_FREE_RATIO = 0.6
-"""The same for the requests allowed beyond that share. These free requests bring evidence where
-there is little traffic: at 10 requests per second 19 answers instead of 2 within a trial of 3.2
-s."""
+"""Part of `Exposure.free` that a trial uses. These free requests bring evidence where there is
+little traffic: at 10 requests per second 19 answers instead of 2 within a trial of 3.2 s."""
 
 MAX_FREE_SHARE = 0.5
 """Maximum share of the requests that are free ones, so that they don't come all at once."""
@@ -28,8 +27,9 @@
 
 EARLIEST_RISE_SHARE = 0.55
 LATEST_RISE_SHARE = 0.8
-"""Parts of an order's duration before which no version rises, and until which evidence is awaited:
-versions may turn bad only after a while, and streams on old servers need the remaining time."""
+"""Parts of an order's duration: no version rises before the first, as it may turn bad only after a
+while, and routes without enough answers delay none after the second, as streams on old servers need
+the remaining time."""
 
 RISING_DURATION_SHARE = 0.06
 """Part of an order's duration that the rising phase lasts: 0.7 s of 12 s."""
@@ -54,7 +54,7 @@
 fails half of its answers shows no failure among these in one case of 64."""
 
 MIN_ANSWERS = 10
-"""With fewer answers in total at the latest moment, there is no evidence for the version."""
+"""Answers of the new version without which it never rises: fewer are no evidence for it."""
 
 
 class Phase(IntEnum):
@@ -96,7 +96,7 @@
         return (self.target, self.duration_s) == (other.target, other.duration_s)
 
     def is_same_order(self, other: "RolloutOrder") -> bool:
-        """Return whether another order is this one, possibly written again."""
+        """Return whether another order is this one, possibly written again under a new revision."""
         if self.sequence == other.sequence:
             return True
         return self.is_equivalent(other) and self.ordered_s == other.ordered_s
@@ -135,7 +135,11 @@
 
 
 class VersionRule(msgspec.Struct, frozen=True):
-    """Which versions of a service's servers get requests that aren't part of a trial."""
+    """Which versions of a service's servers get requests that aren't part of a trial.
+
+    With `only_target` just the target gets them, otherwise all versions but the target. Without a
+    target all versions do. Those in `rejected` get none in any case.
+    """
 
     target: str = ""
     only_target: bool = False
@@ -173,14 +177,14 @@
     def allows(self, requests: int, tried: float) -> bool:
         """Return whether a node may send one more request to the version on trial.
 
-        `requests` and `tried` are the node's own counts since the trial began. Each node stays
-        within its part by itself, so all of them stay within the bound whichever peers they hear
-        from.
+        `requests` and `tried` are the node's own counts since the trial began: all requests of the
+        service, and those sent to the new version. Each node stays within its own part, so all
+        together stay within the bound, whichever peers they receive updates from.
         """
         return tried + 1 <= self.share * requests + min(self.free, MAX_FREE_SHARE * requests)
 
     def within_share(self, requests: int, tried: int) -> bool:
-        """Return whether one more request is within the share, without the free ones."""
+        """Return whether one more request on trial is within the share, without the free ones."""
         return tried + 1 <= self.share * requests
 
 
@@ -189,9 +193,9 @@
 
     `elapsed` is the part of the order's `duration_s` that has passed, `rising_elapsed` the part
     spent in the rising phase, `moving_s` the time since all requests go to the new servers.
-    `new_ready` is the number of servers of the new version that may get work, `old_running` that of
-    requests that all nodes have on the old ones, `untested_routes` that of routes with traffic that
-    the new version answered too seldom on.
+    `new_ready` is the number of servers of the new version that may get work, `old_running` the
+    number of requests of all nodes on the old ones, and `new_answers` the number of answers of the
+    new version. `untested_routes` counts the routes with traffic on which these are too few.
     """
 
     phase: Phase
@@ -206,29 +210,33 @@
 
 
 def latest_rise_share(duration_s: float) -> float:
-    """Return the part of an order's duration after which a rise is too late to finish within it."""
+    """Return the part of an order's duration by which a version must rise to finish in time."""
     after_rise_s = MIN_MOVING_S + STATUS_WRITE_S + POLLS_AFTER_RISE * POLL_INTERVAL_S
     return min(LATEST_RISE_SHARE, 1.0 - RISING_DURATION_SHARE - after_rise_s / duration_s)
 
 
-def next_phase(seen: Progress) -> Phase:
+def next_phase(progress: Progress) -> Phase:
     """Return the phase that a version which wasn't found bad should be in."""
-    if seen.phase is Phase.TRIAL:
-        return _after_trial(seen)
-    if seen.phase is Phase.RISING and seen.rising_elapsed >= RISING_DURATION_SHARE:
+    if progress.phase is Phase.TRIAL:
+        return _after_trial(progress)
+    if progress.phase is Phase.RISING and progress.rising_elapsed >= RISING_DURATION_SHARE:
         return Phase.MOVING
-    if seen.phase is Phase.MOVING and seen.old_running == 0 and seen.moving_s >= MIN_MOVING_S:
+    if (
+        progress.phase is Phase.MOVING
+        and progress.old_running == 0
+        and progress.moving_s >= MIN_MOVING_S
+    ):
         return Phase.COMPLETED
-    return seen.phase
+    return progress.phase
 
 
-def _after_trial(seen: Progress) -> Phase:
-    if seen.elapsed < EARLIEST_RISE_SHARE:
+def _after_trial(progress: Progress) -> Phase:
+    if progress.elapsed < EARLIEST_RISE_SHARE:
         return Phase.TRIAL
-    if seen.new_ready and seen.new_answers >= MIN_ANSWERS and not seen.untested_routes:
+    if progress.new_ready and progress.new_answers >= MIN_ANSWERS and not progress.untested_routes:
         return Phase.RISING
-    if seen.elapsed < latest_rise_share(seen.duration_s):
+    if progress.elapsed < latest_rise_share(progress.duration_s):
         return Phase.TRIAL
-    if seen.new_ready and seen.new_answers >= MIN_ANSWERS:
+    if progress.new_ready and progress.new_answers >= MIN_ANSWERS:
         return Phase.RISING
-    return Phase.ROLLED_BACK if seen.elapsed >= 1.0 - RISING_DURATION_SHARE else Phase.TRIAL
+    return Phase.ROLLED_BACK if progress.elapsed >= 1.0 - RISING_DURATION_SHARE else Phase.TRIAL
