--- a/src/moledale/core/routing.py
+++ b/src/moledale/core/routing.py
@@ -127,7 +127,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingParams:
-    """Parameters of the choice; `set_aside` is the share of servers kept for work that can wait."""
+    """Parameters of the choice.
+
+    `cross_hall_s` is the latency added by a server in another hall, and `set_aside` the share of
+    servers kept for work that can wait.
+    """
 
     cross_hall_s: float = 0.002
     set_aside: float = 0.2
@@ -193,24 +197,24 @@
 
 def cost_s(view: ServerView, need: Need, params: RoutingParams) -> float:
     """Return the cost of a choice in seconds: time to first token plus latency to another hall."""
-    away = params.cross_hall_s if need.hall and view.hall != need.hall else 0.0
-    return estimated_ttft_s(view, need) + away
+    cross_hall_s = params.cross_hall_s if need.hall and view.hall != need.hall else 0.0
+    return estimated_ttft_s(view, need) + cross_hall_s
 
 
 def pick(views: Sequence[ServerView], need: Need, params: RoutingParams) -> Pick | None:
     """Choose a server with a free slot; return None to wait for one.
 
-    The server with most of the session's cache is preferred for as long as it is there. Where it
-    has no free slot, immediate work goes elsewhere, and other work waits for it with
-    `wait_for_cache`: a prompt that leaves its cache is recomputed elsewhere, which takes more
-    server time than it saves when servers are short. Without such a server the cheapest one wins,
-    and a rendezvous weight breaks ties the same way on every node.
+    The server with most of the session's cache is preferred as long as it is eligible. If it has no
+    free slot, immediate work goes elsewhere, and other work waits for it if `wait_for_cache` is
+    set: on another server the whole prompt would be prefilled again, and that server time is lost
+    to other requests when servers are short. Without such a server the cheapest one is chosen, and
+    a rendezvous weight breaks ties the same way on every node.
     """
     live = eligible(views, need)
-    home = cache_holder(live, need)
-    if home is not None:
-        if home.running < home.speeds.slots:
-            return Pick(home.id, True, home.cached_for(need))
+    holder = cache_holder(live, need)
+    if holder is not None:
+        if holder.running < holder.speeds.slots:
+            return Pick(holder.id, True, holder.cached_for(need))
         if need.wait_for_cache and need.priority is not Priority.IMMEDIATE:
             return None
     candidates = servers_for_priority(live, need, params)
@@ -225,8 +229,8 @@
 
 def cache_holder(live: Sequence[ServerView], need: Need) -> ServerView | None:
     """Return the server that holds most of the session's cache, or None if none holds any."""
-    home = max(live, key=lambda view: view.cached_for(need), default=None)
-    return home if home is not None and home.cached_for(need) > 0 else None
+    holder = max(live, key=lambda view: view.cached_for(need), default=None)
+    return holder if holder is not None and holder.cached_for(need) > 0 else None
 
 
 class LoadTracker:
@@ -257,20 +261,20 @@
         known.hall = view.hall
 
     def back_off(self, server: str, until: float) -> None:
-        """Send a server no requests until some time, as it asked for that."""
+        """Make a server ineligible until `until`, as it asked for a later retry."""
         view = self.views.get(server)
         if view is not None:
             view.retry_at = max(view.retry_at, until)
             view.note_backoff()  # type: ignore[attr-defined]
 
     def end_backoffs(self, now: float) -> None:
-        """Let servers have work again whose backoff is over."""
+        """Make servers whose backoff is over eligible again."""
         for view in self.views.values():
             if view.standing is Standing.BACKOFF and view.retry_at <= now:
                 view.note_backoff_over()  # type: ignore[attr-defined]
 
     def retry_in_s(self, model: str, now: float) -> float | None:
-        """Return the seconds until a model's first server ends its backoff, None without any."""
+        """Return the seconds until a server of the model ends its backoff, None if none does."""
         waiting = (view for view in self.views.values() if view.standing is Standing.BACKOFF)
         waits = (view.retry_at - now for view in waiting if model in view.models)
         return min((max(0.0, wait_s) for wait_s in waits), default=None)
@@ -305,7 +309,7 @@
         return reservation
 
     def record_first_token(self, reservation: Reservation) -> Reservation:
-        """Record that a request's prefill is complete; return its reservation without it."""
+        """Record that a request's prefill is complete; return what is left of its reservation."""
         if reservation.id not in self._open:
             return reservation
         view = self.views.get(reservation.server)
@@ -366,7 +370,7 @@
             view.cached.pop(session, None)
 
     def server_of(self, session: str) -> str | None:
-        """Return the server whose cache covers a session, if known."""
+        """Return the server that caches a session, or None if none is known to."""
         return self._cached_sessions.get(session)
 
     def open_reservations(self) -> int:
