--- a/src/moledale/core/subset.py
+++ b/src/moledale/core/subset.py
@@ -1,4 +1,4 @@
-"""Which servers a node follows, so that neither traffic nor herding grows with the fleet."""
+"""Selects the servers a node follows, so that traffic and herding don't grow with the fleet."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -21,7 +21,9 @@
     max_servers: int,
     remote_share: float = 0.25,
 ) -> set[str]:
-    """Return the servers that `node` follows: at most `max_servers`, mostly in its own hall.
+    """Return the servers that `node` follows: at most `max_servers`, mostly in its own `hall`.
+
+    About `remote_share` of them are in other halls, more if its own hall has too few servers.
 
     Servers are ranked by rendezvous hash of the node, so each server is followed by about the same
     number of nodes. When a server or node comes or goes, only the sets that contain it change, by
