--- a/src/moledale/node/accounts.py
+++ b/src/moledale/node/accounts.py
@@ -12,7 +12,7 @@
 from moledale.problems import Problem
 
 DEMAND_HALF_LIFE_S = 5.0
-"""Half-life of the decayed request rate of an account."""
+"""Half-life of the moving average of an account's request rate."""
 
 PEER_DEMAND_TTL_S = 20.0
 """Age after which a peer's reported demand no longer counts."""
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class _AccountState:
-    """An account's token bucket on this node, and its decayed request rate at `updated_at`."""
+    """An account's token bucket on this node, and its mean requests per second at `updated_at`."""
 
     bucket: TokenBucket
     demand: float = 0.0
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class _PeerDemand:
-    """The demand by account that a peer reported, and when the report arrived."""
+    """The requests per second by account that a peer reported, and when the report arrived."""
 
     updated_at: float
     demand: dict[str, float] = field(default_factory=dict)
