--- a/src/moledale/node/bundle_watch.py
+++ b/src/moledale/node/bundle_watch.py
@@ -104,7 +104,7 @@
         return True
 
     async def _wait_for_next_poll(self) -> None:
-        """Wait for the poll interval, or until a hint reports a newer version."""
+        """Wait for the poll interval, or until a peer reports a newer version."""
         # The jitter keeps the nodes from polling in lockstep after an outage.
         until = self._clock.monotonic() + self._poll_s * self._rng.uniform(0.75, 1.25)
         while (left := until - self._clock.monotonic()) > 0:
