--- a/src/moledale/node/burn.py
+++ b/src/moledale/node/burn.py
@@ -11,6 +11,7 @@
 RETENTION_MINUTES = 60 * 24
 WINDOWS_S = {"5m": 300, "1h": 3_600, "6h": 21_600, "24h": 86_400}
 _MAX_FIRST_TOKEN_MS = 600_000
+"""Maximum of the histograms; longer times to first token are recorded as this."""
 
 
 class BurnCount(msgspec.Struct):
@@ -94,7 +95,7 @@
 
 
 def burn_rows(bundle: Bundle, counts: list[BurnCount], wall: float) -> list[BurnRow]:
-    """Merge the counts of any number of nodes into rows, one per account and priority."""
+    """Return a row per account and priority, from the counts of any number of nodes."""
     groups = sorted({(count.account, count.priority) for count in counts})
     rows = []
     for account, priority in groups:
