--- a/src/moledale/node/dispatcher.py
+++ b/src/moledale/node/dispatcher.py
@@ -107,7 +107,7 @@
         return record
 
     def cancel(self, request_id: str) -> bool:
-        """Cancel a request for its caller; return False if none of this id is open here."""
+        """Cancel a request for its caller; return False if it is not open on this node."""
         record = self.streams.get(request_id)
         task = self._tasks.get(request_id)
         if record is None or task is None or record.ended:
@@ -119,7 +119,7 @@
     async def suspend(self, record: StreamRecord) -> None:
         """Stop work on a request without ending its stream, so that no more tokens are added.
 
-        During a handover a caller must never have more tokens than the peer that takes the stream.
+        During a handover a caller must never have more tokens than the peer that adopts the stream.
         """
         self._suspended.add(record.request.id)
         task = self._tasks.get(record.request.id)
@@ -128,7 +128,7 @@
             await asyncio.wait([task])
 
     def finish_handover(self, record: StreamRecord, successor: str) -> None:
-        """End a suspended request on this node after `successor` has taken its stream."""
+        """End a suspended request here, after its stream was adopted at the address `successor`."""
         self._suspended.discard(record.request.id)
         record.hand_over(successor)
         self.streams.move_to_finished(record, self._clock.monotonic())
@@ -186,7 +186,7 @@
     async def _serve_attempts(self, record: StreamRecord) -> None:
         excluded: frozenset[str] = frozenset()
         while not record.ended:
-            # Jobs are retried through `adopt`, which doesn't ask the guard, so ask here each time.
+            # `submit` checks the guard, but jobs are retried through `adopt`, which doesn't.
             if self._guard.blocked_for_s(record.request) > 0:
                 record.fail(problems.failed(BLOCKED_DETAIL))
                 return
@@ -214,7 +214,7 @@
                 record.fail(problems.failed(f"server failed, retry budget used up: {detail}"))
             else:
                 if len(excluded) > 1:
-                    # After failures on two servers, wait until the guard knows if they crashed.
+                    # After failures on two servers, wait for the check whether this one crashed.
                     await self._guard.wait_checked(reservation.server)
                 if not self._has_eligible_server(record, excluded):
                     excluded = frozenset()
