--- a/src/moledale/node/fleet.py
+++ b/src/moledale/node/fleet.py
@@ -15,7 +15,11 @@
 
 
 class Fleet:
-    """Holds the listed nodes and servers, and selects the servers that this node follows."""
+    """Holds the listed nodes and servers, and selects the servers that this node follows.
+
+    `follow` is called with the view of each followed server, new or updated, and `notify` with a
+    message for each one that leaves or is no longer followed.
+    """
 
     def __init__(
         self,
@@ -73,9 +77,9 @@
         self.update_followed(bundle)
 
     def update_followed(self, bundle: Bundle | None) -> None:
-        """Select the servers to follow again and notify the dispatcher of changes.
+        """Reselect the servers to follow, and report changes through `follow` and `notify`.
 
-        Without a bundle the instance classes' speeds are unknown, and nothing changes.
+        Without a bundle the speeds of instance classes are unknown, and nothing changes.
         """
         if bundle is None:
             return
