--- a/src/moledale/node/generation_guard.py
+++ b/src/moledale/node/generation_guard.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _BrokenRequests:
-    """Requests that broke at a server; `checked` is set once it is known whether it crashed."""
+    """Requests that broke at a server; `checked` is set once the check for a crash has finished."""
 
     requests: list[bytes] = field(default_factory=list)
     checked: asyncio.Event = field(default_factory=asyncio.Event)
