--- a/src/moledale/node/hall_duty.py
+++ b/src/moledale/node/hall_duty.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class _HolderState:
-    """State that the holder keeps between rounds; if it is lost, rebuilding it costs only time."""
+    """State that the holder keeps between rounds; a new holder starts empty and rebuilds it."""
 
     seen_notices: set[str] = field(default_factory=set)
     reports: dict[str, LoadReport] = field(default_factory=dict)
@@ -57,7 +57,10 @@
 
 
 class HallDuty:
-    """Competes for one hall's lease and does the hall's duty while it holds the lease."""
+    """Competes for one hall's lease and does the hall's duty while it holds the lease.
+
+    `announce` is called for each server that received a reclaim notice or is to be returned.
+    """
 
     def __init__(
         self,
@@ -108,7 +111,7 @@
             await self.keep_lease()
             grant = self.lease.grant(self._clock.monotonic())
             self._on_lease_change(grant)
-            # A candidate only reads the row, three times per TTL; a holder must renew it in time.
+            # A holder must renew the row in time, while a candidate only reads it.
             polls_per_ttl = HOLDER_POLLS_PER_TTL if grant is not None else CANDIDATE_POLLS_PER_TTL
             await self._sleep(polls_per_ttl)
 
