--- a/src/moledale/node/hall_renting.py
+++ b/src/moledale/node/hall_renting.py
@@ -30,6 +30,8 @@
 
 DEMAND_TABLE = "demand"
 MAX_HALLS = 100
+"""Maximum of demand rows that are read, one per hall."""
+
 REFUSAL_TTL_S = 30.0
 """Time for which a refused class and market of a hall are left out of the plan."""
 
@@ -218,8 +220,8 @@
         rented = outcome.ok_value
         if rented.instance_id is not None:
             emit(Event.RENT_DECIDED, rented=rented.instance_id, hall=self._hall)
-            coming = msgspec.structs.replace(pending, instance_id=rented.instance_id)
-            self._pending.append(coming)
+            answered = msgspec.structs.replace(pending, instance_id=rented.instance_id)
+            self._pending.append(answered)
             return
         emit(Event.RENT_REFUSED, hall=self._hall, detail=rented.refused)
         until = self._clock.wall() + REFUSAL_TTL_S
