--- a/src/moledale/node/jobs.py
+++ b/src/moledale/node/jobs.py
@@ -55,7 +55,7 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """The row of an open job. The node `owner` runs it; the owner changes by conditional write."""
+    """The row of an open job, which is run by the node `owner`; adoption changes the owner."""
 
     operation: str
     id: str
@@ -146,9 +146,9 @@
     ) -> Result[str, Problem]:
         """Store a job durably, start it and return its id.
 
-        If a job of this id exists, its caller has sent the request again, and the id is returned.
-        For the same reason a rejected `keyed` job may run all the same: another node may have
-        accepted it before.
+        If a job of this id exists already, as when its caller retries the request, its id is
+        returned. `keyed` states that the id was derived from an idempotency key: another node may
+        have accepted the job before, so a failed write is reported as undecided, not as not run.
         """
         if len(self._owned) >= MAX_OWNED_JOBS or self._releasing:
             return Err(problems.overloaded("this node holds as many jobs as it may", 2))
@@ -206,7 +206,7 @@
         return Ok(msgspec.structs.replace(result, text=body.ok_value.decode()))
 
     async def cancel(self, account: str, job_id: str) -> Result[JobStatus, Problem]:
-        """Cancel a job on whichever node it runs; if it ended before, return its final state."""
+        """Cancel a job, whichever node runs it; if it has ended, return its final state."""
         for _ in range(3):
             found = await self._find_row(account, job_id)
             if isinstance(found, Err):
@@ -268,7 +268,7 @@
 
     async def _adopt(self, job: Job, row: Row) -> bool:
         operation = new_operation()
-        mine = msgspec.structs.replace(
+        adopted = msgspec.structs.replace(
             job,
             operation=operation,
             owner=self._node,
@@ -277,12 +277,14 @@
         )
         key = row_key(job.id)
         entry = Entry(
-            operation, [Condition(JOB_TABLE, key, row.version)], [_make_write(JOB_TABLE, key, mine)]
+            operation,
+            [Condition(JOB_TABLE, key, row.version)],
+            [_make_write(JOB_TABLE, key, adopted)],
         )
         if await self._journal.commit(entry) is not Outcome.COMMITTED:
             return False
-        emit(Event.JOB_ADOPTED, job=job.id, owner=job.owner, adoptions=mine.adoptions)
-        self._start(mine, entry.versions[0])
+        emit(Event.JOB_ADOPTED, job=job.id, owner=job.owner, adoptions=adopted.adoptions)
+        self._start(adopted, entry.versions[0])
         return True
 
     def _start(self, job: Job, version: int) -> None:
