--- a/src/moledale/node/journal.py
+++ b/src/moledale/node/journal.py
@@ -18,7 +18,8 @@
 MAX_BATCH_BYTES = 512_000
 MAX_ATTEMPTS = 3
 RETRY_STEP_S = 0.1
-"""Pause after a failed read; after a failed transaction, times the batch's failures so far."""
+"""Pause after a failed read, and after a batch's first failed transaction; each further failure of
+the batch makes it longer by this much."""
 
 
 class JournaledRow(msgspec.Struct):
@@ -38,11 +39,11 @@
 
 @dataclass(slots=True)
 class Entry:
-    """The conditions and writes of one request; the value of its first put has `operation`.
+    """The conditions and writes of one request; the value of its first put contains `operation`.
 
-    Once committed, `versions` holds the new row versions in the order of the writes. If the answer
-    was lost and the entry was found committed by reading its first put back, only the version of
-    that row is known and the others are 0.
+    A put is a write with a value, not a deletion. Once committed, `versions` holds the new row
+    versions in the order of the writes. If the answer was lost and reading the first put back
+    showed that the entry is committed, only the version of that row is known; the others are 0.
     """
 
     operation: str
