--- a/src/moledale/node/leaving.py
+++ b/src/moledale/node/leaving.py
@@ -20,12 +20,12 @@
 
 
 class RedirectStream(Protocol):
-    """Ends a stream's attempt if it is still the current one, and continues at the target."""
+    """Ends a stream's attempt on `source`, to resume it at `target`, or at any server if None."""
 
     def __call__(
         self, record: StreamRecord, attempt: str, source: str, target: Reservation | None
     ) -> bool:
-        """Return False if the stream has already ended or started another attempt."""
+        """Return False, without effect, if the stream has ended or started another attempt."""
         ...
 
 
@@ -52,7 +52,7 @@
         self._background = BackgroundTasks("leaving")
 
     def evacuate(self, view: ServerView, records: list[StreamRecord], notice_s: float) -> None:
-        """Plan for this node's streams and caches on a server, and start the moves."""
+        """Plan for this node's streams and caches on a server, and start the moves as tasks."""
         bundle = self._bundle()
         if bundle is None:
             return
