--- a/src/moledale/node/messages.py
+++ b/src/moledale/node/messages.py
@@ -33,7 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerGone:
-    """A server is gone, no longer followed, or does not answer."""
+    """A server is gone, no longer followed, or does not answer.
+
+    With the detail "does not answer" it is still tracked, as it may recover.
+    """
 
     server: str
     detail: str
