--- a/src/moledale/node/node.py
+++ b/src/moledale/node/node.py
@@ -56,7 +56,7 @@
 """Interval of the checks whether open requests have ended, or the first bundle has arrived."""
 
 GOSSIP_BATCH_DELAY_S = 0.02
-"""Delay to batch updates for peers, such as when all servers of a hall leave at once."""
+"""Delay that batches updates for peers, for example when all servers of a hall leave at once."""
 
 LEAVING_GOSSIP_TTL_S = 30.0
 """Time for which a leaving server stays in this node's digests."""
@@ -73,7 +73,7 @@
 
 
 class Node:
-    """Owns all parts of one entry instance except the sockets for callers."""
+    """Builds and owns all parts of one entry instance except the sockets for callers."""
 
     state: str
 
@@ -286,7 +286,7 @@
         return decide_verdict(view, self.settings.times.isolation_grace_s)
 
     def refusal(self) -> Problem | None:
-        """Return the problem with which new requests are refused now, or None."""
+        """Return the problem with which new requests are rejected now, or None to accept them."""
         if self.draining:
             return problems.unavailable("this node is leaving; use another address", 1)
         verdict = self.verdict()
@@ -352,7 +352,7 @@
         return [d.lease.name for d in self._duties.values() if d.lease.grant(now) is not None]
 
     def handle_leaving_server(self, message: ServerLeaving) -> None:
-        """Handle a server's notice on this node, and gossip it to peers soon."""
+        """Handle a notice received by this node that a server is leaving, and gossip it soon."""
         self.dispatcher.handle(message)
         self._leaving_seen[message.server] = True
         self._leaving_to_gossip[message.server] = self.clock.monotonic()
@@ -415,7 +415,7 @@
             self._relay_leaving(server)
 
     def _relay_leaving(self, server: str) -> None:
-        """Gossip to a few peers that a server is leaving, when this node first hears of it."""
+        """Gossip to a few peers that a server is leaving, unless this node has done so already."""
         if server in self._leaving_seen:
             return
         self._leaving_seen[server] = True
