--- a/src/moledale/node/once.py
+++ b/src/moledale/node/once.py
@@ -23,6 +23,8 @@
 CLAIM_TABLE = "claim"
 KEY_PREFIX = "mk_"
 KEY_TTL_S = 24 * 3600
+"""Time after which an issued key expires."""
+
 MAX_KEY_CHARS = 512
 MAX_STORED_ANSWER_BYTES = 32_768
 """Larger answers aren't stored in the claim row; only the node that ran the call has them."""
@@ -59,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnceCall:
-    """A non-repeatable call; `fingerprint` is a digest of its content."""
+    """A non-repeatable call: `encoded` is its content, and `fingerprint` the digest of that."""
 
     account: str
     key: str
@@ -71,7 +73,7 @@
     """Forwards a call to the node that owns its key."""
 
     async def run_once(self, node: str, call: OnceCall) -> Result[ServiceAnswer, Problem]:
-        """Forward a call to `node` and return the key's outcome there."""
+        """Forward a call to `node` and return its outcome there."""
         ...
 
 
@@ -212,7 +214,7 @@
     async def _resolve_conflict(
         self, call: OnceCall, state: _KeyState
     ) -> Result[ServiceAnswer, Problem]:
-        """Return the outcome of a key that is claimed already, as its claim row states."""
+        """Return the outcome of a key that is claimed already, from its claim row or its owner."""
         read = await self._table.read(CLAIM_TABLE, claim_key(call))
         if isinstance(read, Err) or read.ok_value is None:
             outcome: Result[ServiceAnswer, Problem] = Err(
@@ -242,7 +244,7 @@
     async def _dispatch_once(
         self, call: OnceCall, state: _KeyState
     ) -> Result[ServiceAnswer, Problem]:
-        """Dispatch a call; its key is dispatched again only if the call surely did not run."""
+        """Dispatch a call and settle its key; the key stays tracked unless the call did not run."""
         try:
             outcome = await self._dispatch(call)
         except asyncio.CancelledError:
