--- a/src/moledale/node/server_watch.py
+++ b/src/moledale/node/server_watch.py
@@ -13,7 +13,7 @@
 from moledale.servers.types import ModelServers
 
 DOWN_AFTER_FAILED_POLLS = 3
-"""Unanswered polls in a row after which a server gets no new work."""
+"""Unanswered polls in a row after which a server is considered down and gets no new work."""
 
 NO_MODEL_POLL_INTERVAL_S = 1.0
 """Time between polls of a server that has not loaded a model yet."""
@@ -26,7 +26,8 @@
     """Polls servers that have not recently sent a load report along with an answer.
 
     The total poll rate is fixed instead of an interval per server, so that a node's polling cost
-    does not grow with the number of servers it follows. The longest silent server goes first.
+    does not grow with the number of servers it follows. The server without a report for longest is
+    polled first.
     """
 
     def __init__(
