--- a/src/moledale/node/services.py
+++ b/src/moledale/node/services.py
@@ -32,7 +32,7 @@
         self._retry_at: dict[str, float] = {}
 
     async def call(self, call: ServiceCall) -> Result[ServiceAnswer, Problem]:
-        """Call a service; try another address only if the call did not run or may be repeated."""
+        """Call a service; retry at another address if the call did not run or is repeatable."""
         bundle = self._bundle()
         service = bundle.service(call.service) if bundle is not None else None
         if service is None:
