--- a/src/moledale/node/streams.py
+++ b/src/moledale/node/streams.py
@@ -132,7 +132,7 @@
         self._end("to_hand")
 
     async def follow(self, start: int) -> AsyncIterator[tuple[int, list[str]]]:
-        """Yield `(index, tokens)` from index `start` on until the answer ends."""
+        """Yield the tokens from index `start` to the end in chunks, as `(first index, tokens)`."""
         wake = asyncio.Event()
         self._readers.add(wake)
         position = start
@@ -140,9 +140,9 @@
             while True:
                 wake.clear()
                 if position < len(self.tokens):
-                    run = self.tokens[position:]
-                    yield position, run
-                    position += len(run)
+                    chunk = self.tokens[position:]
+                    yield position, chunk
+                    position += len(chunk)
                 elif self.ended:
                     return
                 else:
@@ -156,7 +156,7 @@
             pass
 
     def mean_token_interval_s(self) -> float:
-        """Return the mean time between tokens in seconds, 0.0 if fewer than two came."""
+        """Return the mean time between tokens in seconds, 0.0 if there are fewer than two."""
         if self.first_token_at is None or self.last_token_at is None or len(self.tokens) < 2:
             return 0.0
         return (self.last_token_at - self.first_token_at) / (len(self.tokens) - 1)
