--- a/src/moledale/node/supervisor.py
+++ b/src/moledale/node/supervisor.py
@@ -23,6 +23,8 @@
 
 @dataclass(slots=True)
 class _Child:
+    """A supervised task; `failures` are the times of its recent failures."""
+
     name: str
     run: Callable[[], Awaitable[None]]
     task: asyncio.Task[None] | None = None
