--- a/src/moledale/node/tally.py
+++ b/src/moledale/node/tally.py
@@ -30,7 +30,7 @@
         self._record(request, good=False)
 
     def record_ended(self, record: StreamRecord) -> None:
-        """Count a request that finished or failed here; one handed over is counted by the peer.
+        """Count a request that finished or failed here; the adopting peer counts one handed over.
 
         Requests cancelled by their caller are not counted.
         """
