--- a/src/moledale/node/waiting.py
+++ b/src/moledale/node/waiting.py
@@ -18,7 +18,7 @@
 """Time that a request waits for the server with its session's cache before it may use another."""
 
 MAX_WAITERS_PER_PASS = 64
-"""Number of waiting requests, first in rank, for which a slot is sought after each change."""
+"""Waiting requests, in order of rank, for which each pass looks for a free slot."""
 
 DEFAULT_SERVICE_TIME_S = 5.0
 """Assumed service time of a request before any has been measured."""
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class _Waiter:
-    """A stream that waits for a server; `slot` is resolved with a reservation or a rejection."""
+    """A stream that waits for a server; the result of `slot` is a reservation or a rejection."""
 
     record: StreamRecord
     need: Need
@@ -122,7 +122,7 @@
         """Reserve free slots for waiting requests in order of rank."""
         if not len(self._queue):
             return
-        # Once no slot was found for a model and priority, others of the same kind are skipped,
+        # Once no slot was found for a model and priority, later requests with both are skipped,
         # unless a server has their session's cache.
         full: set[tuple[str, Priority]] = set()
         now = self._clock.monotonic()
@@ -146,7 +146,7 @@
             self._resolve(waiter, problems.deadline_passed("it passed while waiting", Ran.NO))
 
     def _resolve(self, waiter: _Waiter, outcome: Reservation | Problem) -> None:
-        """Hand an outcome to a waiter; release a reservation that it no longer takes."""
+        """Set a waiter's outcome; release a reservation if the waiter already has an outcome."""
         self._queue.remove(waiter)
         if not waiter.slot.done():
             waiter.slot.set_result(outcome)
@@ -154,7 +154,7 @@
             self._load_tracker.release(outcome, self._clock.monotonic())
 
     def _withdraw(self, waiter: _Waiter) -> None:
-        """Remove a cancelled waiter; release the reservation that it may have got."""
+        """Remove a cancelled waiter, and release its reservation if it got one meanwhile."""
         self._queue.remove(waiter)
         if waiter.slot.done() and not waiter.slot.cancelled():
             outcome = waiter.slot.result()
