--- a/src/moledale/ui/explain_command.py
+++ b/src/moledale/ui/explain_command.py
@@ -46,7 +46,7 @@
     name: str
     fields: dict[str, object]
 
-    def about(self, request: str) -> bool:
+    def is_about(self, request: str) -> bool:
         """Return whether the event is about a request."""
         return self.fields.get("request") == request
 
@@ -81,7 +81,7 @@
 def select_events(lines: Iterable[LogLine], request: str) -> list[LogLine]:
     """Return the events of a request, with the context of its nodes and servers meanwhile."""
     ordered = sorted(lines, key=lambda line: line.time)
-    own = [line for line in ordered if line.about(request)]
+    own = [line for line in ordered if line.is_about(request)]
     if not own:
         return []
     duration_s = max(_logged_duration_s(line) for line in own)
@@ -92,7 +92,7 @@
     return [
         line
         for line in until_end
-        if line.about(request)
+        if line.is_about(request)
         or (line.node in nodes and line.time >= begin and _is_context(line, servers))
         or line is _last_server_list(until_end, nodes, own[0].time)
     ]
@@ -140,7 +140,7 @@
         return Exit.OK
     last = events[-1].time
     for line in events:
-        mark = "*" if line.about(options.request) else " "
+        mark = "*" if line.is_about(options.request) else " "
         fields = " ".join(
             f"{name}={value}" for name, value in line.fields.items() if name != "request"
         )
