--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -172,7 +172,7 @@
         outcome = await self._read_table(CONFIG_TABLE, timeout_s)
         if isinstance(outcome, Err):
             return outcome
-        news = _plan_news(outcome.ok_value)
+        news = _plan_update(outcome.ok_value)
         if not news.rollouts:
             return Ok(news)
         statuses = await self._read_table(STATUS_TABLE, timeout_s)
@@ -187,7 +187,7 @@
         wait = int(wait_s * 1000)
         path = f"/v1/rows-feed?table={CONFIG_TABLE}&startAfter={position.number}&waitMs={wait}"
         outcome = await self._call("GET", path, wait_s + WATCH_TIMEOUT_MARGIN_S)
-        return outcome.and_then(lambda answer: answer.rows_if_era(position.era)).map(_plan_news)
+        return outcome.and_then(lambda answer: answer.rows_if_era(position.era)).map(_plan_update)
 
     async def write_rollout(
         self, news: RolloutNews, expected: int, timeout_s: float
@@ -220,7 +220,7 @@
     async def load_rollouts(self, timeout_s: float) -> Result[tuple[RolloutNews, ...], Failure]:
         """Return the state of rollouts that earlier holders stored."""
         outcome = await self._read_table(ROLLOUT_TABLE, timeout_s)
-        return outcome.map(_kept_rollouts)
+        return outcome.map(_stored_rollouts)
 
     def decode_plan(self, raw: bytes) -> Plan:
         """Decode a configuration that a peer sent; raise ValueError if it can't be read."""
@@ -274,7 +274,7 @@
         return Ok(Answer(got.status, msgspec.structs.replace(rows, era=era)))
 
 
-def _plan_news(record: RowsRecord) -> PlanUpdate:
+def _plan_update(record: RowsRecord) -> PlanUpdate:
     plan, raw = None, b""
     now_s = record.now_ms / 1000
     rollouts = []
@@ -300,7 +300,7 @@
     return StateRow(row.key, parse_or_log(row.table, row.key, row.body) or b"", row.ver)
 
 
-def _kept_rollouts(record: RowsRecord) -> tuple[RolloutNews, ...]:
+def _stored_rollouts(record: RowsRecord) -> tuple[RolloutNews, ...]:
     rows = [decode_row(ROLLOUT_TABLE, _state_row(row), RolloutNews) for row in record.rows]
     return tuple(news for news in rows if news is not None)
 
