--- a/src/moledale/backing/http.py
+++ b/src/moledale/backing/http.py
@@ -46,12 +46,12 @@
         self, method: str, path: str, body: bytes | None = None
     ) -> Result[bytes | None, PlatformFailure]:
         """Send a request; return the response body, None for a 404, or a failure."""
-        writes = method != "GET"
+        is_write = method != "GET"
         try:
             response = await self._client.request(
                 self._base + path,
                 method=method,
-                headers=_JSON if writes else None,
+                headers=_JSON if is_write else None,
                 data=body,
                 timeouts=self._timeouts,
             )
@@ -59,12 +59,12 @@
         except ConnectionRefusedError:
             return Err(PlatformFailure(self._part, "connection refused", uncertain=False))
         except CALL_FAILURES as error:
-            return Err(PlatformFailure(self._part, type(error).__name__, uncertain=writes))
+            return Err(PlatformFailure(self._part, type(error).__name__, uncertain=is_write))
         if response.status_code == NOT_FOUND:
             return Ok(None)
         if response.status_code >= 300:
             detail = f"answered {response.status_code}"
-            uncertain = writes and response.status_code >= 500
+            uncertain = is_write and response.status_code >= 500
             return Err(PlatformFailure(self._part, detail, uncertain))
         return Ok(content)
 
@@ -100,7 +100,7 @@
         """Return rows whose keys start with `prefix`."""
         path = f"/v1/tables/{table}/rows?prefix={quote(prefix, safe='')}&limit={limit}"
         page = await self.call_json("GET", path, None, RowPage)
-        return page.map(lambda found: found.rows)
+        return page.map(lambda decoded: decoded.rows)
 
 
 class HttpObjects(HttpPart):
@@ -139,7 +139,7 @@
     async def notices(self, hall: str) -> Result[list[ReclaimNotice], PlatformFailure]:
         """Return the pending reclaim notices of a hall."""
         page = await self.call_json("GET", f"/v1/notices?hall={hall}", None, ReclaimNoticePage)
-        return page.map(lambda found: found.notices)
+        return page.map(lambda decoded: decoded.notices)
 
 
 class HttpWeights(HttpPart):
