--- a/src/moledale/bundle/diff.py
+++ b/src/moledale/bundle/diff.py
@@ -4,6 +4,7 @@
 
 from moledale.bundle.schema import Bundle
 
+# Keys that identify an entry of a list; the first one that the entry has is used.
 _LABEL_KEYS = ("name", "priority", "hall")
 
 
@@ -31,19 +32,20 @@
 def _flatten(path: str, value: object) -> dict[str, object]:
     """Map the path of each leaf to its value; list entries are identified by label, not index."""
     if isinstance(value, dict):
-        found: dict[str, object] = {}
+        leaves: dict[str, object] = {}
         for key, item in value.items():
-            found.update(_flatten(f"{path}.{key}" if path else str(key), item))
-        return found
+            leaves.update(_flatten(f"{path}.{key}" if path else str(key), item))
+        return leaves
     if isinstance(value, list) and any(isinstance(item, dict) for item in value):
-        found = {}
+        leaves = {}
         for item in value:
-            found.update(_flatten(f"{path}[{_label(item)}]", item))
-        return found
+            leaves.update(_flatten(f"{path}[{_label(item)}]", item))
+        return leaves
     return {path: value}
 
 
 def _label(item: dict[str, object]) -> str:
+    """Return the label of a list entry: its name, priority or hall, and its instance class."""
     label = next((str(item[name]) for name in _LABEL_KEYS if name in item), "")
-    extra = item.get("instance_class")
-    return f"{label}/{extra}" if extra is not None else label
+    instance_class = item.get("instance_class")
+    return f"{label}/{instance_class}" if instance_class is not None else label
