--- a/src/moledale/bundle/schema.py
+++ b/src/moledale/bundle/schema.py
@@ -70,7 +70,11 @@
 
 
 class InstanceClass(BundleSection):
-    """An instance class of backend servers, with its measured throughput and its capacity."""
+    """An instance class of backend servers, with its measured throughput and its capacity.
+
+    A server runs up to `slots` requests at once and caches up to `cache_tokens` tokens. With
+    `checks_fence` it rejects orders whose lease epoch is out of date.
+    """
 
     name: Name
     prefill_tokens_per_s: float = Field(gt=0)
@@ -90,7 +94,10 @@
 
 
 class Service(BundleSection):
-    """A plain HTTP service (not a model engine) that calls are routed to by name."""
+    """A plain HTTP service (not a model engine) that calls are routed to by name.
+
+    `repeatable` means that a call may safely run more than once.
+    """
 
     name: Name
     addresses: list[Url] = Field(min_length=1)
@@ -101,7 +108,8 @@
 class Target(BundleSection):
     """Service level objective of a priority.
 
-    `objective` is the share of requests whose first token must arrive within `first_token_ms`.
+    `objective` is the share of requests whose first token must arrive within `first_token_ms`, and
+    `deadline_s` the deadline of requests that state none.
     """
 
     priority: Priority
@@ -127,7 +135,9 @@
 class Renting(BundleSection):
     """Parameters of renting instances for the demand.
 
-    If `on_demand_share` is not set, it is derived from the weights.
+    Enough capacity is rented that the demand, or at least `least_tokens_per_s`, uses `utilization`
+    of what is left after the loss of the `survive_halls` largest halls. One decision makes at most
+    `most_changes` changes. If `on_demand_share` is not set, it is derived from the weights.
     """
 
     utilization: float = Field(default=0.7, gt=0, le=1)
@@ -138,7 +148,10 @@
 
 
 class Routing(BundleSection):
-    """Parameters of the routing decision."""
+    """Parameters of the routing decision.
+
+    `set_aside` is the share of servers that is reserved for requests that can wait.
+    """
 
     set_aside: float = Field(default=0.2, ge=0, le=0.5)
 
@@ -218,7 +231,7 @@
             findings.append(_unknown_name(source, f"adapters[{index}].model", adapter.model))
         if adapter.name in models:
             path = f"adapters[{index}].name"
-            findings.append(Finding(source, path, f"{adapter.name!r} is a model's name too"))
+            findings.append(Finding(source, path, f"{adapter.name!r} is also a model's name"))
     for index, price in enumerate(bundle.prices):
         if price.hall not in halls:
             findings.append(_unknown_name(source, f"prices[{index}].hall", price.hall))
@@ -233,11 +246,12 @@
 
 
 def _unknown_name(source: str, path: str, name: str) -> Finding:
-    return Finding(source, path, f"{name!r} is not stated in this bundle")
+    return Finding(source, path, f"{name!r} is not defined in this bundle")
 
 
 def _find_duplicates(source: str, bundle: Bundle) -> list[Finding]:
-    named: dict[str, list[str]] = {
+    """Return a finding for each name that occurs twice where names must be unique."""
+    names_by_path: dict[str, list[str]] = {
         "models": [item.name for item in bundle.models],
         "adapters": [item.name for item in bundle.adapters],
         "accounts": [item.name for item in bundle.accounts],
@@ -249,7 +263,7 @@
         "accounts.key_digests": [d for item in bundle.accounts for d in item.key_digests],
     }
     return [
-        Finding(source, path, f"{name!r} stands more than once")
-        for path, names in named.items()
+        Finding(source, path, f"{name!r} is defined more than once")
+        for path, names in names_by_path.items()
         for name in sorted({n for n in names if names.count(n) > 1})
     ]
