--- a/src/moledale/bundle/signing.py
+++ b/src/moledale/bundle/signing.py
@@ -66,7 +66,7 @@
 def verify_signatures(
     body: bytes, signatures: list[Signature], keys: dict[str, str]
 ) -> tuple[set[str], list[str]]:
-    """Return the operators with a valid signature, and an error message for each invalid one."""
+    """Return the operators with a valid signature, and a message per invalid signature."""
     valid: set[str] = set()
     errors: list[str] = []
     for signature in signatures:
