--- a/src/moledale/bundle/store.py
+++ b/src/moledale/bundle/store.py
@@ -96,12 +96,12 @@
     except msgspec.DecodeError as error:
         return Err(f"the stored bundle is damaged: {error}")
     if digest(signed.body.encode()) != head.digest:
-        return Err("the stored bundle does not fit its digest")
+        return Err("the stored bundle does not match its digest")
     checked = check(f"bundle {head.version}", signed, operators)
     if isinstance(checked, Err):
         return Err("; ".join(str(finding) for finding in checked.err_value))
     if checked.ok_value.version != head.version:
-        return Err(f"the bundle says version {checked.ok_value.version}")
+        return Err(f"the stored bundle has version {checked.ok_value.version}")
     return Ok(checked.ok_value)
 
 
@@ -140,6 +140,7 @@
 
 
 async def _move_head(platform: Platform, new: Head, row_version: int) -> Result[Head, RollRefusal]:
+    """Write the head and its history row, if the head row still has version `row_version`."""
     value = msgspec.json.encode(new).decode()
     transaction = Transaction(
         new.operation,
@@ -177,6 +178,7 @@
 
 
 def _version_refusal(bundle: schema.Bundle, head: Head | None) -> RollRefusal | None:
+    """Return a refusal unless the bundle's version directly follows the head's, else None."""
     expected = head.version + 1 if head is not None else 1
     if bundle.version == expected:
         return None
@@ -193,6 +195,7 @@
 
 
 def _decode_head(row: Row | None) -> tuple[Head | None, int]:
+    """Return the head that a row holds, and the version of the row."""
     if row is None:
         return None, ABSENT
     return msgspec.json.decode(row.value, type=Head), row.version
