--- a/src/moledale/edge/app.py
+++ b/src/moledale/edge/app.py
@@ -93,13 +93,13 @@
     host, port = listen.rsplit(":", 1)
     host = host.strip("[]")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    bound = socket.socket(family, socket.SOCK_STREAM)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    bound.bind((host, int(port)))
+    listener = socket.socket(family, socket.SOCK_STREAM)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.bind((host, int(port)))
     # Listen before the port is announced, so that callers can connect at once.
-    bound.listen(LISTEN_BACKLOG)
-    bound.setblocking(False)
-    return bound
+    listener.listen(LISTEN_BACKLOG)
+    listener.setblocking(False)
+    return listener
 
 
 def make_server(app: ASGIApp) -> CallerServer:
