--- a/src/moledale/edge/callers.py
+++ b/src/moledale/edge/callers.py
@@ -37,6 +37,8 @@
 HOP_PARAMETER = "hop"
 """Query parameter that marks a request as already redirected by another node."""
 
+# Headers of a call that are not passed on to a service: the caller's key, and those that apply to
+# one connection or are set anew.
 _UNFORWARDED_HEADERS = {
     "authorization",
     "host",
@@ -85,6 +87,7 @@
         return await self._handle_generation(request, chat=True)
 
     async def _handle_generation(self, request: Request, chat: bool) -> Response:
+        """Handle a generation as a job, a stream or a complete answer, as the caller asks."""
         admitted = self._admit(request)
         if isinstance(admitted, Err):
             return problem_response(admitted.err_value)
@@ -124,6 +127,7 @@
         )
 
     async def _generate_once(self, generation: ParsedGeneration, key: str) -> Response:
+        """Run a generation at most once for its idempotency key; it can't be streamed."""
         if generation.stream:
             detail = "Idempotency-Key goes with a whole answer or with respond-async"
             return problem_response(problems.bad_request(detail))
@@ -140,29 +144,29 @@
 
     async def stream(self, request: Request) -> Response:
         """Resume a stream after `Last-Event-ID`; with `whole=true` return the complete answer."""
-        record = await self._find_stream(request)
-        if isinstance(record, Err):
-            return problem_response(record.err_value)
-        if isinstance(record.ok_value, Response):
-            return record.ok_value
-        found = record.ok_value
+        found = await self._find_stream(request)
+        if isinstance(found, Err):
+            return problem_response(found.err_value)
+        if isinstance(found.ok_value, Response):
+            return found.ok_value
+        record = found.ok_value
         if request.query_params.get("whole") == "true":
-            return await self._whole_response(found)
+            return await self._whole_response(record)
         last = request.headers.get("last-event-id")
-        start = 0 if last is None else sse.resume_index(found.request.id, last)
-        if start is None or start > len(found.tokens):
+        start = 0 if last is None else sse.resume_index(record.request.id, last)
+        if start is None or start > len(record.tokens):
             detail = f"Last-Event-ID {last!r} is not an event of this stream"
             return problem_response(problems.bad_request(detail))
-        return self._stream_response(found, start)
+        return self._stream_response(record, start)
 
     async def cancel_stream(self, request: Request) -> Response:
         """Cancel a stream of the caller."""
-        record = await self._find_stream(request)
-        if isinstance(record, Err):
-            return problem_response(record.err_value)
-        if isinstance(record.ok_value, Response):
-            return record.ok_value
-        self._node.dispatcher.cancel(record.ok_value.request.id)
+        found = await self._find_stream(request)
+        if isinstance(found, Err):
+            return problem_response(found.err_value)
+        if isinstance(found.ok_value, Response):
+            return found.ok_value
+        self._node.dispatcher.cancel(found.ok_value.request.id)
         return Response(status_code=204)
 
     async def _find_stream(self, request: Request) -> Result[StreamRecord | Response, Problem]:
@@ -199,6 +203,7 @@
     # Jobs
 
     async def _accept_job(self, generation: ParsedGeneration) -> Response:
+        """Accept a generation as a job and return 202 with its location."""
         node = self._node
         request = msgspec.structs.replace(
             generation.request, deadline_at=node.clock.wall() + JOB_DEADLINE_S, repeatable=True
@@ -254,7 +259,7 @@
         body = sse.encode_completion(result.request, [result.text or ""], result.reason, usage)
         return Response(body, media_type=JSON_MEDIA_TYPE)
 
-    # Services
+    # Idempotency keys and services
 
     async def issue_keys(self, request: Request) -> Response:
         """Issue idempotency keys whose use this node tracks in memory, without the table."""
@@ -295,7 +300,7 @@
         answer = outcome.ok_value
         return Response(answer.body, answer.status, media_type=answer.content_type)
 
-    # Addresses
+    # Addresses and models
 
     async def addresses(self, request: Request) -> Response:
         """Return the node addresses for a session, the preferred one first, and their TTL."""
@@ -305,8 +310,8 @@
             detail = "this node does not know the list of nodes yet"
             return problem_response(problems.unavailable(detail, 1))
         ttl = self._node.settings.times.address_ttl_s
-        found = [{"address": view.address, "hall": view.hall} for view in views]
-        return json_response({"session": session, "addresses": found, "ttl_s": ttl})
+        addresses = [{"address": view.address, "hall": view.hall} for view in views]
+        return json_response({"session": session, "addresses": addresses, "ttl_s": ttl})
 
     async def models(self, request: Request) -> Response:
         """Return the models and adapters that requests may name."""
