--- a/src/moledale/edge/operators.py
+++ b/src/moledale/edge/operators.py
@@ -19,7 +19,7 @@
 
 
 class ServerStatus(msgspec.Struct, frozen=True):
-    """The state of a backend server as one node sees it."""
+    """The state of a backend server as one node sees it; `running` counts its requests."""
 
     id: str
     hall: str
@@ -29,7 +29,11 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """The status of a node and its view of the fleet; older builds send no `build`."""
+    """The status of a node and its view of the fleet; older builds send no `build`.
+
+    `confirmed_ago_s` is the time since the node confirmed that its bundle is the head, and
+    `verdict` states whether it accepts new requests. `nodes` maps node ids to addresses.
+    """
 
     node: str
     hall: str
@@ -72,13 +76,13 @@
         return json_response(self._status())
 
     async def burn(self, request: Request) -> Response:
-        """Return the counts of good and bad requests, from which the burn is computed."""
+        """Return this node's counts of good and bad requests, the input of the burn rates."""
         if not self._is_authorized(request):
             return _unauthorized()
         return json_response(self._node.burn.page())
 
     async def roll(self, request: Request) -> Response:
-        """Roll out a signed bundle."""
+        """Make a signed bundle the head; on a refusal, return its reason and findings."""
         if not self._is_authorized(request):
             return _unauthorized()
         body = await read_body(request, self._node.settings.limits.body_bytes)
@@ -107,10 +111,10 @@
         """Return the current bundle version with its body and signatures."""
         if not self._is_authorized(request):
             return _unauthorized()
-        read = await store.read_head(self._node.platform)
-        if isinstance(read, Err):
-            return problem_response(problems.unavailable(read.err_value.detail, 2))
-        head, _ = read.ok_value
+        outcome = await store.read_head(self._node.platform)
+        if isinstance(outcome, Err):
+            return problem_response(problems.unavailable(outcome.err_value.detail, 2))
+        head, _ = outcome.ok_value
         if head is None:
             return problem_response(problems.not_found("no bundle has been rolled yet"))
         body = await self._node.platform.objects.get(store.OBJECT_PREFIX + head.digest)
