--- a/src/moledale/edge/sse.py
+++ b/src/moledale/edge/sse.py
@@ -80,12 +80,15 @@
     return fields + b',"choices":[{"index":0,"text":', b',"finish_reason":null}]}'
 
 
-def _common_fields(request: GenerationRequest, chunk: str) -> dict[str, object]:
-    """Return the fields that whole answers and events share."""
-    kind = f"chat.completion{chunk}" if request.chat else "text_completion"
+def _common_fields(request: GenerationRequest, object_suffix: str) -> dict[str, object]:
+    """Return the fields that whole answers and events share.
+
+    `object_suffix` is appended to the `object` field of chats, which differs between the two.
+    """
+    object_type = f"chat.completion{object_suffix}" if request.chat else "text_completion"
     return {
         "id": request.id,
-        "object": kind,
+        "object": object_type,
         "created": request.created_at,
         "model": request.model,
     }
