--- a/src/moledale/findings.py
+++ b/src/moledale/findings.py
@@ -45,6 +45,7 @@
 
 
 def _readable_message(kind: str, message: str) -> str:
+    """Return the message for a pydantic error of type `kind`."""
     if kind == "extra_forbidden":
         return "unknown key"
     if kind == "missing":
