--- a/src/moledale/peers/gossip.py
+++ b/src/moledale/peers/gossip.py
@@ -14,14 +14,14 @@
 
 PEERS_PER_ROUND = 1
 PEERS_PER_UPDATE = 6
-"""Peers with which a node exchanges digests at once when it learns of an update itself."""
+"""Peers with which a node exchanges digests immediately when it learns of an update itself."""
 
 PEERS_PER_UPDATE_RELAY = 3
-"""Peers to which a node relays an update at once when it receives it for the first time."""
+"""Peers to which a node relays an update immediately when it first receives it from a peer."""
 
 
 class Gossip:
-    """Exchanges digests with one random peer per round, and with several at once on an update.
+    """Exchanges digests with one random peer per round, and immediately with several on an update.
 
     `own_digest` returns the digest to send, and `on_digest` is called with each one received.
     """
