--- a/src/moledale/platform/cloud.py
+++ b/src/moledale/platform/cloud.py
@@ -15,7 +15,7 @@
 
 
 class PlatformCloud:
-    """Reports usage and orders servers, in the name of the lease holder."""
+    """Reports usage and orders servers, with the holder and fence of the duties lease."""
 
     def __init__(self, address: str) -> None:
         self._calls = HttpCaller(address)
