--- a/src/moledale/platform/engines.py
+++ b/src/moledale/platform/engines.py
@@ -15,18 +15,18 @@
 """Timeout of releasing a copy; a copy that is not released expires by itself."""
 
 MAX_CALLERS = 200
-"""Engines to which idle connections are kept for orders; with more, all are closed."""
+"""Maximum model servers to which connections stay open; beyond it, all of them are closed."""
 
 
 class MoveRecord(msgspec.Struct, frozen=True):
-    """The response to a move: the handle of the copy and the number of events made."""
+    """The response to a move: the handle of the copy and the number of events produced."""
 
     handle: str = ""
     made: int = 0
 
 
 class PlatformEngines:
-    """Moves runs between model servers."""
+    """Moves runs (generations in flight) between model servers."""
 
     def __init__(self) -> None:
         self._callers: dict[str, HttpCaller] = {}
