--- a/src/moledale/platform/headers.py
+++ b/src/moledale/platform/headers.py
@@ -30,7 +30,7 @@
 from moledale.platform.entries import platform_id
 
 BEARER_PREFIX = b"bearer "
-RESERVED_HEADERS = frozenset(
+RESERVED_HEADERS = frozenset(  # for nodes only; values that callers send are dropped
     {
         b"authorization",
         b"tenant",
@@ -72,14 +72,14 @@
     def attempt_head(self, head: RequestHead, facts: AttemptFacts, length: int) -> bytes:
         """Return the head that is sent to a server, without the caller's own reserved headers."""
         lines = [b"%b %b HTTP/1.1" % (head.method, head.target)]
-        named = connection_options(head.headers)
+        connection_headers = connection_options(head.headers)
         had_length = False
         for name, value in head.headers:
-            low = name.lower()
-            had_length = had_length or low in (b"content-length", b"transfer-encoding")
-            if low in HOP_BY_HOP or low in RESERVED_HEADERS or low in named:
+            key = name.lower()
+            had_length = had_length or key in (b"content-length", b"transfer-encoding")
+            if key in HOP_BY_HOP or key in RESERVED_HEADERS or key in connection_headers:
                 continue
-            if low == LAST_EVENT_ID_HEADER and facts.after_event:
+            if key == LAST_EVENT_ID_HEADER and facts.after_event:
                 continue
             lines.append(name + b": " + value)
         if length or had_length:
@@ -132,7 +132,7 @@
     """Implements `EntryDialect`: readiness checks and address lookups at a node."""
 
     def parse_control_request(self, head: RequestHead) -> ControlRequest | None:
-        """Return the question of a request, or None for any other request."""
+        """Return the control request, or None for any other request."""
         path, _, query = head.target.partition(b"?")
         if path == b"/v1/ready":
             return ControlRequest(ControlRequestKind.READY)
@@ -156,9 +156,9 @@
 def _token_counts(value: bytes | None) -> tuple[int, int]:
     if not value:
         return 0, 0
-    first, _, second = value.partition(b",")
+    prompt, _, answer = value.partition(b",")
     try:
-        return parse_count(first), parse_count(second or b"0")
+        return parse_count(prompt), parse_count(answer or b"0")
     except ValueError:
         raise ValueError("Token-Count is not two numbers") from None
 
