--- a/src/moledale/platform/records.py
+++ b/src/moledale/platform/records.py
@@ -47,7 +47,7 @@
 
 
 class EngineRecord(Record, frozen=True):
-    """Properties of the model servers of a service."""
+    """Properties of a service's model servers; `stride` is the number of tokens per event."""
 
     slots: int = 1
     kv_capacity: int = 0
@@ -60,7 +60,7 @@
 
 
 class ScalingRecord(Record, frozen=True):
-    """Minimum, maximum and prices of a service's servers."""
+    """Minimum and maximum number of a service's servers, their boot time and their prices."""
 
     min: int = 0
     max: int = 0
@@ -155,7 +155,7 @@
 
 
 def read_config(raw: bytes) -> plan.Plan:
-    """Decode a configuration to a plan; raise ValueError if it can't be read."""
+    """Decode a configuration into a plan; raise ValueError if it can't be read."""
     record = msgspec.json.decode(raw, type=ConfigRecord)
     return plan.Plan(
         record.version,
@@ -193,16 +193,16 @@
 def _service(record: ServiceRecord) -> plan.Service:
     engine = renting = None
     if record.engine is not None:
-        each = record.engine
+        properties = record.engine
         engine = plan.Engine(
-            each.slots,
-            each.kv_capacity,
-            int(each.kv_token_bytes),
-            each.link_mbps,
-            each.moves,
-            each.backups,
-            each.handle_s,
-            each.stride,
+            properties.slots,
+            properties.kv_capacity,
+            int(properties.kv_token_bytes),
+            properties.link_mbps,
+            properties.moves,
+            properties.backups,
+            properties.handle_s,
+            properties.stride,
         )
     if record.scaling is not None:
         scaling = record.scaling
