--- a/src/moledale/platform/store.py
+++ b/src/moledale/platform/store.py
@@ -1,4 +1,4 @@
-"""Adapter for the platform's store: its calls and its rows."""
+"""Adapter for the platform's store of rows."""
 
 import base64
 from functools import partial
@@ -89,10 +89,10 @@
         self, table: str, key: str, value: bytes, expected: int, timeout_s: float
     ) -> Result[WriteResult, Failure]:
         """Put a row if its version is still `expected`."""
-        name = {"table": table, "part": "", "key": key}
+        row_id = {"table": table, "part": "", "key": key}
         body = {
-            "expectedRev": [{**name, "ver": expected}],
-            "put": [{**name, "value": _to_base64(value)}],
+            "expectedRev": [{**row_id, "ver": expected}],
+            "put": [{**row_id, "value": _to_base64(value)}],
             "remove": [],
         }
         outcome = await self._call("POST", "/v1/rows-tx", timeout_s, encode(body), (200, 412))
@@ -102,8 +102,8 @@
         committed = outcome.ok_value.status == 200
         existing = (row for row in record.rows if row.key == key and not row.gone and row.ver)
         row = None if committed else next(existing, None)
-        standing = None if row is None else _state_row(row)
-        return Ok(WriteResult(record.ver, committed, standing, record.now_ms / 1000, record.era))
+        current = None if row is None else _state_row(row)
+        return Ok(WriteResult(record.ver, committed, current, record.now_ms / 1000, record.era))
 
     async def put(self, table: str, key: str, value: bytes, timeout_s: float) -> Failure | None:
         """Put a row without a condition."""
@@ -168,19 +168,19 @@
         return Ok(ServerList(remaining, record.ver, now_s, era=before.era))
 
     async def plan(self, timeout_s: float) -> Result[PlanUpdate, Failure]:
-        """Return the newest plan."""
+        """Return the newest plan, and all rollout orders with their phases."""
         outcome = await self._read_table(CONFIG_TABLE, timeout_s)
         if isinstance(outcome, Err):
             return outcome
-        news = _plan_update(outcome.ok_value)
-        if not news.rollouts:
-            return Ok(news)
+        update = _plan_update(outcome.ok_value)
+        if not update.rollouts:
+            return Ok(update)
         statuses = await self._read_table(STATUS_TABLE, timeout_s)
         if isinstance(statuses, Err):
             return statuses
         rows = {row.key: row for row in statuses.ok_value.rows}
-        rollouts = tuple(_with_status(each, rows) for each in news.rollouts)
-        return Ok(msgspec.structs.replace(news, rollouts=rollouts))
+        rollouts = tuple(_with_status(each, rows) for each in update.rollouts)
+        return Ok(msgspec.structs.replace(update, rollouts=rollouts))
 
     async def watch_plan(self, position: EraVersion, wait_s: float) -> Result[PlanUpdate, Failure]:
         """Return what changed after `position`, once there is a change or after `wait_s`."""
@@ -195,14 +195,14 @@
         """Write a rollout's status, and in the same transaction the state for later holders."""
         order = news.order
         key = ROLLOUT_PREFIX + order.service
-        ordered = {"table": CONFIG_TABLE, "part": "", "key": key, "ver": order.revision}
+        order_row = {"table": CONFIG_TABLE, "part": "", "key": key, "ver": order.revision}
         status = {"table": STATUS_TABLE, "part": "", "key": key}
-        kept = {"table": ROLLOUT_TABLE, "part": "", "key": order.service}
+        state = {"table": ROLLOUT_TABLE, "part": "", "key": order.service}
         body = {
-            "expectedRev": [ordered, {**status, "ver": expected}],
+            "expectedRev": [order_row, {**status, "ver": expected}],
             "put": [
                 {**status, "value": _to_base64(encode(status_body(news)))},
-                {**kept, "value": _to_base64(msgspec.json.encode(news))},
+                {**state, "value": _to_base64(msgspec.json.encode(news))},
             ],
             "remove": [],
         }
@@ -255,23 +255,23 @@
         path: str,
         timeout_s: float,
         body: bytes = b"",
-        good: tuple[int, ...] = (200,),
+        expected_statuses: tuple[int, ...] = (200,),
     ) -> Result[Answer, Failure]:
         outcome = await self._calls.call(method, path, body, JSON_TYPE if body else [], timeout_s)
         if isinstance(outcome, Err):
             return Err(Failure(outcome.err_value.detail, uncertain=outcome.err_value.sent))
-        got = outcome.ok_value
-        count = first_count(got.headers, ERA_HEADER)
-        era = UNKNOWN_ERA if count is None else count + 1  # the count may be 0, as UNKNOWN_ERA is
+        response = outcome.ok_value
+        count = first_count(response.headers, ERA_HEADER)
+        era = UNKNOWN_ERA if count is None else count + 1  # a count of 0 is valid, unlike era 0
         self.era.observe(era)
-        if got.status not in good:
-            gone = got.status == STATUS_HISTORY_GONE
-            return Err(Failure(f"status {got.status}", uncertain=False, history_gone=gone))
+        if response.status not in expected_statuses:
+            gone = response.status == STATUS_HISTORY_GONE
+            return Err(Failure(f"status {response.status}", uncertain=False, history_gone=gone))
         try:
-            rows = msgspec.json.decode(got.body, type=RowsRecord)
+            rows = msgspec.json.decode(response.body, type=RowsRecord)
         except msgspec.DecodeError as error:
             return Err(Failure(f"an answer that can't be read: {error}"))
-        return Ok(Answer(got.status, msgspec.structs.replace(rows, era=era)))
+        return Ok(Answer(response.status, msgspec.structs.replace(rows, era=era)))
 
 
 def _plan_update(record: RowsRecord) -> PlanUpdate:
@@ -319,8 +319,8 @@
 def _write_conflict(record: RowsRecord, order: RolloutOrder) -> StatusWriteResult:
     """Return why a status was not written, from the current rows."""
     current = {row.table: row for row in record.rows if not row.gone}
-    ordered = current.get(CONFIG_TABLE)
-    if ordered is None or ordered.ver != order.revision:
+    order_row = current.get(CONFIG_TABLE)
+    if order_row is None or order_row.ver != order.revision:
         return StatusWriteResult(False, 0, superseded=True)
     status = current.get(STATUS_TABLE)
     if status is None:
