--- a/src/moledale/servers/http.py
+++ b/src/moledale/servers/http.py
@@ -35,7 +35,7 @@
 _DATA_PREFIX = b"data: "
 CONNECT_TIMEOUT_S = 1.0
 CALL_TIMEOUT_S = 2.0
-STREAM_IDLE_TIMEOUT_S = 20.0  # longest pause between two reads of a stream
+STREAM_IDLE_TIMEOUT_S = 20.0  # longest pause between two reads from a stream
 MAX_CONNECTIONS = 4_000  # room for every stream of a node
 SERVICE_UNAVAILABLE = 503
 """Status of a server that rejects a call."""
@@ -106,7 +106,7 @@
         """Return the cache events after sequence number `after`."""
         path = f"/v1/cache-events?after={after}"
         page = await self._call_json(address, "GET", path, None, CacheEventPage)
-        return page.map(lambda found: found.events)
+        return page.map(lambda decoded: decoded.events)
 
     async def order(self, address: str, order: Order) -> Result[OrderReply, ServerFailure]:
         """Send a fenced order."""
@@ -118,7 +118,7 @@
         return await self._call_json(address, "POST", "/v1/kv/export", body, KvTicket)
 
     async def import_kv(self, address: str, ticket: KvTicket) -> Result[None, ServerFailure]:
-        """Make a server fetch an exported KV cache from the server that holds it."""
+        """Make the server fetch an exported KV cache from the server that holds it."""
         outcome = await self._call(address, "POST", "/v1/kv/import", ticket)
         return outcome.map(lambda _: None)
 
