--- a/src/moledale/servers/types.py
+++ b/src/moledale/servers/types.py
@@ -160,7 +160,7 @@
         ...
 
     async def import_kv(self, address: str, ticket: KvTicket) -> Result[None, ServerFailure]:
-        """Make a server fetch an exported KV cache from the server that holds it."""
+        """Make the server fetch an exported KV cache from the server that holds it."""
         ...
 
 
