--- a/src/moledale/settings.py
+++ b/src/moledale/settings.py
@@ -93,7 +93,11 @@
 
 
 class LimitsSection(Section):
-    """Limits of one node: sizes and rates, with a cap for each map and queue."""
+    """Limits of one node: sizes and rates, with a cap for each map and queue.
+
+    Finished streams can be resumed for up to `finished_stream_s` seconds. A node follows the load
+    of at most `followed_servers` backend servers.
+    """
 
     body_bytes: int = Field(default=1_000_000, ge=1024, le=64_000_000)
     header_bytes: int = Field(default=16_384, ge=1024, le=262_144)
@@ -110,7 +114,11 @@
 
 
 class TimesSection(Section):
-    """Timeouts, intervals and lifetimes, in seconds."""
+    """Timeouts, intervals and lifetimes, in seconds.
+
+    `order_max_s` is the longest time that an order to a backend server may take. A node that
+    reaches neither the table nor a peer accepts no new requests after `isolation_grace_s`.
+    """
 
     lease_ttl_s: float = Field(default=10.0, gt=0)
     order_max_s: float = Field(default=2.0, gt=0)
@@ -123,7 +131,7 @@
 
 
 class MetricsSection(Section):
-    """Address of the statsd server; without it, no metrics are sent."""
+    """Address of the statsd server (no metrics are sent without it) and prefix of the metrics."""
 
     statsd: HostPort | None = None
     prefix: Name = "moledale"
