--- a/src/moledale/ui/bundle_commands.py
+++ b/src/moledale/ui/bundle_commands.py
@@ -85,6 +85,7 @@
 
 
 def _bundle_of_head(answer: Answer) -> schema.Bundle | None:
+    """Return the bundle in a node's response, or None if none has been rolled yet."""
     if answer.status == 404:
         return None
     data = msgspec.json.decode(answer.body)
@@ -132,7 +133,7 @@
 
 
 def roll(options: argparse.Namespace, client: NodeClient) -> Exit:
-    """Roll a signed bundle across the fleet."""
+    """Send a signed bundle to a node, which makes it the head."""
     parsed = _parse_file(options.file)
     if isinstance(parsed, Err):
         return report_findings(parsed.err_value, options.json)
