--- a/src/moledale/ui/explain_command.py
+++ b/src/moledale/ui/explain_command.py
@@ -34,7 +34,7 @@
         Event.TASK_FAILED,
     )
 )
-"""Events about a node's own state, shown as context if they are in the time of the request."""
+"""Events about a node's own state, shown as context if logged during the request."""
 
 
 class LogLine(msgspec.Struct, frozen=True):
@@ -54,8 +54,8 @@
 def read_lines(source: str, lines: Iterable[str]) -> Iterator[LogLine]:
     """Parse events; other lines are skipped.
 
-    The node is the one that a leading time and name state, else the one of the last `starting`
-    event, else `source`.
+    A line may start with a time and a node name, before the event's own time. Without them, the
+    node is the one of the last `starting` event, or `source` if there is none.
     """
     node = source
     for line in lines:
@@ -79,13 +79,13 @@
 
 
 def select_events(lines: Iterable[LogLine], request: str) -> list[LogLine]:
-    """Return the events of a request, with the context of its nodes and servers meanwhile."""
+    """Return the events of a request, and context events of its nodes and servers, by time."""
     ordered = sorted(lines, key=lambda line: line.time)
     own = [line for line in ordered if line.is_about(request)]
     if not own:
         return []
     duration_s = max(_logged_duration_s(line) for line in own)
-    begin = own[0].time - duration_s - CONTEXT_BEFORE_S
+    context_start = own[0].time - duration_s - CONTEXT_BEFORE_S
     nodes = {line.node for line in own}
     servers = {str(line.fields["server"]) for line in own if "server" in line.fields}
     until_end = [line for line in ordered if line.time <= own[-1].time]
@@ -93,19 +93,20 @@
         line
         for line in until_end
         if line.is_about(request)
-        or (line.node in nodes and line.time >= begin and _is_context(line, servers))
+        or (line.node in nodes and line.time >= context_start and _is_context(line, servers))
         or line is _last_server_list(until_end, nodes, own[0].time)
     ]
 
 
 def _is_context(line: LogLine, servers: set[str]) -> bool:
+    """Return whether an event of no request is about the node itself or one of the servers."""
     if line.fields.get("request") is not None:
         return False
     return line.number in CONTEXT_EVENT_NUMBERS or str(line.fields.get("server")) in servers
 
 
 def _last_server_list(lines: list[LogLine], nodes: set[str], time: float) -> LogLine | None:
-    """Return the last change of the server list that the nodes logged by a time: the one in use."""
+    """Return the last change of the server list that the nodes logged up to `time`."""
     number = Event.SERVERS_CHANGED.value.number
     known = [
         line for line in lines if line.number == number and line.node in nodes and line.time <= time
@@ -114,6 +115,7 @@
 
 
 def _logged_duration_s(line: LogLine) -> float:
+    """Return the duration that an event states, in seconds, or 0."""
     for name in ("ms", "held_ms"):
         value = line.fields.get(name)
         if isinstance(value, int | float):
