--- a/src/moledale/ui/fleet_commands.py
+++ b/src/moledale/ui/fleet_commands.py
@@ -97,7 +97,7 @@
         ["server", "hall", "standing", "running", "models"],
         [
             (s.id, s.hall, s.standing, s.running, " ".join(s.models) or "-")
-            for s in sorted(servers.values(), key=lambda one: one.id)
+            for s in sorted(servers.values(), key=lambda server: server.id)
         ],
     )
     return _report_failures(failures) if failures else Exit.OK
@@ -143,6 +143,7 @@
 
 
 def _fetch_burn(client: NodeClient) -> Result[tuple[list[BurnRow], list[str]], str]:
+    """Return the burn rows over all nodes, and the errors of nodes that failed."""
     head = client.get("/admin/v1/bundles/head")
     found = _fetch_statuses(client)
     if isinstance(head, Err):
@@ -179,11 +180,11 @@
     names = list(WINDOWS_S)
     width = 0.8 / max(1, len(rows))
     for index, row in enumerate(rows):
-        positions = [place + index * width for place in range(len(names))]
+        positions = [tick + index * width for tick in range(len(names))]
         label = f"{row.account}, {row.priority.value}"
         axes.bar(positions, [row.burn[name] for name in names], width, label=label)
     axes.axhline(1.0, color="black", linewidth=0.8, linestyle="--")
-    axes.set_xticks([place + 0.4 - width / 2 for place in range(len(names))], names)
+    axes.set_xticks([tick + 0.4 - width / 2 for tick in range(len(names))], names)
     axes.set_xlabel("window")
     axes.set_ylabel("error-budget burn rate (1 = exactly at the objective)")
     if rows:
