--- a/src/moledale/ui/gateway.py
+++ b/src/moledale/ui/gateway.py
@@ -28,7 +28,10 @@
     orders: Callable[[GatewaySettings], CloudOrders],
     engines: Engines,
 ) -> int:
-    """Run a node until SIGTERM and return its exit code; 2 means invalid settings."""
+    """Run a node until SIGTERM and return its exit code; 2 means invalid settings.
+
+    `store` and `orders` create the adapters for the store and the cloud from the settings.
+    """
     settings = load(path)
     if isinstance(settings, Err):
         for finding in settings.err_value:
