--- a/src/moledale/ui/output.py
+++ b/src/moledale/ui/output.py
@@ -14,7 +14,11 @@
 
 
 class Exit(IntEnum):
-    """Exit codes of `moledale`."""
+    """Exit codes of `moledale`.
+
+    `FINDINGS` also stands for wrong usage; `CONFLICT` means that another roll won, and `UNCERTAIN`
+    that a change may have taken effect.
+    """
 
     OK = 0
     FAILED = 1
