--- a/src/moledale/bundle/schema.py
+++ b/src/moledale/bundle/schema.py
@@ -231,7 +231,7 @@
             findings.append(_unknown_name(source, f"adapters[{index}].model", adapter.model))
         if adapter.name in models:
             path = f"adapters[{index}].name"
-            findings.append(Finding(source, path, f"{adapter.name!r} is also a model's name"))
+            findings.append(Finding(source, path, f"{adapter.name!r} is a model's name too"))
     for index, price in enumerate(bundle.prices):
         if price.hall not in halls:
             findings.append(_unknown_name(source, f"prices[{index}].hall", price.hall))
@@ -246,7 +246,7 @@
 
 
 def _unknown_name(source: str, path: str, name: str) -> Finding:
-    return Finding(source, path, f"{name!r} is not defined in this bundle")
+    return Finding(source, path, f"{name!r} is not stated in this bundle")
 
 
 def _find_duplicates(source: str, bundle: Bundle) -> list[Finding]:
@@ -263,7 +263,7 @@
         "accounts.key_digests": [d for item in bundle.accounts for d in item.key_digests],
     }
     return [
-        Finding(source, path, f"{name!r} is defined more than once")
+        Finding(source, path, f"{name!r} stands more than once")
         for path, names in names_by_path.items()
         for name in sorted({n for n in names if names.count(n) > 1})
     ]
