--- a/src/moledale/gateway/duties.py
+++ b/src/moledale/gateway/duties.py
@@ -173,7 +173,7 @@
         emit(
             Event.USAGE_FAILED,
             window=window,
-            why="the store may have lost the counts that were reported",
+            why="the store may have lost what was reported",
         )
         return None
 
